--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! A library that tests preload (`LD_PRELOAD`) into a process of their own: chosen C library calls then fail,
-//! move less, begin late, or see a stepped wall clock, as [`plan`] describes.
+//! A library that tests preload (`LD_PRELOAD`) into a process of their own: chosen C library calls
+//! then fail, move less, begin late, or see a stepped wall clock, as [`plan`] describes.
 //!
-//! The plan stands in `KITEFORK_FAULTS`, the seed of its draws in `KITEFORK_FAULT_SEED`. Without a plan each
-//! call goes through unchanged. This crate is the only one of the workspace with `unsafe` code; nothing of it
-//! is part of the shipped programs.
+//! The plan stands in `KITEFORK_FAULTS`, the seed of its draws in `KITEFORK_FAULT_SEED`. Without a
+//! plan each call goes through unchanged. This crate is the only one of the workspace with `unsafe`
+//! code; nothing of it is part of the shipped programs.
 
 pub mod plan;
 
@@ -12,7 +12,8 @@
 use std::sync::{Mutex, OnceLock, PoisonError};
 
 use libc::{
-    c_int, c_void, clockid_t, epoll_event, nfds_t, pollfd, size_t, sockaddr, socklen_t, ssize_t, timespec,
+    c_int, c_void, clockid_t, epoll_event, nfds_t, pollfd, size_t, sockaddr, socklen_t, ssize_t,
+    timespec,
 };
 
 use crate::plan::{Call, Fault, Plan};
@@ -29,18 +30,33 @@
 
 /// Monotonic milliseconds, past the intercepted calls.
 fn monotonic_ms() -> u64 {
-    let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut time = timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // SAFETY: the kernel writes to a `timespec` of ours that outlives the call.
-    unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut time) };
+    unsafe {
+        libc::syscall(
+            libc::SYS_clock_gettime,
+            libc::CLOCK_MONOTONIC,
+            &raw mut time,
+        )
+    };
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
 /// A plan that can't be read would make a test pass for the wrong reason, so the process ends.
 fn start() -> Option<Shim> {
     let text = std::env::var(PLAN_VARIABLE).ok()?;
-    let seed = std::env::var(SEED_VARIABLE).ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
+    let seed = std::env::var(SEED_VARIABLE)
+        .ok()
+        .and_then(|seed| seed.parse().ok())
+        .unwrap_or(1);
     match Plan::parse(&text, seed) {
-        Ok(plan) => Some(Shim { plan: Mutex::new(plan), started_ms: monotonic_ms() }),
+        Ok(plan) => Some(Shim {
+            plan: Mutex::new(plan),
+            started_ms: monotonic_ms(),
+        }),
         Err(error) => {
             eprintln!("{error}");
             std::process::abort()
@@ -51,7 +67,8 @@
 fn strike(call: Call) -> Option<Fault> {
     let shim = SHIM.get_or_init(start).as_ref()?;
     let elapsed = monotonic_ms().saturating_sub(shim.started_ms);
-    // A signal handler may come here while the lock is held by its own thread: its call goes through.
+    // A signal handler may come here while the lock is held by its own thread: its call goes
+    // through.
     let mut plan = match shim.plan.try_lock() {
         Ok(plan) => plan,
         Err(std::sync::TryLockError::Poisoned(poisoned)) => PoisonError::into_inner(poisoned),
@@ -66,7 +83,8 @@
     if known != 0 {
         return known;
     }
-    // SAFETY: `name` ends with a zero byte, and the C library is loaded for as long as the process runs.
+    // SAFETY: `name` ends with a zero byte, and the C library is loaded for as long as the process
+    // runs.
     let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize;
     cache.store(found, Ordering::Relaxed);
     found
@@ -78,13 +96,22 @@
 }
 
 fn sleep(ms: u64) {
-    let time = timespec { tv_sec: (ms / 1_000) as i64, tv_nsec: (ms % 1_000) as i64 * 1_000_000 };
+    let time = timespec {
+        tv_sec: (ms / 1_000) as i64,
+        tv_nsec: (ms % 1_000) as i64 * 1_000_000,
+    };
     // SAFETY: the kernel reads a `timespec` of ours that outlives the call.
-    unsafe { libc::syscall(libc::SYS_nanosleep, &raw const time, std::ptr::null_mut::<timespec>()) };
+    unsafe {
+        libc::syscall(
+            libc::SYS_nanosleep,
+            &raw const time,
+            std::ptr::null_mut::<timespec>(),
+        )
+    };
 }
 
-/// Defines a call that a plan may strike. The last argument names the length that `short` cuts, if it has
-/// one.
+/// Defines a call that a plan may strike. The last argument names the length that `short` cuts, if
+/// it has one.
 macro_rules! intercept {
     ($call:expr, $name:literal,
         fn $function:ident($($argument:ident: $type:ty),*) -> $result:ty $(, $length:ident)?) => {
@@ -113,8 +140,8 @@
                 Some(Fault::Sleep(ms)) => sleep(ms),
                 Some(Fault::Late(_) | Fault::Step(_)) | None => {}
             }
-            // SAFETY: the symbol is the C library's function of this name and has its type; the arguments are
-            // the caller's, which holds to that function's contract.
+            // SAFETY: the symbol is the C library's function of this name and has its type; the
+            // arguments are the caller's, which holds to that function's contract.
             let result = unsafe {
                 std::mem::transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(
                     next(&NEXT, $name))($($argument),*)
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,15 +1,18 @@
 //! The fault plan: which calls fail, how, and how often. Pure text and arithmetic, no system calls.
 //!
-//! A plan is a list of rules separated by `;`. A rule is `CALL=FAULT` followed by options separated by `,`:
+//! A plan is a list of rules separated by `;`. A rule is `CALL=FAULT` followed by options separated
+//! by `,`:
 //!
 //! | part | values |
 //! | --- | --- |
-//! | `CALL` | `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, `clock` |
-//! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`, or, for `clock`, `step:SECONDS` |
+//! | `CALL` | one of the calls below |
+//! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`; `step:SECONDS` (`clock`) |
 //! | `every:N` | the rule strikes each N-th call (default 1) |
 //! | `chance:P` | instead, the rule strikes with probability P, drawn from the plan's seed |
 //! | `from:MS`, `to:MS` | the rule is in force in this span since the start of the process |
 //!
+//! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, `clock`.
+//!
 //! Example: `accept=ENFILE,every:5;clock=step:3600,from:2000`.
 
 use std::fmt;
@@ -46,7 +49,8 @@
     Short,
     /// It begins this many milliseconds later.
     Sleep(u64),
-    /// Where it has something to tell (its result is over 0), it returns this many milliseconds later.
+    /// Where it has something to tell (its result is over 0), it returns this many milliseconds
+    /// later.
     Late(u64),
     /// The clock is off by this many seconds.
     Step(i64),
@@ -96,15 +100,24 @@
     ///
     /// Names the part that is unknown.
     pub fn parse(text: &str, seed: u64) -> Result<Plan, PlanError> {
-        let rules = text.split(';').map(str::trim).filter(|rule| !rule.is_empty()).map(parse_rule);
-        Ok(Plan { rules: rules.collect::<Result<_, _>>()?, random: seed })
+        let rules = text
+            .split(';')
+            .map(str::trim)
+            .filter(|rule| !rule.is_empty())
+            .map(parse_rule);
+        Ok(Plan {
+            rules: rules.collect::<Result<_, _>>()?,
+            random: seed,
+        })
     }
 
-    /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule strikes it.
+    /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule
+    /// strikes it.
     pub fn strike(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
         let random = &mut self.random;
-        let in_force =
-            |rule: &&mut Rule| rule.call == call && (rule.from_ms..rule.to_ms).contains(&elapsed_ms);
+        let in_force = |rule: &&mut Rule| {
+            rule.call == call && (rule.from_ms..rule.to_ms).contains(&elapsed_ms)
+        };
         let mut struck = None;
         for rule in self.rules.iter_mut().filter(in_force) {
             if rule.strikes(random) {
@@ -127,7 +140,9 @@
 
 /// A draw from [0, 1).
 fn draw(random: &mut u64) -> f64 {
-    *random = random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+    *random = random
+        .wrapping_mul(LCG_MULTIPLIER)
+        .wrapping_add(LCG_INCREMENT);
     (*random >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -189,8 +204,8 @@
     errno(text).map(Fault::Errno)
 }
 
-/// The errno values that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and `epoll(7)`
-/// document.
+/// The errno values that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and
+/// `epoll(7)` document.
 fn errno(name: &str) -> Option<i32> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -5,7 +5,9 @@
 #[test]
 fn each_nth_call_is_struck_and_no_other_call() {
     let mut plan = Plan::parse("accept=ENFILE,every:3;send=short", 1).unwrap();
-    let struck: Vec<bool> = (0..6).map(|_| plan.strike(Call::Accept, 0).is_some()).collect();
+    let struck: Vec<bool> = (0..6)
+        .map(|_| plan.strike(Call::Accept, 0).is_some())
+        .collect();
     assert_eq!(struck, [false, false, true, false, false, true]);
     assert_eq!(plan.strike(Call::Send, 0), Some(Fault::Short));
     assert_eq!(plan.strike(Call::Recv, 0), None);
@@ -14,8 +16,18 @@
 #[test]
 fn a_rule_holds_only_in_its_span() {
     let mut plan = Plan::parse("clock=step:-3600,from:100,to:200", 1).unwrap();
-    let struck: Vec<_> = [99, 100, 199, 200].map(|ms| plan.strike(Call::Clock, ms)).into();
-    assert_eq!(struck, [None, Some(Fault::Step(-3600)), Some(Fault::Step(-3600)), None]);
+    let struck: Vec<_> = [99, 100, 199, 200]
+        .map(|ms| plan.strike(Call::Clock, ms))
+        .into();
+    assert_eq!(
+        struck,
+        [
+            None,
+            Some(Fault::Step(-3600)),
+            Some(Fault::Step(-3600)),
+            None
+        ]
+    );
 }
 
 #[test]
@@ -29,7 +41,9 @@
 fn a_chance_follows_from_the_seed() {
     let struck = |seed| {
         let mut plan = Plan::parse("send=ENOBUFS,chance:0.25", seed).unwrap();
-        (0..1000).filter(|_| plan.strike(Call::Send, 0).is_some()).count()
+        (0..1000)
+            .filter(|_| plan.strike(Call::Send, 0).is_some())
+            .count()
     };
     assert_eq!(struck(7), struck(7));
     assert!((200..300).contains(&struck(7)) && (200..300).contains(&struck(8)));
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,5 +1,6 @@
-//! The rig: many processes of the node as it is shipped, between stand-ins, with faults put between them and
-//! never into them. A scenario file says what happens and what is expected; the referee judges the ledgers.
+//! The rig: many processes of the node as it is shipped, between stand-ins, with faults put between
+//! them and never into them. A scenario file says what happens and what is expected; the referee
+//! judges the ledgers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -48,8 +48,8 @@
         #[arg(long)]
         nodes: Option<usize>,
     },
-    /// Plays one node with a short and with a long list of backends, and holds the acceptance's allowances;
-    /// exit code 1 if one is passed.
+    /// Plays one node with a short and with a long list of backends, and holds the acceptance's
+    /// allowances; exit code 1 if one is passed.
     Scale {
         /// The program that the node runs.
         #[arg(long, default_value = "target/release/kitefork")]
@@ -89,8 +89,10 @@
 }
 
 fn read(file: &Path, nodes: Option<usize>) -> Result<Scenario, String> {
-    let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let mut scenario = Scenario::parse(&text).map_err(|fault| format!("{}: {fault}", file.display()))?;
+    let text =
+        std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
+    let mut scenario =
+        Scenario::parse(&text).map_err(|fault| format!("{}: {fault}", file.display()))?;
     if let Some(nodes) = nodes {
         let scale = nodes as f64 / scenario.fleet.nodes as f64;
         scenario.fleet.backends = (scenario.fleet.backends as f64 * scale).round() as usize;
@@ -123,9 +125,17 @@
         let verdict = verdict.map_err(|error| format!("{}: {error}", program.display()))?;
         let report = &verdict.report;
         let word = if report.passed() { "passed" } else { "FAILED" };
-        println!("{word} {}; served {:.3}", verdict.plan, report.figures["served"]);
+        println!(
+            "{word} {}; served {:.3}",
+            verdict.plan, report.figures["served"]
+        );
         if !report.passed() {
-            for story in report.broken.iter().chain(&report.panics).take(MOST_STORIES) {
+            for story in report
+                .broken
+                .iter()
+                .chain(&report.panics)
+                .take(MOST_STORIES)
+            {
                 println!("  {story}");
             }
             println!(
@@ -137,7 +147,10 @@
             failed.push(seed);
         }
     }
-    println!("{} of {count} seeds passed; failed: {failed:?}", count - failed.len());
+    println!(
+        "{} of {count} seeds passed; failed: {failed:?}",
+        count - failed.len()
+    );
     Ok(failed.is_empty())
 }
 
@@ -146,7 +159,10 @@
     for backends in scale::SIZES {
         let mut found: BTreeMap<String, Vec<f64>> = BTreeMap::new();
         for round in 0..rounds.max(1) {
-            let report = play(&scale::scenario(backends, round + 1), &Programs::beside(program))?;
+            let report = play(
+                &scale::scenario(backends, round + 1),
+                &Programs::beside(program),
+            )?;
             if let Some(story) = report.broken.first().or(report.panics.first()) {
                 return Err(format!("{backends} backends: {story}"));
             }
@@ -158,14 +174,27 @@
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         };
-        medians
-            .push(found.into_iter().map(|(name, values)| (name, median(values))).collect::<BTreeMap<_, _>>());
+        medians.push(
+            found
+                .into_iter()
+                .map(|(name, values)| (name, median(values)))
+                .collect::<BTreeMap<_, _>>(),
+        );
     }
     let rows = scale::compare(&medians[0], &medians[1]);
-    println!("{:<18} {:>10} {:>10} {:>10}", "figure", scale::SIZES[0], scale::SIZES[1], "bound");
+    println!(
+        "{:<18} {:>10} {:>10} {:>10}",
+        "figure",
+        scale::SIZES[0],
+        scale::SIZES[1],
+        "bound"
+    );
     for row in &rows {
         let verdict = if row.holds { "" } else { "  PASSED ITS BOUND" };
-        println!("{:<18} {:>10.3} {:>10.3} {:>10.3}{verdict}", row.figure, row.usual, row.longer, row.bound);
+        println!(
+            "{:<18} {:>10.3} {:>10.3} {:>10.3}{verdict}",
+            row.figure, row.usual, row.longer, row.bound
+        );
     }
     Ok(rows.iter().all(|row| row.holds))
 }
@@ -185,28 +214,54 @@
 
 fn run(command: Command) -> Result<bool, String> {
     match command {
-        Command::Run { file, program, nodes, seed, json, logs } => {
+        Command::Run {
+            file,
+            program,
+            nodes,
+            seed,
+            json,
+            logs,
+        } => {
             let mut scenario = read(&file, nodes)?;
             scenario.seed = seed.unwrap_or(scenario.seed);
-            let programs = Programs { trace: logs.is_some(), ..Programs::beside(&program) };
+            let programs = Programs {
+                trace: logs.is_some(),
+                ..Programs::beside(&program)
+            };
             let report = play(&scenario, &programs)?;
             print(&report);
             if let Some(path) = json {
-                let text = serde_json::to_string_pretty(&report).map_err(|error| error.to_string())?;
+                let text =
+                    serde_json::to_string_pretty(&report).map_err(|error| error.to_string())?;
                 write_file(&path, &text)?;
             }
             if let Some(path) = logs {
                 write_file(&path, &report.logs.join("\n"))?;
             }
-            for story in report.broken.iter().take(10).chain(&report.unmet).chain(&report.panics) {
+            for story in report
+                .broken
+                .iter()
+                .take(10)
+                .chain(&report.unmet)
+                .chain(&report.panics)
+            {
                 println!("FAILED {story}");
             }
             if !report.passed() {
-                println!("again: kitefork-rig run {} --seed {}", file.display(), scenario.seed);
+                println!(
+                    "again: kitefork-rig run {} --seed {}",
+                    file.display(),
+                    scenario.seed
+                );
             }
             Ok(report.passed())
         }
-        Command::Compare { file, program, rounds, nodes } => {
+        Command::Compare {
+            file,
+            program,
+            rounds,
+            nodes,
+        } => {
             let mut scenario = read(&file, nodes)?;
             let mut found: Vec<BTreeMap<String, Vec<f64>>> = vec![BTreeMap::new(); program.len()];
             for round in 0..rounds {
@@ -214,13 +269,23 @@
                 for turn in 0..program.len() {
                     // In turn first and second, so that neither always has the warmer machine.
                     let place = (turn + round as usize) % program.len();
-                    for (name, value) in play(&scenario, &Programs::beside(&program[place]))?.figures {
+                    for (name, value) in
+                        play(&scenario, &Programs::beside(&program[place]))?.figures
+                    {
                         found[place].entry(name).or_default().push(value);
                     }
                 }
             }
-            println!("{:<22} min, median, max of {rounds} for each program in the order given", "figure");
-            for name in found.first().map(|first| first.keys()).into_iter().flatten() {
+            println!(
+                "{:<22} min, median, max of {rounds} for each program in the order given",
+                "figure"
+            );
+            for name in found
+                .first()
+                .map(|first| first.keys())
+                .into_iter()
+                .flatten()
+            {
                 let columns = found.iter().map(|figures| {
                     let mut values = figures.get(name).cloned().unwrap_or_default();
                     values.sort_by(f64::total_cmp);
@@ -236,15 +301,28 @@
             }
             Ok(true)
         }
-        Command::Soak { from, seeds, nodes, quiet, no_shrink, program } => {
-            let options = soak::Options { nodes, quiet_s: quiet, shrink: !no_shrink };
+        Command::Soak {
+            from,
+            seeds,
+            nodes,
+            quiet,
+            no_shrink,
+            program,
+        } => {
+            let options = soak::Options {
+                nodes,
+                quiet_s: quiet,
+                shrink: !no_shrink,
+            };
             run_soak(from..from + seeds, options, &program)
         }
         Command::Scale { program, rounds } => run_scale(&program, rounds),
         Command::List { folder } => {
-            let listed =
-                std::fs::read_dir(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-            let mut files: Vec<PathBuf> = listed.filter_map(|entry| Some(entry.ok()?.path())).collect();
+            let listed = std::fs::read_dir(&folder)
+                .map_err(|error| format!("{}: {error}", folder.display()))?;
+            let mut files: Vec<PathBuf> = listed
+                .filter_map(|entry| Some(entry.ok()?.path()))
+                .collect();
             files.retain(|file| file.extension().is_some_and(|end| end == "toml"));
             files.sort();
             for file in files {
@@ -256,13 +334,25 @@
             let scenario = read(&file, None)?;
             let fleet = &scenario.fleet;
             println!("{}", scenario.about);
-            println!("{} nodes, {} backends, {} zones", fleet.nodes, fleet.backends, fleet.zones);
-            println!("{} requests a second; {:.1} s", scenario.traffic.rate, scenario.length_s);
+            println!(
+                "{} nodes, {} backends, {} zones",
+                fleet.nodes, fleet.backends, fleet.zones
+            );
+            println!(
+                "{} requests a second; {:.1} s",
+                scenario.traffic.rate, scenario.length_s
+            );
             for step in &scenario.at {
-                println!("{:>7.2} s  {:?}, part {:?}, over {} s", step.s, step.what, step.part, step.over_s);
+                println!(
+                    "{:>7.2} s  {:?}, part {:?}, over {} s",
+                    step.s, step.what, step.part, step.over_s
+                );
             }
             for expect in &scenario.expect {
-                println!("expect {}: least {:?}, most {:?}", expect.figure, expect.least, expect.most);
+                println!(
+                    "expect {}: least {:?}, most {:?}",
+                    expect.figure, expect.least, expect.most
+                );
             }
             Ok(true)
         }
--- a/crates/rig/src/node.rs
+++ b/crates/rig/src/node.rs
@@ -58,7 +58,12 @@
 impl Node {
     /// A node that has not started.
     pub fn new(number: usize, folder: &Path) -> Node {
-        Node { number, config: folder.join(format!("n{number}.json")), child: None, shared: Arc::default() }
+        Node {
+            number,
+            config: folder.join(format!("n{number}.json")),
+            child: None,
+            shared: Arc::default(),
+        }
     }
 
     fn shared(&self) -> std::sync::MutexGuard<'_, Shared> {
@@ -72,7 +77,10 @@
 
     /// It listens now, for all that is known.
     pub fn is_up(&self) -> bool {
-        self.shared().lives.last().is_some_and(|life| life.listens.is_some() && life.ended.is_none())
+        self.shared()
+            .lives
+            .last()
+            .is_some_and(|life| life.listens.is_some() && life.ended.is_none())
     }
 
     /// Its lives so far.
@@ -87,7 +95,9 @@
 
     /// Writes its configuration.
     pub fn configure(&self, mut config: Value) -> std::io::Result<()> {
-        let address = self.address().map_or("127.0.0.1:0".to_string(), |at| at.to_string());
+        let address = self
+            .address()
+            .map_or("127.0.0.1:0".to_string(), |at| at.to_string());
         config["listen"] = Value::from(address);
         std::fs::write(&self.config, config.to_string())
     }
@@ -118,7 +128,13 @@
             .kill_on_drop(true)
             .spawn()?;
         let (node, started) = (self.number, clock.now());
-        self.shared().lives.push(Life { node, started, listens: None, told: None, ended: None });
+        self.shared().lives.push(Life {
+            node,
+            started,
+            listens: None,
+            told: None,
+            ended: None,
+        });
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let shared = self.shared.clone();
         let unread = setup.log_unread;
@@ -128,8 +144,10 @@
                 // The first line alone, then nobody reads; the pipe stays open.
                 reads = !unread;
                 let mut shared = locked(&shared);
-                if let Some(rest) =
-                    line.split(" listen=").nth(1).filter(|_| line.contains("kitefork: start "))
+                if let Some(rest) = line
+                    .split(" listen=")
+                    .nth(1)
+                    .filter(|_| line.contains("kitefork: start "))
                 {
                     shared.address = rest.split(' ').next().and_then(|at| at.parse().ok());
                     let now = clock.now();
@@ -151,12 +169,16 @@
 
     /// Whether its process is there.
     pub fn is_running(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Notes that it has ended, if it has.
     pub fn reap(&mut self, clock: Clock) {
-        let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) else { return };
+        let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) else {
+            return;
+        };
         let now = clock.now();
         if let Some(life) = self.shared().lives.last_mut()
             && life.ended.is_none()
@@ -168,9 +190,13 @@
     /// Sends its process a signal; none if it is gone.
     pub fn signal(&mut self, signal: Signal, clock: Clock) {
         self.reap(clock);
-        let Some(child) = self.child.as_ref() else { return };
+        let Some(child) = self.child.as_ref() else {
+            return;
+        };
         // Only a child that has not been waited for still has its number.
-        let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else { return };
+        let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
+            return;
+        };
         let now = clock.now();
         if let Some(life) = self.shared().lives.last_mut()
             && [Signal::KILL, Signal::TERM].contains(&signal)
--- a/crates/rig/src/referee.rs
+++ b/crates/rig/src/referee.rs
@@ -10,8 +10,8 @@
 
 use crate::node::Life;
 
-/// What a stand-in notices late, on a machine that is busy: it reads that a connection is closed only when
-/// its turn comes.
+/// What a stand-in notices late, on a machine that is busy: it reads that a connection is closed
+/// only when its turn comes.
 const LATE: Duration = Duration::from_millis(150);
 
 /// Slack of the time that a backend is told.
@@ -82,28 +82,48 @@
     for attempt in &ledgers.attempts {
         tries.entry(&attempt.txn).or_default().push(attempt);
     }
-    tries.values_mut().for_each(|tries| tries.sort_by_key(|attempt| attempt.arrived));
+    tries
+        .values_mut()
+        .for_each(|tries| tries.sort_by_key(|attempt| attempt.arrived));
     let mut broken = Vec::new();
     for asked in &ledgers.asked {
-        let tries = tries.get(asked.ask.txn.as_str()).map_or(&[][..], |tries| &tries[..]);
-        let mut tell = |rule| broken.push(Broken { rule, story: format!("{asked:?}; {tries:?}") });
+        let tries = tries
+            .get(asked.ask.txn.as_str())
+            .map_or(&[][..], |tries| &tries[..]);
+        let mut tell = |rule| {
+            broken.push(Broken {
+                rule,
+                story: format!("{asked:?}; {tries:?}"),
+            })
+        };
         answer(rules, ledgers, asked, tries, &mut tell);
         repeats(rules, asked.ask.effect, tries, &mut tell);
         deadlines(asked.ask.planned + asked.ask.patience, tries, &mut tell);
     }
     for asked in &ledgers.odd {
-        let tries = tries.get(asked.ask.txn.as_str()).map_or(&[][..], |tries| &tries[..]);
-        let mut tell = |rule| broken.push(Broken { rule, story: format!("{asked:?}; {tries:?}") });
+        let tries = tries
+            .get(asked.ask.txn.as_str())
+            .map_or(&[][..], |tries| &tries[..]);
+        let mut tell = |rule| {
+            broken.push(Broken {
+                rule,
+                story: format!("{asked:?}; {tries:?}"),
+            })
+        };
         odd_client(ledgers, asked, tries, &mut tell);
     }
     drains(rules, ledgers, &mut broken);
     cold(rules, ledgers, &mut broken);
     for life in &ledgers.lives {
         let unasked = life.ended.filter(|_| life.told.is_none());
-        let badly = life.ended.filter(|(_, code)| life.told.is_some_and(|told| !told.1) && *code != Some(0));
+        let badly = life
+            .ended
+            .filter(|(_, code)| life.told.is_some_and(|told| !told.1) && *code != Some(0));
         if let Some(end) = unasked.or(badly) {
-            broken
-                .push(Broken { rule: "a node ended by itself or badly", story: format!("{life:?} {end:?}") });
+            broken.push(Broken {
+                rule: "a node ended by itself or badly",
+                story: format!("{life:?} {end:?}"),
+            });
         }
     }
     broken
@@ -121,7 +141,9 @@
     let excused = excuse(ledgers, asked, end);
     match &asked.answer {
         Answer::Whole(200, body) => {
-            let made = |a: &&&Attempt| a.end == AttemptEnd::Served && *body == format!("{}:{}", a.uid, a.txn);
+            let made = |a: &&&Attempt| {
+                a.end == AttemptEnd::Served && *body == format!("{}:{}", a.uid, a.txn)
+            };
             if tries.iter().find(made).is_none() {
                 tell("served with something that no backend made for it");
             }
@@ -143,13 +165,18 @@
 /// Its node was killed, told to end some time before, or stood still while the request was there.
 fn excuse(ledgers: &Ledgers, asked: &Asked, end: Duration) -> bool {
     let there = |at: Duration| asked.ask.planned <= at + LATE && at <= end;
-    let died = ledgers.lives.iter().filter(|life| life.node == asked.node).any(|life| {
-        let killed = life.told.is_some_and(|(at, kill)| kill && there(at));
-        // Requests that came long after SIGTERM, to a process that has ended since.
-        let late =
-            life.told.is_some_and(|(at, _)| asked.ask.planned + LATE > at + Duration::from_millis(700));
-        killed || late && life.ended.is_some_and(|(at, _)| there(at))
-    });
+    let died = ledgers
+        .lives
+        .iter()
+        .filter(|life| life.node == asked.node)
+        .any(|life| {
+            let killed = life.told.is_some_and(|(at, kill)| kill && there(at));
+            // Requests that came long after SIGTERM, to a process that has ended since.
+            let late = life
+                .told
+                .is_some_and(|(at, _)| asked.ask.planned + LATE > at + Duration::from_millis(700));
+            killed || late && life.ended.is_some_and(|(at, _)| there(at))
+        });
     let still = |stop: &&(usize, Duration, Duration)| {
         stop.0 == asked.node && stop.1 <= end && stop.2 >= asked.ask.planned
     };
@@ -158,11 +185,16 @@
 
 /// One attempt at a time, and none after one that may have run but as the class allows.
 fn repeats(rules: &Rules, effect: Effect, tries: &[&Attempt], tell: &mut impl FnMut(&'static str)) {
-    if tries.windows(2).any(|pair| pair[0].ended > pair[1].arrived + LATE) {
+    if tries
+        .windows(2)
+        .any(|pair| pair[0].ended > pair[1].arrived + LATE)
+    {
         tell("two attempts at a time");
     }
     let first = tries.iter().position(|attempt| ran(attempt));
-    let Some((first, later)) = first.map(|place| (tries[place], &tries[place + 1..])) else { return };
+    let Some((first, later)) = first.map(|place| (tries[place], &tries[place + 1..])) else {
+        return;
+    };
     match effect {
         Effect::Safe => {}
         Effect::Unsafe if later.is_empty() => {}
@@ -171,7 +203,10 @@
             if later.iter().any(|attempt| attempt.cell != first.cell) {
                 tell("a keyed request left its cell");
             }
-            if later.iter().any(|attempt| attempt.arrived > first.arrived + rules.window + LATE) {
+            if later
+                .iter()
+                .any(|attempt| attempt.arrived > first.arrived + rules.window + LATE)
+            {
                 tell("a keyed request went out after its window");
             }
         }
@@ -182,7 +217,9 @@
 fn deadlines(end: Duration, tries: &[&Attempt], tell: &mut impl FnMut(&'static str)) {
     let over = |attempt: &&&Attempt| {
         let left = end.saturating_sub(attempt.arrived);
-        attempt.told.is_some_and(|told| told > left + TOLD_SLACK + LATE)
+        attempt
+            .told
+            .is_some_and(|told| told > left + TOLD_SLACK + LATE)
     };
     if tries.iter().find(over).is_some() {
         tell("a backend was told more time than the client has left");
@@ -190,18 +227,34 @@
 }
 
 /// What is owed to clients that don't behave.
-fn odd_client(ledgers: &Ledgers, asked: &OddAsked, tries: &[&Attempt], tell: &mut impl FnMut(&'static str)) {
-    let Some(connected) = asked.connected else { return };
-    let after = |left: Duration| tries.iter().any(|attempt| attempt.arrived > left + GONE + LATE);
+fn odd_client(
+    ledgers: &Ledgers,
+    asked: &OddAsked,
+    tries: &[&Attempt],
+    tell: &mut impl FnMut(&'static str),
+) {
+    let Some(connected) = asked.connected else {
+        return;
+    };
+    let after = |left: Duration| {
+        tries
+            .iter()
+            .any(|attempt| attempt.arrived > left + GONE + LATE)
+    };
     if asked.left.is_some_and(after) {
         tell("an attempt began after its client had left");
     }
     let patience = asked.ask.patience.max(BAD_CLIENT);
     let end = asked.sent.max(connected) + patience;
-    let disturbed = ledgers.lives.iter().filter(|life| life.node == asked.node).any(|life| {
-        let near = |at: Duration| at + patience >= connected && at <= end + LATE;
-        life.told.is_some_and(|told| near(told.0)) || life.ended.is_some_and(|ended| near(ended.0))
-    });
+    let disturbed = ledgers
+        .lives
+        .iter()
+        .filter(|life| life.node == asked.node)
+        .any(|life| {
+            let near = |at: Duration| at + patience >= connected && at <= end + LATE;
+            life.told.is_some_and(|told| near(told.0))
+                || life.ended.is_some_and(|ended| near(ended.0))
+        });
     let still = |stop: &(usize, Duration, Duration)| {
         stop.0 == asked.node && stop.1 <= end + LATE && stop.2 + LATE >= connected
     };
@@ -212,7 +265,11 @@
         Manner::HalfCloses | Manner::Trickles | Manner::Pipelines if asked.answers == 0 => {
             tell("a request that was read was never answered");
         }
-        Manner::StopsMidway if asked.ended.is_none_or(|at| at > asked.sent + BAD_CLIENT + LATE) => {
+        Manner::StopsMidway
+            if asked
+                .ended
+                .is_none_or(|at| at > asked.sent + BAD_CLIENT + LATE) =>
+        {
             tell("a client that stopped midway got neither error nor close in time");
         }
         _ => {}
@@ -221,24 +278,44 @@
 
 /// Nothing new to a backend that a node has been told drains or is gone, after the grace.
 fn drains(rules: &Rules, ledgers: &Ledgers, broken: &mut Vec<Broken>) {
-    let nodes: BTreeMap<&str, usize> =
-        ledgers.asked.iter().map(|asked| (asked.ask.txn.as_str(), asked.node)).collect();
+    let nodes: BTreeMap<&str, usize> = ledgers
+        .asked
+        .iter()
+        .map(|asked| (asked.ask.txn.as_str(), asked.node))
+        .collect();
     let mut told: BTreeMap<usize, Vec<&Told>> = BTreeMap::new();
-    ledgers.told.iter().for_each(|news| told.entry(news.node).or_default().push(news));
+    ledgers
+        .told
+        .iter()
+        .for_each(|news| told.entry(news.node).or_default().push(news));
     let mut by_uid: BTreeMap<&str, Vec<&(u64, Duration, Entry)>> = BTreeMap::new();
-    ledgers.changes.iter().for_each(|change| by_uid.entry(&change.2.uid).or_default().push(change));
+    ledgers
+        .changes
+        .iter()
+        .for_each(|change| by_uid.entry(&change.2.uid).or_default().push(change));
     for attempt in &ledgers.attempts {
-        let (Some(node), Some(changes)) = (nodes.get(attempt.txn.as_str()), by_uid.get(attempt.uid.as_str()))
-        else {
+        let (Some(node), Some(changes)) = (
+            nodes.get(attempt.txn.as_str()),
+            by_uid.get(attempt.uid.as_str()),
+        ) else {
             continue;
         };
         // What the node had been told a grace before the attempt came.
         let before = attempt.arrived.saturating_sub(rules.grace + LATE);
-        let rev = told.get(node).into_iter().flatten().filter(|n| n.at <= before).map(|n| n.rev).max();
+        let rev = told
+            .get(node)
+            .into_iter()
+            .flatten()
+            .filter(|n| n.at <= before)
+            .map(|n| n.rev)
+            .max();
         let known = changes.iter().rev().find(|change| Some(change.0) <= rev);
-        // It may have been told since that the backend is back; what came after the attempt says nothing
-        // of it.
-        let last = changes.iter().rev().find(|change| change.1 <= attempt.arrived);
+        // It may have been told since that the backend is back; what came after the attempt says
+        // nothing of it.
+        let last = changes
+            .iter()
+            .rev()
+            .find(|change| change.1 <= attempt.arrived);
         let is_back = last.is_some_and(|change| change.2.state == "Ready");
         if known.is_some_and(|change| change.2.state != "Ready") && !is_back {
             broken.push(Broken {
@@ -253,17 +330,31 @@
 fn cold(rules: &Rules, ledgers: &Ledgers, broken: &mut Vec<Broken>) {
     for (uid, started) in &ledgers.starts {
         let at = |attempt: &&Attempt| attempt.uid == *uid && attempt.arrived >= *started;
-        let mut sends: Vec<Duration> =
-            ledgers.attempts.iter().filter(at).map(|a| a.arrived - *started).collect();
+        let mut sends: Vec<Duration> = ledgers
+            .attempts
+            .iter()
+            .filter(at)
+            .map(|a| a.arrived - *started)
+            .collect();
         sends.sort_unstable();
-        for (place, from) in sends.iter().enumerate().take_while(|(_, from)| **from < rules.cold) {
+        for (place, from) in sends
+            .iter()
+            .enumerate()
+            .take_while(|(_, from)| **from < rules.cold)
+        {
             let warmth = rules.cold_from
                 + (1.0 - rules.cold_from) * from.as_secs_f64() / rules.cold.as_secs_f64().max(1e-9);
             let can = rules.multiple * warmth * rules.fall.as_secs_f64() / rules.work.as_secs_f64();
-            let sent = sends[place..].iter().take_while(|at| **at <= *from + rules.fall).count();
+            let sent = sends[place..]
+                .iter()
+                .take_while(|at| **at <= *from + rules.fall)
+                .count();
             if sent as f64 > can + 3.0 * can.sqrt() + 3.0 {
                 let story = format!("{uid}: {sent} of {can:.0} from {from:?} after its start");
-                broken.push(Broken { rule: "a cold backend was pushed over", story });
+                broken.push(Broken {
+                    rule: "a cold backend was pushed over",
+                    story,
+                });
                 break;
             }
         }
--- a/crates/rig/src/referee_tests.rs
+++ b/crates/rig/src/referee_tests.rs
@@ -20,12 +20,32 @@
 
 fn asked(effect: Effect, answer: Answer, ended: u64) -> Asked {
     let (txn, class, planned, patience) = ("t1".into(), "c".into(), MS(1_000), MS(500));
-    Asked { ask: Ask { txn, class, effect, planned, patience }, node: 3, ended: MS(ended), answer }
+    Asked {
+        ask: Ask {
+            txn,
+            class,
+            effect,
+            planned,
+            patience,
+        },
+        node: 3,
+        ended: MS(ended),
+        answer,
+    }
 }
 
 fn attempt(uid: &str, cell: u16, arrived: u64, ended: u64, end: AttemptEnd) -> Attempt {
     let (txn, uid, key) = ("t1".to_string(), uid.to_string(), None);
-    Attempt { txn, key, uid, cell, told: None, arrived: MS(arrived), ended: MS(ended), end }
+    Attempt {
+        txn,
+        key,
+        uid,
+        cell,
+        told: None,
+        arrived: MS(arrived),
+        ended: MS(ended),
+        end,
+    }
 }
 
 fn served() -> Answer {
@@ -33,8 +53,15 @@
 }
 
 fn found(asked: Asked, attempts: Vec<Attempt>) -> Vec<&'static str> {
-    let ledgers = Ledgers { asked: vec![asked], attempts, ..Ledgers::default() };
-    judge(&rules(), &ledgers).into_iter().map(|broken| broken.rule).collect()
+    let ledgers = Ledgers {
+        asked: vec![asked],
+        attempts,
+        ..Ledgers::default()
+    };
+    judge(&rules(), &ledgers)
+        .into_iter()
+        .map(|broken| broken.rule)
+        .collect()
 }
 
 #[test]
@@ -43,7 +70,10 @@
     use Effect::*;
     let one = || vec![attempt("a", 1, 1_010, 1_100, Served)];
     let two = |end, cell, arrived| {
-        vec![attempt("b", 2, 1_010, 1_300, end), attempt("a", cell, arrived, arrived + 9, Served)]
+        vec![
+            attempt("b", 2, 1_010, 1_300, end),
+            attempt("a", cell, arrived, arrived + 9, Served),
+        ]
     };
     let refused = || Answer::Whole(503, "refused".into());
     for (effect, answer, ended, attempts, wanted) in [
@@ -52,7 +82,13 @@
         (Safe, Answer::GaveUp, 1_570, one(), vec!["never answered"]),
         (Safe, Answer::Broken, 1_200, vec![], vec!["never answered"]),
         (Safe, Answer::Unreachable, 1_200, vec![], vec![]),
-        (Safe, served(), 1_100, vec![], vec!["served with something that no backend made for it"]),
+        (
+            Safe,
+            served(),
+            1_100,
+            vec![],
+            vec!["served with something that no backend made for it"],
+        ),
         (
             Safe,
             Answer::Whole(200, "b:t1".into()),
@@ -61,15 +97,51 @@
             vec!["served with something that no backend made for it"],
         ),
         (Safe, refused(), 1_100, one(), vec![]),
-        (Unsafe, refused(), 1_100, one(), vec!["refused though it may have run"]),
-        (Keyed, refused(), 1_100, one(), vec!["refused though it may have run"]),
-        (Unsafe, refused(), 1_100, vec![attempt("a", 1, 1_010, 1_020, TurnedAway)], vec![]),
+        (
+            Unsafe,
+            refused(),
+            1_100,
+            one(),
+            vec!["refused though it may have run"],
+        ),
+        (
+            Keyed,
+            refused(),
+            1_100,
+            one(),
+            vec!["refused though it may have run"],
+        ),
+        (
+            Unsafe,
+            refused(),
+            1_100,
+            vec![attempt("a", 1, 1_010, 1_020, TurnedAway)],
+            vec![],
+        ),
         (Safe, served(), 1_450, two(Broken, 1, 1_400), vec![]),
-        (Safe, served(), 1_450, two(Broken, 1, 1_020), vec!["two attempts at a time"]),
+        (
+            Safe,
+            served(),
+            1_450,
+            two(Broken, 1, 1_020),
+            vec!["two attempts at a time"],
+        ),
         (Unsafe, served(), 1_450, two(TurnedAway, 1, 1_400), vec![]),
-        (Unsafe, served(), 1_450, two(Broken, 1, 1_400), vec!["an unsafe request went out again"]),
+        (
+            Unsafe,
+            served(),
+            1_450,
+            two(Broken, 1, 1_400),
+            vec!["an unsafe request went out again"],
+        ),
         (Keyed, served(), 1_450, two(Failed, 2, 1_400), vec![]),
-        (Keyed, served(), 1_450, two(Failed, 1, 1_400), vec!["a keyed request left its cell"]),
+        (
+            Keyed,
+            served(),
+            1_450,
+            two(Failed, 1, 1_400),
+            vec!["a keyed request left its cell"],
+        ),
     ] {
         assert_eq!(
             found(asked(effect, answer.clone(), ended), attempts.clone()),
@@ -79,50 +151,120 @@
     }
     let mut late = asked(Keyed, served(), 4_500);
     late.ask.patience = MS(5_000);
-    assert_eq!(found(late, two(Failed, 2, 4_200)), ["a keyed request went out after its window"]);
+    assert_eq!(
+        found(late, two(Failed, 2, 4_200)),
+        ["a keyed request went out after its window"]
+    );
 }
 
 #[test]
 fn a_killed_or_stopped_node_excuses_what_it_held_and_no_other() {
-    let life = |told, ended| Life { node: 3, started: MS(0), listens: Some(MS(1)), told, ended };
+    let life = |told, ended| Life {
+        node: 3,
+        started: MS(0),
+        listens: Some(MS(1)),
+        told,
+        ended,
+    };
     let judged = |lives: Vec<Life>, stopped| {
         let lost = vec![asked(Effect::Safe, Answer::Broken, 1_200)];
-        let ledgers = Ledgers { asked: lost, lives, stopped, ..Ledgers::default() };
-        judge(&rules(), &ledgers).into_iter().map(|b| b.rule).collect::<Vec<_>>()
+        let ledgers = Ledgers {
+            asked: lost,
+            lives,
+            stopped,
+            ..Ledgers::default()
+        };
+        judge(&rules(), &ledgers)
+            .into_iter()
+            .map(|b| b.rule)
+            .collect::<Vec<_>>()
     };
-    assert_eq!(judged(vec![life(Some((MS(1_200), true)), Some((MS(1_201), None)))], vec![]), [""; 0]);
     assert_eq!(
-        judged(vec![life(Some((MS(2_200), true)), Some((MS(2_201), None)))], vec![]),
+        judged(
+            vec![life(Some((MS(1_200), true)), Some((MS(1_201), None)))],
+            vec![]
+        ),
+        [""; 0]
+    );
+    assert_eq!(
+        judged(
+            vec![life(Some((MS(2_200), true)), Some((MS(2_201), None)))],
+            vec![]
+        ),
         ["never answered"]
     );
     // SIGTERM excuses what came long after it, and only that.
     assert_eq!(
-        judged(vec![life(Some((MS(900), false)), Some((MS(1_201), Some(0))))], vec![]),
+        judged(
+            vec![life(Some((MS(900), false)), Some((MS(1_201), Some(0))))],
+            vec![]
+        ),
+        ["never answered"]
+    );
+    assert_eq!(
+        judged(
+            vec![life(Some((MS(200), false)), Some((MS(1_201), Some(0))))],
+            vec![]
+        ),
+        [""; 0]
+    );
+    assert_eq!(
+        judged(vec![life(None, None)], vec![(3, MS(800), MS(1_100))]),
+        [""; 0]
+    );
+    assert_eq!(
+        judged(vec![life(None, None)], vec![(4, MS(800), MS(1_100))]),
         ["never answered"]
     );
-    assert_eq!(judged(vec![life(Some((MS(200), false)), Some((MS(1_201), Some(0))))], vec![]), [""; 0]);
-    assert_eq!(judged(vec![life(None, None)], vec![(3, MS(800), MS(1_100))]), [""; 0]);
-    assert_eq!(judged(vec![life(None, None)], vec![(4, MS(800), MS(1_100))]), ["never answered"]);
     let crashed = judged(vec![life(None, Some((MS(5_000), Some(101))))], vec![]);
-    assert_eq!(crashed, ["never answered", "a node ended by itself or badly"]);
-    let badly = judged(vec![life(Some((MS(5_000), false)), Some((MS(5_100), Some(1))))], vec![]);
+    assert_eq!(
+        crashed,
+        ["never answered", "a node ended by itself or badly"]
+    );
+    let badly = judged(
+        vec![life(Some((MS(5_000), false)), Some((MS(5_100), Some(1))))],
+        vec![],
+    );
     assert_eq!(badly, ["never answered", "a node ended by itself or badly"]);
 }
 
 #[test]
 fn a_send_after_a_told_drain_and_a_crowd_at_a_cold_backend_are_found() {
     let endpoint = "127.0.0.1:1".parse().unwrap();
-    let entry = |state| Entry { uid: "a".into(), endpoint, zone: "z".into(), cell: 1, state, boot_ms: 0 };
+    let entry = |state| Entry {
+        uid: "a".into(),
+        endpoint,
+        zone: "z".into(),
+        cell: 1,
+        state,
+        boot_ms: 0,
+    };
     let judged = |at: u64, told: u64, changes: Vec<(u64, Duration, Entry)>| {
-        let told = vec![Told { node: 3, at: MS(told), rev: 2 }];
+        let told = vec![Told {
+            node: 3,
+            at: MS(told),
+            rev: 2,
+        }];
         let attempts = vec![attempt("a", 1, at, at + 9, AttemptEnd::Served)];
         let asked = vec![asked(Effect::Safe, served(), at + 10)];
-        let ledgers = Ledgers { asked, attempts, told, changes, ..Ledgers::default() };
-        judge(&rules(), &ledgers).into_iter().map(|b| b.rule).collect::<Vec<_>>()
+        let ledgers = Ledgers {
+            asked,
+            attempts,
+            told,
+            changes,
+            ..Ledgers::default()
+        };
+        judge(&rules(), &ledgers)
+            .into_iter()
+            .map(|b| b.rule)
+            .collect::<Vec<_>>()
     };
     let drain = vec![(2, MS(500), entry("Terminating"))];
     assert_eq!(judged(1_100, 900, drain.clone()), [""; 0]);
-    assert_eq!(judged(1_100, 600, drain.clone()), ["sent after a drain was told"]);
+    assert_eq!(
+        judged(1_100, 600, drain.clone()),
+        ["sent after a drain was told"]
+    );
     let back = [drain, vec![(3, MS(1_000), entry("Ready"))]].concat();
     assert_eq!(judged(1_100, 600, back.clone()), [""; 0]);
     // A second start, or another drain, after the attempt.
@@ -131,12 +273,21 @@
         assert_eq!(judged(1_100, 600, again.clone()), [""; 0]);
         assert_eq!(judged(950, 450, again), ["sent after a drain was told"]);
     }
-    // Thirty in a hundred of a hundred a second, three times, for two seconds: 180, and some for chance.
+    // Thirty in a hundred of a hundred a second, three times, for two seconds: 180, and some for
+    // chance.
     let crowd = |count: u64| {
-        let attempts =
-            (0..count).map(|n| attempt("a", 1, 1_000 + n * 2_000 / count, 4_000, AttemptEnd::Served));
+        let attempts = (0..count)
+            .map(|n| attempt("a", 1, 1_000 + n * 2_000 / count, 4_000, AttemptEnd::Served));
         let starts = vec![("a".to_string(), MS(1_000))];
-        judge(&rules(), &Ledgers { attempts: attempts.collect(), starts, ..Ledgers::default() }).len()
+        judge(
+            &rules(),
+            &Ledgers {
+                attempts: attempts.collect(),
+                starts,
+                ..Ledgers::default()
+            },
+        )
+        .len()
     };
     assert_eq!((crowd(180), crowd(300)), (0, 1));
 }
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,5 +1,5 @@
-//! What one node needs with a short list of backends and with a long one, under the same traffic, judged
-//! by the allowances of the operators' acceptance.
+//! What one node needs with a short list of backends and with a long one, under the same traffic,
+//! judged by the allowances of the operators' acceptance.
 
 use std::collections::BTreeMap;
 
@@ -30,11 +30,36 @@
 
 /// The acceptance's table; list bytes in KB.
 pub const ALLOWANCES: [Allowance; 5] = [
-    Allowance { figure: "cpu_s_mean", factor: 1.4, plus: 0.02, per_thousand: 0.03 },
-    Allowance { figure: "memory_mb_most", factor: 1.5, plus: 8.0, per_thousand: 4.0 },
-    Allowance { figure: "descriptors_most", factor: 2.0, plus: 40.0, per_thousand: 0.0 },
-    Allowance { figure: "connections", factor: 2.5, plus: 40.0, per_thousand: 0.0 },
-    Allowance { figure: "list_kb", factor: 2.0, plus: 64.0, per_thousand: 500.0 },
+    Allowance {
+        figure: "cpu_s_mean",
+        factor: 1.4,
+        plus: 0.02,
+        per_thousand: 0.03,
+    },
+    Allowance {
+        figure: "memory_mb_most",
+        factor: 1.5,
+        plus: 8.0,
+        per_thousand: 4.0,
+    },
+    Allowance {
+        figure: "descriptors_most",
+        factor: 2.0,
+        plus: 40.0,
+        per_thousand: 0.0,
+    },
+    Allowance {
+        figure: "connections",
+        factor: 2.5,
+        plus: 40.0,
+        per_thousand: 0.0,
+    },
+    Allowance {
+        figure: "list_kb",
+        factor: 2.0,
+        plus: 64.0,
+        per_thousand: 500.0,
+    },
 ];
 
 /// Share served at the longer list, at least, of that at the usual one.
@@ -72,7 +97,14 @@
         deadline_ms: 5_000.0,
         worth: 1.0,
     }];
-    let step = |s, what, part: [f64; 2], over_s| Step { s, what, part, over_s, zone: None, size: 1.0 };
+    let step = |s, what, part: [f64; 2], over_s| Step {
+        s,
+        what,
+        part,
+        over_s,
+        zone: None,
+        size: 1.0,
+    };
     let changes = LENGTH_S / backends as f64;
     scenario.at = vec![
         step(0.0, What::Start, [0.0, 1.0], 0.0),
@@ -85,13 +117,31 @@
 /// The figures of both lists, side by side with their bounds.
 pub fn compare(usual: &BTreeMap<String, f64>, longer: &BTreeMap<String, f64>) -> Vec<Row> {
     let thousands = SIZES[1] as f64 / 1_000.0;
-    let figure = |figures: &BTreeMap<String, f64>, name| figures.get(name).copied().unwrap_or(f64::NAN);
+    let figure =
+        |figures: &BTreeMap<String, f64>, name| figures.get(name).copied().unwrap_or(f64::NAN);
     let bounded = ALLOWANCES.iter().map(|allowance| {
-        let (usual, longer) = (figure(usual, allowance.figure), figure(longer, allowance.figure));
+        let (usual, longer) = (
+            figure(usual, allowance.figure),
+            figure(longer, allowance.figure),
+        );
         let bound = allowance.factor * usual + allowance.plus + allowance.per_thousand * thousands;
-        Row { figure: allowance.figure, usual, longer, bound, holds: longer <= bound }
+        Row {
+            figure: allowance.figure,
+            usual,
+            longer,
+            bound,
+            holds: longer <= bound,
+        }
     });
     let (usual, longer) = (figure(usual, "served"), figure(longer, "served"));
     let bound = LEAST_SERVED * usual;
-    bounded.chain([Row { figure: "served", usual, longer, bound, holds: longer >= bound }]).collect()
+    bounded
+        .chain([Row {
+            figure: "served",
+            usual,
+            longer,
+            bound,
+            holds: longer >= bound,
+        }])
+        .collect()
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -107,7 +107,13 @@
 
 impl Default for List {
     fn default() -> List {
-        List { call_ms: 1.0, row_us: 0.0, most_wait_ms: 1_000.0, history: 1_000, pushed: false }
+        List {
+            call_ms: 1.0,
+            row_us: 0.0,
+            most_wait_ms: 1_000.0,
+            history: 1_000,
+            pushed: false,
+        }
     }
 }
 
@@ -131,7 +137,14 @@
 
 impl Default for Build {
     fn default() -> Build {
-        Build { work_ms: 10.0, handshake_ms: 0.5, room: 40, connections: 600, cold_from: 0.31, cold_s: 4.0 }
+        Build {
+            work_ms: 10.0,
+            handshake_ms: 0.5,
+            room: 40,
+            connections: 600,
+            cold_from: 0.31,
+            cold_s: 4.0,
+        }
     }
 }
 
@@ -309,21 +322,37 @@
             return wrong("length_s: above 0, at most 3,600");
         }
         if let Some(class) = traffic.class.iter().find(|class| class.effect().is_none()) {
-            return wrong(&format!("traffic.class `{}`: effect is safe, keyed or unsafe", class.name));
+            return wrong(&format!(
+                "traffic.class `{}`: effect is safe, keyed or unsafe",
+                class.name
+            ));
         }
         if traffic.rate > 0.0 && traffic.class.is_empty() {
             return wrong("traffic: a rate and no class");
         }
         for step in &scenario.at {
-            if !(0.0..=1.0).contains(&step.part[0]) || !(0.0..=1.0).contains(&step.part[1]) || step.s < 0.0 {
-                return wrong(&format!("at {} s: parts lie between 0 and 1, times are 0 or more", step.s));
+            if !(0.0..=1.0).contains(&step.part[0])
+                || !(0.0..=1.0).contains(&step.part[1])
+                || step.s < 0.0
+            {
+                return wrong(&format!(
+                    "at {} s: parts lie between 0 and 1, times are 0 or more",
+                    step.s
+                ));
             }
             if !(step.size > 0.0 && step.size.is_finite()) {
                 return wrong(&format!("at {} s: size must be above 0", step.s));
             }
         }
-        if let Some(expect) = scenario.expect.iter().find(|e| e.least.is_none() && e.most.is_none()) {
-            return wrong(&format!("expect `{}`: neither least nor most", expect.figure));
+        if let Some(expect) = scenario
+            .expect
+            .iter()
+            .find(|e| e.least.is_none() && e.most.is_none())
+        {
+            return wrong(&format!(
+                "expect `{}`: neither least nor most",
+                expect.figure
+            ));
         }
         Ok(scenario)
     }
@@ -337,9 +366,13 @@
             let low = expect.least.is_some_and(|least| found < least);
             let high = expect.most.is_some_and(|most| found > most);
             (low || high || found.is_nan()).then(|| {
-                let bound =
-                    |word: &str, bound: Option<f64>| bound.map_or(String::new(), |b| format!(" {word} {b}"));
-                let (least, most) = (bound("at least", expect.least), bound("at most", expect.most));
+                let bound = |word: &str, bound: Option<f64>| {
+                    bound.map_or(String::new(), |b| format!(" {word} {b}"))
+                };
+                let (least, most) = (
+                    bound("at least", expect.least),
+                    bound("at most", expect.most),
+                );
                 format!("{} is {found:.3}, wanted{least}{most}", expect.figure)
             })
         };
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,5 +1,5 @@
-//! The soak: a seed draws a fleet, its settings and some troubles that overlap in time; the referee judges. A
-//! seed that fails is played again with fewer troubles, to show what it takes.
+//! The soak: a seed draws a fleet, its settings and some troubles that overlap in time; the referee
+//! judges. A seed that fails is played again with fewer troubles, to show what it takes.
 
 use std::fmt;
 use std::io;
@@ -149,7 +149,9 @@
 
 /// Draws what a seed stands for, with so many nodes.
 pub fn draw(seed: u64, nodes: usize) -> Plan {
-    let mut dice = Dice(Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+    let mut dice = Dice(Xoshiro256PlusPlus::seed_from_u64(
+        seed.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+    ));
     let zones = 1 + dice.below(4);
     let fleet = Fleet {
         nodes,
@@ -168,7 +170,9 @@
         ..List::default()
     };
     let count = 1 + dice.below(3);
-    let class = (0..count).map(|number| draw_class(&mut dice, number)).collect();
+    let class = (0..count)
+        .map(|number| draw_class(&mut dice, number))
+        .collect();
     let traffic = Traffic {
         rate: RATE_PER_NODE * nodes as f64,
         odd_rate: ODD_PER_NODE * nodes as f64,
@@ -177,7 +181,14 @@
         notice_s: dice.of(&[0.2, 1.0]),
         class,
     };
-    let start = Step { s: 0.0, what: What::Start, part: [0.0, 1.0], zone: None, over_s: 0.4, size: 1.0 };
+    let start = Step {
+        s: 0.0,
+        what: What::Start,
+        part: [0.0, 1.0],
+        zone: None,
+        over_s: 0.4,
+        size: 1.0,
+    };
     let base = Scenario {
         about: format!("soak, seed {seed}"),
         seed,
@@ -191,7 +202,12 @@
     };
     let count = 2 + dice.below(2);
     let troubles = (0..count).map(|_| draw_trouble(&mut dice)).collect();
-    Plan { seed, base, troubles, quiet_s: 0.0 }
+    Plan {
+        seed,
+        base,
+        troubles,
+        quiet_s: 0.0,
+    }
 }
 
 fn draw_class(dice: &mut Dice, number: usize) -> Class {
@@ -225,7 +241,10 @@
         scenario.traffic.from_s += self.quiet_s;
         scenario.traffic.to_s = scenario.traffic.to_s.map(|end| end + self.quiet_s);
         for drawn in &self.troubles {
-            let later = Drawn { from_s: drawn.from_s + self.quiet_s, ..drawn.clone() };
+            let later = Drawn {
+                from_s: drawn.from_s + self.quiet_s,
+                ..drawn.clone()
+            };
             later.put_into(&mut scenario);
         }
         scenario
@@ -241,19 +260,39 @@
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Scenario { fleet, list, traffic, .. } = &self.base;
+        let Scenario {
+            fleet,
+            list,
+            traffic,
+            ..
+        } = &self.base;
         write!(
             f,
             "seed {}: {} nodes, {} backends, {} zones, ",
             self.seed, fleet.nodes, fleet.backends, fleet.zones
         )?;
-        write!(f, "{}, known {:?};", if list.pushed { "pushed" } else { "asked" }, fleet.known)?;
+        write!(
+            f,
+            "{}, known {:?};",
+            if list.pushed { "pushed" } else { "asked" },
+            fleet.known
+        )?;
         for class in &traffic.class {
             write!(f, " {} {} ms", class.effect, class.deadline_ms)?;
         }
         for drawn in &self.troubles {
-            let Drawn { trouble, from_s, lasts_s, part, .. } = drawn;
-            write!(f, "; {trouble} at {from_s:.2} s for {lasts_s:.2} s of {:.2} to {:.2}", part[0], part[1])?;
+            let Drawn {
+                trouble,
+                from_s,
+                lasts_s,
+                part,
+                ..
+            } = drawn;
+            write!(
+                f,
+                "; {trouble} at {from_s:.2} s for {lasts_s:.2} s of {:.2} to {:.2}",
+                part[0], part[1]
+            )?;
         }
         Ok(())
     }
@@ -275,8 +314,11 @@
 const CLOCK_STEPS: [i64; 6] = [-3_600, -3, 3, 3_600, 6, -6];
 
 /// Plans of the shim by which nodes are held up for less than the terms allow.
-const HOLD_UPS: [&str; 3] =
-    ["send=sleep:120,chance:0.01", "recv=sleep:120,chance:0.005", "epoll_wait=late:120,chance:0.02"];
+const HOLD_UPS: [&str; 3] = [
+    "send=sleep:120,chance:0.01",
+    "recv=sleep:120,chance:0.005",
+    "epoll_wait=late:120,chance:0.02",
+];
 
 impl Drawn {
     /// One of several, by this trouble's own draw.
@@ -288,7 +330,14 @@
         let (from, to) = (self.from_s, self.from_s + self.lasts_s);
         let mut add = |s: f64, what: What| {
             let (part, size) = (self.part, 1.0);
-            scenario.at.push(Step { s, what, part, zone: None, over_s: 0.2, size });
+            scenario.at.push(Step {
+                s,
+                what,
+                part,
+                zone: None,
+                over_s: 0.2,
+                size,
+            });
         };
         match self.trouble {
             Trouble::Restart => {
@@ -357,7 +406,10 @@
                 self.add_faults(scenario, self.one_of(&SHIM_PLANS));
             }
             Trouble::ClockStep => {
-                self.add_faults(scenario, &format!("clock=step:{}", self.one_of(&CLOCK_STEPS)));
+                self.add_faults(
+                    scenario,
+                    &format!("clock=step:{}", self.one_of(&CLOCK_STEPS)),
+                );
             }
             Trouble::ClockOff => {
                 scenario.fleet.faults += &format!("clock=step:{};", self.one_of(&CLOCK_STEPS));
@@ -412,7 +464,10 @@
 ///
 /// What the machine says where a party or a process can't be started.
 pub async fn play(seed: u64, options: Options, programs: &Programs) -> io::Result<Verdict> {
-    let mut plan = Plan { quiet_s: options.quiet_s, ..draw(seed, options.nodes) };
+    let mut plan = Plan {
+        quiet_s: options.quiet_s,
+        ..draw(seed, options.nodes)
+    };
     let mut report = run(&plan.scenario(), programs).await?;
     if report.passed() || !options.shrink {
         return Ok(Verdict { plan, report });
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -40,7 +40,8 @@
 pub struct Report {
     /// Everything counted, by name.
     pub figures: BTreeMap<String, f64>,
-    /// The same by second: calls, failed calls, nodes with a fresh list, asked, served in time, refused.
+    /// The same by second: calls, failed calls, nodes with a fresh list, asked, served in time,
+    /// refused.
     pub seconds: Vec<Second>,
     /// Rules broken, with the whole story of the request, node or backend.
     pub broken: Vec<String>,
@@ -115,7 +116,11 @@
     /// A program, and the shim where cargo puts it beside that.
     pub fn beside(node: &Path) -> Programs {
         let shim = node.with_file_name("libkitefork_fault_shim.so");
-        Programs { node: node.to_path_buf(), shim, trace: false }
+        Programs {
+            node: node.to_path_buf(),
+            shim,
+            trace: false,
+        }
     }
 
     fn setup(&self, scenario: &Scenario) -> Setup {
@@ -129,7 +134,10 @@
         if scenario.fleet.log_unread || self.trace {
             set("BALANCER_TRACE", "1".into());
         }
-        Setup { variables, log_unread: scenario.fleet.log_unread }
+        Setup {
+            variables,
+            log_unread: scenario.fleet.log_unread,
+        }
     }
 }
 
@@ -154,7 +162,14 @@
         let seed = scenario.seed.wrapping_mul(1_000_003) + number as u64;
         let backend = Backend::new(&uid, cell, build, clock, ledger.clone(), seed);
         let zone = format!("z{}", zone(scenario, number));
-        entries.push(Entry { uid, endpoint: backend.serve().await?, zone, cell, state: "Ready", boot_ms: 0 });
+        entries.push(Entry {
+            uid,
+            endpoint: backend.serve().await?,
+            zone,
+            cell,
+            state: "Ready",
+            boot_ms: 0,
+        });
         backends.push(backend);
     }
     let list = &scenario.list;
@@ -180,7 +195,10 @@
         discovery,
         backends,
         entries,
-        nodes: numbers.clone().map(|number| Mutex::new(Node::new(number, folder.path()))).collect(),
+        nodes: numbers
+            .clone()
+            .map(|number| Mutex::new(Node::new(number, folder.path())))
+            .collect(),
         admitted: numbers.map(|_| AtomicBool::new(false)).collect(),
         stopped: Mutex::default(),
         starts: Mutex::default(),
@@ -205,7 +223,12 @@
     }
     tokio::time::sleep_until(clock.at(begin + span(scenario.length_s))).await;
     // Those that are out come to their end; asks stop well before it.
-    let longest = scenario.traffic.class.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    let longest = scenario
+        .traffic
+        .class
+        .iter()
+        .map(|c| c.deadline_ms)
+        .fold(0.0, f64::max);
     let _ = asking.await;
     let _ = disturbing.await;
     tokio::time::sleep(ms(longest) + SLACK + Duration::from_millis(300)).await;
@@ -229,8 +252,15 @@
             Known::Current => self.entries.clone(),
             Known::Stale => {
                 let aged = |(number, entry): (usize, &Entry)| {
-                    let uid = if number % 10 < 3 { format!("old-{number:04}") } else { entry.uid.clone() };
-                    Entry { uid, ..entry.clone() }
+                    let uid = if number % 10 < 3 {
+                        format!("old-{number:04}")
+                    } else {
+                        entry.uid.clone()
+                    };
+                    Entry {
+                        uid,
+                        ..entry.clone()
+                    }
                 };
                 self.entries.iter().enumerate().map(aged).collect()
             }
@@ -254,7 +284,11 @@
             deadline_ms: 1_000.0,
             worth: 1.0,
         }];
-        let classes = if traffic.class.is_empty() { &default[..] } else { &traffic.class };
+        let classes = if traffic.class.is_empty() {
+            &default[..]
+        } else {
+            &traffic.class
+        };
         let grades: Vec<Value> = classes
             .iter()
             .map(|class| {
@@ -263,9 +297,18 @@
                     "giveUpNs": ns(class.deadline_ms), "importance": class.worth})
             })
             .collect();
-        let mode = if scenario.list.pushed { "automatic" } else { "subscribe" };
-        let zones: Vec<String> = (0..scenario.fleet.zones).map(|zone| format!("z{zone}")).collect();
-        let seed = scenario.seed.wrapping_mul(7_919).wrapping_add(number as u64);
+        let mode = if scenario.list.pushed {
+            "automatic"
+        } else {
+            "subscribe"
+        };
+        let zones: Vec<String> = (0..scenario.fleet.zones)
+            .map(|zone| format!("z{zone}"))
+            .collect();
+        let seed = scenario
+            .seed
+            .wrapping_mul(7_919)
+            .wrapping_add(number as u64);
         json!({"name": format!("n{number}"), "discovery": self.discovery[number].to_string(),
             "seed": format!("{seed:016x}"), "limits": {"sockets": scenario.fleet.sockets, "memory_mb": 64},
             "known": {"rev": 0, "all": true, "targets": known.iter().map(Entry::json).collect::<Vec<_>>()},
@@ -305,7 +348,10 @@
             };
             let [from, to] = step.part.map(|part| (part * count as f64).round() as usize);
             let chosen: Vec<usize> = (from..to)
-                .filter(|number| step.zone.is_none_or(|wanted| zone(&self.scenario, *number) == wanted))
+                .filter(|number| {
+                    step.zone
+                        .is_none_or(|wanted| zone(&self.scenario, *number) == wanted)
+                })
                 .collect();
             for (place, number) in chosen.iter().enumerate() {
                 let later = step.over_s * place as f64 / chosen.len() as f64;
@@ -335,7 +381,11 @@
                 // What it knew then is all that its next life is given.
                 let known = self.list.list();
                 locked(&self.nodes[number]).configure(self.config(number, &known))?;
-                signal(if step.what == What::Kill { Signal::KILL } else { Signal::TERM });
+                signal(if step.what == What::Kill {
+                    Signal::KILL
+                } else {
+                    Signal::TERM
+                });
             }
             What::Stop => {
                 signal(Signal::STOP);
@@ -347,7 +397,10 @@
                 // It works off what has come meanwhile.
                 let end = clock.now() + Duration::from_millis(500);
                 let mut stopped = locked(&self.stopped);
-                stopped.iter_mut().filter(|s| s.0 == number && s.2 == Duration::MAX).for_each(|s| s.2 = end);
+                stopped
+                    .iter_mut()
+                    .filter(|s| s.0 == number && s.2 == Duration::MAX)
+                    .for_each(|s| s.2 = end);
             }
             What::Reload => {
                 // Sound again, whatever was there before.
@@ -367,7 +420,9 @@
             }
             What::ListUp => {
                 self.list.set(Mode::Up);
-                self.list_links.iter().for_each(|link| link.set(link::Health::Sound));
+                self.list_links
+                    .iter()
+                    .for_each(|link| link.set(link::Health::Sound));
             }
             What::ListBusy => self.list.set(Mode::Busy),
             What::ListSilent => self.list.set(Mode::Silent),
@@ -382,17 +437,27 @@
             }
             What::ListCut => self.list_links[number].set(link::Health::Cut),
             What::Drain | What::BackendKill => {
-                let state = if step.what == What::Drain { "Terminating" } else { "Gone" };
+                let state = if step.what == What::Drain {
+                    "Terminating"
+                } else {
+                    "Gone"
+                };
                 if step.what == What::BackendKill {
                     self.backends[number].link.set(link::Health::Refused);
                     self.backends[number].link.reset();
                 } else {
-                    self.list.change(Entry { state, ..self.entries[number].clone() });
+                    self.list.change(Entry {
+                        state,
+                        ..self.entries[number].clone()
+                    });
                 }
                 let parties = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs(1)).await;
-                    parties.list.change(Entry { state: "Gone", ..parties.entries[number].clone() });
+                    parties.list.change(Entry {
+                        state: "Gone",
+                        ..parties.entries[number].clone()
+                    });
                 });
             }
             What::BackendStart => {
@@ -402,7 +467,10 @@
                 locked(&self.starts).push((backend.uid.clone(), clock.now()));
                 let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
                 let boot_ms = since.unwrap_or_default().as_millis() as u64;
-                self.list.change(Entry { boot_ms, ..self.entries[number].clone() });
+                self.list.change(Entry {
+                    boot_ms,
+                    ..self.entries[number].clone()
+                });
             }
             What::Swallow => self.backends[number].set(backend::Health::Swallows),
             What::Fail => self.backends[number].set(backend::Health::Fails),
@@ -412,7 +480,9 @@
                 self.backends[number].link.set_manner(link::Manner::Whole);
             }
             What::AnswerTwice => self.backends[number].link.set_manner(link::Manner::Twice),
-            What::AnswerInPieces => self.backends[number].link.set_manner(link::Manner::InPieces),
+            What::AnswerInPieces => self.backends[number]
+                .link
+                .set_manner(link::Manner::InPieces),
             What::BackendCut => self.backends[number].link.set(link::Health::Cut),
             What::BackendCutOut => self.backends[number].link.set(link::Health::CutOut),
             What::BackendReset => self.backends[number].link.reset(),
@@ -440,9 +510,19 @@
         }
     }
 
-    fn report(&self, clients: &Clients, odd: &OddClients, ledger: &Ledger, begin: Duration) -> Report {
+    fn report(
+        &self,
+        clients: &Clients,
+        odd: &OddClients,
+        ledger: &Ledger,
+        begin: Duration,
+    ) -> Report {
         let scenario = &self.scenario;
-        let lives: Vec<Life> = self.nodes.iter().flat_map(|node| locked(node).lives()).collect();
+        let lives: Vec<Life> = self
+            .nodes
+            .iter()
+            .flat_map(|node| locked(node).lives())
+            .collect();
         let ledgers = Ledgers {
             asked: clients.asked(),
             odd: odd.asked(),
@@ -467,30 +547,58 @@
         let lines = self.nodes.iter().flat_map(|node| {
             let node = locked(node);
             let number = node.number;
-            node.lines().into_iter().map(move |line| format!("n{number}: {line}"))
+            node.lines()
+                .into_iter()
+                .map(move |line| format!("n{number}: {line}"))
         });
         let lines: Vec<String> = lines.collect();
         // What the node itself found broken.
-        let violations: Vec<String> =
-            lines.iter().filter(|line| line.contains("kitefork: violation ")).cloned().collect();
-        let panics: Vec<String> = lines.iter().filter(|line| line.contains("panicked")).cloned().collect();
+        let violations: Vec<String> = lines
+            .iter()
+            .filter(|line| line.contains("kitefork: violation "))
+            .cloned()
+            .collect();
+        let panics: Vec<String> = lines
+            .iter()
+            .filter(|line| line.contains("panicked"))
+            .cloned()
+            .collect();
         let mut figures = self.figures(&ledgers, &broken, begin);
         figures.insert("panics".into(), panics.len() as f64);
         let unmet = scenario.unmet(&figures);
         let seconds = self.seconds(&ledgers, begin);
-        let mut broken: Vec<String> =
-            broken.into_iter().map(|b| format!("{}: {}", b.rule, b.story)).collect();
+        let mut broken: Vec<String> = broken
+            .into_iter()
+            .map(|b| format!("{}: {}", b.rule, b.story))
+            .collect();
         broken.extend(violations);
-        Report { figures, seconds, broken, unmet, panics, logs: lines }
+        Report {
+            figures,
+            seconds,
+            broken,
+            unmet,
+            panics,
+            logs: lines,
+        }
     }
 
     fn in_time(&self, asked: &kitefork_standin::clients::Asked) -> bool {
-        let aim = self.scenario.traffic.class.iter().find(|class| class.name == asked.ask.class);
+        let aim = self
+            .scenario
+            .traffic
+            .class
+            .iter()
+            .find(|class| class.name == asked.ask.class);
         let aim = span(aim.map_or(0.0, |class| class.aim_ms) / 1_000.0);
         matches!(asked.answer, Answer::Whole(200, _)) && asked.ended <= asked.ask.planned + aim
     }
 
-    fn figures(&self, ledgers: &Ledgers, broken: &[Broken], begin: Duration) -> BTreeMap<String, f64> {
+    fn figures(
+        &self,
+        ledgers: &Ledgers,
+        broken: &[Broken],
+        begin: Duration,
+    ) -> BTreeMap<String, f64> {
         let nodes = self.nodes.len() as f64;
         let mut figures = BTreeMap::new();
         let mut put = |name: &str, value: f64| {
@@ -499,59 +607,128 @@
         put("broken_rules", broken.len() as f64);
 
         let calls = self.list.calls();
-        let failed = calls.iter().filter(|call| call.end != CallEnd::Answered).count() as f64;
+        let failed = calls
+            .iter()
+            .filter(|call| call.end != CallEnd::Answered)
+            .count() as f64;
         put("calls", calls.len() as f64);
         put("calls_per_node", calls.len() as f64 / nodes);
-        put("calls_per_start", calls.len() as f64 / ledgers.lives.len().max(1) as f64);
+        put(
+            "calls_per_start",
+            calls.len() as f64 / ledgers.lives.len().max(1) as f64,
+        );
         put("calls_failed", failed / calls.len().max(1) as f64);
         let mut times: Vec<Duration> = calls.iter().map(|call| call.arrived).collect();
         times.sort_unstable();
         let crowd = |(place, from): (usize, &Duration)| {
-            times[place..].iter().take_while(|at| **at < *from + Duration::from_millis(100)).count()
+            times[place..]
+                .iter()
+                .take_while(|at| **at < *from + Duration::from_millis(100))
+                .count()
         };
-        put("calls_worst_100ms", times.iter().enumerate().map(crowd).max().unwrap_or(0) as f64);
+        put(
+            "calls_worst_100ms",
+            times.iter().enumerate().map(crowd).max().unwrap_or(0) as f64,
+        );
 
-        // From when a life began until it was told anything; those told of an end before don't count.
+        // From when a life began until it was told anything; those told of an end before don't
+        // count.
         let first = |life: &Life| {
-            let told =
-                ledgers.told.iter().filter(|t| t.node == life.node && t.at >= life.started).map(|t| t.at);
+            let told = ledgers
+                .told
+                .iter()
+                .filter(|t| t.node == life.node && t.at >= life.started)
+                .map(|t| t.at);
             let end = life.ended.map_or(Duration::MAX, |end| end.0);
-            told.min().filter(|at| *at <= end).map(|at| (at - life.started).as_secs_f64())
+            told.min()
+                .filter(|at| *at <= end)
+                .map(|at| (at - life.started).as_secs_f64())
         };
-        let lasting: Vec<&Life> = ledgers.lives.iter().filter(|life| life.ended.is_none()).collect();
+        let lasting: Vec<&Life> = ledgers
+            .lives
+            .iter()
+            .filter(|life| life.ended.is_none())
+            .collect();
         let mut waits: Vec<f64> = lasting.iter().filter_map(|life| first(life)).collect();
         waits.sort_by(f64::total_cmp);
         put("nodes_without_list", (lasting.len() - waits.len()) as f64);
-        put("list_median_s", waits.get(waits.len() / 2).copied().unwrap_or(f64::NAN));
+        put(
+            "list_median_s",
+            waits.get(waits.len() / 2).copied().unwrap_or(f64::NAN),
+        );
         put("list_last_s", waits.last().copied().unwrap_or(f64::NAN));
         put("list_floor_s", self.scenario.list.call_ms / 1e3 * nodes);
 
-        let accepted: Vec<f64> = self.backends.iter().map(|b| b.link.accepted() as f64).collect();
+        let accepted: Vec<f64> = self
+            .backends
+            .iter()
+            .map(|b| b.link.accepted() as f64)
+            .collect();
         let mean = accepted.iter().sum::<f64>() / accepted.len().max(1) as f64;
         put("connections", accepted.iter().sum());
-        put("connections_worst", accepted.iter().copied().fold(0.0, f64::max) / mean.max(1e-9));
-        put("turned_away", self.backends.iter().map(|b| b.turned_away() as f64).sum());
+        put(
+            "connections_worst",
+            accepted.iter().copied().fold(0.0, f64::max) / mean.max(1e-9),
+        );
+        put(
+            "turned_away",
+            self.backends.iter().map(|b| b.turned_away() as f64).sum(),
+        );
 
         let share = |kept: &dyn Fn(&kitefork_standin::clients::Asked) -> bool, from: Duration| {
-            let all = || ledgers.asked.iter().filter(|asked| asked.ask.planned >= from);
+            let all = || {
+                ledgers
+                    .asked
+                    .iter()
+                    .filter(|asked| asked.ask.planned >= from)
+            };
             all().filter(|asked| kept(asked)).count() as f64 / all().count().max(1) as f64
         };
         let start = Duration::ZERO;
         put("asked", ledgers.asked.len() as f64);
         put("in_time", share(&|asked| self.in_time(asked), start));
-        put("served", share(&|asked| matches!(asked.answer, Answer::Whole(200, _)), start));
-        put("refused", share(&|asked| matches!(asked.answer, Answer::Whole(429 | 503, _)), start));
-        put("unreachable", share(&|asked| asked.answer == Answer::Unreachable, start));
-        let last = self.scenario.at.iter().map(|step| step.s + step.over_s).fold(0.0, f64::max);
-        put("in_time_after", share(&|asked| self.in_time(asked), begin + span(last)));
-        put("attempts_per_ask", ledgers.attempts.len() as f64 / ledgers.asked.len().max(1) as f64);
+        put(
+            "served",
+            share(
+                &|asked| matches!(asked.answer, Answer::Whole(200, _)),
+                start,
+            ),
+        );
+        put(
+            "refused",
+            share(
+                &|asked| matches!(asked.answer, Answer::Whole(429 | 503, _)),
+                start,
+            ),
+        );
+        put(
+            "unreachable",
+            share(&|asked| asked.answer == Answer::Unreachable, start),
+        );
+        let last = self
+            .scenario
+            .at
+            .iter()
+            .map(|step| step.s + step.over_s)
+            .fold(0.0, f64::max);
+        put(
+            "in_time_after",
+            share(&|asked| self.in_time(asked), begin + span(last)),
+        );
+        put(
+            "attempts_per_ask",
+            ledgers.attempts.len() as f64 / ledgers.asked.len().max(1) as f64,
+        );
         put("lives", ledgers.lives.len() as f64);
         let most = locked(&self.most_memory);
         put("memory_mb_most", most.values().copied().fold(0.0, f64::max));
         put("descriptors_most", *locked(&self.most_descriptors) as f64);
         put("list_kb", self.list.bytes_written() as f64 / 1e3);
         let cpu = locked(&self.cpu);
-        put("cpu_s_mean", cpu.values().sum::<f64>() / cpu.len().max(1) as f64);
+        put(
+            "cpu_s_mean",
+            cpu.values().sum::<f64>() / cpu.len().max(1) as f64,
+        );
         figures
     }
 
@@ -581,7 +758,10 @@
             let fresh = |life: &&Life| {
                 life.started < end
                     && life.ended.is_none_or(|at| at.0 >= end)
-                    && ledgers.told.iter().any(|t| t.node == life.node && t.at >= life.started && t.at < end)
+                    && ledgers
+                        .told
+                        .iter()
+                        .any(|t| t.node == life.node && t.at >= life.started && t.at < end)
             };
             second.fresh = ledgers.lives.iter().filter(fresh).count();
         }
--- a/crates/rig/src/world/load.rs
+++ b/crates/rig/src/world/load.rs
@@ -39,11 +39,15 @@
     }
 }
 
-/// Clients that don't behave, from a process of Poisson, over the nodes that the front has admitted.
+/// Clients that don't behave, from a process of Poisson, over the nodes that the front has
+/// admitted.
 pub(super) async fn odd_traffic(parties: Arc<Parties>, odd: Arc<OddClients>, begin: Duration) {
     let traffic = &parties.scenario.traffic;
-    let classes: Vec<&Class> =
-        traffic.class.iter().filter(|class| class.effect() != Some(Effect::Unsafe)).collect();
+    let classes: Vec<&Class> = traffic
+        .class
+        .iter()
+        .filter(|class| class.effect() != Some(Effect::Unsafe))
+        .collect();
     if traffic.odd_rate <= 0.0 || classes.is_empty() {
         return;
     }
@@ -64,10 +68,15 @@
             place if place < odd::MANNERS.len() => odd::MANNERS[place],
             _ => Manner::Leaves(leave),
         };
-        let ready: Vec<usize> =
-            (0..parties.nodes.len()).filter(|n| parties.admitted[*n].load(Ordering::SeqCst)).collect();
-        let Some(node) = ready.get((unit() * ready.len() as f64) as usize).copied() else { continue };
-        let Some(address) = locked(&parties.nodes[node]).address() else { continue };
+        let ready: Vec<usize> = (0..parties.nodes.len())
+            .filter(|n| parties.admitted[*n].load(Ordering::SeqCst))
+            .collect();
+        let Some(node) = ready.get((unit() * ready.len() as f64) as usize).copied() else {
+            continue;
+        };
+        let Some(address) = locked(&parties.nodes[node]).address() else {
+            continue;
+        };
         let ask = OddAsk {
             txn: format!("odd{number}"),
             class: class.name.clone(),
@@ -83,12 +92,17 @@
 async fn is_well(address: SocketAddr) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(address).await?;
-        stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await?;
+        stream
+            .write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+            .await?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await?;
         io::Result::Ok(head.ends_with(b"200"))
     };
-    matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Ok(true)))
+    matches!(
+        tokio::time::timeout(Duration::from_millis(500), ask).await,
+        Ok(Ok(true))
+    )
 }
 
 /// Asks in an open loop, from a process of Poisson, over the nodes that the front has admitted.
@@ -113,12 +127,19 @@
             left -= class.share;
             left < 0.0
         });
-        let Some(class) = class.or(traffic.class.last()) else { return };
-        let ready: Vec<usize> =
-            (0..parties.nodes.len()).filter(|n| parties.admitted[*n].load(Ordering::SeqCst)).collect();
+        let Some(class) = class.or(traffic.class.last()) else {
+            return;
+        };
+        let ready: Vec<usize> = (0..parties.nodes.len())
+            .filter(|n| parties.admitted[*n].load(Ordering::SeqCst))
+            .collect();
         let place = (unit() * ready.len() as f64) as usize;
-        let Some(node) = ready.get(place).copied() else { continue };
-        let Some(address) = locked(&parties.nodes[node]).address() else { continue };
+        let Some(node) = ready.get(place).copied() else {
+            continue;
+        };
+        let Some(address) = locked(&parties.nodes[node]).address() else {
+            continue;
+        };
         let ask = Ask {
             txn: format!("t{number}"),
             class: class.name.clone(),
--- a/crates/rig/tests/scenarios.rs
+++ b/crates/rig/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Every scenario of the repository at a small size, with real processes of the program: no rule is broken,
-//! none panics, and what a scenario expects of lists holds. How fast and how much is not judged here, as the
-//! machine may be busy: that is `make fleet`'s.
+//! Every scenario of the repository at a small size, with real processes of the program: no rule is
+//! broken, none panics, and what a scenario expects of lists holds. How fast and how much is not
+//! judged here, as the machine may be busy: that is `make fleet`'s.
 
 use std::path::{Path, PathBuf};
 
@@ -10,30 +10,64 @@
 /// The program that this test run has built.
 fn program() -> PathBuf {
     let test = std::env::current_exe().unwrap();
-    let program = test.parent().and_then(Path::parent).unwrap().join("kitefork");
-    assert!(program.exists(), "{} is not built: run the tests of the whole workspace", program.display());
+    let program = test
+        .parent()
+        .and_then(Path::parent)
+        .unwrap()
+        .join("kitefork");
+    assert!(
+        program.exists(),
+        "{} is not built: run the tests of the whole workspace",
+        program.display()
+    );
     program
 }
 
 async fn play(name: &str, nodes: usize) {
-    let file =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name).with_extension("toml");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../scenarios")
+        .join(name)
+        .with_extension("toml");
     let mut scenario = Scenario::parse(&std::fs::read_to_string(&file).unwrap()).unwrap();
     let scale = nodes as f64 / scenario.fleet.nodes as f64;
     scenario.fleet.backends = ((scenario.fleet.backends as f64 * scale).round() as usize).max(6);
     scenario.traffic.rate *= scale;
     scenario.fleet.nodes = nodes;
     // A few nodes are through sooner than the fleet that the length is for.
-    let last = scenario.at.iter().map(|step| step.s + step.over_s).fold(0.0, f64::max);
+    let last = scenario
+        .at
+        .iter()
+        .map(|step| step.s + step.over_s)
+        .fold(0.0, f64::max);
     scenario.length_s = scenario.length_s.min(last + 9.0);
     scenario.expect = vec![
-        Expect { figure: "nodes_without_list".into(), least: None, most: Some(0.0) },
-        Expect { figure: "lives".into(), least: Some(nodes as f64), most: None },
+        Expect {
+            figure: "nodes_without_list".into(),
+            least: None,
+            most: Some(0.0),
+        },
+        Expect {
+            figure: "lives".into(),
+            least: Some(nodes as f64),
+            most: None,
+        },
     ];
-    let report = world::run(&scenario, &Programs::beside(&program())).await.unwrap();
-    assert!(report.passed(), "{name}: {:#?} {:#?} {:#?}", report.broken, report.unmet, report.panics);
+    let report = world::run(&scenario, &Programs::beside(&program()))
+        .await
+        .unwrap();
+    assert!(
+        report.passed(),
+        "{name}: {:#?} {:#?} {:#?}",
+        report.broken,
+        report.unmet,
+        report.panics
+    );
     if scenario.traffic.rate > 0.0 {
-        assert!(report.figures["served"] > 0.3, "{name}: {:#?}", report.figures);
+        assert!(
+            report.figures["served"] > 0.3,
+            "{name}: {:#?}",
+            report.figures
+        );
     }
 }
 
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -14,16 +14,36 @@
     let built = test.parent().and_then(Path::parent).unwrap();
     let node: PathBuf = built.join("kitefork");
     let shim = test.with_file_name("libkitefork_fault_shim.so");
-    assert!(node.exists() && shim.exists(), "run the tests of the whole workspace");
-    Programs { node, shim, trace: false }
+    assert!(
+        node.exists() && shim.exists(),
+        "run the tests of the whole workspace"
+    );
+    Programs {
+        node,
+        shim,
+        trace: false,
+    }
 }
 
 async fn play(seed: u64) {
-    let options = soak::Options { nodes: NODES, quiet_s: 0.0, shrink: false };
+    let options = soak::Options {
+        nodes: NODES,
+        quiet_s: 0.0,
+        shrink: false,
+    };
     let verdict = soak::play(seed, options, &programs()).await.unwrap();
     let (plan, report) = (&verdict.plan, &verdict.report);
-    assert!(report.passed(), "{plan}\n{:#?}\n{:#?}", report.broken.first(), report.panics.first());
-    assert!(report.figures["served"] > 0.1, "{plan}: {:#?}", report.figures);
+    assert!(
+        report.passed(),
+        "{plan}\n{:#?}\n{:#?}",
+        report.broken.first(),
+        report.panics.first()
+    );
+    assert!(
+        report.figures["served"] > 0.1,
+        "{plan}: {:#?}",
+        report.figures
+    );
 }
 
 /// One test a seed, so that they run side by side and fail by name.
@@ -46,12 +66,22 @@
 #[test]
 fn a_quiet_time_moves_all_but_the_start() {
     let plan = soak::draw(7, NODES);
-    let quiet = soak::Plan { quiet_s: 60.0, ..plan.clone() };
+    let quiet = soak::Plan {
+        quiet_s: 60.0,
+        ..plan.clone()
+    };
     let (usual, later) = (plan.scenario(), quiet.scenario());
-    assert_eq!((later.length_s, later.traffic.from_s), (usual.length_s + 60.0, usual.traffic.from_s + 60.0));
+    assert_eq!(
+        (later.length_s, later.traffic.from_s),
+        (usual.length_s + 60.0, usual.traffic.from_s + 60.0)
+    );
     assert_eq!(later.at.len(), usual.at.len());
     for (step, moved) in usual.at.iter().zip(&later.at) {
-        let by = if step.what == What::Start && step.s == 0.0 { 0.0 } else { 60.0 };
+        let by = if step.what == What::Start && step.s == 0.0 {
+            0.0
+        } else {
+            60.0
+        };
         assert!((moved.s - step.s - by).abs() < 1e-9, "{step:?} {moved:?}");
     }
 }
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -182,7 +182,8 @@
         self.state().health = health;
     }
 
-    /// Its process starts anew: cold, and with nothing of what it held. Its link is to be reset with it.
+    /// Its process starts anew: cold, and with nothing of what it held. Its link is to be reset
+    /// with it.
     pub fn restart(&self) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -234,23 +235,47 @@
         full: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let header = |name: &str| Some(request.headers().get(name)?.to_str().ok()?.to_string());
-        let (txn, key) = (header("x-txn").unwrap_or_default(), header("idempotency-key"));
-        let told = header("x-remaining-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
+        let (txn, key) = (
+            header("x-txn").unwrap_or_default(),
+            header("idempotency-key"),
+        );
+        let told = header("x-remaining-ms")
+            .and_then(|ms| ms.parse().ok())
+            .map(Duration::from_millis);
         let body = request.into_body().collect().await;
         let arrived = self.clock.now();
         let mut held = {
             let mut rows = self.ledger.rows();
             let (uid, cell, end) = (self.uid.clone(), self.cell, AttemptEnd::Out);
-            rows.push(Attempt { txn: txn.clone(), key, uid, cell, told, arrived, ended: arrived, end });
-            Held { backend: &self, place: rows.len() - 1, end: AttemptEnd::Broken, counted: false }
+            rows.push(Attempt {
+                txn: txn.clone(),
+                key,
+                uid,
+                cell,
+                told,
+                arrived,
+                ended: arrived,
+                end,
+            });
+            Held {
+                backend: &self,
+                place: rows.len() - 1,
+                end: AttemptEnd::Broken,
+                counted: false,
+            }
         };
         let mut answer = Response::new(Full::from(format!("{}:{txn}", self.uid)));
-        let code =
-            |answer: &mut Response<_>, code: u16| *answer.status_mut() = code.try_into().expect("known");
+        let code = |answer: &mut Response<_>, code: u16| {
+            *answer.status_mut() = code.try_into().expect("known")
+        };
         let (health, done) = {
             let mut state = self.state();
             let unseen = body.is_err() || full || state.held >= self.build.room;
-            let health = if unseen { Health::TurnsAway } else { state.health };
+            let health = if unseen {
+                Health::TurnsAway
+            } else {
+                state.health
+            };
             if let Health::Works(part) = health {
                 let unit = (state.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
                 let work = -self.build.work.as_secs_f64() * (1.0 - unit).ln();
@@ -275,7 +300,9 @@
                 self.turned_away.fetch_add(1, Ordering::SeqCst);
                 held.end = AttemptEnd::TurnedAway;
                 code(&mut answer, 503);
-                answer.headers_mut().insert("x-turned-away", "1".parse().expect("a header"));
+                answer
+                    .headers_mut()
+                    .insert("x-turned-away", "1".parse().expect("a header"));
             }
         }
         Ok(answer)
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,5 +1,6 @@
-//! Clients in an open loop: each request has a time at which it is meant to be sent, and goes then, whatever
-//! has become of the others. Connections are kept; a client gives up when its patience ends.
+//! Clients in an open loop: each request has a time at which it is meant to be sent, and goes then,
+//! whatever has become of the others. Connections are kept; a client gives up when its patience
+//! ends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -79,7 +80,11 @@
 impl Clients {
     /// None has asked.
     pub fn new(clock: Clock) -> Arc<Clients> {
-        Arc::new(Clients { clock, idle: Mutex::default(), asked: Mutex::default() })
+        Arc::new(Clients {
+            clock,
+            idle: Mutex::default(),
+            asked: Mutex::default(),
+        })
     }
 
     /// All asks that have ended.
@@ -95,7 +100,12 @@
             Err(_) => Answer::GaveUp,
         };
         let ended = self.clock.now();
-        locked(&self.asked).push(Asked { ask, node, ended, answer });
+        locked(&self.asked).push(Asked {
+            ask,
+            node,
+            ended,
+            answer,
+        });
     }
 
     fn idle(&self, node: usize) -> Option<Sender> {
@@ -108,7 +118,11 @@
     fn request(&self, ask: &Ask) -> Request<Full<Bytes>> {
         let left = (ask.planned + ask.patience).saturating_sub(self.clock.now());
         let builder = Request::builder()
-            .method(if ask.effect == Effect::Safe { "GET" } else { "POST" })
+            .method(if ask.effect == Effect::Safe {
+                "GET"
+            } else {
+                "POST"
+            })
             .uri("/api")
             .header("host", "api.internal")
             .header("x-txn", &ask.txn)
@@ -119,7 +133,11 @@
             Effect::Keyed => builder.header("idempotency-key", format!("k{}", ask.txn)),
             _ => builder,
         };
-        let body = if ask.effect == Effect::Safe { Full::default() } else { Full::from("body") };
+        let body = if ask.effect == Effect::Safe {
+            Full::default()
+        } else {
+            Full::from("body")
+        };
         builder.body(body).expect("sound headers")
     }
 
@@ -139,7 +157,9 @@
             match sender.send_request(self.request(ask)).await {
                 Ok(answer) => {
                     let status = answer.status().as_u16();
-                    let Ok(body) = answer.into_body().collect().await else { return Answer::Broken };
+                    let Ok(body) = answer.into_body().collect().await else {
+                        return Answer::Broken;
+                    };
                     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
                     locked(&self.idle).entry(node).or_default().push(sender);
                     return Answer::Whole(status, body);
@@ -155,7 +175,9 @@
 async fn open(at: SocketAddr) -> Option<Sender> {
     let stream = TcpStream::connect(at).await.ok()?;
     let _ = stream.set_nodelay(true);
-    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .ok()?;
     tokio::spawn(async move {
         // Its end shows at the request that is on it.
         let _ = connection.await;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for the parties that the node meets, by the platform's published protocol, on loopback.
+//! Stand-ins for the parties that the node meets, by the platform's published protocol, on
+//! loopback.
 //!
-//! They are written on an independent HTTP library, so that two different parsers meet. Each keeps an exact
-//! ledger of what reached it and when; times count from the world's start. Nothing here decides whether the
-//! node did well: that is the referee's, on the ledgers alone.
+//! They are written on an independent HTTP library, so that two different parsers meet. Each keeps
+//! an exact ledger of what reached it and when; times count from the world's start. Nothing here
+//! decides whether the node did well: that is the referee's, on the ledgers alone.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,5 +1,5 @@
-//! The link between a party and those that come to it: a listener whose connections can be cut, reset and
-//! refused while the run goes on.
+//! The link between a party and those that come to it: a listener whose connections can be cut,
+//! reset and refused while the run goes on.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -28,8 +28,8 @@
     /// Bytes pass.
     #[default]
     Sound,
-    /// Nothing is said and nothing arrives, either way; what was written comes when the cut is over, as TCP
-    /// sends again what was not acknowledged.
+    /// Nothing is said and nothing arrives, either way; what was written comes when the cut is
+    /// over, as TCP sends again what was not acknowledged.
     Cut,
     /// What comes in arrives, what goes out does not.
     CutOut,
@@ -88,7 +88,11 @@
 
     fn wake(&self) {
         let wakers = std::mem::take(&mut *locked(&self.wakers));
-        wakers.into_values().flatten().flatten().for_each(Waker::wake);
+        wakers
+            .into_values()
+            .flatten()
+            .flatten()
+            .for_each(Waker::wake);
     }
 
     /// Connections open now.
@@ -115,8 +119,8 @@
         self: Arc<Self>,
         serve: impl Fn(Linked) + Send + 'static,
     ) -> io::Result<(SocketAddr, tokio::task::JoinHandle<()>)> {
-        // An address of its own: ports of 127.0.0.1 are given to connections, also while a link refuses, and
-        // one that connects to its own port would even reach itself.
+        // An address of its own: ports of 127.0.0.1 are given to connections, also while a link
+        // refuses, and one that connects to its own port would even reach itself.
         let port = Port::reserve("127.1.0.1:0".parse().expect("an address"))?;
         let address = port.address;
         let mut listener = Some(port.listen()?);
@@ -156,9 +160,9 @@
     }
 }
 
-/// A port that belongs to one link for good. A socket that is bound and never listens holds it: closing the
-/// listener and binding anew would lose it to others whenever a process is being started, which holds a copy
-/// of the listener until it has become its program.
+/// A port that belongs to one link for good. A socket that is bound and never listens holds it:
+/// closing the listener and binding anew would lose it to others whenever a process is being
+/// started, which holds a copy of the listener until it has become its program.
 struct Port {
     address: SocketAddr,
     _holder: TcpSocket,
@@ -168,7 +172,10 @@
     /// Reserves a port; port 0 of the address means any that is free.
     fn reserve(address: SocketAddr) -> io::Result<Port> {
         let holder = bind(address)?;
-        Ok(Port { address: holder.local_addr()?, _holder: holder })
+        Ok(Port {
+            address: holder.local_addr()?,
+            _holder: holder,
+        })
     }
 
     /// A listener on the port. Fails while another one is open.
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -8,7 +8,9 @@
     let serve = |mut linked: Linked| {
         tokio::spawn(async move {
             let mut byte = [0];
-            while linked.read_exact(&mut byte).await.is_ok() && linked.write_all(&byte).await.is_ok() {}
+            while linked.read_exact(&mut byte).await.is_ok()
+                && linked.write_all(&byte).await.is_ok()
+            {}
         });
     };
     let (address, _) = link.clone().listen(serve).await.unwrap();
@@ -25,7 +27,10 @@
     for cut in [Health::Cut, Health::CutOut] {
         link.set(cut);
         stream.write_all(b"b").await.unwrap();
-        let silent = tokio::time::timeout(std::time::Duration::from_millis(50), stream.read_exact(&mut byte));
+        let silent = tokio::time::timeout(
+            std::time::Duration::from_millis(50),
+            stream.read_exact(&mut byte),
+        );
         assert!(silent.await.is_err(), "{cut:?}");
         link.set(Health::Sound);
         stream.read_exact(&mut byte).await.unwrap();
@@ -44,7 +49,11 @@
 async fn what_is_said_comes_twice_or_in_pieces() {
     let (link, address) = echo().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
-    for (manner, wanted) in [(Manner::Twice, &b"aa"[..]), (Manner::InPieces, b"a"), (Manner::Whole, b"a")] {
+    for (manner, wanted) in [
+        (Manner::Twice, &b"aa"[..]),
+        (Manner::InPieces, b"a"),
+        (Manner::Whole, b"a"),
+    ] {
         link.set_manner(manner);
         stream.write_all(b"a").await.unwrap();
         let mut bytes = vec![0; wanted.len()];
@@ -53,8 +62,8 @@
     }
 }
 
-/// Threads that start processes while the test goes on. A process that is being started holds all descriptors
-/// of its parent until it has become its program.
+/// Threads that start processes while the test goes on. A process that is being started holds all
+/// descriptors of its parent until it has become its program.
 fn start_processes(stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
     let start = |stop: Arc<AtomicBool>| {
         std::thread::spawn(move || {
@@ -79,11 +88,17 @@
         links.push((link, address));
     }
     stop.store(true, Ordering::SeqCst);
-    starters.into_iter().for_each(|starter| starter.join().unwrap());
+    starters
+        .into_iter()
+        .for_each(|starter| starter.join().unwrap());
     for (link, address) in links {
         // Without SO_REUSEADDR a port is given only if no other socket has it.
         let taken = TcpSocket::new_v4().unwrap().bind(address);
-        assert_eq!(taken.unwrap_err().kind(), io::ErrorKind::AddrInUse, "{address}");
+        assert_eq!(
+            taken.unwrap_err().kind(),
+            io::ErrorKind::AddrInUse,
+            "{address}"
+        );
         link.set(Health::Sound);
         while TcpStream::connect(address).await.is_err() {}
     }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,4 +1,5 @@
-//! The list service: one queue for all calls, watches, revisions with a bounded history, and outages.
+//! The list service: one queue for all calls, watches, revisions with a bounded history, and
+//! outages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::convert::Infallible;
@@ -151,7 +152,12 @@
             bytes_written: 0,
             changes: Vec::new(),
         };
-        Arc::new(ListService { clock, capacity, inner: Mutex::new(inner), rev: watch::Sender::new(1) })
+        Arc::new(ListService {
+            clock,
+            capacity,
+            inner: Mutex::new(inner),
+            rev: watch::Sender::new(1),
+        })
     }
 
     fn inner(&self) -> std::sync::MutexGuard<'_, Inner> {
@@ -182,7 +188,8 @@
         self.inner().mode = mode;
     }
 
-    /// Its process starts anew: nobody waits in turn, and its history is gone. Links are to be reset with it.
+    /// Its process starts anew: nobody waits in turn, and its history is gone. Links are to be
+    /// reset with it.
     pub fn restart(&self) {
         let mut inner = self.inner();
         inner.history.clear();
@@ -232,23 +239,35 @@
         self.inner().changes.clone()
     }
 
-    /// What a node that has `after` needs: the changes since, or the whole list where these are not kept.
+    /// What a node that has `after` needs: the changes since, or the whole list where these are not
+    /// kept.
     fn update(&self, after: Option<u64>) -> (u64, usize, Bytes) {
         let inner = self.inner();
         let rev = inner.rev;
         let kept = inner.history.front().map_or(rev + 1, |(first, _)| *first);
         let since = after.filter(|after| *after > 0 && after + 1 >= kept && *after <= rev);
         let (all, rows): (bool, Vec<Value>) = match since {
-            Some(after) => {
-                (false, inner.history.iter().filter(|(r, _)| *r > after).map(|(_, e)| e.json()).collect())
-            }
+            Some(after) => (
+                false,
+                inner
+                    .history
+                    .iter()
+                    .filter(|(r, _)| *r > after)
+                    .map(|(_, e)| e.json())
+                    .collect(),
+            ),
             None => (true, inner.entries.values().map(Entry::json).collect()),
         };
         let count = rows.len();
-        (rev, count, Bytes::from(json!({"rev": rev, "all": all, "targets": rows}).to_string() + "\n"))
+        (
+            rev,
+            count,
+            Bytes::from(json!({"rev": rev, "all": all, "targets": rows}).to_string() + "\n"),
+        )
     }
 
-    /// Notes news as told, unless the link says nothing: then it reaches the node at best when that is over.
+    /// Notes news as told, unless the link says nothing: then it reaches the node at best when that
+    /// is over.
     fn wrote(&self, node: usize, link: &Link, rev: u64) {
         let at = self.clock.now();
         if link.passes_out() {
@@ -266,7 +285,12 @@
         let query = request.uri().query().unwrap_or_default().to_string();
         let place = {
             let mut inner = self.inner();
-            inner.calls.push(Call { node, arrived, ended: arrived, end: CallEnd::Unanswered });
+            inner.calls.push(Call {
+                node,
+                arrived,
+                ended: arrived,
+                end: CallEnd::Unanswered,
+            });
             inner.calls.len() - 1
         };
         let end = |end| {
@@ -294,7 +318,9 @@
             }
         }
         let watch = query.contains("watch=1");
-        let after = query.split('&').find_map(|part| part.strip_prefix("after=")?.parse().ok());
+        let after = query
+            .split('&')
+            .find_map(|part| part.strip_prefix("after=")?.parse().ok());
         let (done, waits) = {
             let rows = self.update(after.filter(|_| watch)).1 as u32;
             let mut inner = self.inner();
@@ -322,7 +348,8 @@
             service.inner().bytes_written += first.len() as u64;
             let mut sent = sender.send_data(first).await;
             while watch && sent.is_ok() {
-                // Only whether it has changed goes on: the guard that comes with it would hold off a change.
+                // Only whether it has changed goes on: the guard that comes with it would hold off
+                // a change.
                 let changed = async { news.wait_for(|now| *now > rev).await.is_ok() };
                 let line = tokio::select! {
                     // A list may have changed between the first line and here.
--- a/crates/standin/src/odd.rs
+++ b/crates/standin/src/odd.rs
@@ -1,5 +1,6 @@
-//! Clients that don't behave: they leave early, end their sending alone, send slowly, stop in the middle, say
-//! nothing, or send several requests at once. Written on bare sockets, as no HTTP library does that.
+//! Clients that don't behave: they leave early, end their sending alone, send slowly, stop in the
+//! middle, say nothing, or send several requests at once. Written on bare sockets, as no HTTP
+//! library does that.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -28,8 +29,13 @@
 }
 
 /// The manners that need no figure.
-pub const MANNERS: [Manner; 5] =
-    [Manner::HalfCloses, Manner::Trickles, Manner::StopsMidway, Manner::Silent, Manner::Pipelines];
+pub const MANNERS: [Manner; 5] = [
+    Manner::HalfCloses,
+    Manner::Trickles,
+    Manner::StopsMidway,
+    Manner::Silent,
+    Manner::Pipelines,
+];
 
 /// Pieces of a request that trickles, and the pause between them.
 const PIECES: usize = 5;
@@ -78,7 +84,10 @@
 impl OddClients {
     /// None has asked.
     pub fn new(clock: Clock) -> Arc<OddClients> {
-        Arc::new(OddClients { clock, asked: Mutex::default() })
+        Arc::new(OddClients {
+            clock,
+            asked: Mutex::default(),
+        })
     }
 
     /// All that have ended.
@@ -89,13 +98,23 @@
     /// Plays one client to its end.
     pub async fn play(self: Arc<Self>, ask: OddAsk, node: usize, at: SocketAddr) {
         let now = self.clock.now();
-        let row = OddAsked { ask, node, connected: None, sent: now, left: None, ended: None, answers: 0 };
+        let row = OddAsked {
+            ask,
+            node,
+            connected: None,
+            sent: now,
+            left: None,
+            ended: None,
+            answers: 0,
+        };
         let row = self.talk(row, at).await;
         locked(&self.asked).push(row);
     }
 
     async fn talk(&self, mut row: OddAsked, at: SocketAddr) -> OddAsked {
-        let Ok(mut stream) = TcpStream::connect(at).await else { return row };
+        let Ok(mut stream) = TcpStream::connect(at).await else {
+            return row;
+        };
         row.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
         let text = request(&row.ask, "");
@@ -131,9 +150,14 @@
         row
     }
 
-    /// Reads until the answers that are owed have come, the node ends, or far more than patience is over.
+    /// Reads until the answers that are owed have come, the node ends, or far more than patience is
+    /// over.
     async fn read_answers(&self, row: &mut OddAsked, mut stream: TcpStream) {
-        let wanted = if row.ask.manner == Manner::Pipelines { 2 } else { 1 };
+        let wanted = if row.ask.manner == Manner::Pipelines {
+            2
+        } else {
+            1
+        };
         let limit = row.ask.patience.max(Duration::from_secs(3)) + Duration::from_secs(1);
         let mut bytes = Vec::new();
         let read = async {
@@ -156,9 +180,19 @@
 }
 
 fn request(ask: &OddAsk, second: &str) -> Vec<u8> {
-    let OddAsk { txn, class, keyed, patience, .. } = ask;
+    let OddAsk {
+        txn,
+        class,
+        keyed,
+        patience,
+        ..
+    } = ask;
     let (method, key, body) = if *keyed {
-        ("POST", format!("Idempotency-Key: k{txn}{second}\r\nContent-Length: 4\r\n"), "body")
+        (
+            "POST",
+            format!("Idempotency-Key: k{txn}{second}\r\nContent-Length: 4\r\n"),
+            "body",
+        )
     } else {
         ("GET", String::new(), "")
     };
@@ -183,9 +217,16 @@
     let mut count = 0;
     while let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
         let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
-        let length = head.split("content-length: ").nth(1).and_then(|rest| rest.lines().next());
-        let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) else { break };
-        let Some(rest) = bytes.get(end + 4 + length..) else { break };
+        let length = head
+            .split("content-length: ")
+            .nth(1)
+            .and_then(|rest| rest.lines().next());
+        let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) else {
+            break;
+        };
+        let Some(rest) = bytes.get(end + 4 + length..) else {
+            break;
+        };
         count += 1;
         bytes = rest;
     }
--- a/ground/src/lib.rs
+++ b/ground/src/lib.rs
@@ -5,7 +5,8 @@
 
 use std::collections::BTreeSet;
 
-/// Tasks by the time at which they are due, with the one timer that is waited for. Times are nanoseconds.
+/// Tasks by the time at which they are due, with the one timer that is waited for. Times are
+/// nanoseconds.
 #[derive(Debug)]
 pub struct Agenda<T> {
     tasks: BTreeSet<(u64, T)>,
@@ -15,7 +16,11 @@
 
 impl<T> Default for Agenda<T> {
     fn default() -> Self {
-        Agenda { tasks: BTreeSet::new(), armed: None, timers: 0 }
+        Agenda {
+            tasks: BTreeSet::new(),
+            armed: None,
+            timers: 0,
+        }
     }
 }
 
@@ -42,8 +47,8 @@
         Some(first.1)
     }
 
-    /// Time and number of the timer to be set, if the next task comes before the one that is waited for.
-    /// A timer that was set before is superseded and never needs to be taken back.
+    /// Time and number of the timer to be set, if the next task comes before the one that is waited
+    /// for. A timer that was set before is superseded and never needs to be taken back.
     pub fn arm(&mut self) -> Option<(u64, u32)> {
         let at = self.tasks.first()?.0;
         if self.armed.is_some_and(|armed| armed.0 <= at) {
@@ -54,13 +59,15 @@
         self.armed
     }
 
-    /// A timer has fired. It is known by its number, not its time: a clock that rounds may bring it early.
+    /// A timer has fired. It is known by its number, not its time: a clock that rounds may bring it
+    /// early.
     pub fn fired(&mut self, timer: u32) {
         self.armed = self.armed.filter(|armed| armed.1 != timer);
     }
 }
 
-/// A mean over the last `window` values or so, and the least that it was since the window was first full.
+/// A mean over the last `window` values or so, and the least that it was since the window was first
+/// full.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mean {
     /// The moving mean.
@@ -76,10 +83,15 @@
     pub fn add(&mut self, value: f64, window: f64) {
         self.seen = (self.seen + 1.0).min(window);
         self.mean += (value - self.mean) / self.seen;
-        self.base = if self.seen < window { self.mean } else { self.base.min(self.mean) };
+        self.base = if self.seen < window {
+            self.mean
+        } else {
+            self.base.min(self.mean)
+        };
     }
 
-    /// Lets the best of times rise by `part` of itself, up to the mean: what it tells is forgotten slowly.
+    /// Lets the best of times rise by `part` of itself, up to the mean: what it tells is forgotten
+    /// slowly.
     pub fn forget(&mut self, part: f64) {
         self.base = (self.base * (1.0 + part)).min(self.mean);
     }
@@ -113,7 +125,8 @@
     }
 }
 
-/// The part of a whole that most values fall into: a histogram of 32 steps, discounted by each new value.
+/// The part of a whole that most values fall into: a histogram of 32 steps, discounted by each new
+/// value.
 #[derive(Clone, Copy, Debug)]
 pub struct Often {
     steps: [f64; Often::STEPS + 1],
@@ -121,7 +134,9 @@
 
 impl Default for Often {
     fn default() -> Self {
-        Often { steps: [0.0; Often::STEPS + 1] }
+        Often {
+            steps: [0.0; Often::STEPS + 1],
+        }
     }
 }
 
@@ -130,10 +145,12 @@
     /// Values that it remembers.
     const MEMORY: f64 = 256.0;
 
-    /// Takes in a value, a part from 0 to 1 of the whole, and tells whether it is of the most frequent step
-    /// or one beside it.
+    /// Takes in a value, a part from 0 to 1 of the whole, and tells whether it is of the most
+    /// frequent step or one beside it.
     pub fn add(&mut self, part: f64) -> bool {
-        self.steps.iter_mut().for_each(|n| *n *= 1.0 - 1.0 / Often::MEMORY);
+        self.steps
+            .iter_mut()
+            .for_each(|n| *n *= 1.0 - 1.0 / Often::MEMORY);
         let at = (part.clamp(0.0, 1.0) * Often::STEPS as f64) as usize;
         self.steps[at] += 1.0;
         let most = (0..=Often::STEPS).max_by(|a, b| self.steps[*a].total_cmp(&self.steps[*b]));
--- a/ground/src/lib_tests.rs
+++ b/ground/src/lib_tests.rs
@@ -32,7 +32,14 @@
 fn the_best_of_times_stands_until_it_is_forgotten() {
     let mut mean = Mean::default();
     [1.0, 3.0, 2.0, 5.0].iter().for_each(|v| mean.add(*v, 2.0));
-    assert_eq!(mean, Mean { mean: 3.5, seen: 2.0, base: 1.0 });
+    assert_eq!(
+        mean,
+        Mean {
+            mean: 3.5,
+            seen: 2.0,
+            base: 1.0
+        }
+    );
     mean.forget(0.5);
     assert_eq!(mean.base, 1.5);
     mean.forget(9.0);
@@ -61,5 +68,11 @@
     sum.add(2.0, 6.0);
     assert_eq!(sum.lean(2.0), 2.0);
     sum.keep(0.5);
-    assert_eq!(sum, Sum { done: 1.0, spent: 3.0 });
+    assert_eq!(
+        sum,
+        Sum {
+            done: 1.0,
+            spent: 3.0
+        }
+    );
 }
--- a/node/src/arrival.rs
+++ b/node/src/arrival.rs
@@ -4,14 +4,15 @@
 
 use crate::clock::MS;
 
-/// When bytes of a session can have come at the earliest. The kernel does not say when they came, so that is
-/// the last time at which its socket was seen empty. What came while the process stood still counts from
-/// there.
+/// When bytes of a session can have come at the earliest. The kernel does not say when they came,
+/// so that is the last time at which its socket was seen empty. What came while the process stood
+/// still counts from there.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     /// When the socket was last read empty.
     pub emptied: Nanos,
-    /// Since when an event is given for what comes; before that an empty look says nothing of this socket.
+    /// Since when an event is given for what comes; before that an empty look says nothing of this
+    /// socket.
     pub watched: Nanos,
     /// More may lie in the socket than was read.
     pub unread: bool,
@@ -19,14 +20,19 @@
     pub oldest: Nanos,
 }
 
-/// A gap between two looks up to this long is the loop's own: it waits no longer, and what comes wakes it.
-/// It is within the slack of the time told to backends.
+/// A gap between two looks up to this long is the loop's own: it waits no longer, and what comes
+/// wakes it. It is within the slack of the time told to backends.
 const UNNOTICED: Nanos = 80 * MS;
 
 impl Arrival {
     /// Of a connection that was accepted at `now`, and at `queued` at the earliest had come to be.
     pub fn new(now: Nanos, queued: Nanos) -> Arrival {
-        Arrival { emptied: queued, watched: now, unread: false, oldest: now }
+        Arrival {
+            emptied: queued,
+            watched: now,
+            unread: false,
+            oldest: now,
+        }
     }
 
     /// The socket was read empty.
@@ -34,12 +40,20 @@
         (self.emptied, self.unread) = (now, false);
     }
 
-    /// When bytes that are read at `now` can have come; `looked` is when the loop last saw all sockets
-    /// without an event.
+    /// When bytes that are read at `now` can have come; `looked` is when the loop last saw all
+    /// sockets without an event.
     pub fn of_bytes_read_at(&self, now: Nanos, looked: Nanos) -> Nanos {
         let seen_by_loop = !self.unread && looked >= self.watched;
-        let empty = if seen_by_loop { self.emptied.max(looked) } else { self.emptied };
-        if now.saturating_sub(empty) > UNNOTICED { empty } else { now }
+        let empty = if seen_by_loop {
+            self.emptied.max(looked)
+        } else {
+            self.emptied
+        };
+        if now.saturating_sub(empty) > UNNOTICED {
+            empty
+        } else {
+            now
+        }
     }
 }
 
--- a/node/src/client.rs
+++ b/node/src/client.rs
@@ -16,8 +16,9 @@
 use crate::rules::CloseFacts;
 use crate::timer_wheel::Deadline;
 
-/// A session that has never asked, or whose head is not whole, ends after this time: it may be one of
-/// hundreds that will never say more. For a first message it counts from the connection's start ...
+/// A session that has never asked, or whose head is not whole, ends after this time: it may be one
+/// of hundreds that will never say more. For a first message it counts from the connection's start
+/// ...
 const HEAD: Nanos = 2_500 * MS;
 /// ... one whose body does not go on after this; a slow but honest one does ...
 const PAUSE: Nanos = 2 * SECOND;
@@ -27,14 +28,16 @@
 const STALL: Nanos = 10 * SECOND;
 /// ... and one whose last answer is written after this.
 const LINGER: Nanos = SECOND;
-/// Where descriptors are short, a client that has not asked, or not again, by then is among the first to go
-/// ...
+/// Where descriptors are short, a client that has not asked, or not again, by then is among the
+/// first to go ...
 const FIRST: Nanos = 50 * MS;
 /// Where many are held, it is looked this often whether some that can go are due.
 pub const TRIM: Nanos = FIRST / 5;
-/// ... and one that has come back keeps its connection for this long before it is among those to go.
+/// ... and one that has come back keeps its connection for this long before it is among those to
+/// go.
 const KEPT: Nanos = 2 * SECOND;
-/// Up to this class of `spare`, a session is hardly missed: its client has not come back, or not lately.
+/// Up to this class of `spare`, a session is hardly missed: its client has not come back, or not
+/// lately.
 pub const HARDLY_MISSED: u8 = 2;
 /// Pieces that are read and thrown away at most before a session closes.
 const MOST_PARTING: usize = 16;
@@ -48,8 +51,8 @@
     Open,
     /// What is written goes out, then the connection ends.
     Closing,
-    /// All is written. What still comes is thrown away: closing at once would reset the connection and could
-    /// take the answer with it.
+    /// All is written. What still comes is thrown away: closing at once would reset the connection
+    /// and could take the answer with it.
     Lingering,
 }
 
@@ -66,11 +69,11 @@
     /// When the first byte of the current message came.
     began: Option<Nanos>,
     leave_given: bool,
-    /// Its client has ended its sending, or the connection has broken. One that closes has gone, and a
-    /// half-close looks the same from here.
+    /// Its client has ended its sending, or the connection has broken. One that closes has gone,
+    /// and a half-close looks the same from here.
     pub left: bool,
-    /// When it came to its present state: every time limit on a client counts from here, so that a client
-    /// which sends or reads a byte now and then does not stay for ever.
+    /// When it came to its present state: every time limit on a client counts from here, so that a
+    /// client which sends or reads a byte now and then does not stay for ever.
     since: Nanos,
     /// When the last byte came.
     heard: Nanos,
@@ -133,17 +136,20 @@
                 }
             }
             Phase::Open if self.outbox.is_empty() && self.parser.head.is_none() => HEAD,
-            Phase::Open if self.outbox.is_empty() => return (self.since + STALL).min(self.heard + PAUSE),
+            Phase::Open if self.outbox.is_empty() => {
+                return (self.since + STALL).min(self.heard + PAUSE);
+            }
             Phase::Open | Phase::Closing => STALL,
         };
         self.since.saturating_add(span)
     }
 
-    /// How readily its descriptor is given up for a new client: least first, the oldest of equals first.
-    /// `None`: not at all, as it waits for a req or an answer is on its way.
+    /// How readily its descriptor is given up for a new client: least first, the oldest of equals
+    /// first. `None`: not at all, as it waits for a req or an answer is on its way.
     ///
-    /// Some clients ask once and then keep their connection for good, others say nothing at all; those that
-    /// have come back are of use. By age alone, a flood of the former would push the latter out.
+    /// Some clients ask once and then keep their connection for good, others say nothing at all;
+    /// those that have come back are of use. By age alone, a flood of the former would push the
+    /// latter out.
     pub fn eviction_rank(&self, now: Nanos) -> Option<(u8, Nanos)> {
         let free = self.req.is_none() && self.outbox.is_empty();
         let age = now.saturating_sub(self.since);
@@ -193,8 +199,9 @@
         self.inbox.len() > MOST_HEAD
     }
 
-    /// Reads what has come, up to a whole message. While a req is under way or an answer is not written, what
-    /// comes waits in the ring. `looked` is when the loop last saw all sockets without an event.
+    /// Reads what has come, up to a whole message. While a req is under way or an answer is not
+    /// written, what comes waits in the ring. `looked` is when the loop last saw all sockets
+    /// without an event.
     pub fn read(&mut self, now: Nanos, looked: Nanos) -> Intake {
         let came = self.arrival.of_bytes_read_at(now, looked);
         let mut fresh = false;
@@ -246,8 +253,8 @@
         }
     }
 
-    /// Looks whether the client has left behind its message, as it may have while that waited in the accept
-    /// queue, in a buffer or through a stall.
+    /// Looks whether the client has left behind its message, as it may have while that waited in
+    /// the accept queue, in a buffer or through a stall.
     fn look_behind(&mut self, now: Nanos, came: Nanos) {
         self.left |= loop {
             if self.inbox.is_empty() {
@@ -271,17 +278,22 @@
     /// What decides whether it may be closed for a reason of the node's own.
     pub fn close_facts(&self) -> CloseFacts {
         let answer_owed = self.req.is_some() || !self.outbox.is_empty();
-        CloseFacts { answer_owed, unread: self.may_have_unread() || self.has_next() }
+        CloseFacts {
+            answer_owed,
+            unread: self.may_have_unread() || self.has_next(),
+        }
     }
 
     /// Bytes may have come, maybe of a request, that nobody has read.
     pub fn may_have_unread(&self) -> bool {
-        self.phase == Phase::Open && matches!(net::unread(&self.socket), Unread::Bytes | Unread::Unknown)
+        self.phase == Phase::Open
+            && matches!(net::unread(&self.socket), Unread::Bytes | Unread::Unknown)
     }
 
-    /// The last turn before its socket closes. With bytes unread that is a reset, which throws away what the
-    /// kernel has not yet sent of an answer. The end goes out first: a request that comes in this very moment
-    /// has met a close, and its client asks again elsewhere; read before the end it would look taken.
+    /// The last turn before its socket closes. With bytes unread that is a reset, which throws away
+    /// what the kernel has not yet sent of an answer. The end goes out first: a request that comes
+    /// in this very moment has met a close, and its client asks again elsewhere; read before the
+    /// end it would look taken.
     pub fn close_gracefully(&mut self) {
         if self.asked == 0 && self.phase == Phase::Open {
             return;
@@ -342,17 +354,29 @@
         let (head, body) = self.parser.message()?;
         (self.keep_alive, self.asked) = (head.keep_alive, self.asked.saturating_add(1));
         self.leave_given = false;
-        Some(Intake::Message(head, body, self.began.take().unwrap_or(now)))
+        Some(Intake::Message(
+            head,
+            body,
+            self.began.take().unwrap_or(now),
+        ))
     }
 
     /// Puts an answer in the outbox; `end` ends the connection after it.
-    pub fn answer(&mut self, now: Nanos, status: u16, headers: &[(&str, &str)], body: &[u8], end: bool) {
+    pub fn answer(
+        &mut self,
+        now: Nanos,
+        status: u16,
+        headers: &[(&str, &str)],
+        body: &[u8],
+        end: bool,
+    ) {
         (self.req, self.since) = (None, now);
         let end = end || !self.keep_alive;
         let last = end.then_some(("connection", "close"));
         let first = format!("HTTP/1.1 {status} {}", phrase(status));
         let bytes = http1::write(&first, headers.iter().copied().chain(last), Some(body));
-        // An answer that doesn't fit can't be told from none: the connection ends without a whole one.
+        // An answer that doesn't fit can't be told from none: the connection ends without a whole
+        // one.
         if !self.outbox.push(&bytes) || end {
             self.phase = Phase::Closing;
         }
@@ -394,7 +418,9 @@
     match answer {
         LocalReply::Refused { retry_after: 0 } => (503, None),
         // Whole seconds are what every client reads.
-        LocalReply::Refused { retry_after } => (503, Some(retry_after.div_ceil(SECOND).to_string())),
+        LocalReply::Refused { retry_after } => {
+            (503, Some(retry_after.div_ceil(SECOND).to_string()))
+        }
         LocalReply::Failed => (502, None),
         LocalReply::TimedOut => (504, None),
     }
@@ -409,16 +435,29 @@
 impl Call {
     /// What the client's own repeats of it share, for the trace.
     pub fn key(&self) -> &str {
-        self.head.one("idempotency-key").ok().flatten().unwrap_or("-")
+        self.head
+            .one("idempotency-key")
+            .ok()
+            .flatten()
+            .unwrap_or("-")
     }
 
     /// The bytes for a backend that has `left_ms` milliseconds to answer.
     pub fn bytes(&self, left_ms: u64) -> Vec<u8> {
-        let Start::Request { method, target } = &self.head.start else { return Vec::new() };
+        let Start::Request { method, target } = &self.head.start else {
+            return Vec::new();
+        };
         let left = left_ms.to_string();
-        let headers = self.head.end_to_end().filter(|(name, _)| *name != "x-remaining-ms");
+        let headers = self
+            .head
+            .end_to_end()
+            .filter(|(name, _)| *name != "x-remaining-ms");
         // A client of HTTP/1.0 need not name a host; backends speak 1.1.
-        let host = self.head.one("host").is_ok_and(|host| host.is_none()).then_some(("host", "kitefork"));
+        let host = self
+            .head
+            .one("host")
+            .is_ok_and(|host| host.is_none())
+            .then_some(("host", "kitefork"));
         let headers = host
             .into_iter()
             .chain(headers)
@@ -436,8 +475,8 @@
     Wrong(u16, &'static str),
 }
 
-/// Reads what a message asks for. What is wrong with it is found here, before the decisions or a backend
-/// come to see it.
+/// Reads what a message asks for. What is wrong with it is found here, before the decisions or a
+/// backend come to see it.
 pub fn route(head: Head, body: Body, deployment: &Deployment, waited: Nanos) -> Route {
     match ask(&head, deployment, waited) {
         Ok(Some(ask)) => Route::Request(ask, Call { head, body }),
@@ -451,10 +490,16 @@
     deployment: &Deployment,
     waited: Nanos,
 ) -> Result<Option<RequestSpec>, (u16, &'static str)> {
-    let Start::Request { method, target } = &head.start else { return Err((400, "not a request")) };
+    let Start::Request { method, target } = &head.start else {
+        return Err((400, "not a request"));
+    };
     let path = target.split('?').next().unwrap_or_default();
     if path == HEALTH {
-        return if method == "GET" { Ok(None) } else { Err((405, "GET")) };
+        return if method == "GET" {
+            Ok(None)
+        } else {
+            Err((405, "GET"))
+        };
     }
     if path != API {
         return Err((404, "no such path"));
@@ -464,33 +509,44 @@
     }
     let header = |name| head.one(name).map_err(|_| (400, "a header stands twice"));
     let place = |names: &[String], name: Option<&str>| {
-        names.iter().position(|known| name == Some(known)).and_then(|place| u16::try_from(place).ok())
+        names
+            .iter()
+            .position(|known| name == Some(known))
+            .and_then(|place| u16::try_from(place).ok())
     };
     let printable = |text: &&str| !text.is_empty() && text.len() <= 256;
-    let txn = header("x-txn")?.filter(printable).ok_or((400, "X-Txn is missing or bad"))?;
-    let class = place(&deployment.classes, header("x-lane")?).ok_or((400, "X-Lane is missing or unknown"))?;
+    let txn = header("x-txn")?
+        .filter(printable)
+        .ok_or((400, "X-Txn is missing or bad"))?;
+    let class = place(&deployment.classes, header("x-lane")?)
+        .ok_or((400, "X-Lane is missing or unknown"))?;
     let tenant = match header("x-org")? {
         None if deployment.tenants.is_empty() => 0,
         name => place(&deployment.tenants, name).ok_or((400, "X-Org is missing or unknown"))?,
     };
     let figure = |name, why| match header(name)? {
         None => Ok(None),
-        Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
-            text.parse::<u32>().map(|n| Some(Nanos::from(n))).map_err(|_| (400, why))
-        }
+        Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => text
+            .parse::<u32>()
+            .map(|n| Some(Nanos::from(n)))
+            .map_err(|_| (400, why)),
         Some(_) => Err((400, why)),
     };
     let remaining = figure("x-remaining-ms", "X-Remaining-Ms is bad")?;
     let remaining = remaining.ok_or((400, "X-Remaining-Ms is missing"))?;
     let estimate = figure("x-estimate", "X-Estimate is bad")?;
-    // The class fixes the method, and a keyed req must have its key: without it backends can't drop repeats.
+    // The class fixes the method, and a keyed req must have its key: without it backends can't drop
+    // repeats.
     let safe = deployment.settings.classes[usize::from(class)].effect == Effect::Safe;
     match (method.as_str(), safe) {
         ("GET", false) => return Err((405, "POST")),
         ("POST", true) => return Err((405, "GET")),
         _ => {}
     }
-    let keyed = matches!(deployment.settings.classes[usize::from(class)].effect, Effect::Keyed { .. });
+    let keyed = matches!(
+        deployment.settings.classes[usize::from(class)].effect,
+        Effect::Keyed { .. }
+    );
     if keyed && header("idempotency-key")?.is_none_or(str::is_empty) {
         return Err((400, "Idempotency-Key is missing"));
     }
--- a/node/src/client_tests.rs
+++ b/node/src/client_tests.rs
@@ -18,11 +18,23 @@
 
 #[test]
 fn a_req_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
-    let Route::Request(ask, call) = routed(GOOD) else { panic!("not a req") };
-    assert_eq!((ask.class, ask.tenant, ask.patience, ask.work_hint), (0, 0, 450 * MS, Some(1_500_000)));
+    let Route::Request(ask, call) = routed(GOOD) else {
+        panic!("not a req")
+    };
+    assert_eq!(
+        (ask.class, ask.tenant, ask.patience, ask.work_hint),
+        (0, 0, 450 * MS, Some(1_500_000))
+    );
     let bytes = String::from_utf8(call.bytes(449)).unwrap();
-    assert!(bytes.starts_with("POST /api?a=b HTTP/1.1\r\nhost: h\r\nx-txn: 1f\r\n"), "{bytes}");
-    for part in ["\r\nx-remaining-ms: 449\r\n", "\r\nidempotency-key: k\r\n", "content-length: 2\r\n\r\nhi"] {
+    assert!(
+        bytes.starts_with("POST /api?a=b HTTP/1.1\r\nhost: h\r\nx-txn: 1f\r\n"),
+        "{bytes}"
+    );
+    for part in [
+        "\r\nx-remaining-ms: 449\r\n",
+        "\r\nidempotency-key: k\r\n",
+        "content-length: 2\r\n\r\nhi",
+    ] {
         assert!(bytes.contains(part), "{bytes}");
     }
     assert!(!bytes.contains("480"));
@@ -46,7 +58,9 @@
         ("Idempotency-Key", "Key", 400),
         ("POST /api", "POST /_health", 405),
     ] {
-        let Route::Wrong(status, _) = routed(&GOOD.replace(old, new)) else { panic!("{new} passes") };
+        let Route::Wrong(status, _) = routed(&GOOD.replace(old, new)) else {
+            panic!("{new} passes")
+        };
         assert_eq!(status, wanted, "{new}");
     }
 }
@@ -55,7 +69,11 @@
 fn a_session_that_parts_tells_its_end_before_it_throws_a_late_request_away() {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
     use std::io::{Read as _, Write as _};
-    let (family, kind, flags) = (AddressFamily::UNIX, SocketType::STREAM, SocketFlags::NONBLOCK);
+    let (family, kind, flags) = (
+        AddressFamily::UNIX,
+        SocketType::STREAM,
+        SocketFlags::NONBLOCK,
+    );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
     let mut far = std::os::unix::net::UnixStream::from(far);
     let mut session = Session::new(near, 0, 0, &Budget::default());
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,5 @@
-//! What the node is told at its start: environment and configuration file. The environment wins, so that an
-//! address can be changed without touching the file.
+//! What the node is told at its start: environment and configuration file. The environment wins, so
+//! that an address can be changed without touching the file.
 
 use std::fs::{File, OpenOptions};
 use std::io::Read as _;
@@ -32,9 +32,9 @@
     pub trace: bool,
 }
 
-/// Where the configuration file, read anew, has discovery. The whole file must be sound. The environment does
-/// not win here: it can't change in a running process and still has the address from the start. Nothing is
-/// waited for: a pipe that has nothing to say now is a fault.
+/// Where the configuration file, read anew, has discovery. The whole file must be sound. The
+/// environment does not win here: it can't change in a running process and still has the address
+/// from the start. Nothing is waited for: a pipe that has nothing to say now is a fault.
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, Fault> {
     let env = |name: &str| env(name).filter(|_| name != "BALANCER_DISCOVERY");
     load_with(env, OFlags::NONBLOCK).map(|config| config.discovery)
@@ -47,8 +47,13 @@
 
 fn load_with(env: impl Fn(&str) -> Option<String>, flags: OFlags) -> Result<Config, Fault> {
     let path = env("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?;
-    let opened = OpenOptions::new().read(true).custom_flags(flags.bits() as i32).open(&path);
-    let text = opened.and_then(read_bounded).map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
+    let opened = OpenOptions::new()
+        .read(true)
+        .custom_flags(flags.bits() as i32)
+        .open(&path);
+    let text = opened
+        .and_then(read_bounded)
+        .map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
     read(&text, env).map_err(|fault| format!("configuration: {fault}"))
 }
 
@@ -70,7 +75,9 @@
     };
     let address = |variable: &str, key: &str| {
         let value = told(variable, key)?;
-        value.parse().map_err(|_| format!("field `{key}`: `{value}` is not an address and a port"))
+        value
+            .parse()
+            .map_err(|_| format!("field `{key}`: `{value}` is not an address and a port"))
     };
     let limit = |key, default| match root.find("limits") {
         Some(limits) => limits.or(key, default, Place::narrow),
@@ -78,12 +85,23 @@
     };
     let seed = root.get("seed")?;
     let deployment = kitefork_settings::read(&root.get("settings")?)?;
-    if deployment.settings.classes.iter().any(|class| class.streamed) {
-        return Err(root.bad_at("settings.grades", "streamed classes are not carried by this node"));
+    if deployment
+        .settings
+        .classes
+        .iter()
+        .any(|class| class.streamed)
+    {
+        return Err(root.bad_at(
+            "settings.grades",
+            "streamed classes are not carried by this node",
+        ));
     }
     let sockets: usize = limit("sockets", 1024)?;
     if sockets < LEAST_SOCKETS {
-        return Err(root.bad_at("limits.sockets", &format!("must be {LEAST_SOCKETS} or more")));
+        return Err(root.bad_at(
+            "limits.sockets",
+            &format!("must be {LEAST_SOCKETS} or more"),
+        ));
     }
     Ok(Config {
         name: told("BALANCER_NAME", "name")?,
@@ -92,7 +110,9 @@
         seed: u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.bad("must be hexadecimal"))?,
         sockets,
         memory_mb: limit("memory_mb", 192)?,
-        known: root.find("known").map_or(Ok(Update::default()), |known| Update::read(&known))?,
+        known: root
+            .find("known")
+            .map_or(Ok(Update::default()), |known| Update::read(&known))?,
         deployment,
         trace: env("BALANCER_TRACE").is_some_and(|value| value == "1"),
     })
--- a/node/src/config_tests.rs
+++ b/node/src/config_tests.rs
@@ -19,7 +19,14 @@
 fn the_environment_wins_over_the_file() {
     let env = |name: &str| (name == "BALANCER_LISTEN").then(|| "127.0.0.1:9".to_string());
     let config = read(CONFIG.as_bytes(), env).unwrap();
-    assert_eq!((config.listen.port(), config.discovery.port(), config.sockets), (9, 1, 256));
+    assert_eq!(
+        (
+            config.listen.port(),
+            config.discovery.port(),
+            config.sockets
+        ),
+        (9, 1, 256)
+    );
     assert_eq!((config.known.rev, config.known.entries.len()), (41, 1));
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
 }
@@ -30,17 +37,43 @@
         ("\"seed\"", "\"sead\"", "`seed`"),
         ("8c1f", "zz", "`seed`"),
         ("127.0.0.1:1\"", "nowhere\"", "`discovery`"),
-        ("giveUpNs", "giveUp", "missing field `settings.grades[0].giveUpNs`"),
-        ("\"importance\":1.0,\"name\":\"look\"", "\"importance\":1.0,\"streamed\":true", "`settings.grades`"),
-        ("\"boot_ms\":0", "\"boot_ms\":-1", "`known.targets[0].boot_ms`"),
+        (
+            "giveUpNs",
+            "giveUp",
+            "missing field `settings.grades[0].giveUpNs`",
+        ),
+        (
+            "\"importance\":1.0,\"name\":\"look\"",
+            "\"importance\":1.0,\"streamed\":true",
+            "`settings.grades`",
+        ),
+        (
+            "\"boot_ms\":0",
+            "\"boot_ms\":-1",
+            "`known.targets[0].boot_ms`",
+        ),
         ("\"sockets\":256", "\"sockets\":31", "`limits.sockets`"),
-        ("\"goalTimeNs\":1200000000", "\"goalTimeNs\":0", "`settings.grades`"),
+        (
+            "\"goalTimeNs\":1200000000",
+            "\"goalTimeNs\":0",
+            "`settings.grades`",
+        ),
         ("\"fallNs\":1", "\"fallNs\":0", "`settings.rules.fallNs`"),
-        ("\"coldFrom\":0.3", "\"coldFrom\":0", "`settings.rules.coldFrom`"),
+        (
+            "\"coldFrom\":0.3",
+            "\"coldFrom\":0",
+            "`settings.rules.coldFrom`",
+        ),
         ("\"tickNs\":5000000", "\"tickNs\":0", "`settings.tickNs`"),
-        ("\"fallNs\":1", "\"fallNs\":1,\"drainCloseNs\":0", "`settings.rules.drainCloseNs`"),
+        (
+            "\"fallNs\":1",
+            "\"fallNs\":1,\"drainCloseNs\":0",
+            "`settings.rules.drainCloseNs`",
+        ),
     ] {
-        let fault = read(CONFIG.replace(old, new).as_bytes(), |_| None).err().unwrap();
+        let fault = read(CONFIG.replace(old, new).as_bytes(), |_| None)
+            .err()
+            .unwrap();
         assert!(fault.contains(wanted), "{fault}");
     }
 }
--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -1,5 +1,6 @@
-//! Counts of what the node has done, by reason: what operators read when they ask why requests were refused,
-//! retried or given up. Kept for the whole life of the process; bounded, as each key is a word of the code.
+//! Counts of what the node has done, by reason: what operators read when they ask why requests were
+//! refused, retried or given up. Kept for the whole life of the process; bounded, as each key is a
+//! word of the code.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/node/src/descriptor_budget.rs
+++ b/node/src/descriptor_budget.rs
@@ -1,5 +1,6 @@
-//! The ledger of descriptors: who may hold how many. Sessions and fetches draw on one stock; each has a
-//! reserve that the other can't use up, and what neither needs is free for both. Pure figures, no I/O.
+//! The ledger of descriptors: who may hold how many. Sessions and fetches draw on one stock; each
+//! has a reserve that the other can't use up, and what neither needs is free for both. Pure
+//! figures, no I/O.
 //!
 //! A fixed split turns clients away while the other side's part lies idle, and the other way round.
 
@@ -10,16 +11,16 @@
     Fetch,
 }
 
-/// Descriptors that are neither: the standard three, epoll, the listener, the signals' pairs and their
-/// copies (6), calls to discovery (4), one for a file that is read, and some to spare.
+/// Descriptors that are neither: the standard three, epoll, the listener, the signals' pairs and
+/// their copies (6), calls to discovery (4), one for a file that is read, and some to spare.
 pub const REST: usize = 20;
-/// Part of the connections that are kept for each side: a session waits for each fetch, but most sessions
-/// wait for none.
+/// Part of the connections that are kept for each side: a session waits for each fetch, but most
+/// sessions wait for none.
 const SESSIONS: (usize, usize) = (1, 2);
 const FETCHES: (usize, usize) = (1, 4);
-/// Clients of a node hold at most a third of its descriptors for requests (the platform's word; a front's
-/// pool has such a bound elsewhere). Once they do, the next request finds no connection and none of them is
-/// missed here, so idle ones go before that: they hold a quarter at most.
+/// Clients of a node hold at most a third of its descriptors for requests (the platform's word; a
+/// front's pool has such a bound elsewhere). Once they do, the next request finds no connection and
+/// none of them is missed here, so idle ones go before that: they hold a quarter at most.
 const ASKED: usize = 4;
 
 #[derive(Debug, Clone, Copy)]
@@ -31,7 +32,10 @@
 impl DescriptorBudget {
     /// For a process that may hold `limit` descriptors in all.
     pub fn new(limit: usize) -> DescriptorBudget {
-        DescriptorBudget { limit, connections: limit.saturating_sub(REST).max(4) }
+        DescriptorBudget {
+            limit,
+            connections: limit.saturating_sub(REST).max(4),
+        }
     }
 
     fn reserve(&self, purpose: Purpose) -> usize {
@@ -52,7 +56,8 @@
         own < self.connections - others.max(self.reserve(purpose.other()))
     }
 
-    /// Whether closing one of `held` of `purpose` makes room for the other: it has more than its reserve.
+    /// Whether closing one of `held` of `purpose` makes room for the other: it has more than its
+    /// reserve.
     pub fn lends(&self, purpose: Purpose, held: usize) -> bool {
         held > self.reserve(purpose)
     }
--- a/node/src/descriptor_budget_tests.rs
+++ b/node/src/descriptor_budget_tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever comes and goes: the limit holds, each side reaches its reserve whatever the other does,
-    /// and one side alone reaches all but the other's reserve.
+    /// Whatever comes and goes: the limit holds, each side reaches its reserve whatever the other
+    /// does, and one side alone reaches all but the other's reserve.
     #[test]
     fn the_limit_and_both_reserves_hold(
         limit in 64usize..=4096,
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list of backends, and the calls that keep it up to date. One watch at most, resumed after
-//! the last version; whether and when to ask again is the decisions' business.
+//! Discovery: the list of backends, and the calls that keep it up to date. One watch at most,
+//! resumed after the last version; whether and when to ask again is the decisions' business.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hasher;
@@ -16,24 +16,24 @@
 use crate::start_time::{Heard, StartTimes};
 use crate::timer_wheel::Deadline;
 
-/// A watch says something every 2 s, a call is answered or turned down within 3 s: a connection silent for
-/// longer is cut off, and TCP would not tell. Short enough that what was missed is asked for again before
-/// the 6 s are over after which it counts as told.
+/// A watch says something every 2 s, a call is answered or turned down within 3 s: a connection
+/// silent for longer is cut off, and TCP would not tell. Short enough that what was missed is asked
+/// for again before the 6 s are over after which it counts as told.
 const SILENCE: Nanos = 4_200 * MS;
-/// A watch that has spoken before is cut off sooner: it says something every 2 s, and what is asked for anew
-/// may at first be turned down, which takes up to 3 s more.
+/// A watch that has spoken before is cut off sooner: it says something every 2 s, and what is asked
+/// for anew may at first be turned down, which takes up to 3 s more.
 const QUIET: Nanos = 3_200 * MS;
-/// An object or a list is whole within this time, or its sender only trickles: such a one is as good as
-/// silent, and what it withholds counts as told 6 s after it was due.
+/// An object or a list is whole within this time, or its sender only trickles: such a one is as
+/// good as silent, and what it withholds counts as told 6 s after it was due.
 const WHOLE: Nanos = SILENCE;
-/// Pieces of a call's bytes that are taken in one turn: the longest list. Guards against a sender without
-/// end, which would hold the loop.
+/// Pieces of a call's bytes that are taken in one turn: the longest list. Guards against a sender
+/// without end, which would hold the loop.
 const MOST_PIECES: usize = MOST_LIST / 2048;
-/// A connection to discovery that is not up by then is cut off too; asking anew finds the way back sooner
-/// than TCP's own repeats.
+/// A connection to discovery that is not up by then is cut off too; asking anew finds the way back
+/// sooner than TCP's own repeats.
 pub const CONNECT: Nanos = 1_000 * MS;
-/// A backend that is gone is remembered for this long: lists that are behind may name it once more, and what
-/// is known of it should then still count. No fetch to it is out for as long.
+/// A backend that is gone is remembered for this long: lists that are behind may name it once more,
+/// and what is known of it should then still count. No fetch to it is out for as long.
 const REMEMBERED: Nanos = 60 * SECOND;
 /// More names of zones or kinds than this are not told apart.
 const MOST_NAMES: usize = 1_000;
@@ -85,7 +85,9 @@
             "Gone" => BackendState::Gone,
             _ => return Err(word.bad("unknown state")),
         };
-        let endpoint = place.find("endpoint").map(|e| e.text()?.parse().map_err(|_| e.bad("not an address")));
+        let endpoint = place
+            .find("endpoint")
+            .map(|e| e.text()?.parse().map_err(|_| e.bad("not an address")));
         let endpoint = endpoint.transpose()?;
         if endpoint.is_none() && state == BackendState::Ready {
             return Err(place.bad("a ready backend needs an `endpoint`"));
@@ -115,8 +117,8 @@
 
 /// The backends as last told.
 pub struct Fleet {
-    /// Numbers that the decisions know backends by. A uid keeps its number until it is forgotten; no number
-    /// is given twice.
+    /// Numbers that the decisions know backends by. A uid keeps its number until it is forgotten;
+    /// no number is given twice.
     ids: HashMap<String, BackendId>,
     next: u32,
     zones: Vec<String>,
@@ -139,33 +141,61 @@
 impl Fleet {
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Fleet {
         let start_times = StartTimes::default();
-        Fleet { ids: HashMap::new(), next: 0, zones, kinds, members: HashMap::new(), start_times }
+        Fleet {
+            ids: HashMap::new(),
+            next: 0,
+            zones,
+            kinds,
+            members: HashMap::new(),
+            start_times,
+        }
     }
 
     /// Where a backend listens, if it may be sent to.
     pub fn endpoint(&self, id: BackendId) -> Option<SocketAddr> {
-        self.members.get(&id).filter(|m| m.state == BackendState::Ready)?.endpoint
+        self.members
+            .get(&id)
+            .filter(|m| m.state == BackendState::Ready)?
+            .endpoint
     }
 
     pub fn has_ready(&self) -> bool {
-        self.members.values().any(|member| member.state == BackendState::Ready)
+        self.members
+            .values()
+            .any(|member| member.state == BackendState::Ready)
     }
 
-    /// Takes an update; gives the event for the decisions and the backends to which connections must end:
-    /// those that are leaving and those that have moved. An older one is taken too, as its sender may have
-    /// begun to count anew; but a backend that was told to leave is back only with a newer one, or a newer
-    /// start.
-    pub fn apply(&mut self, heard: &Heard, update: &Update, age: Freshness) -> (Event, Vec<BackendId>) {
+    /// Takes an update; gives the event for the decisions and the backends to which connections
+    /// must end: those that are leaving and those that have moved. An older one is taken too, as
+    /// its sender may have begun to count anew; but a backend that was told to leave is back only
+    /// with a newer one, or a newer start.
+    pub fn apply(
+        &mut self,
+        heard: &Heard,
+        update: &Update,
+        age: Freshness,
+    ) -> (Event, Vec<BackendId>) {
         let now = heard.now;
         let mut ends = Vec::new();
         // All of them before any is dated: the youngest one tells most of the clocks.
         for entry in &update.entries {
             self.start_times.note(entry.boot_ms, now);
         }
-        let mut backends: Vec<Backend> =
-            update.entries.iter().map(|entry| self.backend(heard, entry, age)).collect();
-        for (entry, backend) in update.entries.iter().zip(&mut backends).filter(|_| age == Freshness::Older) {
-            let left = self.members.get(&backend.id).filter(|member| entry.boot_ms <= member.boot_ms);
+        let mut backends: Vec<Backend> = update
+            .entries
+            .iter()
+            .map(|entry| self.backend(heard, entry, age))
+            .collect();
+        for (entry, backend) in update
+            .entries
+            .iter()
+            .zip(&mut backends)
+            .filter(|_| age == Freshness::Older)
+        {
+            let left = self
+                .members
+                .get(&backend.id)
+                .filter(|member| entry.boot_ms <= member.boot_ms);
             if let Some(left) = left.filter(|member| member.state != BackendState::Ready) {
                 backend.state = left.state;
             }
@@ -188,13 +218,24 @@
                 _ => entry.boot_ms,
             };
             let started = backend.started;
-            self.members.insert(backend.id, Member { endpoint, state, boot_ms, started, told: now });
+            self.members.insert(
+                backend.id,
+                Member {
+                    endpoint,
+                    state,
+                    boot_ms,
+                    started,
+                    told: now,
+                },
+            );
             if moved || backend.state != BackendState::Ready {
                 ends.push(backend.id);
             }
         }
         // Uids are new for ever on a day of releases.
-        self.members.retain(|_, m| m.state != BackendState::Gone || now < m.told.saturating_add(REMEMBERED));
+        self.members.retain(|_, m| {
+            m.state != BackendState::Gone || now < m.told.saturating_add(REMEMBERED)
+        });
         self.ids.retain(|_, id| self.members.contains_key(id));
         let kind = match (age, update.all) {
             (Freshness::Cached, _) => ListKind::Cached,
@@ -205,7 +246,11 @@
     }
 
     /// The entries of an update that was taken, with the numbers of their backends, for the trace.
-    pub fn lines<'a>(&'a self, update: &'a Update, now: Nanos) -> impl Iterator<Item = String> + 'a {
+    pub fn lines<'a>(
+        &'a self,
+        update: &'a Update,
+        now: Nanos,
+    ) -> impl Iterator<Item = String> + 'a {
         update.entries.iter().filter_map(move |entry| {
             let (id, at) = (self.ids.get(&entry.uid)?, entry.endpoint.map_or("-".into(), |e| e.to_string()));
             let Entry { uid, zone, kind, cell, state, boot_ms, .. } = entry;
@@ -220,10 +265,16 @@
     }
 
     fn backend(&mut self, heard: &Heard, entry: &Entry, age: Freshness) -> Backend {
-        let id = *self.ids.entry(entry.uid.clone()).or_insert(BackendId(self.next));
+        let id = *self
+            .ids
+            .entry(entry.uid.clone())
+            .or_insert(BackendId(self.next));
         self.next += u32::from(id.0 == self.next);
         // A start is dated once: clocks that are stepped later don't make it another.
-        let known = self.members.get(&id).filter(|member| !is_new_start(member, entry, age));
+        let known = self
+            .members
+            .get(&id)
+            .filter(|member| !is_new_start(member, entry, age));
         let started = match known {
             Some(member) => member.started,
             None => self.start_times.started_at(entry.boot_ms, heard),
@@ -243,17 +294,20 @@
     }
 }
 
-/// Whether a list tells of another start than the one that is known. Where the wall clock was set back, a new
-/// start looks earlier than the old one; a list that is behind may still tell of an old one.
+/// Whether a list tells of another start than the one that is known. Where the wall clock was set
+/// back, a new start looks earlier than the old one; a list that is behind may still tell of an old
+/// one.
 fn is_new_start(known: &Member, entry: &Entry, age: Freshness) -> bool {
     match age {
         Freshness::Older => entry.boot_ms > known.boot_ms,
-        Freshness::Cached | Freshness::Current => entry.boot_ms != 0 && entry.boot_ms != known.boot_ms,
+        Freshness::Cached | Freshness::Current => {
+            entry.boot_ms != 0 && entry.boot_ms != known.boot_ms
+        }
     }
 }
 
-/// Place of a name in the settings' list. A name that they do not know yet gets a place of its own: a new
-/// kind of machine must not cost the whole list.
+/// Place of a name in the settings' list. A name that they do not know yet gets a place of its own:
+/// a new kind of machine must not cost the whole list.
 fn place(names: &mut Vec<String>, name: &str) -> u16 {
     let found = names.iter().position(|known| known == name);
     found.unwrap_or_else(|| {
@@ -264,7 +318,8 @@
     }) as u16
 }
 
-/// Finds the ends of a watch's objects: the ends of lines outside of any bracket, as lists may come indented.
+/// Finds the ends of a watch's objects: the ends of lines outside of any bracket, as lists may come
+/// indented.
 #[derive(Default)]
 struct Scan {
     seen: usize,
@@ -326,10 +381,18 @@
 
 impl Call {
     pub fn new(socket: OwnedFd, watch: bool, after: u64, host: SocketAddr, now: Nanos) -> Call {
-        let query = if watch { format!("?watch=1&after={after}") } else { String::new() };
+        let query = if watch {
+            format!("?watch=1&after={after}")
+        } else {
+            String::new()
+        };
         let first = format!("GET /catalog/members{query} HTTP/1.1");
         let mut outbox = RingBuffer::new(4096);
-        let sent = outbox.push(&http1::write(&first, [("host", host.to_string().as_str())], None));
+        let sent = outbox.push(&http1::write(
+            &first,
+            [("host", host.to_string().as_str())],
+            None,
+        ));
         debug_assert!(sent, "a call fits its ring");
         let parser = Parser::responses().with_most_body(MOST_LIST).open_ended();
         Call {
@@ -387,7 +450,10 @@
 
     fn take(&mut self, news: &mut News) -> Result<(), Fault> {
         let bytes = self.inbox.bytes();
-        let used = self.parser.feed(bytes).map_err(|bad| format!("{bad:?} answer"))?;
+        let used = self
+            .parser
+            .feed(bytes)
+            .map_err(|bad| format!("{bad:?} answer"))?;
         self.inbox.consume(used);
         match self.parser.head.as_ref().map(|head| &head.start) {
             None => return Ok(()),
@@ -404,7 +470,11 @@
                 }
             }
         }
-        if self.parser.is_done() { self.whole(news) } else { Ok(()) }
+        if self.parser.is_done() {
+            self.whole(news)
+        } else {
+            Ok(())
+        }
     }
 
     fn whole(&mut self, news: &mut News) -> Result<(), Fault> {
--- a/node/src/discovery_tests.rs
+++ b/node/src/discovery_tests.rs
@@ -9,16 +9,26 @@
             format!(r#"{{"uid":"{uid}","endpoint":"127.0.0.1:{port}","state":"{state}"}}"#)
         })
         .collect();
-    let text = format!(r#"{{"rev":1,"all":{all},"targets":[{}]}}"#, entries.join(","));
+    let text = format!(
+        r#"{{"rev":1,"all":{all},"targets":[{}]}}"#,
+        entries.join(",")
+    );
     Update::parse(text.as_bytes()).unwrap()
 }
 
 fn at(now: Nanos) -> Heard {
-    Heard { now, wall_now_ms: 0, wall_at_zero: 0, confirmed: None }
+    Heard {
+        now,
+        wall_now_ms: 0,
+        wall_at_zero: 0,
+        confirmed: None,
+    }
 }
 
 fn ids(event: Event) -> Vec<u32> {
-    let Event::List { backends, .. } = event else { panic!("{event:?}") };
+    let Event::List { backends, .. } = event else {
+        panic!("{event:?}")
+    };
     backends.iter().map(|b| b.id.0).collect()
 }
 
@@ -27,7 +37,10 @@
     let mut fleet = Fleet::new(vec![], vec![]);
     let (event, ends) = fleet.apply(
         &at(0),
-        &update(true, &[("a", 1, "Ready"), ("b", 2, "Ready"), ("c", 3, "Ready")]),
+        &update(
+            true,
+            &[("a", 1, "Ready"), ("b", 2, "Ready"), ("c", 3, "Ready")],
+        ),
         Freshness::Cached,
     );
     assert_eq!((ids(event), ends), (vec![0, 1, 2], vec![]));
@@ -36,10 +49,17 @@
         &update(false, &[("b", 9, "Ready"), ("c", 3, "Terminating")]),
         Freshness::Current,
     );
-    assert_eq!((ids(event), ends), (vec![1, 2], vec![BackendId(1), BackendId(2)]));
+    assert_eq!(
+        (ids(event), ends),
+        (vec![1, 2], vec![BackendId(1), BackendId(2)])
+    );
     assert_eq!(fleet.endpoint(BackendId(1)).unwrap().port(), 9);
     assert_eq!(fleet.endpoint(BackendId(2)), None);
-    let (_, ends) = fleet.apply(&at(0), &update(true, &[("b", 9, "Ready")]), Freshness::Current);
+    let (_, ends) = fleet.apply(
+        &at(0),
+        &update(true, &[("b", 9, "Ready")]),
+        Freshness::Current,
+    );
     assert!(ends.contains(&BackendId(0)) && fleet.has_ready());
 }
 
@@ -48,11 +68,17 @@
     let marks = |entries: &[(&str, u16, &str)]| {
         let mut fleet = Fleet::new(vec![], vec![]);
         let (event, _) = fleet.apply(&at(0), &update(true, entries), Freshness::Cached);
-        let Event::List { backends, .. } = event else { panic!("{event:?}") };
+        let Event::List { backends, .. } = event else {
+            panic!("{event:?}")
+        };
         backends.iter().map(|b| b.mark).collect::<Vec<_>>()
     };
     let here = marks(&[("s-1", 1, "Ready"), ("s-2", 2, "Ready")]);
-    let there = marks(&[("s-0", 3, "Ready"), ("s-2", 2, "Ready"), ("s-1", 1, "Ready")]);
+    let there = marks(&[
+        ("s-0", 3, "Ready"),
+        ("s-2", 2, "Ready"),
+        ("s-1", 1, "Ready"),
+    ]);
     assert_eq!((here[0], here[1]), (there[2], there[1]));
     assert!(here[0] != here[1] && !here.contains(&there[0]));
 }
@@ -63,16 +89,26 @@
     let mut numbers = Vec::new();
     for turn in 0..1000 {
         let uid = format!("s-{turn}");
-        let (event, _) =
-            fleet.apply(&at(turn * SECOND), &update(true, &[(&uid, 1, "Ready")]), Freshness::Current);
+        let (event, _) = fleet.apply(
+            &at(turn * SECOND),
+            &update(true, &[(&uid, 1, "Ready")]),
+            Freshness::Current,
+        );
         numbers.extend(ids(event));
         assert!(fleet.members.len() <= 62 && fleet.ids.len() == fleet.members.len());
     }
     numbers.dedup();
     assert!(numbers.is_sorted() && numbers.len() == 1000);
     // One that comes back soon is the same, one that comes back late is new.
-    let mut again =
-        |uid| ids(fleet.apply(&at(1000 * SECOND), &update(true, &[(uid, 1, "Ready")]), Freshness::Current).0);
+    let mut again = |uid| {
+        ids(fleet
+            .apply(
+                &at(1000 * SECOND),
+                &update(true, &[(uid, 1, "Ready")]),
+                Freshness::Current,
+            )
+            .0)
+    };
     assert_eq!((again("s-990"), again("s-3")), (vec![990], vec![1000]));
 }
 
--- a/node/src/errno.rs
+++ b/node/src/errno.rs
@@ -1,7 +1,7 @@
 //! What an error of a socket call means, in one table for each call.
 //!
-//! Sources: `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)`, `epoll_ctl(2)`, `tcp(7)`. What a
-//! table does not name gets the class that its function states.
+//! Sources: `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)`, `epoll_ctl(2)`, `tcp(7)`.
+//! What a table does not name gets the class that its function states.
 
 use rustix::io::Errno;
 
@@ -12,7 +12,8 @@
     RetryNow,
     /// Nothing to do until the socket is ready.
     WouldBlock,
-    /// The machine lacks something for a moment: call again a little later. Says nothing of the other side.
+    /// The machine lacks something for a moment: call again a little later. Says nothing of the
+    /// other side.
     RetryLater,
     /// The process holds as many descriptors as it may.
     OutOfDescriptors,
@@ -24,12 +25,19 @@
 
 use ErrorClass::{ConnectionLost, Fatal, OutOfDescriptors, RetryLater, RetryNow, WouldBlock};
 
-/// An error of `accept`. Linux passes on errors that a new connection already has; they are over with it.
+/// An error of `accept`. Linux passes on errors that a new connection already has; they are over
+/// with it.
 pub fn of_accept(error: Errno) -> ErrorClass {
     match error {
         Errno::AGAIN => WouldBlock,
-        Errno::INTR | Errno::CONNABORTED | Errno::PROTO | Errno::NOPROTOOPT | Errno::OPNOTSUPP => RetryNow,
-        Errno::NETDOWN | Errno::NETUNREACH | Errno::HOSTDOWN | Errno::HOSTUNREACH | Errno::NONET => RetryNow,
+        Errno::INTR | Errno::CONNABORTED | Errno::PROTO | Errno::NOPROTOOPT | Errno::OPNOTSUPP => {
+            RetryNow
+        }
+        Errno::NETDOWN
+        | Errno::NETUNREACH
+        | Errno::HOSTDOWN
+        | Errno::HOSTUNREACH
+        | Errno::NONET => RetryNow,
         Errno::PERM | Errno::TIMEDOUT | Errno::CONNRESET => RetryNow,
         Errno::MFILE => OutOfDescriptors,
         Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::NOSR => RetryLater,
@@ -44,7 +52,9 @@
         // A connection attempt on a non-blocking socket goes on.
         Errno::INPROGRESS => WouldBlock,
         Errno::MFILE => OutOfDescriptors,
-        Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::AGAIN => RetryLater,
+        Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::AGAIN => {
+            RetryLater
+        }
         // The limit on watched descriptors, where the new connection is registered at once.
         Errno::NOSPC => RetryLater,
         // No route for a moment: of this machine, not of one backend.
--- a/node/src/errno_tests.rs
+++ b/node/src/errno_tests.rs
@@ -41,7 +41,12 @@
     ] {
         assert_eq!(of_connect(error), RetryLater, "{error}");
     }
-    for error in [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET] {
+    for error in [
+        Errno::CONNREFUSED,
+        Errno::TIMEDOUT,
+        Errno::HOSTUNREACH,
+        Errno::CONNRESET,
+    ] {
         assert_eq!(of_connect(error), ConnectionLost, "{error}");
     }
     assert_eq!(of_connect(Errno::INPROGRESS), WouldBlock);
--- a/node/src/fetch.rs
+++ b/node/src/fetch.rs
@@ -1,4 +1,5 @@
-//! Fetches: connections to backends, each carrying one attempt at a time, and the pool of idle ones.
+//! Fetches: connections to backends, each carrying one attempt at a time, and the pool of idle
+//! ones.
 
 use std::collections::BTreeMap;
 use std::os::fd::OwnedFd;
@@ -14,9 +15,9 @@
 
 /// Once some backend has said more than it was asked, for so long ...
 const WARY: Nanos = 60 * SECOND;
-/// ... a connection carries no other request for this long after an answer. Guards against a second answer
-/// that comes some milliseconds late: it would be taken for the next request's. Not always, as it costs
-/// connections.
+/// ... a connection carries no other request for this long after an answer. Guards against a second
+/// answer that comes some milliseconds late: it would be taken for the next request's. Not always,
+/// as it costs connections.
 const REST: Nanos = 10 * MS;
 
 /// What a fetch is for.
@@ -100,8 +101,8 @@
             // A head as long as a client's, and what the node adds to it.
             outbox: RingBuffer::new(MOST_BODY + 2 * MOST_HEAD).on(budget),
             inbox: RingBuffer::new(MOST_HEAD + 1024).on(budget),
-            // An answer may have neither length nor chunks: an orderly end of the connection makes it
-            // whole, a reset does not.
+            // An answer may have neither length nor chunks: an orderly end of the connection makes
+            // it whole, a reset does not.
             parser: Parser::responses().open_ended().on(budget),
             deadline: Deadline::new(),
             registration: Registration::default(),
@@ -115,7 +116,11 @@
 
     /// How an attempt ends that is broken off now: what is not written whole never ran.
     pub fn broken(&self, after: Outcome) -> Outcome {
-        if self.phase == Phase::Waiting { after } else { Outcome::ConnectFailed }
+        if self.phase == Phase::Waiting {
+            after
+        } else {
+            Outcome::ConnectFailed
+        }
     }
 
     /// Begins the request; `false` where it is too long for the outbox.
@@ -139,8 +144,11 @@
         if self.phase == Phase::Connected {
             return Progress::Connected;
         }
-        let written =
-            if self.phase == Phase::Sending { self.outbox.write_to(&self.socket) } else { Write::Done };
+        let written = if self.phase == Phase::Sending {
+            self.outbox.write_to(&self.socket)
+        } else {
+            Write::Done
+        };
         if self.phase == Phase::Sending && self.outbox.is_empty() {
             self.phase = Phase::Waiting;
         }
@@ -179,7 +187,11 @@
                     return Progress::Failed(Outcome::ConnectFailed);
                 }
                 // What comes behind an answer would be taken for the next one.
-                let behind = if ended { Read::End } else { self.inbox.read_from(&self.socket) };
+                let behind = if ended {
+                    Read::End
+                } else {
+                    self.inbox.read_from(&self.socket)
+                };
                 let reuse = match behind {
                     _ if !self.inbox.is_empty() => Reuse::Doubled,
                     Read::Dry if head.keep_alive && whole => Reuse::Yes,
@@ -213,9 +225,13 @@
     match head.start {
         Start::Response { status: 200 } => Outcome::Ok,
         // Overload and haste are told by a 4xx too, but they are no fault of the req's.
-        Start::Response { status: 408 | 425 | 429 } => Outcome::Error,
+        Start::Response {
+            status: 408 | 425 | 429,
+        } => Outcome::Error,
         Start::Response { status: 400..=499 } => Outcome::Rejected,
-        Start::Response { status: 503 | 504 } if head.one("x-turned-away") == Ok(Some("1")) => Outcome::Full,
+        Start::Response { status: 503 | 504 } if head.one("x-turned-away") == Ok(Some("1")) => {
+            Outcome::Full
+        }
         _ => Outcome::Error,
     }
 }
@@ -243,7 +259,9 @@
     pub fn take(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         let rest = if now < self.suspect_until { REST } else { 0 };
         let idle = self.idle.get_mut(&backend)?;
-        let place = idle.iter().rposition(|(_, since)| now >= since.saturating_add(rest))?;
+        let place = idle
+            .iter()
+            .rposition(|(_, since)| now >= since.saturating_add(rest))?;
         Some(idle.remove(place).0)
     }
 
@@ -258,7 +276,12 @@
 
     /// All idle connections of a backend, out of the pool.
     pub fn drain(&mut self, backend: BackendId) -> Vec<u32> {
-        self.idle.remove(&backend).unwrap_or_default().into_iter().map(|(number, _)| number).collect()
+        self.idle
+            .remove(&backend)
+            .unwrap_or_default()
+            .into_iter()
+            .map(|(number, _)| number)
+            .collect()
     }
 
     /// Some idle connection, out of the pool: the oldest of the backend with the most.
--- a/node/src/fetch_tests.rs
+++ b/node/src/fetch_tests.rs
@@ -7,7 +7,11 @@
 
 /// A fetch whose request is written, and the backend's end.
 fn waiting() -> (Fetch, UnixStream) {
-    let (family, kind, flags) = (AddressFamily::UNIX, SocketType::STREAM, SocketFlags::NONBLOCK);
+    let (family, kind, flags) = (
+        AddressFamily::UNIX,
+        SocketType::STREAM,
+        SocketFlags::NONBLOCK,
+    );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
     let mut fetch = Fetch::new(near, BackendId(1), &Budget::default());
     fetch.phase = Phase::Sending;
@@ -34,27 +38,58 @@
     let ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
     assert_eq!(end(ok, false), Ok((Outcome::Ok, Reuse::Yes)));
     assert_eq!(
-        end(&ok.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"), false),
+        end(
+            &ok.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"),
+            false
+        ),
         Ok((Outcome::Ok, Reuse::No))
     );
-    assert_eq!(end(&format!("{ok}stray"), false), Ok((Outcome::Ok, Reuse::Doubled)));
+    assert_eq!(
+        end(&format!("{ok}stray"), false),
+        Ok((Outcome::Ok, Reuse::Doubled))
+    );
     let away = "X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(end(&format!("HTTP/1.1 503 No\r\n{away}"), false), Ok((Outcome::Full, Reuse::Yes)));
-    assert_eq!(end(&format!("HTTP/1.1 504 No\r\n{away}"), false), Ok((Outcome::Full, Reuse::Yes)));
-    assert_eq!(end(&format!("HTTP/1.1 500 No\r\n{away}"), false), Ok((Outcome::Error, Reuse::Yes)));
-    assert_eq!(end(&format!("HTTP/1.1 400 No\r\n{away}"), false), Ok((Outcome::Rejected, Reuse::Yes)));
-    assert_eq!(end(&format!("HTTP/1.1 429 No\r\n{away}"), false), Ok((Outcome::Error, Reuse::Yes)));
-    assert_eq!(end("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false), Ok((Outcome::Error, Reuse::Yes)));
+    assert_eq!(
+        end(&format!("HTTP/1.1 503 No\r\n{away}"), false),
+        Ok((Outcome::Full, Reuse::Yes))
+    );
+    assert_eq!(
+        end(&format!("HTTP/1.1 504 No\r\n{away}"), false),
+        Ok((Outcome::Full, Reuse::Yes))
+    );
+    assert_eq!(
+        end(&format!("HTTP/1.1 500 No\r\n{away}"), false),
+        Ok((Outcome::Error, Reuse::Yes))
+    );
+    assert_eq!(
+        end(&format!("HTTP/1.1 400 No\r\n{away}"), false),
+        Ok((Outcome::Rejected, Reuse::Yes))
+    );
+    assert_eq!(
+        end(&format!("HTTP/1.1 429 No\r\n{away}"), false),
+        Ok((Outcome::Error, Reuse::Yes))
+    );
+    assert_eq!(
+        end("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false),
+        Ok((Outcome::Error, Reuse::Yes))
+    );
     assert_eq!(end(&ok[..ok.len() - 1], true), Err(Outcome::Reset));
     assert_eq!(end("", true), Err(Outcome::Reset));
     assert_eq!(end("nonsense\r\n\r\n", false), Err(Outcome::Reset));
-    assert_eq!(end(&ok.replace(": 2", ": 3221225472"), false), Err(Outcome::Reset));
+    assert_eq!(
+        end(&ok.replace(": 2", ": 3221225472"), false),
+        Err(Outcome::Reset)
+    );
     // Long answers pass; one with no length is whole at an orderly end, and not before.
     let long = "x".repeat(400_000);
     let (mut fetch, mut far) = waiting();
     far.set_nonblocking(false).unwrap();
     let sent = std::thread::spawn(move || {
-        write!(far, "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{long}").unwrap();
+        write!(
+            far,
+            "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{long}"
+        )
+        .unwrap();
         far
     });
     let body = loop {
@@ -67,16 +102,31 @@
     assert_eq!(body.len(), 400_000);
     drop(sent.join());
     // The far end has not read the request, so its close is a reset.
-    assert_eq!(end(&ok.replace("Content-Length: 2", "A: b"), true), Err(Outcome::Reset));
+    assert_eq!(
+        end(&ok.replace("Content-Length: 2", "A: b"), true),
+        Err(Outcome::Reset)
+    );
     let (mut fetch, mut far) = waiting();
-    far.write_all(ok.replace("Content-Length: 2", "A: b").as_bytes()).unwrap();
+    far.write_all(ok.replace("Content-Length: 2", "A: b").as_bytes())
+        .unwrap();
     assert!(matches!(fetch.go_on(true), Progress::Going));
     assert!(far.read(&mut [0; 64]).unwrap() > 0);
     drop(far);
-    let Progress::Answered(head, body, reuse) = fetch.go_on(true) else { panic!("not answered") };
-    assert_eq!((outcome(&head), &*body, reuse), (Outcome::Ok, &b"hi"[..], Reuse::No));
-    assert_eq!(end(&("HTTP/1.1 103 Early\r\n\r\n".repeat(9) + ok), false), Ok((Outcome::Ok, Reuse::Yes)));
-    assert_eq!(end(&"HTTP/1.1 103 Early\r\n\r\n".repeat(99), false), Err(Outcome::Reset));
+    let Progress::Answered(head, body, reuse) = fetch.go_on(true) else {
+        panic!("not answered")
+    };
+    assert_eq!(
+        (outcome(&head), &*body, reuse),
+        (Outcome::Ok, &b"hi"[..], Reuse::No)
+    );
+    assert_eq!(
+        end(&("HTTP/1.1 103 Early\r\n\r\n".repeat(9) + ok), false),
+        Ok((Outcome::Ok, Reuse::Yes))
+    );
+    assert_eq!(
+        end(&"HTTP/1.1 103 Early\r\n\r\n".repeat(99), false),
+        Err(Outcome::Reset)
+    );
 }
 
 #[test]
@@ -85,8 +135,12 @@
     fetch.phase = Phase::Sending;
     sockopt::set_socket_send_buffer_size(&fetch.socket, 4096).unwrap();
     assert!(fetch.outbox.push(&[b'x'; MOST_BODY]));
-    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
-    assert!(matches!(fetch.go_on(true), Progress::Failed(Outcome::ConnectFailed)));
+    far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+        .unwrap();
+    assert!(matches!(
+        fetch.go_on(true),
+        Progress::Failed(Outcome::ConnectFailed)
+    ));
 }
 
 #[test]
@@ -97,7 +151,10 @@
     assert_eq!(fetch.broken(Outcome::Timeout), Outcome::ConnectFailed);
     drop(far);
     assert!(fetch.outbox.push(b"more"));
-    assert!(matches!(fetch.go_on(true), Progress::Failed(Outcome::ConnectFailed)));
+    assert!(matches!(
+        fetch.go_on(true),
+        Progress::Failed(Outcome::ConnectFailed)
+    ));
 }
 
 #[test]
--- a/node/src/http1.rs
+++ b/node/src/http1.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 as bytes: a parser that is fed what has come, and a writer. No sockets, no clock. Strict where a
-//! lenient reader would let two parties see two different messages.
+//! HTTP/1.1 as bytes: a parser that is fed what has come, and a writer. No sockets, no clock.
+//! Strict where a lenient reader would let two parties see two different messages.
 
 use crate::ring_buffer::{Body, Budget};
 
-/// Longest head, and longest bodies that a request and an answer may have. Answers have been seen that are
-/// several times as long as the 64 KiB of the protocol.
+/// Longest head, and longest bodies that a request and an answer may have. Answers have been seen
+/// that are several times as long as the 64 KiB of the protocol.
 pub const MOST_HEAD: usize = 16 * 1024;
 pub const MOST_BODY: usize = 64 * 1024;
 pub const MOST_ANSWER: usize = 2 * 1024 * 1024;
@@ -44,14 +44,24 @@
 impl Head {
     /// The value of a header that stands there once; twice is `Err`.
     pub fn one(&self, name: &str) -> Result<Option<&str>, Bad> {
-        let mut found = self.headers.iter().filter(|h| h.0 == name).map(|h| h.1.as_str());
+        let mut found = self
+            .headers
+            .iter()
+            .filter(|h| h.0 == name)
+            .map(|h| h.1.as_str());
         let first = found.next();
-        if found.next().is_some() { Err(Bad::Malformed) } else { Ok(first) }
+        if found.next().is_some() {
+            Err(Bad::Malformed)
+        } else {
+            Ok(first)
+        }
     }
 
     fn lists(&self, name: &str, token: &str) -> bool {
         let values = self.headers.iter().filter(|h| h.0 == name);
-        values.flat_map(|h| h.1.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
+        values
+            .flat_map(|h| h.1.split(','))
+            .any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 
     /// The client waits for leave to send its body.
@@ -73,8 +83,12 @@
             "expect",
             "proxy-authenticate",
         ];
-        let passes = |h: &&(String, String)| !HOP.contains(&h.0.as_str()) && !self.lists("connection", &h.0);
-        self.headers.iter().filter(passes).map(|h| (h.0.as_str(), h.1.as_str()))
+        let passes =
+            |h: &&(String, String)| !HOP.contains(&h.0.as_str()) && !self.lists("connection", &h.0);
+        self.headers
+            .iter()
+            .filter(passes)
+            .map(|h| (h.0.as_str(), h.1.as_str()))
     }
 }
 
@@ -117,22 +131,32 @@
     }
 
     pub fn responses() -> Parser {
-        Parser { requests: false, most_body: MOST_ANSWER, ..Parser::requests() }
+        Parser {
+            requests: false,
+            most_body: MOST_ANSWER,
+            ..Parser::requests()
+        }
     }
 
     pub fn with_most_body(self, most_body: usize) -> Parser {
         Parser { most_body, ..self }
     }
 
-    /// Takes an answer that ends with its connection too. A cut can't be told from its end, so this is only
-    /// for what shows by itself whether it is whole.
+    /// Takes an answer that ends with its connection too. A cut can't be told from its end, so this
+    /// is only for what shows by itself whether it is whole.
     pub fn open_ended(self) -> Parser {
-        Parser { open_ended: true, ..self }
+        Parser {
+            open_ended: true,
+            ..self
+        }
     }
 
     /// Bodies are counted on a budget.
     pub fn on(self, budget: &Budget) -> Parser {
-        Parser { body: Body::on(budget), ..self }
+        Parser {
+            body: Body::on(budget),
+            ..self
+        }
     }
 
     /// Takes what it can of `input`; tells how much, and stops at the end of a message.
@@ -154,7 +178,9 @@
                         if rest.len() > MOST_HEAD {
                             return Err(Bad::HeadTooLarge);
                         }
-                        self.state = State::Head { scanned: rest.len() };
+                        self.state = State::Head {
+                            scanned: rest.len(),
+                        };
                         return Ok(used);
                     };
                     if end > MOST_HEAD {
@@ -190,7 +216,9 @@
                     }
                 }
                 State::ChunkSize => {
-                    let Some(line) = line(rest, MOST_CHUNK_LINE)? else { return Ok(used) };
+                    let Some(line) = line(rest, MOST_CHUNK_LINE)? else {
+                        return Ok(used);
+                    };
                     used += line.len() + 2;
                     self.state = match chunk_size(line)? {
                         0 => State::Trailer(0),
@@ -208,13 +236,18 @@
                     self.state = State::ChunkSize;
                 }
                 State::Trailer(read) => {
-                    let Some(line) = line(rest, MOST_HEAD)? else { return Ok(used) };
+                    let Some(line) = line(rest, MOST_HEAD)? else {
+                        return Ok(used);
+                    };
                     used += line.len() + 2;
                     if read + line.len() > MOST_HEAD {
                         return Err(Bad::HeadTooLarge);
                     }
-                    self.state =
-                        if line.is_empty() { State::Done } else { State::Trailer(read + line.len() + 2) };
+                    self.state = if line.is_empty() {
+                        State::Done
+                    } else {
+                        State::Trailer(read + line.len() + 2)
+                    };
                 }
                 State::UntilEnd => {
                     self.take(rest)?;
@@ -228,11 +261,15 @@
         if self.body.len() + bytes.len() > self.most_body {
             return Err(Bad::BodyTooLarge);
         }
-        if self.body.extend(bytes) { Ok(()) } else { Err(Bad::NoRoom) }
+        if self.body.extend(bytes) {
+            Ok(())
+        } else {
+            Err(Bad::NoRoom)
+        }
     }
 
-    /// How the body is framed. Both length and chunks, lengths that differ, or codings other than chunks are
-    /// refused: they are how requests are smuggled past a proxy.
+    /// How the body is framed. Both length and chunks, lengths that differ, or codings other than
+    /// chunks are refused: they are how requests are smuggled past a proxy.
     fn framing(&self, head: &Head) -> Result<State, Bad> {
         let length = head.one("content-length")?;
         match (head.one("transfer-encoding")?, length) {
@@ -282,14 +319,20 @@
 
     /// Hands out a whole message and starts on the next.
     pub fn message(&mut self) -> Option<(Head, Body)> {
-        let head = if self.is_done() { self.head.take() } else { None }?;
+        let head = if self.is_done() {
+            self.head.take()
+        } else {
+            None
+        }?;
         (self.state, self.interim) = (State::Head { scanned: 0 }, 0);
         Some((head, self.body.take()))
     }
 }
 
 fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
-    haystack.windows(needle.len()).position(|window| window == needle)
+    haystack
+        .windows(needle.len())
+        .position(|window| window == needle)
 }
 
 /// A line without its end; `None` while its end has not come.
@@ -302,7 +345,11 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<usize, Bad> {
-    let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
+    let digits = line
+        .split(|b| *b == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii_end();
     if digits.is_empty() || digits.len() > 8 || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(Bad::Malformed);
     }
@@ -311,14 +358,21 @@
 }
 
 fn is_token(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
 
 fn parse_head(bytes: &[u8], request: bool) -> Result<Head, Bad> {
     let text = std::str::from_utf8(bytes).map_err(|_| Bad::Malformed)?;
-    // Neither a lone CR or LF nor another control character may pass: others may take it for a line's end.
+    // Neither a lone CR or LF nor another control character may pass: others may take it for a
+    // line's end.
     let mut lines = text.split_terminator("\r\n");
-    if lines.clone().any(|line| line.bytes().any(|b| b.is_ascii_control() && b != b'\t')) {
+    if lines
+        .clone()
+        .any(|line| line.bytes().any(|b| b.is_ascii_control() && b != b'\t'))
+    {
         return Err(Bad::Malformed);
     }
     let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
@@ -329,10 +383,20 @@
         if !sound {
             return Err(Bad::Malformed);
         }
-        (Start::Request { method: first.into(), target: second.into() }, third)
+        (
+            Start::Request {
+                method: first.into(),
+                target: second.into(),
+            },
+            third,
+        )
     } else {
         let digits = second.len() == 3 && second.bytes().all(|b| b.is_ascii_digit());
-        let status = second.parse().ok().filter(|_| digits).ok_or(Bad::Malformed)?;
+        let status = second
+            .parse()
+            .ok()
+            .filter(|_| digits)
+            .ok_or(Bad::Malformed)?;
         (Start::Response { status }, first)
     };
     let modern = match version {
@@ -344,13 +408,23 @@
     let mut headers = Vec::new();
     for line in lines {
         // A name that isn't a token also covers folded lines and a space before the colon.
-        let (name, value) = line.split_once(':').filter(|(name, _)| is_token(name)).ok_or(Bad::Malformed)?;
+        let (name, value) = line
+            .split_once(':')
+            .filter(|(name, _)| is_token(name))
+            .ok_or(Bad::Malformed)?;
         if headers.len() == MOST_HEADERS {
             return Err(Bad::HeadTooLarge);
         }
-        headers.push((name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_string()));
+        headers.push((
+            name.to_ascii_lowercase(),
+            value.trim_matches([' ', '\t']).to_string(),
+        ));
     }
-    let mut head = Head { start, headers, keep_alive: modern };
+    let mut head = Head {
+        start,
+        headers,
+        keep_alive: modern,
+    };
     if head.lists("connection", "close") {
         head.keep_alive = false;
     } else if head.lists("connection", "keep-alive") {
--- a/node/src/http1_tests.rs
+++ b/node/src/http1_tests.rs
@@ -13,7 +13,9 @@
             let used = parser.feed(&held)?;
             held.drain(..used);
         }
-        Ok(parser.message().map(|(head, body)| (head, String::from_utf8(body.to_vec()).unwrap())))
+        Ok(parser
+            .message()
+            .map(|(head, body)| (head, String::from_utf8(body.to_vec()).unwrap())))
     };
     let (slow, fast) = (run(parser(), 1), run(parser(), input.len()));
     let plain = |found: &Result<Option<(Head, String)>, Bad>| match found {
@@ -30,12 +32,22 @@
 
 #[test]
 fn reads_requests_and_responses_in_pieces() {
-    let (head, body) =
-        request("\r\nPOST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Txn:  b \r\nContent-Length: 3\r\n\r\nabc")
-            .unwrap()
-            .unwrap();
-    assert_eq!(head.start, Start::Request { method: "POST".into(), target: "/api?x=1".into() });
-    assert_eq!((head.one("x-txn"), head.keep_alive, body.as_str()), (Ok(Some("b")), true, "abc"));
+    let (head, body) = request(
+        "\r\nPOST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Txn:  b \r\nContent-Length: 3\r\n\r\nabc",
+    )
+    .unwrap()
+    .unwrap();
+    assert_eq!(
+        head.start,
+        Start::Request {
+            method: "POST".into(),
+            target: "/api?x=1".into()
+        }
+    );
+    assert_eq!(
+        (head.one("x-txn"), head.keep_alive, body.as_str()),
+        (Ok(Some("b")), true, "abc")
+    );
     let chunked = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\
          Connection: close\r\n\r\n\
          3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n";
@@ -52,7 +64,10 @@
 #[test]
 fn refuses_what_two_readers_could_read_in_two_ways() {
     for (headers, bad) in [
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", Bad::Malformed),
+        (
+            "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+            Bad::Malformed,
+        ),
         ("Content-Length: 3\r\nContent-Length: 4\r\n", Bad::Malformed),
         ("Content-Length: +3\r\n", Bad::Malformed),
         ("Content-Length: 3, 3\r\n", Bad::Malformed),
@@ -62,8 +77,14 @@
         ("A: b\nC: d\r\n", Bad::Malformed),
         ("Host: b\r\n", Bad::Malformed),
         ("Content-Length: 65537\r\n", Bad::BodyTooLarge),
-        ("Content-Length: 99999999999999999999999\r\n", Bad::BodyTooLarge),
-        (&format!("A: {}\r\n", "x".repeat(MOST_HEAD)), Bad::HeadTooLarge),
+        (
+            "Content-Length: 99999999999999999999999\r\n",
+            Bad::BodyTooLarge,
+        ),
+        (
+            &format!("A: {}\r\n", "x".repeat(MOST_HEAD)),
+            Bad::HeadTooLarge,
+        ),
         (&"A: b\r\n".repeat(MOST_HEADERS + 1), Bad::HeadTooLarge),
     ] {
         let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
@@ -76,13 +97,25 @@
         ("GET api HTTP/1.1", Bad::Malformed),
         ("G(T /api HTTP/1.1", Bad::Malformed),
     ] {
-        assert_eq!(request(&format!("{first}\r\nHost: a\r\n\r\n")).err(), Some(bad), "{first}");
+        assert_eq!(
+            request(&format!("{first}\r\nHost: a\r\n\r\n")).err(),
+            Some(bad),
+            "{first}"
+        );
     }
     let chunks = "POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     for body in ["x\r\n", "-1\r\n", "FFFFFFFFF\r\n", "1\r\nabc"] {
-        assert_eq!(request(&format!("{chunks}{body}")).err(), Some(Bad::Malformed), "{body}");
+        assert_eq!(
+            request(&format!("{chunks}{body}")).err(),
+            Some(Bad::Malformed),
+            "{body}"
+        );
     }
-    let flood = format!("{chunks}{}", "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n").repeat(1)
+    let flood = format!(
+        "{chunks}{}",
+        "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n"
+    )
+    .repeat(1)
         + &("8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n").repeat(2);
     assert_eq!(request(&flood).err(), Some(Bad::BodyTooLarge));
 }
@@ -94,7 +127,13 @@
     )
     .unwrap()
     .unwrap();
-    assert_eq!(head.end_to_end().collect::<Vec<_>>(), [("host", "a"), ("x-txn", "t")]);
-    assert_eq!(write("GET / HTTP/1.1", [("a", "b")], None), b"GET / HTTP/1.1\r\na: b\r\n\r\n");
+    assert_eq!(
+        head.end_to_end().collect::<Vec<_>>(),
+        [("host", "a"), ("x-txn", "t")]
+    );
+    assert_eq!(
+        write("GET / HTTP/1.1", [("a", "b")], None),
+        b"GET / HTTP/1.1\r\na: b\r\n\r\n"
+    );
     assert!(write("X", [], Some(b"abc")).ends_with(b"content-length: 3\r\n\r\nabc"));
 }
