--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,5 +1,5 @@
-//! Log lines: one stable word for each kind of event, then its details. Each kind is limited, so that a storm
-//! neither fills the disk nor costs the CPU that reqs need.
+//! Log lines: one stable word for each kind of event, then its details. Each kind is limited, so
+//! that a storm neither fills the disk nor costs the CPU that reqs need.
 
 use std::collections::BTreeMap;
 use std::io::Write as _;
@@ -22,7 +22,11 @@
 impl Log {
     pub fn line(&mut self, now: Nanos, kind: &'static str, details: impl std::fmt::Display) {
         if let Some(held_back) = self.admit(now, kind) {
-            let more = if held_back > 0 { format!(" held_back={held_back}") } else { String::new() };
+            let more = if held_back > 0 {
+                format!(" held_back={held_back}")
+            } else {
+                String::new()
+            };
             write(&format!("kitefork: {kind} {details}{more}\n"));
         }
     }
@@ -48,8 +52,8 @@
 /// Lines for which standard error had no room, since one last had.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a line if standard error has room for it now; else it is dropped and counted. A log that nobody
-/// reads must not hold up the loop, and one whose reader has gone must not end the node.
+/// Writes a line if standard error has room for it now; else it is dropped and counted. A log that
+/// nobody reads must not hold up the loop, and one whose reader has gone must not end the node.
 fn write(line: &str) {
     let stderr = std::io::stderr();
     let has_room = || net::is_now(&stderr, PollFlags::OUT).unwrap_or(false);
@@ -76,8 +80,9 @@
     };
 }
 
-/// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value ...`, without
-/// a limit. For replays; off unless `BALANCER_TRACE` is 1, and then nothing is formatted.
+/// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
+/// ...`, without a limit. For replays; off unless `BALANCER_TRACE` is 1, and then nothing is
+/// formatted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trace {
     /// Unix time at the clock's zero; `None`: off.
@@ -86,7 +91,9 @@
 
 impl Trace {
     pub fn new(on: bool, unix_zero: Nanos) -> Trace {
-        Trace { unix_zero: on.then_some(unix_zero) }
+        Trace {
+            unix_zero: on.then_some(unix_zero),
+        }
     }
 
     pub fn is_on(self) -> bool {
@@ -101,7 +108,11 @@
 
     fn format(self, now: Nanos, details: std::fmt::Arguments) -> Option<String> {
         let at = self.unix_zero? + now;
-        Some(format!("kitefork: trace t={}.{:06} {details}\n", at / SECOND, at % SECOND / 1_000))
+        Some(format!(
+            "kitefork: trace t={}.{:06} {details}\n",
+            at / SECOND,
+            at % SECOND / 1_000
+        ))
     }
 }
 
--- a/node/src/log_tests.rs
+++ b/node/src/log_tests.rs
@@ -6,13 +6,18 @@
 fn a_trace_is_off_unless_asked_for_and_tells_unix_time() {
     assert_eq!(Trace::new(false, 5).format(SECOND, format_args!("x")), None);
     let line = Trace::new(true, 3 * SECOND + 250_000).format(SECOND, format_args!("send id={}", 7));
-    assert_eq!(line.as_deref(), Some("kitefork: trace t=4.000250 send id=7\n"));
+    assert_eq!(
+        line.as_deref(),
+        Some("kitefork: trace t=4.000250 send id=7\n")
+    );
 }
 
 #[test]
 fn a_storm_of_one_kind_is_held_back_and_counted() {
     let mut log = Log::default();
-    let shown = (0..100).filter(|_| log.admit(SECOND, "a").is_some()).count();
+    let shown = (0..100)
+        .filter(|_| log.admit(SECOND, "a").is_some())
+        .count();
     assert_eq!((shown, log.admit(SECOND, "b")), (MOST as usize, Some(0)));
     assert_eq!(log.admit(SECOND + WINDOW, "a"), Some(90));
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -36,8 +36,8 @@
         ExitCode::from(code)
     };
     // First of all: a signal that comes before its handler ends the process.
-    let signals =
-        Signal::register(&[SIGTERM, SIGINT]).and_then(|end| Ok([end, Signal::register(&[SIGHUP])?]));
+    let signals = Signal::register(&[SIGTERM, SIGINT])
+        .and_then(|end| Ok([end, Signal::register(&[SIGHUP])?]));
     let signals = match signals {
         Ok(signals) => signals,
         Err(error) => return fault(1, format!("signals: {error}")),
--- a/node/src/net.rs
+++ b/node/src/net.rs
@@ -8,8 +8,8 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{
-    AddressFamily, RecvFlags, SocketFlags, SocketType, accept_with, bind, connect, listen, socket_with,
-    sockopt,
+    AddressFamily, RecvFlags, SocketFlags, SocketType, accept_with, bind, connect, listen,
+    socket_with, sockopt,
 };
 
 use crate::errno::{self, ErrorClass};
@@ -20,7 +20,11 @@
 pub const QUEUE: i32 = 1024;
 
 fn stream(address: SocketAddr) -> Result<OwnedFd, Errno> {
-    let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if address.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     socket_with(family, SocketType::STREAM, FLAGS, None)
 }
 
@@ -33,7 +37,8 @@
     Ok(socket)
 }
 
-/// At the start of the process a call that the machine can't do for a moment is tried this often ...
+/// At the start of the process a call that the machine can't do for a moment is tried this often
+/// ...
 const START_TRIES: u32 = 50;
 /// ... with this pause.
 const START_PAUSE: Duration = Duration::from_millis(10);
@@ -58,8 +63,8 @@
     Ok(socket)
 }
 
-/// Whether the other side has ended its sending or reset the connection, whatever still lies unread. Where
-/// that can't be told for a moment: no.
+/// Whether the other side has ended its sending or reset the connection, whatever still lies
+/// unread. Where that can't be told for a moment: no.
 pub fn has_left(socket: &OwnedFd) -> bool {
     is_now(socket, PollFlags::RDHUP).unwrap_or(false)
 }
@@ -101,9 +106,14 @@
 /// Whether any of these, an error or an end is to be seen on a descriptor, without waiting for it.
 pub fn is_now(socket: impl AsFd, wanted: PollFlags) -> Result<bool, Errno> {
     let mut look = [PollFd::new(&socket, wanted)];
-    let none = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let none = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     poll(&mut look, Some(&none))?;
-    Ok(look[0].revents().intersects(wanted | PollFlags::HUP | PollFlags::ERR))
+    Ok(look[0]
+        .revents()
+        .intersects(wanted | PollFlags::HUP | PollFlags::ERR))
 }
 
 /// Starts a connection; it is up once the socket can be written to.
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,5 +1,5 @@
-//! The loop: waits for sockets and deadlines, and carries out what is decided. One clock reading a round;
-//! what sockets bring goes first, so that an answer which is there wins over its time-out.
+//! The loop: waits for sockets and deadlines, and carries out what is decided. One clock reading a
+//! round; what sockets bring goes first, so that an answer which is there wins over its time-out.
 
 mod end;
 mod fetches;
@@ -33,8 +33,8 @@
 
 /// A probe that has no answer by then has failed.
 const PROBE_PATIENCE: Nanos = 500 * MS;
-/// The loop looks at all sockets at least this often, so that it knows within this time since when a socket
-/// that now holds bytes can have held them.
+/// The loop looks at all sockets at least this often, so that it knows within this time since when
+/// a socket that now holds bytes can have held them.
 const LONGEST_WAIT: Nanos = 50 * MS;
 /// A gap between two looks that only a process that was stopped has.
 const STOPPED: Nanos = 250 * MS;
@@ -91,7 +91,9 @@
 
 const READ: EventFlags = EventFlags::IN.union(EventFlags::RDHUP);
 const BOTH: EventFlags = READ.union(EventFlags::OUT);
-const LEFT: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
+const LEFT: EventFlags = EventFlags::RDHUP
+    .union(EventFlags::HUP)
+    .union(EventFlags::ERR);
 
 fn token(kind: u64, number: u32) -> EventData {
     EventData::new_u64(kind << 32 | u64::from(number))
@@ -110,7 +112,8 @@
     looked: Nanos,
     /// When this turn's look was made; the next turn's sockets with an event were without one then.
     last_look: Nanos,
-    /// When the accept queue was last read empty, and since when an event is given for a client that comes.
+    /// When the accept queue was last read empty, and since when an event is given for a client
+    /// that comes.
     queue_emptied: Nanos,
     queue_watched: Nanos,
     counters: Counters,
@@ -139,7 +142,8 @@
     /// A look at how many sessions have asked hangs on the wheel.
     trimming: bool,
     sessions: Slab<Session>,
-    /// Sessions whose req has been answered: the answer is to be written, and the next message may be there.
+    /// Sessions whose req has been answered: the answer is to be written, and the next message may
+    /// be there.
     answered: VecDeque<u32>,
     fetches: Slab<Fetch>,
     pool: Pool,
@@ -147,9 +151,11 @@
     rev: u64,
     /// When discovery last said something, be it that nothing has changed.
     confirmed: Option<Nanos>,
-    /// The next call to discovery waits, for the decisions or, where lists are pushed, on the wheel.
+    /// The next call to discovery waits, for the decisions or, where lists are pushed, on the
+    /// wheel.
     backing_off: bool,
-    /// Only where lists are pushed: discovery has spoken since the start, and how many calls in a row failed.
+    /// Only where lists are pushed: discovery has spoken since the start, and how many calls in a
+    /// row failed.
     list_synced: bool,
     failed_calls: u32,
     fleet: Fleet,
@@ -157,33 +163,38 @@
 }
 
 impl Node {
-    /// Starts to listen. The first of `signals` comes when the node is to end, the second when it is to
-    /// read its configuration anew.
+    /// Starts to listen. The first of `signals` comes when the node is to end, the second when it
+    /// is to read its configuration anew.
     pub fn start(config: Config, signals: [Signal; 2]) -> Result<Node, String> {
         let clock = Clock::start();
         let now = clock.read();
         let deployment = config.deployment;
         let mut settings = deployment.settings.clone();
-        // Past half of its time, a refusal of what no backend has seen has a price (the platform's figure).
+        // Past half of its time, a refusal of what no backend has seen has a price (the platform's
+        // figure).
         settings.limits.untried = 0.5;
         let tick = settings.tick.clamp(MS, 10 * MS);
         let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = own.map_or(config.sockets, |own| config.sockets.min(own as usize));
-        // Bodies are on the budget; what a connection holds beside them is a head at most, of which these fit
-        // a third of the memory.
+        // Bodies are on the budget; what a connection holds beside them is a head at most, of which
+        // these fit a third of the memory.
         let sockets = sockets.min(config.memory_mb.saturating_mul(16).max(64));
         let ledger = DescriptorBudget::new(sockets);
-        let (most_sessions, most_fetches) = (ledger.most(Purpose::Session), ledger.most(Purpose::Fetch));
+        let (most_sessions, most_fetches) =
+            (ledger.most(Purpose::Session), ledger.most(Purpose::Fetch));
         let most_reqs = most_sessions.min(deployment.most_held).max(1);
-        let mut reqs = RequestTable::new(settings, config.seed, most_reqs, now).map_err(|e| e.to_string())?;
+        let mut reqs =
+            RequestTable::new(settings, config.seed, most_reqs, now).map_err(|e| e.to_string())?;
         let trace = Trace::new(config.trace, clock.unix_zero);
         reqs.trace = trace;
         let wrong = |what: &'static str| move |e: Errno| format!("{what}: {e}");
         let listener = net::patiently(|| net::listener(config.listen))
             .map_err(|e| format!("listen on {}: {e}", config.listen))?;
-        let listens: std::net::SocketAddr =
-            rustix::net::getsockname(&listener).and_then(TryInto::try_into).map_err(wrong("getsockname"))?;
-        let epoll = net::patiently(|| epoll::create(epoll::CreateFlags::CLOEXEC)).map_err(wrong("epoll"))?;
+        let listens: std::net::SocketAddr = rustix::net::getsockname(&listener)
+            .and_then(TryInto::try_into)
+            .map_err(wrong("getsockname"))?;
+        let epoll = net::patiently(|| epoll::create(epoll::CreateFlags::CLOEXEC))
+            .map_err(wrong("epoll"))?;
         let add = || epoll::add(&epoll, &listener, token(LISTENER, 0), EventFlags::IN);
         net::patiently(add).map_err(wrong("epoll"))?;
         for (signal, number) in signals.iter().zip([TERMINATE, RELOAD]) {
@@ -243,8 +254,8 @@
         let mut events = Vec::new();
         while !self.is_over() {
             self.wait_for_events(&mut events)?;
-            // What forbids a send goes before what may lead to one, and is carried out only when all of it is
-            // known: clients that have left, and news of the backends.
+            // What forbids a send goes before what may lead to one, and is carried out only when
+            // all of it is known: clients that have left, and news of the backends.
             for event in events.iter().filter(|event| forbids(event)) {
                 self.on_socket(event);
             }
@@ -260,29 +271,45 @@
             }
         }
         let walks = self.reqs.full_walks();
-        self.log.line(self.now, "counts", format_args!("full_walks={walks} {}", self.counters));
+        self.log.line(
+            self.now,
+            "counts",
+            format_args!("full_walks={walks} {}", self.counters),
+        );
         self.log.line(self.now, "end", "all answered");
         Ok(())
     }
 
-    /// Waits until a socket has an event or a deadline is due. Gives all that is ready in one look: a
-    /// deadline must not fire, and nothing must be sent, while an answer, a client's leave or a drain still
-    /// waits for the next one, as after a stall. For the same reason a look that is old by now is made anew.
+    /// Waits until a socket has an event or a deadline is due. Gives all that is ready in one look:
+    /// a deadline must not fire, and nothing must be sent, while an answer, a client's leave or a
+    /// drain still waits for the next one, as after a stall. For the same reason a look that is old
+    /// by now is made anew.
     fn wait_for_events(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
         self.looked = self.last_look;
         let mut old_looks = 0;
         loop {
             let began = self.clock.read();
             let longest = if old_looks == 0 { LONGEST_WAIT } else { 0 };
-            let wake = self.wheel.next().unwrap_or(Nanos::MAX).min(began.saturating_add(longest));
+            let wake = self
+                .wheel
+                .next()
+                .unwrap_or(Nanos::MAX)
+                .min(began.saturating_add(longest));
             let pause = wake.saturating_sub(began);
-            let pause = Timespec { tv_sec: (pause / SECOND) as i64, tv_nsec: (pause % SECOND) as i64 };
+            let pause = Timespec {
+                tv_sec: (pause / SECOND) as i64,
+                tv_nsec: (pause % SECOND) as i64,
+            };
             events.clear();
             events.reserve(self.sessions.len() + self.fetches.len() + self.calls.len() + 4);
-            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), Some(&pause)) {
+            match epoll::wait(
+                &self.epoll,
+                rustix::buffer::spare_capacity(events),
+                Some(&pause),
+            ) {
                 Ok(_) => {}
-                // A process that was stopped and goes on comes here too: much may lie in its sockets, and no
-                // deadline may fire before that is read.
+                // A process that was stopped and goes on comes here too: much may lie in its
+                // sockets, and no deadline may fire before that is read.
                 Err(Errno::INTR) => continue,
                 Err(error) => return Err(format!("epoll: {error}")),
             }
@@ -290,8 +317,8 @@
             // A process that stood still in its wait may have looked before that.
             let stood_still = self.now > wake.saturating_add(LATE);
             self.last_look = if stood_still { began } else { self.now };
-            // One that was held up between the wait and the clock may have events from before that: others
-            // can have come since, which go before these.
+            // One that was held up between the wait and the clock may have events from before that:
+            // others can have come since, which go before these.
             let is_old = !events.is_empty() && self.now > began.saturating_add(FRESH);
             if !(stood_still || is_old) || old_looks == MOST_OLD_LOOKS {
                 return Ok(());
@@ -306,15 +333,23 @@
     /// Counts what the rules did not allow.
     fn count_denial(&mut self, denial: Denial, of: std::fmt::Arguments) {
         self.counters.add("denied", denial.name());
-        self.trace.line(self.now, format_args!("denied why={denial} {of}"));
+        self.trace
+            .line(self.now, format_args!("denied why={denial} {of}"));
     }
 
     /// A rule was found broken after the act: a fault of the program.
     fn violated(&mut self, violation: Violation, of: std::fmt::Arguments) {
         self.counters.add("violation", violation.name());
-        self.log.line(self.now, "violation", format_args!("rule={} {of}", violation.name()));
+        self.log.line(
+            self.now,
+            "violation",
+            format_args!("rule={} {of}", violation.name()),
+        );
         // A process that was stopped can't act in time.
-        debug_assert!(self.now > self.looked.saturating_add(STOPPED), "rule broken: {violation:?} {of}");
+        debug_assert!(
+            self.now > self.looked.saturating_add(STOPPED),
+            "rule broken: {violation:?} {of}"
+        );
     }
 
     fn is_draining(&self) -> bool {
@@ -341,10 +376,14 @@
     fn on_signal(&mut self, number: u32) {
         let mut bytes = [0; 16];
         let signal = &self.signals[number as usize].wakes;
-        while matches!(rustix::io::read(signal, &mut bytes), Ok(1..) | Err(Errno::INTR)) {}
+        while matches!(
+            rustix::io::read(signal, &mut bytes),
+            Ok(1..) | Err(Errno::INTR)
+        ) {}
     }
 
-    /// Carries out the signals that have come, whether or not the byte that wakes the loop could be written.
+    /// Carries out the signals that have come, whether or not the byte that wakes the loop could be
+    /// written.
     fn take_signals(&mut self) {
         if self.signals[TERMINATE as usize].take() {
             self.begin_drain();
@@ -361,7 +400,8 @@
             Due::NextMessage(number) => self.read_session(number),
             Due::Request(req) => {
                 if self.reqs.expire(self.now, req) {
-                    self.log.line(self.now, "last-resort", format_args!("req={req}"));
+                    self.log
+                        .line(self.now, "last-resort", format_args!("req={req}"));
                 }
             }
             Due::Fetch(number) => self.fetch_due(number),
@@ -388,7 +428,9 @@
     fn flush_pending(&mut self) {
         loop {
             self.execute_commands();
-            let Some(number) = self.answered.pop_front() else { return };
+            let Some(number) = self.answered.pop_front() else {
+                return;
+            };
             self.flush_session(number);
         }
     }
@@ -403,13 +445,22 @@
         }
         while let Some(command) = self.reqs.commands.pop_front() {
             match command {
-                Command::Fetch { req, attempt, backend, until, write_by } => {
+                Command::Fetch {
+                    req,
+                    attempt,
+                    backend,
+                    until,
+                    write_by,
+                } => {
                     self.start_fetch(backend, Job::Request { req, attempt }, until, write_by);
                 }
                 Command::Stop { req, attempt } => {
                     let job = Some(Job::Request { req, attempt });
-                    let found =
-                        self.fetches.iter().find(|(_, fetch)| fetch.job == job).map(|(number, _)| number);
+                    let found = self
+                        .fetches
+                        .iter()
+                        .find(|(_, fetch)| fetch.job == job)
+                        .map(|(number, _)| number);
                     if let Some(number) = found {
                         self.end_fetch(number, Outcome::Cancelled);
                     }
@@ -419,7 +470,15 @@
                 Command::CloseIdle(backend) => self.close_idle(backend),
                 Command::Probe(backend) => {
                     let until = self.now + PROBE_PATIENCE;
-                    self.start_fetch(backend, Job::Probe { backend, sent: self.now }, until, until);
+                    self.start_fetch(
+                        backend,
+                        Job::Probe {
+                            backend,
+                            sent: self.now,
+                        },
+                        until,
+                        until,
+                    );
                 }
                 Command::Timer { at, timer } => self.wheel.schedule(at, Due::Timer(timer)),
                 Command::Watch(on) => self.watch(on),
--- a/node/src/node/end.rs
+++ b/node/src/node/end.rs
@@ -13,8 +13,8 @@
 const ACCEPT_ON: Nanos = 600 * MS;
 /// ... but no longer than up to this before the last answers, where every deadline is short.
 const LAST_TAKEN: Nanos = 100 * MS;
-/// After SIGTERM all is answered within the longest deadline, counted as 3 s where it is longer, and this:
-/// SIGKILL may come 0.2 s later ...
+/// After SIGTERM all is answered within the longest deadline, counted as 3 s where it is longer,
+/// and this: SIGKILL may come 0.2 s later ...
 const DRAIN_MORE: Nanos = 500 * MS;
 const LONGEST_DRAIN: Nanos = 3 * SECOND;
 /// ... of which the last answers have this to go out.
@@ -25,11 +25,25 @@
         if self.is_draining() {
             return;
         }
-        self.log.line(self.now, "sigterm", format_args!("sessions={}", self.sessions.len()));
-        let longest = self.deployment.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        self.log.line(
+            self.now,
+            "sigterm",
+            format_args!("sessions={}", self.sessions.len()),
+        );
+        let longest = self
+            .deployment
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let ends = self.now + longest.min(LONGEST_DRAIN) + DRAIN_MORE;
         self.ends = Some(ends);
-        self.wheel.schedule((self.now + ACCEPT_ON).min(ends - LAST_TAKEN), Due::StopAccepting);
+        self.wheel.schedule(
+            (self.now + ACCEPT_ON).min(ends - LAST_TAKEN),
+            Due::StopAccepting,
+        );
         self.wheel.schedule(ends, Due::EndDrain);
         self.wheel.schedule(ends + FLUSH, Due::Quit);
     }
@@ -41,18 +55,22 @@
         // Guards against clients that wait for a descriptor: with the listener they would be reset.
         let ending = self.ends.is_some_and(|ends| self.now >= ends);
         if !self.accepting && !ending {
-            self.log.line(self.now, "late-clients", "wait for a session to end");
-            return self.wheel.schedule(self.now + ACCEPT_PAUSE, Due::StopAccepting);
+            self.log
+                .line(self.now, "late-clients", "wait for a session to end");
+            return self
+                .wheel
+                .schedule(self.now + ACCEPT_PAUSE, Due::StopAccepting);
         }
         self.listener = None;
         if !self.close_idle_sessions() && !ending {
             // What could not be read for a moment is looked at again.
-            self.wheel.schedule(self.now + MIN_RETRY, Due::StopAccepting);
+            self.wheel
+                .schedule(self.now + MIN_RETRY, Due::StopAccepting);
         }
     }
 
-    /// Closes the sessions on which nothing is under way; a request that has come while nobody looked is
-    /// served, not cut off. Tells whether all that are idle have closed.
+    /// Closes the sessions on which nothing is under way; a request that has come while nobody
+    /// looked is served, not cut off. Tells whether all that are idle have closed.
     fn close_idle_sessions(&mut self) -> bool {
         let numbers: Vec<u32> = self.sessions.iter().map(|(number, _)| number).collect();
         let mut all_closed = true;
@@ -65,19 +83,23 @@
         all_closed
     }
 
-    /// SIGKILL is near: whatever waits gets its answer now, and what has come unread is refused. Sessions
-    /// then end by themselves once their answer is written.
+    /// SIGKILL is near: whatever waits gets its answer now, and what has come unread is refused.
+    /// Sessions then end by themselves once their answer is written.
     pub(super) fn end_drain(&mut self) {
         for req in self.reqs.unanswered() {
             self.reqs.fail_on_shutdown(self.now, req);
         }
         self.flush_pending();
         self.stop_accepting();
-        self.log.line(self.now, "last-answers", format_args!("sessions={}", self.sessions.len()));
+        self.log.line(
+            self.now,
+            "last-answers",
+            format_args!("sessions={}", self.sessions.len()),
+        );
     }
 
-    /// No time is left. A socket that closes with bytes unread resets its connection, and what the kernel
-    /// still holds of an answer is lost with it.
+    /// No time is left. A socket that closes with bytes unread resets its connection, and what the
+    /// kernel still holds of an answer is lost with it.
     pub(super) fn quit(&mut self) {
         self.quit = true;
         let numbers: Vec<u32> = self.sessions.iter().map(|(number, _)| number).collect();
--- a/node/src/node/lists.rs
+++ b/node/src/node/lists.rs
@@ -19,28 +19,33 @@
 const SHORTEST: Nanos = 10 * MS;
 /// ... up to this.
 const MOST_WAIT: Nanos = 500 * MS;
-/// A watch that has lasted for this long ends a row of failures; one that ends at once must not be opened
-/// without a pause.
+/// A watch that has lasted for this long ends a row of failures; one that ends at once must not be
+/// opened without a pause.
 const STEADY: Nanos = SECOND;
-/// A node that has heard nothing of its list for this long after its start serves from the one it was given:
-/// old news are better than no service where discovery stays away. Ready within 10 s is what operators ask.
+/// A node that has heard nothing of its list for this long after its start serves from the one it
+/// was given: old news are better than no service where discovery stays away. Ready within 10 s is
+/// what operators ask.
 const BLIND: Nanos = 9 * SECOND;
 
 impl Node {
-    /// Follows discovery to where the configuration now has it, and at once, whatever the decisions' backoff:
-    /// the old one soon falls silent. Its calls are closed here, so that their end is no failure; the list,
-    /// reqs and sessions live on. A bad file changes nothing.
+    /// Follows discovery to where the configuration now has it, and at once, whatever the
+    /// decisions' backoff: the old one soon falls silent. Its calls are closed here, so that their
+    /// end is no failure; the list, reqs and sessions live on. A bad file changes nothing.
     pub(super) fn reload(&mut self) {
         match config::reload(|name| std::env::var(name).ok()) {
             Ok(discovery) => {
-                self.log.line(self.now, "reload", format_args!("discovery={discovery}"));
+                self.log
+                    .line(self.now, "reload", format_args!("discovery={discovery}"));
                 self.discovery = discovery;
-                let open: Vec<(u32, bool)> = self.calls.iter().map(|(n, call)| (n, call.watch)).collect();
+                let open: Vec<(u32, bool)> =
+                    self.calls.iter().map(|(n, call)| (n, call.watch)).collect();
                 for (number, _) in &open {
                     self.calls.remove(*number);
                 }
                 // A list that was on its way is still wanted; a watch is resumed, or opened early.
-                open.iter().filter(|(_, watch)| !watch).for_each(|_| self.call(false));
+                open.iter()
+                    .filter(|(_, watch)| !watch)
+                    .for_each(|_| self.call(false));
                 self.call(true);
             }
             Err(why) => self.log.line(self.now, "reload-failed", why),
@@ -48,7 +53,10 @@
     }
 
     fn open_watch(&self) -> Option<u32> {
-        self.calls.iter().find(|(_, call)| call.watch).map(|(number, _)| number)
+        self.calls
+            .iter()
+            .find(|(_, call)| call.watch)
+            .map(|(number, _)| number)
     }
 
     pub(super) fn watch(&mut self, on: bool) {
@@ -62,12 +70,15 @@
             self.calls.remove(number);
         }
         // Each call of the decisions gets one event: nothing has changed.
-        self.take_update(&Update { rev: self.rev, ..Update::default() });
+        self.take_update(&Update {
+            rev: self.rev,
+            ..Update::default()
+        });
     }
 
-    /// Where lists are pushed the decisions never ask, yet over sockets what is pushed comes on a watch: the
-    /// node keeps one open by itself from its start on. What the agent has counts as told whether or not this
-    /// node has heard it, so no client is taken before it has spoken.
+    /// Where lists are pushed the decisions never ask, yet over sockets what is pushed comes on a
+    /// watch: the node keeps one open by itself from its start on. What the agent has counts as
+    /// told whether or not this node has heard it, so no client is taken before it has spoken.
     pub(super) fn follow_pushes(&mut self) {
         if !self.deployment.settings.ask_list {
             self.wheel.schedule(self.now + BLIND, Due::ServeStaleList);
@@ -92,31 +103,40 @@
         }
     }
 
-    /// A part of the grace for drains, within these bounds: where lists are pushed, a node without a watch
-    /// must be back on it well within that.
+    /// A part of the grace for drains, within these bounds: where lists are pushed, a node without
+    /// a watch must be back on it well within that.
     fn part_of_grace(&self, part: Nanos, most: Nanos) -> Nanos {
         (self.deployment.settings.rules.drain_grace / part).clamp(SHORTEST, most)
     }
 
     pub(super) fn call(&mut self, watch: bool) {
-        self.trace.line(self.now, format_args!("call watch={}", u8::from(watch)));
+        self.trace
+            .line(self.now, format_args!("call watch={}", u8::from(watch)));
         let opened = net::dial(self.discovery).and_then(|socket| {
             let number = self.calls.vacant().ok_or(Errno::MFILE)?;
             let mut call = Call::new(socket, watch, self.rev, self.discovery, self.now);
-            call.registration.set(&self.epoll, &call.socket, token(CALL, number), BOTH)?;
+            call.registration
+                .set(&self.epoll, &call.socket, token(CALL, number), BOTH)?;
             let asked = self.deployment.settings.ask_list;
-            let by = if asked { discovery::CONNECT } else { self.part_of_grace(2, discovery::CONNECT) };
-            call.deadline.set(self.now + by, &mut self.wheel, Due::Call(number));
+            let by = if asked {
+                discovery::CONNECT
+            } else {
+                self.part_of_grace(2, discovery::CONNECT)
+            };
+            call.deadline
+                .set(self.now + by, &mut self.wheel, Due::Call(number));
             self.calls.insert(call);
             Ok(())
         });
         let Err(error) = opened else { return };
         match errno::of_connect(error) {
             ErrorClass::ConnectionLost => self.call_failed(error),
-            // Of this machine, for a moment: discovery has not failed, and its backoff would be too long.
+            // Of this machine, for a moment: discovery has not failed, and its backoff would be too
+            // long.
             _ => {
                 self.log.line(self.now, "call-postponed", error);
-                self.wheel.schedule(self.now + CALL_RETRY, Due::Recall { watch });
+                self.wheel
+                    .schedule(self.now + CALL_RETRY, Due::Recall { watch });
             }
         }
     }
@@ -128,27 +148,36 @@
         }
     }
 
-    /// The machine lacks something for a moment: the call is gone on with a little later, and has no event
-    /// before that, which would come without a pause.
+    /// The machine lacks something for a moment: the call is gone on with a little later, and has
+    /// no event before that, which would come without a pause.
     fn retry_call(&mut self, number: u32) {
-        let Some(call) = self.calls.get_mut(number) else { return };
-        let _ = call.registration.set(&self.epoll, &call.socket, token(CALL, number), EventFlags::empty());
-        self.wheel.schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
+        let Some(call) = self.calls.get_mut(number) else {
+            return;
+        };
+        let _ = call.registration.set(
+            &self.epoll,
+            &call.socket,
+            token(CALL, number),
+            EventFlags::empty(),
+        );
+        self.wheel
+            .schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
     }
 
     fn call_failed(&mut self, why: impl std::fmt::Display) {
-        self.trace.line(self.now, format_args!("call-failed why={why}"));
+        self.trace
+            .line(self.now, format_args!("call-failed why={why}"));
         self.log.line(self.now, "discovery-failed", why);
-        // A call that a new configuration has brought forward may fail before the backoff is over: the next
-        // one comes anyway, and there would from then on be two rows of calls.
+        // A call that a new configuration has brought forward may fail before the backoff is over:
+        // the next one comes anyway, and there would from then on be two rows of calls.
         if std::mem::replace(&mut self.backing_off, true) {
             return;
         }
         if self.deployment.settings.ask_list {
             self.reqs.feed(self.now, Event::ListFailed);
         } else {
-            // The agent is this node's own: no crowd of others calls it. At once first, then ever more
-            // seldom.
+            // The agent is this node's own: no crowd of others calls it. At once first, then ever
+            // more seldom.
             let wait = match self.failed_calls {
                 0 => 0,
                 n => self.part_of_grace(4, MOST_WAIT).min(SHORTEST << n.min(8)),
@@ -159,7 +188,9 @@
     }
 
     pub(super) fn read_call(&mut self, number: u32, flags: EventFlags) {
-        let Some(call) = self.calls.get_mut(number) else { return };
+        let Some(call) = self.calls.get_mut(number) else {
+            return;
+        };
         if flags.intersects(EventFlags::OUT) && !call.outbox.is_empty() {
             // A connection that did not come up shows when it is read.
             if call.outbox.write_to(&call.socket) == Write::Later {
@@ -170,13 +201,19 @@
             }
         }
         let wanted = if call.outbox.is_empty() { READ } else { BOTH };
-        if call.registration.set(&self.epoll, &call.socket, token(CALL, number), wanted).is_err() {
-            self.wheel.schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
+        if call
+            .registration
+            .set(&self.epoll, &call.socket, token(CALL, number), wanted)
+            .is_err()
+        {
+            self.wheel
+                .schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
         }
         let news = call.read(self.now);
         let later = news.later;
         if call.outbox.is_empty() {
-            call.deadline.set(call.time_limit(), &mut self.wheel, Due::Call(number));
+            call.deadline
+                .set(call.time_limit(), &mut self.wheel, Due::Call(number));
         }
         self.take_news(number, news);
         if later {
@@ -206,17 +243,36 @@
     }
 
     pub(super) fn call_due(&mut self, number: u32) {
-        let Some(call) = self.calls.get_mut(number) else { return };
-        if call.deadline.is_due(self.now, &mut self.wheel, Due::Call(number)) {
+        let Some(call) = self.calls.get_mut(number) else {
+            return;
+        };
+        if call
+            .deadline
+            .is_due(self.now, &mut self.wheel, Due::Call(number))
+        {
             let over = Some("silent for too long".to_string());
-            self.take_news(number, News { over, ..News::default() });
+            self.take_news(
+                number,
+                News {
+                    over,
+                    ..News::default()
+                },
+            );
         }
     }
 
     pub(super) fn take_update(&mut self, update: &Update) {
-        let age = if update.rev < self.rev { Freshness::Older } else { Freshness::Current };
+        let age = if update.rev < self.rev {
+            Freshness::Older
+        } else {
+            Freshness::Current
+        };
         if age == Freshness::Older {
-            self.log.line(self.now, "older-list", format_args!("rev={} known={}", update.rev, self.rev));
+            self.log.line(
+                self.now,
+                "older-list",
+                format_args!("rev={} known={}", update.rev, self.rev),
+            );
         }
         self.take_list(update, age);
     }
@@ -226,7 +282,10 @@
         let heard = self.clock.heard(self.now, self.confirmed);
         let (event, ends) = self.fleet.apply(&heard, update, age);
         if self.trace.is_on() {
-            self.trace.line(self.now, format_args!("told rev={} all={}", update.rev, u8::from(update.all)));
+            self.trace.line(
+                self.now,
+                format_args!("told rev={} all={}", update.rev, u8::from(update.all)),
+            );
             for line in self.fleet.lines(update, self.now) {
                 self.trace.line(self.now, format_args!("member {line}"));
             }
@@ -234,12 +293,17 @@
         self.reqs.feed(self.now, event);
         for backend in ends {
             self.close_idle(backend);
-            // What is not connected yet would write its first byte at any later time; the rule on drains
-            // counts that byte. It never ran, so it can go elsewhere.
+            // What is not connected yet would write its first byte at any later time; the rule on
+            // drains counts that byte. It never ran, so it can go elsewhere.
             let connecting = |(_, fetch): &(u32, &Fetch)| {
                 fetch.backend == backend && fetch.phase == fetch::Phase::Connecting
             };
-            let numbers: Vec<u32> = self.fetches.iter().filter(connecting).map(|(n, _)| n).collect();
+            let numbers: Vec<u32> = self
+                .fetches
+                .iter()
+                .filter(connecting)
+                .map(|(n, _)| n)
+                .collect();
             for number in numbers {
                 self.end_fetch(number, Outcome::ConnectFailed);
             }
--- a/node/src/node/sessions.rs
+++ b/node/src/node/sessions.rs
@@ -23,11 +23,13 @@
 pub(super) const ACCEPT_PAUSE: Nanos = 50 * MS;
 
 impl Node {
-    /// Takes every client that waits: what the kernel has accepted counts as ours. In one turn no more than
-    /// its queue holds: a flood that never ends must not hold the loop.
+    /// Takes every client that waits: what the kernel has accepted counts as ours. In one turn no
+    /// more than its queue holds: a flood that never ends must not hold the loop.
     pub(super) fn accept(&mut self) {
         for _ in 0..=net::QUEUE {
-            let Some(listener) = self.listener.as_ref().filter(|_| self.accepting) else { return };
+            let Some(listener) = self.listener.as_ref().filter(|_| self.accepting) else {
+                return;
+            };
             // No session is given up for nobody.
             if !self.session_fits() {
                 match net::has_client(listener) {
@@ -38,10 +40,16 @@
                 }
             }
             if !self.room_for_session() {
-                self.log.line(self.now, "sessions-full", format_args!("held={}", self.sessions.len()));
+                self.log.line(
+                    self.now,
+                    "sessions-full",
+                    format_args!("held={}", self.sessions.len()),
+                );
                 return self.pause_accepting();
             }
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             match net::accept(listener) {
                 Ok(socket) => {
                     self.accept_retry = MIN_RETRY;
@@ -56,8 +64,8 @@
                     }
                     _ => {
                         self.log.line(self.now, "accept-failed", error);
-                        // Out of descriptors: an idle session gives up its own. No spin on what can't be
-                        // taken.
+                        // Out of descriptors: an idle session gives up its own. No spin on what
+                        // can't be taken.
                         if let Some((.., number)) = self.eviction_candidate() {
                             self.evict(number);
                         }
@@ -75,16 +83,23 @@
         self.wheel.schedule(self.now + ACCEPT_PAUSE, Due::Accept);
     }
 
-    /// The machine lacks something for a moment, and clients wait: soon at first, then ever more seldom.
+    /// The machine lacks something for a moment, and clients wait: soon at first, then ever more
+    /// seldom.
     fn retry_accept_later(&mut self) {
         self.set_accepting(false);
-        self.wheel.schedule(self.now + self.accept_retry, Due::Accept);
+        self.wheel
+            .schedule(self.now + self.accept_retry, Due::Accept);
         self.accept_retry = (self.accept_retry * 2).min(ACCEPT_PAUSE);
     }
 
-    /// When the accept queue was last seen empty: read so, or by a look of the loop while it is watched.
+    /// When the accept queue was last seen empty: read so, or by a look of the loop while it is
+    /// watched.
     fn queue_empty_at(&self) -> Nanos {
-        let seen = if self.queue_watched <= self.looked { self.looked } else { 0 };
+        let seen = if self.queue_watched <= self.looked {
+            self.looked
+        } else {
+            0
+        };
         self.queue_emptied.max(seen)
     }
 
@@ -100,7 +115,11 @@
         // What waits when accepting begins anew may have waited all the while.
         self.queue_watched = Nanos::MAX;
         if let Some(listener) = &self.listener {
-            let flags = if on { EventFlags::IN } else { EventFlags::empty() };
+            let flags = if on {
+                EventFlags::IN
+            } else {
+                EventFlags::empty()
+            };
             let registered = epoll::modify(&self.epoll, listener, token(LISTENER, 0), flags);
             // Without its events no client would ever be taken again.
             if on && registered.is_err() {
@@ -110,7 +129,8 @@
     }
 
     fn session_fits(&self) -> bool {
-        self.ledger.fits(Purpose::Session, self.sessions.len(), self.fetches.len())
+        self.ledger
+            .fits(Purpose::Session, self.sessions.len(), self.fetches.len())
     }
 
     /// Whether another session may be held; what can best be missed closes for it.
@@ -118,7 +138,8 @@
         if self.session_fits() {
             return true;
         }
-        // One that turns out to have asked is spared no more: each turn finds another, or closes one.
+        // One that turns out to have asked is spared no more: each turn finds another, or closes
+        // one.
         for _ in 0..=self.sessions.len() {
             let spare = self.eviction_candidate();
             let hardly_missed = spare.is_some_and(|(class, ..)| class <= HARDLY_MISSED);
@@ -128,7 +149,9 @@
             {
                 return self.fetches.remove(idle).is_some();
             }
-            let Some((.., number)) = spare else { return false };
+            let Some((.., number)) = spare else {
+                return false;
+            };
             if self.evict(number) {
                 return true;
             }
@@ -136,16 +159,18 @@
         false
     }
 
-    /// Closes a session that can be spared, unless a request has come on it that nobody has read: to its
-    /// client that close would be one without an answer. Tells whether it has closed.
+    /// Closes a session that can be spared, unless a request has come on it that nobody has read:
+    /// to its client that close would be one without an answer. Tells whether it has closed.
     pub(super) fn evict(&mut self, number: u32) -> bool {
         self.close_if_allowed(number, CloseReason::Evicted)
     }
 
-    /// Closes a session for a reason of the node's own, if the rules allow it; else takes up what forbids it.
-    /// Tells whether it has closed.
+    /// Closes a session for a reason of the node's own, if the rules allow it; else takes up what
+    /// forbids it. Tells whether it has closed.
     pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
-        let Some(session) = self.sessions.get(number) else { return false };
+        let Some(session) = self.sessions.get(number) else {
+            return false;
+        };
         match rules::may_close(session.close_facts()) {
             Ok(permit) => self.close_session(number, permit, reason),
             Err(denial) => {
@@ -159,23 +184,31 @@
     /// The session that can be spared most: its class, since when, its number.
     pub(super) fn eviction_candidate(&self) -> Option<(u8, Nanos, u32)> {
         let spare = |(number, session): (u32, &Session)| {
-            session.eviction_rank(self.now).map(|(class, since)| (class, since, number))
+            session
+                .eviction_rank(self.now)
+                .map(|(class, since)| (class, since, number))
         };
         self.sessions.iter().filter_map(spare).min()
     }
 
-    /// Clients may hold only so many connections for requests here. Guards against some that have asked once
-    /// and keep theirs for good: others then can't connect, of which nothing shows here.
+    /// Clients may hold only so many connections for requests here. Guards against some that have
+    /// asked once and keep theirs for good: others then can't connect, of which nothing shows here.
     pub(super) fn trim_sessions(&mut self) {
         self.trimming = false;
-        let asked = self.sessions.iter().filter(|(_, session)| session.has_asked()).count();
+        let asked = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.has_asked())
+            .count();
         let over = asked.saturating_sub(self.ledger.most_active_sessions());
         let mut spare: Vec<(u8, Nanos, u32)> = self
             .sessions
             .iter()
             .filter(|(_, session)| session.has_asked())
             .filter_map(|(number, session)| {
-                session.eviction_rank(self.now).map(|(class, since)| (class, since, number))
+                session
+                    .eviction_rank(self.now)
+                    .map(|(class, since)| (class, since, number))
             })
             .filter(|(class, ..)| *class <= HARDLY_MISSED)
             .collect();
@@ -190,13 +223,17 @@
     fn watch_sessions(&mut self) {
         if !self.trimming && self.sessions.len() > self.ledger.most_active_sessions() {
             self.trimming = true;
-            self.wheel.schedule(self.now + client::TRIM, Due::TrimSessions);
+            self.wheel
+                .schedule(self.now + client::TRIM, Due::TrimSessions);
         }
     }
 
     pub(super) fn open_session(&mut self, socket: OwnedFd) {
         let queued = self.queue_empty_at();
-        let Some(number) = self.sessions.insert(Session::new(socket, self.now, queued, &self.budget)) else {
+        let Some(number) =
+            self.sessions
+                .insert(Session::new(socket, self.now, queued, &self.budget))
+        else {
             return;
         };
         self.watch_sessions();
@@ -204,13 +241,26 @@
     }
 
     /// Closes a session; a req that it waits for has lost its client.
-    pub(super) fn close_session(&mut self, number: u32, _permit: ClosePermit, reason: CloseReason) -> bool {
-        let Some(mut session) = self.sessions.remove(number) else { return false };
+    pub(super) fn close_session(
+        &mut self,
+        number: u32,
+        _permit: ClosePermit,
+        reason: CloseReason,
+    ) -> bool {
+        let Some(mut session) = self.sessions.remove(number) else {
+            return false;
+        };
         self.counters.closed(reason);
-        self.trace.line(self.now, format_args!("closed session={number} why={}", reason.name()));
+        self.trace.line(
+            self.now,
+            format_args!("closed session={number} why={}", reason.name()),
+        );
         let of_client = matches!(reason, CloseReason::ClientGone | CloseReason::Broken);
         if session.req.is_some() && !of_client {
-            self.violated(Violation::ClosedUnanswered, format_args!("session={number}"));
+            self.violated(
+                Violation::ClosedUnanswered,
+                format_args!("session={number}"),
+            );
         }
         if let Some(req) = session.req {
             self.reqs.gone(self.now, req);
@@ -221,8 +271,13 @@
     }
 
     pub(super) fn session_due(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
-        if !session.deadline.is_due(self.now, &mut self.wheel, Due::Session(number)) {
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
+        if !session
+            .deadline
+            .is_due(self.now, &mut self.wheel, Due::Session(number))
+        {
             return;
         }
         if session.phase == client::Phase::Open && session.outbox.is_empty() && !session.is_idle() {
@@ -238,7 +293,9 @@
     }
 
     pub(super) fn session_ready(&mut self, number: u32, flags: EventFlags) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         session.left |= flags.intersects(LEFT);
         // With a full inbox the end can't be read, and would be told again without a pause.
         if session.left && session.is_input_full() {
@@ -248,10 +305,12 @@
         }
     }
 
-    /// Reads a session and takes one message. The next one, if it has come behind it, gets its turn a tick
-    /// later: a client that sends without end must not hold the loop.
+    /// Reads a session and takes one message. The next one, if it has come behind it, gets its turn
+    /// a tick later: a client that sends without end must not hold the loop.
     pub(super) fn read_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         if session.flush(self.now) == Write::Broken {
             return self.drop_session(number, CloseReason::Broken);
         }
@@ -262,24 +321,37 @@
             Intake::Broken => return self.drop_session(number, CloseReason::Broken),
             Intake::Bad(bad) => {
                 let status = client::status_of(bad);
-                self.log.line(self.now, "bad-request", format_args!("status={status} why={bad:?}"));
+                self.log.line(
+                    self.now,
+                    "bad-request",
+                    format_args!("status={status} why={bad:?}"),
+                );
                 self.reply(number, status, &[], b"the request can't be read\n", true);
             }
             Intake::Message(head, body, began) => {
                 let waited = self.now.saturating_sub(began);
                 let left = session.left;
                 match client::route(head, body, &self.deployment, waited) {
-                    // The client may have gone, so it must not run. It may also have ended its sending alone,
-                    // and then it waits for an answer.
+                    // The client may have gone, so it must not run. It may also have ended its
+                    // sending alone, and then it waits for an answer.
                     Route::Request(..) if left => {
-                        self.trace.line(self.now, format_args!("left session={number}"));
+                        self.trace
+                            .line(self.now, format_args!("left session={number}"));
                         self.count_denial(Denial::ClientGone, format_args!("session={number}"));
                         self.reply(number, 503, &[], LEFT_UNTRIED, true);
                     }
                     Route::Health => self.reply_health(number),
                     Route::Wrong(status, why) => {
-                        self.log.line(self.now, "bad-request", format_args!("status={status} why={why}"));
-                        let allow: &[(&str, &str)] = if status == 405 { &[("allow", why)] } else { &[] };
+                        self.log.line(
+                            self.now,
+                            "bad-request",
+                            format_args!("status={status} why={why}"),
+                        );
+                        let allow: &[(&str, &str)] = if status == 405 {
+                            &[("allow", why)]
+                        } else {
+                            &[]
+                        };
                         self.reply(number, status, allow, format!("{why}\n").as_bytes(), false);
                     }
                     Route::Request(ask, call) => self.open_req(number, ask, call),
@@ -289,10 +361,12 @@
         self.flush_session(number);
     }
 
-    /// The client has ended its sending. A close looks the same, so its request is not worked on any more;
-    /// but a client that only ended its sending waits for an answer, and gets one.
+    /// The client has ended its sending. A close looks the same, so its request is not worked on
+    /// any more; but a client that only ended its sending waits for an answer, and gets one.
     fn client_left(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         session.left = true;
         if let Some(req) = session.req {
             // What is not written yet never runs.
@@ -300,7 +374,11 @@
             let untried = self.reqs.may_refuse(req, unwritten);
             self.reqs.gone(self.now, req);
             self.call_off(req);
-            let (status, body) = if untried { (503, LEFT_UNTRIED) } else { (502, LEFT_TRIED) };
+            let (status, body) = if untried {
+                (503, LEFT_UNTRIED)
+            } else {
+                (502, LEFT_TRIED)
+            };
             self.reply(number, status, &[], body, true);
             return self.flush_session(number);
         }
@@ -345,8 +423,15 @@
                 return self.reply(number, 503, &[], b"too many requests are held\n", false);
             }
             Err(OpenError::DuplicateId) => {
-                self.log.line(self.now, "bad-request", "status=409 why=its X-Txn is open");
-                return self.reply(number, 409, &[], b"a request with this X-Txn is open\n", false);
+                self.log
+                    .line(self.now, "bad-request", "status=409 why=its X-Txn is open");
+                return self.reply(
+                    number,
+                    409,
+                    &[],
+                    b"a request with this X-Txn is open\n",
+                    false,
+                );
             }
         };
         if let Some(session) = self.sessions.get_mut(number) {
@@ -356,7 +441,8 @@
         if self.trace.is_on()
             && let Some(call) = self.reqs.cargo(req)
         {
-            self.trace.line(self.now, format_args!("took id={req} key={}", call.key()));
+            self.trace
+                .line(self.now, format_args!("took id={req} key={}", call.key()));
         }
         self.wheel.schedule(last_resort, Due::Request(req));
     }
@@ -389,26 +475,42 @@
         self.answered.push_back(number);
     }
 
-    /// The machine lacks something for a moment: the session is gone on with a little later, and has no event
-    /// before that, which would come without a pause.
+    /// The machine lacks something for a moment: the session is gone on with a little later, and
+    /// has no event before that, which would come without a pause.
     fn retry_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         // Where this fails too, events come early and find the same.
-        let _ = session.watch(&self.epoll, token(SESSION, number), EventFlags::empty(), self.now);
-        session.deadline.set(session.time_limit(), &mut self.wheel, Due::Session(number));
-        self.wheel.schedule(self.now + MIN_RETRY, Due::NextMessage(number));
+        let _ = session.watch(
+            &self.epoll,
+            token(SESSION, number),
+            EventFlags::empty(),
+            self.now,
+        );
+        session
+            .deadline
+            .set(session.time_limit(), &mut self.wheel, Due::Session(number));
+        self.wheel
+            .schedule(self.now + MIN_RETRY, Due::NextMessage(number));
     }
 
     /// Writes what there is to write, and looks for the right events and deadline.
     pub(super) fn flush_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         let written = session.flush(self.now);
         if written == Write::Broken {
             return self.drop_session(number, CloseReason::Broken);
         }
         if session.left && session.outbox.is_empty() && session.req.is_none() {
             let answered = session.phase == client::Phase::Lingering;
-            let reason = if answered { CloseReason::Answered } else { CloseReason::ClientGone };
+            let reason = if answered {
+                CloseReason::Answered
+            } else {
+                CloseReason::ClientGone
+            };
             return self.drop_session(number, reason);
         }
         let wanted = match (session.outbox.is_empty(), session.is_input_full()) {
@@ -427,9 +529,12 @@
             if errno::of_register(error) != ErrorClass::RetryLater {
                 return self.drop_session(number, CloseReason::Broken);
             }
-            self.wheel.schedule(self.now + MIN_RETRY, Due::NextMessage(number));
+            self.wheel
+                .schedule(self.now + MIN_RETRY, Due::NextMessage(number));
         }
-        session.deadline.set(session.time_limit(), &mut self.wheel, Due::Session(number));
+        session
+            .deadline
+            .set(session.time_limit(), &mut self.wheel, Due::Session(number));
         if session.has_next() {
             self.wheel.schedule(self.now, Due::NextMessage(number));
         }
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -1,12 +1,12 @@
-//! The life of a req, and the bridge to the decisions: what happens to a req becomes an `Event`, what is
-//! decided becomes an `Command` to whoever holds the connections. Nothing here knows how a req or its answer
-//! looks on a wire: `C`, what is carried to the backend, belongs to the codec.
+//! The life of a req, and the bridge to the decisions: what happens to a req becomes an `Event`,
+//! what is decided becomes an `Command` to whoever holds the connections. Nothing here knows how a
+//! req or its answer looks on a wire: `C`, what is carried to the backend, belongs to the codec.
 
 use std::collections::{HashSet, VecDeque};
 
 use kitefork::{
-    Action, BackendId, Balancer, ClassId, Effect, Event, Nanos, Outcome, Request, RequestId, Settings,
-    SettingsError, TenantId, TimerId,
+    Action, BackendId, Balancer, ClassId, Effect, Event, Nanos, Outcome, Request, RequestId,
+    Settings, SettingsError, TenantId, TimerId,
 };
 
 use crate::log::Trace;
@@ -49,7 +49,8 @@
 /// What is to be done on the connections.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Start a fetch. It must be abandoned at `until`, and be written whole by `write_by` or not at all.
+    /// Start a fetch. It must be abandoned at `until`, and be written whole by `write_by` or not at
+    /// all.
     Fetch {
         req: u32,
         attempt: u8,
@@ -102,7 +103,9 @@
     }
 
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+        self.attempts
+            .iter()
+            .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
     }
 
     /// Whether "trying again is harmless" is true.
@@ -123,9 +126,11 @@
     /// Until when another attempt may reach a backend.
     fn write_by(&self) -> Nanos {
         match self.effect {
-            Effect::Keyed { window, .. } => {
-                self.may_have_run().map(|a| a.sent.saturating_add(window)).min().unwrap_or(Nanos::MAX)
-            }
+            Effect::Keyed { window, .. } => self
+                .may_have_run()
+                .map(|a| a.sent.saturating_add(window))
+                .min()
+                .unwrap_or(Nanos::MAX),
             _ => Nanos::MAX,
         }
     }
@@ -171,8 +176,9 @@
         })
     }
 
-    /// Takes up a req; gives its number and the time of its last resort. One of the same name as another that
-    /// is open or has an attempt out is not: its attempt would be a second copy of the other's.
+    /// Takes up a req; gives its number and the time of its last resort. One of the same name as
+    /// another that is open or has an attempt out is not: its attempt would be a second copy of the
+    /// other's.
     pub fn open(
         &mut self,
         now: Nanos,
@@ -194,7 +200,14 @@
             last_outcome: None,
         };
         let id = self.table.insert(req).ok_or(OpenError::TableFull)?;
-        self.trace.line(now, format_args!("req id={id} txn={} patience={}", ask.txn, ask.patience / 1_000));
+        self.trace.line(
+            now,
+            format_args!(
+                "req id={id} txn={} patience={}",
+                ask.txn,
+                ask.patience / 1_000
+            ),
+        );
         self.names.insert(ask.txn);
         let request = Request {
             id: RequestId(id),
@@ -208,7 +221,10 @@
             write: !matches!(self.effects[usize::from(ask.class)], Effect::Safe),
         };
         self.feed(now, Event::Request(request));
-        Ok((id, now.saturating_add(ask.patience).saturating_add(self.slack)))
+        Ok((
+            id,
+            now.saturating_add(ask.patience).saturating_add(self.slack),
+        ))
     }
 
     pub fn cargo(&self, id: u32) -> Option<&C> {
@@ -234,7 +250,10 @@
     /// req's first and the client still waits.
     pub fn ended(&mut self, now: Nanos, id: u32, attempt: u8, outcome: Outcome) -> Option<u32> {
         let req = self.table.get_mut(id)?;
-        let ended = req.attempts.get_mut(usize::from(attempt)).filter(|a| a.outcome.is_none())?;
+        let ended = req
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.outcome.is_none())?;
         ended.outcome = Some(outcome);
         let latency = now.saturating_sub(ended.sent);
         req.last_outcome = Some(outcome);
@@ -242,23 +261,42 @@
         let served = (last && !req.over).then_some(req.owner);
         req.over |= last;
         if served.is_some() {
-            self.violations.extend(rules::check_answer(now, req.deadline).err());
+            self.violations
+                .extend(rules::check_answer(now, req.deadline).err());
         }
         let finished = req.over;
         self.trace.line(
             now,
-            format_args!("ended id={id} try={attempt} outcome={outcome:?} us={}", latency / 1_000),
+            format_args!(
+                "ended id={id} try={attempt} outcome={outcome:?} us={}",
+                latency / 1_000
+            ),
         );
         let request = RequestId(id);
-        self.feed(now, Event::Outcome { request, attempt, latency, outcome, finished, load: Vec::new() });
+        self.feed(
+            now,
+            Event::Outcome {
+                request,
+                attempt,
+                latency,
+                outcome,
+                finished,
+                load: Vec::new(),
+            },
+        );
         self.forget(id);
         served
     }
 
-    /// Whether a refusal of it would be true, if what is out counts as never run where it is `unwritten`.
+    /// Whether a refusal of it would be true, if what is out counts as never run where it is
+    /// `unwritten`.
     pub fn may_refuse(&self, id: u32, unwritten: bool) -> bool {
-        let Some(req) = self.table.get(id) else { return false };
-        let ran = req.may_have_run().any(|attempt| attempt.outcome.is_some() || !unwritten);
+        let Some(req) = self.table.get(id) else {
+            return false;
+        };
+        let ran = req
+            .may_have_run()
+            .any(|attempt| attempt.outcome.is_some() || !unwritten);
         rules::may_refuse(req.effect, ran).is_ok()
     }
 
@@ -267,19 +305,24 @@
         if let Some(req) = self.table.get_mut(id).filter(|req| !req.over) {
             req.over = true;
             self.trace.line(now, format_args!("gone id={id}"));
-            self.feed(now, Event::ClientGone { request: RequestId(id) });
+            self.feed(
+                now,
+                Event::ClientGone {
+                    request: RequestId(id),
+                },
+            );
             self.forget(id);
         }
     }
 
-    /// The last resort: a req without an answer a little after its client's patience fails here, whatever the
-    /// decisions think. Guards against a req that is forgotten anywhere.
+    /// The last resort: a req without an answer a little after its client's patience fails here,
+    /// whatever the decisions think. Guards against a req that is forgotten anywhere.
     pub fn expire(&mut self, now: Nanos, id: u32) -> bool {
         self.force_reply(now, id, LocalReply::TimedOut)
     }
 
-    /// The node ends before the req has its answer. What never ran is refused, so that the client may go to
-    /// another node at once; what may have run has failed.
+    /// The node ends before the req has its answer. What never ran is refused, so that the client
+    /// may go to another node at once; what may have run has failed.
     pub fn fail_on_shutdown(&mut self, now: Nanos, id: u32) {
         self.force_reply(now, id, LocalReply::Refused { retry_after: 0 });
     }
@@ -289,7 +332,12 @@
         let waits = self.waits(id);
         if waits {
             self.answer(now, id, answer);
-            self.feed(now, Event::ClientGone { request: RequestId(id) });
+            self.feed(
+                now,
+                Event::ClientGone {
+                    request: RequestId(id),
+                },
+            );
             self.forget(id);
         }
         waits
@@ -297,7 +345,11 @@
 
     /// Every req that has no answer yet.
     pub fn unanswered(&self) -> Vec<u32> {
-        self.table.iter().filter(|(_, req)| !req.over).map(|(id, _)| id).collect()
+        self.table
+            .iter()
+            .filter(|(_, req)| !req.over)
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// Tells the decisions what happened and turns what they decide into commands.
@@ -307,10 +359,17 @@
         let mut moot = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, until } => {
+                Action::Send {
+                    request,
+                    backend,
+                    until,
+                } => {
                     moot.extend(self.send(now, request.0, backend, until));
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     self.answer(now, request.0, LocalReply::Refused { retry_after });
                     self.forget(request.0);
                 }
@@ -319,17 +378,26 @@
                     self.forget(request.0);
                 }
                 Action::Cancel { request, attempt } => {
-                    self.trace.line(now, format_args!("cancel id={} try={attempt}", request.0));
-                    self.commands.push_back(Command::Stop { req: request.0, attempt });
+                    self.trace
+                        .line(now, format_args!("cancel id={} try={attempt}", request.0));
+                    self.commands.push_back(Command::Stop {
+                        req: request.0,
+                        attempt,
+                    });
+                }
+                Action::SetTimer { at, timer } => {
+                    self.commands.push_back(Command::Timer { at, timer })
                 }
-                Action::SetTimer { at, timer } => self.commands.push_back(Command::Timer { at, timer }),
                 Action::Probe { backend } => self.commands.push_back(Command::Probe(backend)),
-                Action::CloseIdle { backend } => self.commands.push_back(Command::CloseIdle(backend)),
+                Action::CloseIdle { backend } => {
+                    self.commands.push_back(Command::CloseIdle(backend))
+                }
                 Action::Subscribe(on) => self.commands.push_back(Command::Watch(on)),
                 Action::FetchList => self.commands.push_back(Command::FetchList),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
                 Action::Tell { .. } => {
-                    self.commands.push_back(Command::Log("a message to peers is not carried".into()));
+                    self.commands
+                        .push_back(Command::Log("a message to peers is not carried".into()));
                 }
             }
         }
@@ -339,12 +407,16 @@
         }
     }
 
-    /// Starts an attempt, or names it when it must not go out: the rules hold here too, should a decision
-    /// ever be wrong.
+    /// Starts an attempt, or names it when it must not go out: the rules hold here too, should a
+    /// decision ever be wrong.
     fn send(&mut self, now: Nanos, id: u32, backend: BackendId, until: Nanos) -> Option<(u32, u8)> {
         let req = self.table.get_mut(id)?;
         let attempt = u8::try_from(req.attempts.len()).ok()?;
-        let until = if until == 0 { req.deadline } else { until.min(req.deadline) };
+        let until = if until == 0 {
+            req.deadline
+        } else {
+            until.min(req.deadline)
+        };
         let facts = StartFacts {
             answered: req.over,
             deadline: req.deadline,
@@ -353,40 +425,65 @@
         };
         let allowed = rules::may_start(now, &facts);
         let write_by = req.write_by();
-        req.attempts.push(Attempt { sent: now, outcome: None });
+        req.attempts.push(Attempt {
+            sent: now,
+            outcome: None,
+        });
         self.trace.line(
             now,
-            format_args!("send id={id} try={attempt} b={} barred={}", backend.0, u8::from(allowed.is_err())),
+            format_args!(
+                "send id={id} try={attempt} b={} barred={}",
+                backend.0,
+                u8::from(allowed.is_err())
+            ),
         );
         if let Err(denial) = allowed {
             self.denials.push(denial);
             return Some((id, attempt));
         }
-        self.commands.push_back(Command::Fetch { req: id, attempt, backend, until, write_by });
+        self.commands.push_back(Command::Fetch {
+            req: id,
+            attempt,
+            backend,
+            until,
+            write_by,
+        });
         None
     }
 
-    /// Gives the final answer, once. A refusal promises that trying again is harmless; where that is not so
-    /// it becomes a failure.
+    /// Gives the final answer, once. A refusal promises that trying again is harmless; where that
+    /// is not so it becomes a failure.
     fn answer(&mut self, now: Nanos, id: u32, answer: LocalReply) {
-        let Some(req) = self.table.get_mut(id).filter(|req| !req.over) else { return };
+        let Some(req) = self.table.get_mut(id).filter(|req| !req.over) else {
+            return;
+        };
         req.over = true;
-        self.violations.extend(rules::check_answer(now, req.deadline).err());
+        self.violations
+            .extend(rules::check_answer(now, req.deadline).err());
         let answer = match answer {
             LocalReply::Refused { .. } if !req.refusable() => LocalReply::Failed,
             other => other,
         };
         let answer = match answer {
-            LocalReply::Failed if req.last_outcome == Some(Outcome::Timeout) => LocalReply::TimedOut,
+            LocalReply::Failed if req.last_outcome == Some(Outcome::Timeout) => {
+                LocalReply::TimedOut
+            }
             other => other,
         };
-        self.trace.line(now, format_args!("answer id={id} what={answer:?}"));
-        self.commands.push_back(Command::Answer { owner: req.owner, answer });
+        self.trace
+            .line(now, format_args!("answer id={id} what={answer:?}"));
+        self.commands.push_back(Command::Answer {
+            owner: req.owner,
+            answer,
+        });
     }
 
     /// Ends a req that is over and has nothing out.
     fn forget(&mut self, id: u32) {
-        if self.table.get(id).is_some_and(|req| req.over && req.out() == 0)
+        if self
+            .table
+            .get(id)
+            .is_some_and(|req| req.over && req.out() == 0)
             && let Some(req) = self.table.remove(id)
         {
             self.names.remove(&req.txn);
--- a/node/src/request_table_tests.rs
+++ b/node/src/request_table_tests.rs
@@ -7,12 +7,32 @@
 const NOW: Nanos = 100 * SECOND;
 
 fn reqs(effect: Effect) -> RequestTable<()> {
-    let class = Class { aim: SECOND, deadline: 5 * SECOND, worth: 1.0, effect, ..Class::default() };
-    let settings = Settings { classes: vec![class], ..Settings::default() };
+    let class = Class {
+        aim: SECOND,
+        deadline: 5 * SECOND,
+        worth: 1.0,
+        effect,
+        ..Class::default()
+    };
+    let settings = Settings {
+        classes: vec![class],
+        ..Settings::default()
+    };
     let mut reqs = RequestTable::new(settings, 1, 4, NOW).unwrap();
     let state = BackendState::Ready;
-    let backend = |id| Backend { id: BackendId(id), cell: CellId(0), state, ..Backend::default() };
-    reqs.feed(NOW, Event::List { kind: ListKind::Full, backends: vec![backend(1), backend(2)] });
+    let backend = |id| Backend {
+        id: BackendId(id),
+        cell: CellId(0),
+        state,
+        ..Backend::default()
+    };
+    reqs.feed(
+        NOW,
+        Event::List {
+            kind: ListKind::Full,
+            backends: vec![backend(1), backend(2)],
+        },
+    );
     reqs
 }
 
@@ -55,7 +75,10 @@
     let id = open(&mut reqs);
     assert_eq!(reqs.open(NOW, 78, ask(), ()), Err(OpenError::DuplicateId));
     assert!(reqs.expire(NOW + SECOND, id));
-    assert_eq!(reqs.open(NOW + SECOND, 78, ask(), ()), Err(OpenError::DuplicateId));
+    assert_eq!(
+        reqs.open(NOW + SECOND, 78, ask(), ()),
+        Err(OpenError::DuplicateId)
+    );
     reqs.ended(NOW + SECOND, id, 0, Outcome::Cancelled);
     assert!(reqs.open(NOW + SECOND, 78, ask(), ()).is_ok());
 }
@@ -65,7 +88,10 @@
     let mut reqs = reqs(Effect::Safe);
     let id = open(&mut reqs);
     assert!(reqs.expire(NOW + SECOND, id));
-    assert!(reqs.commands.contains(&Command::Stop { req: id, attempt: 0 }));
+    assert!(reqs.commands.contains(&Command::Stop {
+        req: id,
+        attempt: 0
+    }));
     assert_eq!(answers(&mut reqs), [LocalReply::TimedOut]);
     assert!(reqs.cargo(id).is_some());
     assert_eq!(reqs.ended(NOW + SECOND, id, 0, Outcome::Cancelled), None);
@@ -74,10 +100,17 @@
 
 #[test]
 fn a_node_that_ends_refuses_what_never_ran_and_fails_what_may_have() {
-    let keyed = Effect::Keyed { group: Group::Cell, window: SECOND };
-    for (outcome, wanted) in
-        [(Some(Outcome::ConnectFailed), LocalReply::Refused { retry_after: 0 }), (None, LocalReply::Failed)]
-    {
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: SECOND,
+    };
+    for (outcome, wanted) in [
+        (
+            Some(Outcome::ConnectFailed),
+            LocalReply::Refused { retry_after: 0 },
+        ),
+        (None, LocalReply::Failed),
+    ] {
         let mut reqs = reqs(keyed);
         let id = open(&mut reqs);
         reqs.table.get_mut(id).unwrap().attempts[0].outcome = outcome;
@@ -91,10 +124,24 @@
     for (effect, outcome, wanted) in [
         (Effect::Unsafe, Outcome::Reset, LocalReply::Failed),
         (Effect::Unsafe, Outcome::Timeout, LocalReply::TimedOut),
-        (Effect::Unsafe, Outcome::Full, LocalReply::Refused { retry_after: 0 }),
-        (Effect::Keyed { group: Group::Cell, window: 1 }, Outcome::Error, LocalReply::Failed),
         (
-            Effect::Keyed { group: Group::All, window: 1 },
+            Effect::Unsafe,
+            Outcome::Full,
+            LocalReply::Refused { retry_after: 0 },
+        ),
+        (
+            Effect::Keyed {
+                group: Group::Cell,
+                window: 1,
+            },
+            Outcome::Error,
+            LocalReply::Failed,
+        ),
+        (
+            Effect::Keyed {
+                group: Group::All,
+                window: 1,
+            },
             Outcome::Error,
             LocalReply::Refused { retry_after: 0 },
         ),
@@ -111,14 +158,23 @@
 
 #[test]
 fn a_repeat_must_be_written_within_the_window_of_the_attempt_that_may_have_run() {
-    let mut reqs = reqs(Effect::Keyed { group: Group::Cell, window: 300 * MS });
+    let mut reqs = reqs(Effect::Keyed {
+        group: Group::Cell,
+        window: 300 * MS,
+    });
     let id = open(&mut reqs);
     assert_eq!(reqs.table.get(id).unwrap().write_by(), NOW + 300 * MS);
     reqs.table.get_mut(id).unwrap().attempts[0].outcome = Some(Outcome::Reset);
-    assert_eq!(reqs.send(NOW + 301 * MS, id, BackendId(2), 0), Some((id, 1)));
+    assert_eq!(
+        reqs.send(NOW + 301 * MS, id, BackendId(2), 0),
+        Some((id, 1))
+    );
     let req = reqs.table.get_mut(id).unwrap();
     req.attempts[1].outcome = Some(Outcome::Moot);
     assert_eq!(reqs.send(NOW + 299 * MS, id, BackendId(2), 0), None);
     // Never two at once.
-    assert_eq!(reqs.send(NOW + 299 * MS, id, BackendId(2), 0), Some((id, 3)));
+    assert_eq!(
+        reqs.send(NOW + 299 * MS, id, BackendId(2), 0),
+        Some((id, 3))
+    );
 }
--- a/node/src/ring_buffer.rs
+++ b/node/src/ring_buffer.rs
@@ -1,5 +1,5 @@
-//! One ring buffer for each direction of a connection: starts small, grows to its cap, and gives its memory
-//! back when it has run empty.
+//! One ring buffer for each direction of a connection: starts small, grows to its cap, and gives
+//! its memory back when it has run empty.
 
 use std::cell::Cell;
 use std::ops::Deref;
@@ -12,8 +12,9 @@
 
 const START: usize = 2 * 1024;
 
-/// Bytes that all buffers together may hold. Buffers count themselves; bodies that come are turned down while
-/// it is spent. Guards against memory that grows with connections times the worst that each can hold.
+/// Bytes that all buffers together may hold. Buffers count themselves; bodies that come are turned
+/// down while it is spent. Guards against memory that grows with connections times the worst that
+/// each can hold.
 #[derive(Clone)]
 pub struct Budget(Rc<Cell<isize>>);
 
@@ -26,7 +27,9 @@
 
 impl Budget {
     pub fn new(bytes: usize) -> Budget {
-        Budget(Rc::new(Cell::new(bytes.min(isize::MAX as usize / 2) as isize)))
+        Budget(Rc::new(Cell::new(
+            bytes.min(isize::MAX as usize / 2) as isize
+        )))
     }
 
     pub fn is_spent(&self) -> bool {
@@ -47,7 +50,10 @@
 
 impl Body {
     pub fn on(budget: &Budget) -> Body {
-        Body { bytes: Vec::new(), budget: budget.clone() }
+        Body {
+            bytes: Vec::new(),
+            budget: budget.clone(),
+        }
     }
 
     /// Appends, unless the budget is spent.
@@ -69,7 +75,10 @@
 
     /// All of it, which leaves it empty.
     pub fn take(&mut self) -> Body {
-        Body { bytes: std::mem::take(&mut self.bytes), budget: self.budget.clone() }
+        Body {
+            bytes: std::mem::take(&mut self.bytes),
+            budget: self.budget.clone(),
+        }
     }
 }
 
@@ -124,11 +133,17 @@
 
 impl RingBuffer {
     pub fn new(cap: usize) -> RingBuffer {
-        RingBuffer { budget: Budget::default(), store: Vec::new(), head: 0, len: 0, cap }
+        RingBuffer {
+            budget: Budget::default(),
+            store: Vec::new(),
+            head: 0,
+            len: 0,
+            cap,
+        }
     }
 
-    /// Counted on a budget from here on. It is never turned down: what it holds is at most what has come in,
-    /// or is made of it.
+    /// Counted on a budget from here on. It is never turned down: what it holds is at most what has
+    /// come in, or is made of it.
     pub fn on(mut self, budget: &Budget) -> RingBuffer {
         self.budget = budget.clone();
         self
@@ -172,7 +187,11 @@
 
     pub fn consume(&mut self, count: usize) {
         self.len -= count;
-        self.head = if self.len == 0 { 0 } else { (self.head + count) % self.store.len() };
+        self.head = if self.len == 0 {
+            0
+        } else {
+            (self.head + count) % self.store.len()
+        };
         if self.len == 0 && self.store.len() > START {
             self.budget.change(self.store.len(), 0);
             self.store = Vec::new();
@@ -186,7 +205,11 @@
             return false;
         }
         let size = self.store.len();
-        let start = if size == 0 { 0 } else { (self.head + self.len) % size };
+        let start = if size == 0 {
+            0
+        } else {
+            (self.head + self.len) % size
+        };
         let first = bytes.len().min(size - start);
         self.store[start..start + first].copy_from_slice(&bytes[..first]);
         self.store[..bytes.len() - first].copy_from_slice(&bytes[first..]);
@@ -196,14 +219,17 @@
 
     /// One read from a socket.
     pub fn read_from(&mut self, socket: impl AsFd) -> Read {
-        if self.len == self.store.len() && !self.grow((self.len.max(START)).min(self.cap - self.len).max(1)) {
+        if self.len == self.store.len()
+            && !self.grow((self.len.max(START)).min(self.cap - self.len).max(1))
+        {
             return Read::Full;
         }
         let size = self.store.len();
         let start = (self.head + self.len) % size;
         let end = if start < self.head { self.head } else { size };
         loop {
-            return match rustix::net::recv(&socket, &mut self.store[start..end], RecvFlags::empty()) {
+            return match rustix::net::recv(&socket, &mut self.store[start..end], RecvFlags::empty())
+            {
                 Ok((0, _)) => Read::End,
                 Ok((count, _)) => {
                     self.len += count;
--- a/node/src/ring_buffer_tests.rs
+++ b/node/src/ring_buffer_tests.rs
@@ -37,13 +37,22 @@
     assert!(ring.push(b"0123456789"));
     assert_eq!(ring.write_to(&near), Write::Done);
     let mut into = RingBuffer::new(4);
-    assert_eq!((into.read_from(&far), into.bytes()), (Read::Some, &b"0123"[..]));
+    assert_eq!(
+        (into.read_from(&far), into.bytes()),
+        (Read::Some, &b"0123"[..])
+    );
     assert_eq!(into.read_from(&far), Read::Full);
     into.consume(2);
-    assert_eq!((into.read_from(&far), into.bytes()), (Read::Some, &b"2345"[..]));
+    assert_eq!(
+        (into.read_from(&far), into.bytes()),
+        (Read::Some, &b"2345"[..])
+    );
     into.consume(4);
     drop(near);
-    assert_eq!((into.read_from(&far), into.bytes()), (Read::Some, &b"6789"[..]));
+    assert_eq!(
+        (into.read_from(&far), into.bytes()),
+        (Read::Some, &b"6789"[..])
+    );
     into.consume(4);
     assert_eq!(into.read_from(&far), Read::End);
 }
--- a/node/src/rules.rs
+++ b/node/src/rules.rs
@@ -1,9 +1,10 @@
-//! The rules of the protocol, decided in one place: whether an attempt may start, whether its first byte may
-//! be written, whether a request may be refused, and whether an idle client connection may be closed, now.
+//! The rules of the protocol, decided in one place: whether an attempt may start, whether its first
+//! byte may be written, whether a request may be refused, and whether an idle client connection may
+//! be closed, now.
 //!
-//! Pure: facts come in, a permit or a [`Denial`] comes out; no sockets, no clock. A permit can only be made
-//! here and is consumed by the act that it allows, so an act without one does not compile. What was done is
-//! checked against the same rules afterwards; see [`Violation`].
+//! Pure: facts come in, a permit or a [`Denial`] comes out; no sockets, no clock. A permit can only
+//! be made here and is consumed by the act that it allows, so an act without one does not compile.
+//! What was done is checked against the same rules afterwards; see [`Violation`].
 
 use std::fmt;
 
@@ -11,8 +12,8 @@
 
 use crate::clock::MS;
 
-/// Shortest time with a backend that is worth an attempt: less is told as 0 ms, and such an attempt is over
-/// when it comes.
+/// Shortest time with a backend that is worth an attempt: less is told as 0 ms, and such an attempt
+/// is over when it comes.
 const LEAST_TIME: Nanos = MS;
 
 /// Why something is not allowed now.
@@ -140,9 +141,14 @@
         self.time_left / MS
     }
 
-    /// Whether what was written under this permit was written in time; `now` is read after the write.
+    /// Whether what was written under this permit was written in time; `now` is read after the
+    /// write.
     pub fn check(self, now: Nanos) -> Result<(), Violation> {
-        if now > self.write_by.saturating_add(HELD_UP) { Err(Violation::WrittenLate) } else { Ok(()) }
+        if now > self.write_by.saturating_add(HELD_UP) {
+            Err(Violation::WrittenLate)
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -162,14 +168,20 @@
     } else if now > facts.write_by {
         Err(Denial::WindowClosed)
     } else {
-        Ok(WritePermit { time_left: facts.until - now, write_by: facts.write_by })
+        Ok(WritePermit {
+            time_left: facts.until - now,
+            write_by: facts.write_by,
+        })
     }
 }
 
 /// Whether a refusal, which tells the client that trying again is harmless, would be true.
 pub fn may_refuse(effect: Effect, may_have_run: bool) -> Result<(), Denial> {
     match effect {
-        Effect::Safe | Effect::Keyed { group: Group::All, .. } => Ok(()),
+        Effect::Safe
+        | Effect::Keyed {
+            group: Group::All, ..
+        } => Ok(()),
         Effect::Keyed { .. } | Effect::Unsafe if may_have_run => Err(Denial::MayHaveRun),
         Effect::Keyed { .. } | Effect::Unsafe => Ok(()),
     }
@@ -180,7 +192,11 @@
 
 /// Whether a final answer that is given now is given in time.
 pub fn check_answer(now: Nanos, deadline: Nanos) -> Result<(), Violation> {
-    if now > deadline.saturating_add(ANSWER_GRACE) { Err(Violation::AnsweredLate) } else { Ok(()) }
+    if now > deadline.saturating_add(ANSWER_GRACE) {
+        Err(Violation::AnsweredLate)
+    } else {
+        Ok(())
+    }
 }
 
 /// What decides whether a client connection may be closed for a reason of the node's own.
@@ -197,12 +213,14 @@
 pub struct ClosePermit(());
 
 impl ClosePermit {
-    /// For a connection that its client has ended or broken, or whose process ends: nothing is owed on it.
+    /// For a connection that its client has ended or broken, or whose process ends: nothing is owed
+    /// on it.
     pub fn nothing_owed() -> ClosePermit {
         ClosePermit(())
     }
 
-    /// For a connection whose client has had all the time that it is given for a message or an answer.
+    /// For a connection whose client has had all the time that it is given for a message or an
+    /// answer.
     pub fn time_is_over() -> ClosePermit {
         ClosePermit(())
     }
--- a/node/src/rules_tests.rs
+++ b/node/src/rules_tests.rs
@@ -5,15 +5,28 @@
 use super::*;
 
 const NOW: Nanos = 1_000 * MS;
-const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 300 * MS };
+const KEYED: Effect = Effect::Keyed {
+    group: Group::Cell,
+    window: 300 * MS,
+};
 
 /// Makes one fact another.
 type Change<Facts> = fn(&mut Facts);
 
 fn start() -> StartFacts {
-    let history =
-        History { effect: KEYED, attempts: 1, out: 0, may_have_run: true, write_by: NOW + 100 * MS };
-    StartFacts { answered: false, deadline: NOW + 500 * MS, most_attempts: 3, history }
+    let history = History {
+        effect: KEYED,
+        attempts: 1,
+        out: 0,
+        may_have_run: true,
+        write_by: NOW + 100 * MS,
+    };
+    StartFacts {
+        answered: false,
+        deadline: NOW + 500 * MS,
+        most_attempts: 3,
+        history,
+    }
 }
 
 fn write() -> WriteFacts {
@@ -36,7 +49,9 @@
         (Denial::AttemptsSpent, |f| f.history.attempts = 3),
         (Denial::MayHaveRun, |f| f.history.effect = Effect::Unsafe),
         (Denial::WindowClosed, |f| f.history.write_by = NOW - 1),
-        (Denial::AttemptOut, |f| (f.history.out, f.history.effect) = (1, Effect::Safe)),
+        (Denial::AttemptOut, |f| {
+            (f.history.out, f.history.effect) = (1, Effect::Safe)
+        }),
     ];
     for (wanted, change) in cases {
         let mut facts = start();
@@ -47,7 +62,10 @@
 
 #[test]
 fn a_byte_is_written_unless_one_fact_forbids_it() {
-    assert_eq!(may_write(NOW, &write()).map(|permit| permit.told_ms()).ok(), Some(500));
+    assert_eq!(
+        may_write(NOW, &write()).map(|permit| permit.told_ms()).ok(),
+        Some(500)
+    );
     let cases: [(Denial, Change<WriteFacts>); 6] = [
         (Denial::Answered, |f| f.answered = true),
         (Denial::ClientGone, |f| f.client_gone = true),
@@ -59,28 +77,43 @@
     for (wanted, change) in cases {
         let mut facts = write();
         change(&mut facts);
-        assert_eq!(may_write(NOW, &facts).map(|permit| permit.told_ms()).err(), Some(wanted));
+        assert_eq!(
+            may_write(NOW, &facts).map(|permit| permit.told_ms()).err(),
+            Some(wanted)
+        );
     }
 }
 
 #[test]
 fn the_time_told_is_rounded_down_and_a_late_write_is_a_violation() {
-    let facts = WriteFacts { until: NOW + 7 * MS + 999_999, ..write() };
+    let facts = WriteFacts {
+        until: NOW + 7 * MS + 999_999,
+        ..write()
+    };
     assert_eq!(may_write(NOW, &facts).unwrap().told_ms(), 7);
     let permit = || may_write(NOW, &write()).unwrap();
     assert_eq!(permit().check(NOW + 100 * MS + HELD_UP), Ok(()));
-    assert_eq!(permit().check(NOW + 101 * MS + HELD_UP), Err(Violation::WrittenLate));
+    assert_eq!(
+        permit().check(NOW + 101 * MS + HELD_UP),
+        Err(Violation::WrittenLate)
+    );
 }
 
 #[test]
 fn an_answer_long_after_its_time_is_a_violation() {
     assert_eq!(check_answer(NOW + ANSWER_GRACE, NOW), Ok(()));
-    assert_eq!(check_answer(NOW + ANSWER_GRACE + 1, NOW), Err(Violation::AnsweredLate));
+    assert_eq!(
+        check_answer(NOW + ANSWER_GRACE + 1, NOW),
+        Err(Violation::AnsweredLate)
+    );
 }
 
 #[test]
 fn a_refusal_is_true_only_where_a_repeat_is_harmless() {
-    let all = Effect::Keyed { group: Group::All, window: MS };
+    let all = Effect::Keyed {
+        group: Group::All,
+        window: MS,
+    };
     for (effect, may_have_run, allowed) in [
         (Effect::Safe, true, true),
         (all, true, true),
@@ -89,7 +122,11 @@
         (Effect::Unsafe, true, false),
         (Effect::Unsafe, false, true),
     ] {
-        assert_eq!(may_refuse(effect, may_have_run).is_ok(), allowed, "{effect:?} {may_have_run}");
+        assert_eq!(
+            may_refuse(effect, may_have_run).is_ok(),
+            allowed,
+            "{effect:?} {may_have_run}"
+        );
     }
 }
 
@@ -101,6 +138,13 @@
         (true, true, Some(Denial::AnswerOwed)),
         (false, true, Some(Denial::Unread)),
     ] {
-        assert_eq!(may_close(CloseFacts { answer_owed, unread }).err(), wanted);
+        assert_eq!(
+            may_close(CloseFacts {
+                answer_owed,
+                unread
+            })
+            .err(),
+            wanted
+        );
     }
 }
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -1,5 +1,6 @@
-//! Signals: a flag that the handler sets, and a byte that wakes the loop. The byte may get lost where the
-//! machine lacks memory for it; the flag does not, and the loop looks at it in each of its turns.
+//! Signals: a flag that the handler sets, and a byte that wakes the loop. The byte may get lost
+//! where the machine lacks memory for it; the flag does not, and the loop looks at it in each of
+//! its turns.
 
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
--- a/node/src/slab.rs
+++ b/node/src/slab.rs
@@ -1,6 +1,6 @@
-//! Tables of numbered slots. A number is used once: its low bits name the slot, the rest its generation, so
-//! that an event for something that has ended finds nothing. Numbers rise, which keeps first come, first
-//! served among the reqs that the decisions order by number.
+//! Tables of numbered slots. A number is used once: its low bits name the slot, the rest its
+//! generation, so that an event for something that has ended finds nothing. Numbers rise, which
+//! keeps first come, first served among the reqs that the decisions order by number.
 
 pub struct Slab<T> {
     /// A power of two.
@@ -15,7 +15,12 @@
     pub fn new(most: usize) -> Slab<T> {
         // Twice the room: a number whose slot is still held is passed over, which should be rare.
         let size = (2 * most).next_power_of_two();
-        Slab { entries: (0..size).map(|_| None).collect(), next: 1, held: 0, most }
+        Slab {
+            entries: (0..size).map(|_| None).collect(),
+            next: 1,
+            held: 0,
+            most,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -51,12 +56,18 @@
     }
 
     pub fn get(&self, number: u32) -> Option<&T> {
-        self.entries[self.place(number)].as_ref().filter(|held| held.0 == number).map(|held| &held.1)
+        self.entries[self.place(number)]
+            .as_ref()
+            .filter(|held| held.0 == number)
+            .map(|held| &held.1)
     }
 
     pub fn get_mut(&mut self, number: u32) -> Option<&mut T> {
         let place = self.place(number);
-        self.entries[place].as_mut().filter(|held| held.0 == number).map(|held| &mut held.1)
+        self.entries[place]
+            .as_mut()
+            .filter(|held| held.0 == number)
+            .map(|held| &mut held.1)
     }
 
     pub fn remove(&mut self, number: u32) -> Option<T> {
--- a/node/src/slab_tests.rs
+++ b/node/src/slab_tests.rs
@@ -17,5 +17,8 @@
         })
         .collect();
     assert!(later.is_sorted() && later[0] > b && !later.contains(&b));
-    assert_eq!((slots.get(b), slots.get(a), slots.len()), (Some(&'b'), None, 1));
+    assert_eq!(
+        (slots.get(b), slots.get(a), slots.len()),
+        (Some(&'b'), None, 1)
+    );
 }
--- a/node/src/start_time.rs
+++ b/node/src/start_time.rs
@@ -1,27 +1,28 @@
 //! When a backend started, on the node's own monotonic clock.
 //!
-//! Lists give a start as wall-clock time, and any wall clock may be stepped. So what the list says is bounded
-//! by what the node itself has heard, and when: a start is not later than the moment it was heard, and where
-//! the node knew an earlier state of the backend, not much earlier than that. No start that was ever told lay
-//! behind the moment at which it was heard, so each bounds how far the wall clock can be ahead. Of the
-//! readings that remain, the latest one counts: a backend that is taken for younger than it is gets less for
-//! some seconds; one that is taken for older may be pushed over.
+//! Lists give a start as wall-clock time, and any wall clock may be stepped. So what the list says
+//! is bounded by what the node itself has heard, and when: a start is not later than the moment it
+//! was heard, and where the node knew an earlier state of the backend, not much earlier than that.
+//! No start that was ever told lay behind the moment at which it was heard, so each bounds how far
+//! the wall clock can be ahead. Of the readings that remain, the latest one counts: a backend that
+//! is taken for younger than it is gets less for some seconds; one that is taken for older may be
+//! pushed over.
 //!
-//! What can't be known is how old the backends of the first list are: a node that starts with a wrong clock
-//! has heard nothing before it. All starts on that list count as heard now, but for those that a clock which
-//! is off by an hour can't explain. What this costs a restarted node is a smaller share, for some seconds,
-//! for backends that started lately.
+//! What can't be known is how old the backends of the first list are: a node that starts with a
+//! wrong clock has heard nothing before it. All starts on that list count as heard now, but for
+//! those that a clock which is off by an hour can't explain. What this costs a restarted node is a
+//! smaller share, for some seconds, for backends that started lately.
 
 use kitefork::Nanos;
 
 use crate::clock::{MS, SECOND};
 
-/// A change counts as notified at the latest this long after the list service had it (protocol page), so
-/// what a list tells as new had not been so for much longer.
+/// A change counts as notified at the latest this long after the list service had it (protocol
+/// page), so what a list tells as new had not been so for much longer.
 const MOST_LIST_LAG: Nanos = 6 * SECOND;
 
-/// The wall clock may be off by an hour (the operators' terms), and as much again to spare: what seems to be
-/// older than this is old.
+/// The wall clock may be off by an hour (the operators' terms), and as much again to spare: what
+/// seems to be older than this is old.
 const MOST_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
 
 /// What the node knows when it hears of a start.
@@ -47,10 +48,13 @@
 impl StartTimes {
     /// Takes note of a start that is heard of now.
     pub fn note(&mut self, boot_ms: u64, now: Nanos) {
-        self.least_wall_at_zero = self.least_wall_at_zero.max(boot_ms.saturating_mul(MS).saturating_sub(now));
+        self.least_wall_at_zero = self
+            .least_wall_at_zero
+            .max(boot_ms.saturating_mul(MS).saturating_sub(now));
     }
 
-    /// When a backend started whose list entry has this `boot_ms`, on the monotonic clock; `None`: long ago.
+    /// When a backend started whose list entry has this `boot_ms`, on the monotonic clock; `None`:
+    /// long ago.
     pub fn started_at(&self, boot_ms: u64, heard: &Heard) -> Option<Nanos> {
         if boot_ms == 0 {
             return None;
@@ -68,7 +72,11 @@
         let started = latest.map(|at| at.min(heard.now)).filter(|at| *at > 0);
         let earliest = confirmed.saturating_sub(MOST_LIST_LAG);
         // Where the clocks contradict what the node has heard, nothing is known but that it is new.
-        if started.is_none_or(|at| at < earliest) { Some(heard.now) } else { started }
+        if started.is_none_or(|at| at < earliest) {
+            Some(heard.now)
+        } else {
+            started
+        }
     }
 }
 
--- a/node/src/start_time_tests.rs
+++ b/node/src/start_time_tests.rs
@@ -8,7 +8,12 @@
 
 /// A node whose wall clock has gone on evenly, and whose list was confirmed a second ago.
 fn heard() -> Heard {
-    Heard { now: NOW, wall_now_ms: NOW_MS, wall_at_zero: ZERO_MS * MS, confirmed: Some(NOW - SECOND) }
+    Heard {
+        now: NOW,
+        wall_now_ms: NOW_MS,
+        wall_at_zero: ZERO_MS * MS,
+        confirmed: Some(NOW - SECOND),
+    }
 }
 
 /// Dates a start behind one that was heard at once, while all clocks were sound.
@@ -21,13 +26,24 @@
 #[test]
 fn a_clock_that_is_ahead_is_bounded_by_starts_that_were_heard() {
     for ahead_ms in [0, 5_000, 3_600_000] {
-        let heard =
-            Heard { wall_now_ms: NOW_MS + ahead_ms, wall_at_zero: (ZERO_MS + ahead_ms) * MS, ..heard() };
+        let heard = Heard {
+            wall_now_ms: NOW_MS + ahead_ms,
+            wall_at_zero: (ZERO_MS + ahead_ms) * MS,
+            ..heard()
+        };
         let mut starts = StartTimes::default();
         // Heard 0.1 s after it was; the next ones can't be taken for much older than they are.
         starts.note(NOW_MS - 100, NOW);
-        assert_eq!(starts.started_at(NOW_MS - 100, &heard), Some(NOW), "{ahead_ms}");
-        assert_eq!(starts.started_at(NOW_MS - 3_100, &heard), Some(NOW - 3 * SECOND), "{ahead_ms}");
+        assert_eq!(
+            starts.started_at(NOW_MS - 100, &heard),
+            Some(NOW),
+            "{ahead_ms}"
+        );
+        assert_eq!(
+            starts.started_at(NOW_MS - 3_100, &heard),
+            Some(NOW - 3 * SECOND),
+            "{ahead_ms}"
+        );
     }
 }
 
@@ -36,7 +52,10 @@
     let mut starts = StartTimes::default();
     starts.note(u64::MAX, NOW);
     starts.note(NOW_MS + 3_600_000, NOW);
-    assert_eq!(starts.started_at(NOW_MS - 3_000, &heard()), Some(NOW - 3 * SECOND));
+    assert_eq!(
+        starts.started_at(NOW_MS - 3_000, &heard()),
+        Some(NOW - 3 * SECOND)
+    );
 }
 
 #[test]
@@ -49,11 +68,23 @@
 fn a_start_on_the_first_list_is_recent_unless_no_wrong_clock_explains_it() {
     for step_ms in [-3_600_000, -3_000, 0, 3_000, 3_600_000] {
         let wall_now_ms = NOW_MS.checked_add_signed(step_ms).unwrap();
-        let at_start = Heard { wall_now_ms, confirmed: None, ..heard() };
+        let at_start = Heard {
+            wall_now_ms,
+            confirmed: None,
+            ..heard()
+        };
         for age_ms in [0, 50_000, 3_600_000] {
-            assert_eq!(started_at(NOW_MS - age_ms, &at_start), Some(NOW), "{step_ms} {age_ms}");
+            assert_eq!(
+                started_at(NOW_MS - age_ms, &at_start),
+                Some(NOW),
+                "{step_ms} {age_ms}"
+            );
         }
-        assert_eq!(started_at(NOW_MS - 10_800_001, &at_start), None, "{step_ms}");
+        assert_eq!(
+            started_at(NOW_MS - 10_800_001, &at_start),
+            None,
+            "{step_ms}"
+        );
         assert_eq!(started_at(0, &at_start), None, "{step_ms}");
     }
 }
@@ -82,7 +113,14 @@
         (NOW_MS + 3_600_000, NOW_MS - 1_000, NOW - SECOND),
         (NOW_MS - 3_000, NOW_MS - 1_000, NOW),
     ] {
-        let heard = Heard { wall_now_ms, ..heard() };
-        assert_eq!(started_at(boot_ms, &heard), Some(wanted), "{wall_now_ms} {boot_ms}");
+        let heard = Heard {
+            wall_now_ms,
+            ..heard()
+        };
+        assert_eq!(
+            started_at(boot_ms, &heard),
+            Some(wanted),
+            "{wall_now_ms} {boot_ms}"
+        );
     }
 }
--- a/node/src/timer_wheel.rs
+++ b/node/src/timer_wheel.rs
@@ -1,6 +1,6 @@
-//! Every deadline of the node: coarse ticks on a wheel. A deadline fires in the first round at or after its
-//! tick, so up to a tick late and never early. Nothing is taken off: whoever hung a deadline checks, when it
-//! fires, whether it still stands.
+//! Every deadline of the node: coarse ticks on a wheel. A deadline fires in the first round at or
+//! after its tick, so up to a tick late and never early. Nothing is taken off: whoever hung a
+//! deadline checks, when it fires, whether it still stands.
 
 use kitefork::Nanos;
 
@@ -16,7 +16,11 @@
 impl<T> TimerWheel<T> {
     pub fn new(tick: Nanos, now: Nanos) -> TimerWheel<T> {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
-        TimerWheel { tick: tick.max(1), fired: now / tick.max(1), slots }
+        TimerWheel {
+            tick: tick.max(1),
+            fired: now / tick.max(1),
+            slots,
+        }
     }
 
     /// Hangs a deadline; one that has passed fires in the next round.
@@ -43,7 +47,9 @@
     /// When to look again: the next tick with something on it, of this turn or a later one.
     pub fn next(&self) -> Option<Nanos> {
         let ahead = self.fired + 1..=self.fired + SLOTS as u64;
-        let tick = ahead.into_iter().find(|tick| !self.slots[*tick as usize % SLOTS].is_empty())?;
+        let tick = ahead
+            .into_iter()
+            .find(|tick| !self.slots[*tick as usize % SLOTS].is_empty())?;
         Some(tick * self.tick)
     }
 }
@@ -59,7 +65,10 @@
     pub const NEVER: Nanos = Nanos::MAX;
 
     pub fn new() -> Deadline {
-        Deadline { at: Self::NEVER, hung: Self::NEVER }
+        Deadline {
+            at: Self::NEVER,
+            hung: Self::NEVER,
+        }
     }
 
     pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, what: T) {
@@ -70,7 +79,8 @@
         }
     }
 
-    /// An entry has fired: tells whether the deadline is due, and hangs it anew where it has moved back.
+    /// An entry has fired: tells whether the deadline is due, and hangs it anew where it has moved
+    /// back.
     pub fn is_due<T>(&mut self, now: Nanos, wheel: &mut TimerWheel<T>, what: T) -> bool {
         if self.hung > now {
             return false;
--- a/node/src/timer_wheel_tests.rs
+++ b/node/src/timer_wheel_tests.rs
@@ -23,7 +23,12 @@
 #[test]
 fn fires_in_order_a_tick_late_at_most_and_never_early() {
     let mut wheel = TimerWheel::new(5, 1_000);
-    for (at, name) in [(1_012, 'b'), (1_003, 'a'), (1_000 + 5 * SLOTS as u64 + 12, 'd'), (7, 'z')] {
+    for (at, name) in [
+        (1_012, 'b'),
+        (1_003, 'a'),
+        (1_000 + 5 * SLOTS as u64 + 12, 'd'),
+        (7, 'z'),
+    ] {
         wheel.schedule(at, name);
     }
     assert_eq!(wheel.next(), Some(1_005));
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! The scenario language: a `World` runs the real program between a played discovery and played backends,
-//! and a `Line` is one connection, of a client, a backend or discovery, on which a scenario sends, expects,
-//! closes and waits. Waiting is always for an event; the one time limit only ends a test that has failed.
+//! The scenario language: a `World` runs the real program between a played discovery and played
+//! backends, and a `Line` is one connection, of a client, a backend or discovery, on which a
+//! scenario sends, expects, closes and waits. Waiting is always for an event; the one time limit
+//! only ends a test that has failed.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,7 +23,10 @@
     fn new(stream: TcpStream) -> Line {
         stream.set_read_timeout(Some(LIMIT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Line { stream, got: Vec::new() }
+        Line {
+            stream,
+            got: Vec::new(),
+        }
     }
 
     pub fn send(&mut self, text: &str) -> &mut Line {
@@ -33,14 +37,21 @@
     /// Reads until `part` has come; gives all up to its end.
     pub fn expect(&mut self, part: &str) -> String {
         let found = self.expect_or_end(part);
-        found
-            .unwrap_or_else(|| panic!("an end before {part:?}; got {:?}", String::from_utf8_lossy(&self.got)))
+        found.unwrap_or_else(|| {
+            panic!(
+                "an end before {part:?}; got {:?}",
+                String::from_utf8_lossy(&self.got)
+            )
+        })
     }
 
     /// Reads until `part` has come, or `None` where the connection ends before.
     pub fn expect_or_end(&mut self, part: &str) -> Option<String> {
         loop {
-            let at = self.got.windows(part.len()).position(|w| w == part.as_bytes());
+            let at = self
+                .got
+                .windows(part.len())
+                .position(|w| w == part.as_bytes());
             if let Some(end) = at.map(|at| at + part.len()) {
                 return Some(String::from_utf8(self.got.drain(..end).collect()).unwrap());
             }
@@ -69,8 +80,8 @@
     /// The other side has ended the connection.
     pub fn has_ended(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
-        let ended =
-            !matches!(self.stream.read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
+        let read = self.stream.read(&mut [0]);
+        let ended = !matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock);
         self.stream.set_nonblocking(false).unwrap();
         ended
     }
@@ -124,7 +135,10 @@
 
     /// A backend's whole answer.
     pub fn serve(&mut self, status: &str, body: &str) {
-        self.send(&format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.send(&format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 }
 
@@ -194,7 +208,11 @@
 
 /// One more object of a watch that has begun.
 pub fn more_changes(rev: u32, entries: &[String]) -> String {
-    let line = format!(r#"{{"rev":{rev},"all":false,"targets":[{}]}}"#, entries.join(",")).replace('\n', "");
+    let line = format!(
+        r#"{{"rev":{rev},"all":false,"targets":[{}]}}"#,
+        entries.join(",")
+    )
+    .replace('\n', "");
     chunk(&(line + "\n"))
 }
 
@@ -222,13 +240,19 @@
 
 /// A configuration with one more backend, at the head of its list.
 pub fn and(config: String, uid: &str, at: SocketAddr) -> String {
-    config.replace(r#""targets":["#, &format!(r#""targets":[{},"#, entry(uid, at, "Ready")))
+    config.replace(
+        r#""targets":["#,
+        &format!(r#""targets":[{},"#, entry(uid, at, "Ready")),
+    )
 }
 
 /// A configuration whose one ready backend is here, and whose connections have time to come up.
 pub fn slow_to_connect(config: String, at: SocketAddr) -> String {
     let config = config.replace("Ready", "Terminating");
-    and(config, "s-0", at).replace(r#""maxAttempts":5"#, r#""maxAttempts":5,"connectTimeoutNs":20000000000"#)
+    and(config, "s-0", at).replace(
+        r#""maxAttempts":5"#,
+        r#""maxAttempts":5,"connectTimeoutNs":20000000000"#,
+    )
 }
 
 pub struct World {
@@ -259,17 +283,29 @@
         let mut node = run(&config, &variables);
         let mut log = BufReader::new(node.stderr.take().unwrap());
         let line = next_line(&mut log);
-        let address = line.strip_prefix("kitefork: start name=t1 listen=").and_then(|l| l.split(' ').next());
-        let address = address.and_then(|a| a.parse().ok()).unwrap_or_else(|| panic!("no start in {line:?}"));
-        World { discovery, backend, node, config, log: Some(log), address }
+        let address = line
+            .strip_prefix("kitefork: start name=t1 listen=")
+            .and_then(|l| l.split(' ').next());
+        let address = address
+            .and_then(|a| a.parse().ok())
+            .unwrap_or_else(|| panic!("no start in {line:?}"));
+        World {
+            discovery,
+            backend,
+            node,
+            config,
+            log: Some(log),
+            address,
+        }
     }
 
     pub fn client(&self) -> Line {
         Line::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// What the node had read before this is carried out when this is over. The second of two messages is
-    /// read in a later turn than the first; the first may be answered in the middle of one.
+    /// What the node had read before this is carried out when this is over. The second of two
+    /// messages is read in a later turn than the first; the first may be answered in the middle of
+    /// one.
     pub fn turn(&self) {
         let mut client = self.client();
         for _ in 0..2 {
@@ -316,38 +352,62 @@
     /// Processor time that the program has used.
     pub fn cpu(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.node.id())).unwrap();
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap()
+            .split_whitespace()
+            .collect();
         // User and system time, in hundredths of a second on Linux.
-        let hundredths: u64 = fields[11..=12].iter().map(|field| field.parse::<u64>().unwrap()).sum();
+        let hundredths: u64 = fields[11..=12]
+            .iter()
+            .map(|field| field.parse::<u64>().unwrap())
+            .sum();
         Duration::from_millis(hundredths * 10)
     }
 
     /// The program has not ended.
     pub fn is_running(&self) -> bool {
-        std::fs::read_to_string(format!("/proc/{}/stat", self.node.id()))
-            .is_ok_and(|stat| !stat.rsplit(')').next().unwrap_or_default().trim().starts_with('Z'))
+        std::fs::read_to_string(format!("/proc/{}/stat", self.node.id())).is_ok_and(|stat| {
+            !stat
+                .rsplit(')')
+                .next()
+                .unwrap_or_default()
+                .trim()
+                .starts_with('Z')
+        })
     }
 
     /// How many descriptors the program holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.node.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.node.id()))
+            .unwrap()
+            .count()
     }
 
     /// Ends the node; gives what the log still held.
     pub fn last_log(mut self) -> String {
         self.terminate();
         let mut lines = String::new();
-        self.log.take().expect("a log").read_to_string(&mut lines).unwrap();
+        self.log
+            .take()
+            .expect("a log")
+            .read_to_string(&mut lines)
+            .unwrap();
         lines
     }
 
-    /// Starts the program on a configuration that it has to wait for; gives what writes it once the program
-    /// reads. Its signals have their handlers by then, and it is not ready.
+    /// Starts the program on a configuration that it has to wait for; gives what writes it once the
+    /// program reads. Its signals have their handlers by then, and it is not ready.
     pub fn held_back(variables: &[(&str, &str)]) -> (Child, std::fs::File) {
         let path = config_path().with_extension("fifo");
         let _ = std::fs::remove_file(&path);
-        rustix::fs::mkfifoat(rustix::fs::CWD, &path, rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR)
-            .unwrap();
+        rustix::fs::mkfifoat(
+            rustix::fs::CWD,
+            &path,
+            rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR,
+        )
+        .unwrap();
         let node = spawn(&path, variables);
         // Opening waits for the reader.
         let file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
@@ -440,8 +500,14 @@
     let mut line = String::new();
     if log.buffer().is_empty() {
         let mut look = [PollFd::new(log.get_ref(), PollFlags::IN)];
-        let limit = Timespec { tv_sec: LIMIT.as_secs() as i64, tv_nsec: 0 };
-        assert!(poll(&mut look, Some(&limit)).unwrap() > 0, "the log says nothing more");
+        let limit = Timespec {
+            tv_sec: LIMIT.as_secs() as i64,
+            tv_nsec: 0,
+        };
+        assert!(
+            poll(&mut look, Some(&limit)).unwrap() > 0,
+            "the log says nothing more"
+        );
     }
     assert!(log.read_line(&mut line).unwrap() > 0, "the log has ended");
     line
@@ -458,7 +524,11 @@
 /// Each test has a thread and so a file of its own.
 fn config_path() -> std::path::PathBuf {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let unique = format!("{}-{:?}.json", std::process::id(), std::thread::current().id());
+    let unique = format!(
+        "{}-{:?}.json",
+        std::process::id(),
+        std::thread::current().id()
+    );
     folder.join(unique.replace(['(', ')'], ""))
 }
 
@@ -483,7 +553,10 @@
 
 /// The value of a header that must be there.
 pub fn header<'a>(head: &'a str, name: &str) -> &'a str {
-    let rest = head.split(&format!("{name}: ")).nth(1).unwrap_or_else(|| panic!("no {name} in {head}"));
+    let rest = head
+        .split(&format!("{name}: "))
+        .nth(1)
+        .unwrap_or_else(|| panic!("no {name} in {head}"));
     rest.split('\r').next().unwrap_or(rest)
 }
 
--- a/node/tests/crossings/held_up.rs
+++ b/node/tests/crossings/held_up.rs
@@ -1,5 +1,6 @@
-//! A process that is held up between two of its calls: what it has read before is old when it acts on it.
-//! The fault shim holds it up for 0.4 s in a span of its life in which the test plays what crosses.
+//! A process that is held up between two of its calls: what it has read before is old when it acts
+//! on it. The fault shim holds it up for 0.4 s in a span of its life in which the test plays what
+//! crosses.
 
 use std::time::{Duration, Instant};
 
@@ -42,7 +43,12 @@
             line.serve("200 OK", "warm");
             client.expect("warm");
         }
-        let mut two_backends = TwoBackends { world, lines: vec![first, second], other, started };
+        let mut two_backends = TwoBackends {
+            world,
+            lines: vec![first, second],
+            other,
+            started,
+        };
         // A share of what has come may be tried again.
         for number in 0..RETRY_SHARE {
             let (mut busy, idle) = two_backends.send(&mut one, &format!("warm{number}"));
@@ -53,8 +59,8 @@
         two_backends
     }
 
-    /// Sends a request on a connection that is there, and takes the lines apart: the one that it came to,
-    /// whole, and the other one.
+    /// Sends a request on a connection that is there, and takes the lines apart: the one that it
+    /// came to, whole, and the other one.
     fn send(&mut self, client: &mut Line, id: &str) -> (Line, Line) {
         client.send(&report(id, 5000));
         let place = until(|| self.lines.iter().position(Line::has_bytes));
@@ -98,8 +104,21 @@
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
     pass(50);
     let drain = |uid, at| entry(uid, at, "Terminating");
-    watch.send(&changes(8, &[drain("s-0", two.other.address()), drain("s-1", two.world.backend.address())]));
-    assert_eq!(idle.expect_end(), "", "it was told to leave over 0.3 s before");
+    watch.send(&changes(
+        8,
+        &[
+            drain("s-0", two.other.address()),
+            drain("s-1", two.world.backend.address()),
+        ],
+    ));
+    assert_eq!(
+        idle.expect_end(),
+        "",
+        "it was told to leave over 0.3 s before"
+    );
     let head = client.expect("\r\n\r\n");
-    assert!(head.starts_with("HTTP/1.1 50"), "no backend is left, but an answer is owed: {head}");
+    assert!(
+        head.starts_with("HTTP/1.1 50"),
+        "no backend is left, but an answer is owed: {head}"
+    );
 }
--- a/node/tests/crossings/mod.rs
+++ b/node/tests/crossings/mod.rs
@@ -1,6 +1,6 @@
-//! Crossings: two things that meet in one turn of the node's loop. Each is forced: the node is stopped, what
-//! is to cross is put on the sockets in the order that hurts, and the node goes on. The list of all of them
-//! is docs/design/crossings.md.
+//! Crossings: two things that meet in one turn of the node's loop. Each is forced: the node is
+//! stopped, what is to cross is put on the sockets in the order that hurts, and the node goes on.
+//! The list of all of them is docs/design/crossings.md.
 
 mod end;
 mod held_up;
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use crate::common::{
-    HEALTH, Line, Party, WATCH, World, and, changes, chunk, entry, header, more_changes, pass, report,
-    slow_to_connect, until,
+    HEALTH, Line, Party, WATCH, World, and, changes, chunk, entry, header, more_changes, pass,
+    report, slow_to_connect, until,
 };
 
 /// A client has one request answered, so that the node has an idle connection to the backend.
@@ -23,7 +23,8 @@
     (client, backend)
 }
 
-/// The next request that reaches the backend on a new connection is this one, and nothing came before it.
+/// The next request that reaches the backend on a new connection is this one, and nothing came
+/// before it.
 fn serve_next(world: &World, id: &str) {
     let mut client = world.client();
     client.send(&report(id, 5000));
@@ -43,7 +44,11 @@
         line.end();
         std::mem::forget(line);
     };
-    for (way, leave) in [("close", Line::close as Leave), ("reset", Line::reset), ("half", half_close)] {
+    for (way, leave) in [
+        ("close", Line::close as Leave),
+        ("reset", Line::reset),
+        ("half", half_close),
+    ] {
         let world = World::start();
         // One connection stands before the stall, the other waits in the accept queue.
         let mut known = world.client();
@@ -86,9 +91,11 @@
     world.go_on();
     let mut other = world.client();
     other.send(&report("other", 5000));
-    // The connection is closed with the client; or, where the answer is seen before the leave, it carries the
-    // other one's.
-    let head = backend.expect_or_end("body").unwrap_or_else(|| world.backend.wait().expect("body"));
+    // The connection is closed with the client; or, where the answer is seen before the leave, it
+    // carries the other one's.
+    let head = backend
+        .expect_or_end("body")
+        .unwrap_or_else(|| world.backend.wait().expect("body"));
     assert!(head.contains("x-txn: other\r\n"), "{head}");
     assert!(world.backend.is_quiet());
 }
@@ -115,21 +122,26 @@
 
 #[test]
 fn a_client_that_left_while_its_req_was_held_is_not_sent_on_for_when_a_backend_comes() {
-    let world = World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
+    let world =
+        World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
     let mut watch = world.discovery.wait();
     watch.expect("\r\n\r\n");
     let mut client = world.client();
     client.send(&report("left", 5000));
     world.turn();
     world.stall();
-    watch.send(&changes(8, &[entry("s-1", world.backend.address(), "Ready")]));
+    watch.send(&changes(
+        8,
+        &[entry("s-1", world.backend.address(), "Ready")],
+    ));
     client.close();
     world.go_on();
     serve_next(&world, "next");
 }
 
 #[test]
-fn a_client_that_leaves_while_its_attempt_connects_has_nothing_written_also_without_leave_to_cancel() {
+fn a_client_that_leaves_while_its_attempt_connects_has_nothing_written_also_without_leave_to_cancel()
+ {
     let (full, queued) = Party::full();
     let world = World::with(|config| {
         slow_to_connect(config, full.address()).replace(r#""cancel":true"#, r#""cancel":false"#)
@@ -160,7 +172,10 @@
     world.stall();
     client.send(&report("after", 5000));
     let leaving = entry("s-1", world.backend.address(), "Terminating");
-    watch.send(&more_changes(8, &[leaving, entry("s-2", other.address(), "Ready")]));
+    watch.send(&more_changes(
+        8,
+        &[leaving, entry("s-2", other.address(), "Ready")],
+    ));
     world.go_on();
     assert_eq!(backend.expect_end(), "");
     let mut elsewhere = other.wait();
@@ -188,7 +203,10 @@
 #[test]
 fn a_connection_that_has_stood_idle_through_a_stall_is_not_used_again() {
     let world = World::with(|config| {
-        config.replace(r#""maxAttempts":5"#, r#""maxAttempts":5,"connIdleNs":400000000"#)
+        config.replace(
+            r#""maxAttempts":5"#,
+            r#""maxAttempts":5,"connIdleNs":400000000"#,
+        )
     });
     let (mut client, _backend) = warmed(&world, "w");
     world.stall();
@@ -225,7 +243,8 @@
     config.replace(r#""sockets":128"#, r#""sockets":64"#)
 }
 
-/// Clients that a node of few sockets holds: 64 descriptors less 20, of which a quarter is kept for backends.
+/// Clients that a node of few sockets holds: 64 descriptors less 20, of which a quarter is kept for
+/// backends.
 const MOST_SESSIONS: usize = 33;
 
 /// As many clients as it holds, each with a request out or waiting.
@@ -255,14 +274,20 @@
     clients[0].expect("served");
     new.send(HEALTH).expect("ok\n");
     // None of the others has gone but the one that made room.
-    let gone = clients[1..].iter_mut().map(Line::has_ended).filter(|ended| *ended).count();
+    let gone = clients[1..]
+        .iter_mut()
+        .map(Line::has_ended)
+        .filter(|ended| *ended)
+        .count();
     assert_eq!(gone, 1);
 }
 
 // ---- The end ----
 
 fn short(config: String, deadline: &str) -> String {
-    config.replace("5000000000", deadline).replace("\"goalTimeNs\":300000000", "\"goalTimeNs\":100000000")
+    config
+        .replace("5000000000", deadline)
+        .replace("\"goalTimeNs\":300000000", "\"goalTimeNs\":100000000")
 }
 
 #[test]
@@ -278,12 +303,23 @@
     world.terminate();
     let since = Instant::now();
     let answer = client.expect("\r\n\r\n");
-    assert!(answer.starts_with("HTTP/1.1 50") && !answer.contains(" 503 "), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 50") && !answer.contains(" 503 "),
+        "{answer}"
+    );
     assert!(held.expect("\r\n\r\n").starts_with("HTTP/1.1 503 "));
-    assert!(since.elapsed() < Duration::from_millis(150 + 700), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(150 + 700),
+        "{:?}",
+        since.elapsed()
+    );
     drop((client, held));
     assert_eq!(world.wait_exit().code(), Some(0));
-    assert!(since.elapsed() < Duration::from_millis(150 + 700), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(150 + 700),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 #[test]
@@ -315,7 +351,10 @@
     client.send(&report("capped", 5000));
     let head = world.backend.wait().expect("\r\n\r\n");
     let left: u32 = header(&head, "x-remaining-ms").parse().unwrap();
-    assert!(left <= 900, "{left} ms, though SIGKILL may come 1.1 s after SIGTERM");
+    assert!(
+        left <= 900,
+        "{left} ms, though SIGKILL may come 1.1 s after SIGTERM"
+    );
 }
 
 #[test]
@@ -349,7 +388,10 @@
     watch.expect("watch=1&after=7 ");
     let other = Party::new();
     let leaving = entry("s-1", world.backend.address(), "Terminating");
-    watch.send(&changes(8, &[leaving, entry("s-2", other.address(), "Ready")]));
+    watch.send(&changes(
+        8,
+        &[leaving, entry("s-2", other.address(), "Ready")],
+    ));
     client.ask_until(HEALTH, "ok\n");
     client.send(&report("pushed", 5000));
     other.wait().expect("x-txn: pushed\r\n");
@@ -358,7 +400,8 @@
 
 #[test]
 fn a_pushed_watch_is_opened_anew_well_within_the_grace_and_goes_where_a_new_configuration_says() {
-    let world = World::with(|config| pushed(config).replace(r#"Ns":1500000000,"f"#, r#"Ns":250000000,"f"#));
+    let world =
+        World::with(|config| pushed(config).replace(r#"Ns":1500000000,"f"#, r#"Ns":250000000,"f"#));
     let mut watch = world.discovery.wait();
     watch.send(WATCH).send("1\r\n\n\r\n");
     let mut since = Instant::now();
@@ -371,7 +414,11 @@
         watch = world.discovery.wait();
         watch.expect("after=7 ");
         watch.send(WATCH).send("1\r\n\n\r\n");
-        assert!(since.elapsed() < Duration::from_millis(250), "{:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_millis(250),
+            "{:?}",
+            since.elapsed()
+        );
         since = Instant::now();
     }
     let (old, next) = (world.discovery.address().to_string(), Party::new());
@@ -393,13 +440,18 @@
         }
     });
     world.expect_log("discovery-failed silent");
-    assert!(since.elapsed() < Duration::from_millis(5_000), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(5_000),
+        "{:?}",
+        since.elapsed()
+    );
     world.discovery.wait().expect("after=7 ");
     trickle.join().unwrap();
 }
 
 #[test]
-fn a_watch_that_has_spoken_and_falls_silent_is_back_within_six_seconds_though_the_next_call_fails() {
+fn a_watch_that_has_spoken_and_falls_silent_is_back_within_six_seconds_though_the_next_call_fails()
+{
     let mut world = World::start();
     let mut watch = world.discovery.wait();
     watch.send(WATCH).send("1\r\n\n\r\n");
@@ -408,7 +460,11 @@
     let mut call = world.discovery.wait();
     call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     world.discovery.wait().expect("after=7 ");
-    assert!(since.elapsed() < Duration::from_millis(5_600), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(5_600),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 /// One object of a watch as a printer would lay it out, with braces and line ends in its strings.
@@ -440,7 +496,10 @@
     let mut again = world.discovery.wait();
     again.expect("after=9 ");
     let leaving = entry("s-2", second.address(), "Terminating");
-    again.send(WATCH).send(&chunk(&indented(10, &[leaving, entry("s-3", third.address(), "Ready")])));
+    again.send(WATCH).send(&chunk(&indented(
+        10,
+        &[leaving, entry("s-3", third.address(), "Ready")],
+    )));
     let mut other = world.client();
     other.send(&report("again", 5000));
     third.wait().expect("x-txn: again\r\n");
@@ -484,7 +543,13 @@
     let other = Party::new();
     let (here, there) = (world.backend.address(), other.address());
     let mut watch = world.discovery.wait();
-    watch.send(&changes(9, &[entry("s-1", here, "Terminating"), entry("s-2", there, "Ready")]));
+    watch.send(&changes(
+        9,
+        &[
+            entry("s-1", here, "Terminating"),
+            entry("s-2", there, "Ready"),
+        ],
+    ));
     watch.close();
     let whole = |rev: u32, entries: &[String]| changes(rev, entries).replace("false", "true ");
     let both = [entry("s-1", here, "Ready"), entry("s-2", there, "Ready")];
@@ -514,7 +579,10 @@
     client.expect("served");
     // One that has started anew is back whatever the count says.
     let started = entry("s-2", there, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":9");
-    behind.send(&more_changes(7, &[entry("s-1", here, "Terminating"), started]));
+    behind.send(&more_changes(
+        7,
+        &[entry("s-1", here, "Terminating"), started],
+    ));
     backend.expect_end();
     client.send(&report("started", 5000));
     until(|| other.poll()).expect("x-txn: started\r\n");
@@ -527,7 +595,9 @@
     let mut client = world.client();
     // Each of these is a line of the log.
     for _ in 0..3 {
-        client.send(&report("x", 99).replace("X-Org: acme", "X-Org: nobody")).expect("400 Bad Request");
+        client
+            .send(&report("x", 99).replace("X-Org: acme", "X-Org: nobody"))
+            .expect("400 Bad Request");
     }
     client.send(&report("served", 5000));
     let mut backend = world.backend.wait();
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -5,7 +5,8 @@
 mod terms;
 
 use common::{
-    HEALTH, Party, WATCH, World, and, changes, chunk, entry, more_changes, report, run, slow_to_connect,
+    HEALTH, Party, WATCH, World, and, changes, chunk, entry, more_changes, report, run,
+    slow_to_connect,
 };
 
 #[test]
@@ -16,12 +17,19 @@
     let mut backend = world.backend.wait();
     let head = backend.expect("\r\n\r\nbody");
     assert!(head.starts_with("POST /api?n=a1 HTTP/1.1\r\n"), "{head}");
-    for part in ["x-txn: a1\r\n", "idempotency-key: ka1\r\n", "x-remaining-ms: 4"] {
+    for part in [
+        "x-txn: a1\r\n",
+        "idempotency-key: ka1\r\n",
+        "x-remaining-ms: 4",
+    ] {
         assert!(head.contains(part), "{head}");
     }
     backend.serve("200 OK", "played");
     let answer = client.expect("played");
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n") && !answer.contains("close"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200 OK\r\n") && !answer.contains("close"),
+        "{answer}"
+    );
     // In pieces, and over the same two connections.
     let second = report("a2", 5000);
     for piece in [&second[..9], &second[9..150], &second[150..]] {
@@ -51,18 +59,37 @@
     for (request, status, ends) in [
         (report("c", 99).replace("/api", "/other"), 404, false),
         (report("c", 99).replace("POST", "DELETE"), 405, false),
-        (report("c", 99).replace("X-Org: acme", "X-Org: nobody"), 400, false),
+        (
+            report("c", 99).replace("X-Org: acme", "X-Org: nobody"),
+            400,
+            false,
+        ),
         (report("c", 99).replace("X-Txn: c\r\n", ""), 400, false),
-        (report("c", 99).replace(": 4", ": 4\r\nTransfer-Encoding: chunked"), 400, true),
-        (report("c", 99).replace(": 4", ": 4\r\nContent-Length: 5"), 400, true),
+        (
+            report("c", 99).replace(": 4", ": 4\r\nTransfer-Encoding: chunked"),
+            400,
+            true,
+        ),
+        (
+            report("c", 99).replace(": 4", ": 4\r\nContent-Length: 5"),
+            400,
+            true,
+        ),
         (report("c", 99).replace(": 4", ": 70000"), 413, true),
-        (report("c", 99).replace("acme", &"x".repeat(17_000)), 431, true),
+        (
+            report("c", 99).replace("acme", &"x".repeat(17_000)),
+            431,
+            true,
+        ),
         ("nonsense\r\n\r\n".to_string(), 400, true),
     ] {
         let mut client = world.client();
         client.send(&request);
         let answer = client.expect("\r\n\r\n");
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer} to {request:.40}");
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{answer} to {request:.40}"
+        );
         assert_eq!(answer.contains("connection: close"), ends, "{answer}");
         if ends {
             client.expect_end();
@@ -70,7 +97,13 @@
     }
     let mut client = world.client();
     client.send(&report("good", 5000));
-    assert!(world.backend.wait().expect("\r\n\r\n").contains("x-txn: good"));
+    assert!(
+        world
+            .backend
+            .wait()
+            .expect("\r\n\r\n")
+            .contains("x-txn: good")
+    );
 }
 
 #[test]
@@ -147,12 +180,17 @@
     let request = report("w", 9000);
     let (head, body) = request.split_at(request.len() - 4);
     let since = std::time::Instant::now();
-    let (mut silent, mut half, mut bodiless, mut slow) =
-        (world.client(), world.client(), world.client(), world.client());
+    let (mut silent, mut half, mut bodiless, mut slow) = (
+        world.client(),
+        world.client(),
+        world.client(),
+        world.client(),
+    );
     half.send(&head[..40]);
     bodiless.send(head);
     slow.send(head);
-    // A byte at a time, each well before the pause that counts as an end; all in all it takes longer.
+    // A byte at a time, each well before the pause that counts as an end; all in all it takes
+    // longer.
     for byte in body[..3].bytes() {
         std::thread::sleep(std::time::Duration::from_millis(900));
         slow.send(&char::from(byte).to_string());
@@ -220,7 +258,11 @@
     // Silent ones take all that clients may have; a session with a req is none of those that close.
     let mut flood: Vec<_> = (0..100).map(|_| world.client()).collect();
     flood[99].send(HEALTH).expect("ok\n");
-    assert!((40..=64).contains(&world.descriptors()), "{}", world.descriptors());
+    assert!(
+        (40..=64).contains(&world.descriptors()),
+        "{}",
+        world.descriptors()
+    );
     backend.serve("200 OK\r\nConnection: close", "one");
     first.expect("one");
     // A new connection to a backend still finds a descriptor.
@@ -257,7 +299,10 @@
     // Once this later message is answered, the req has been sent on.
     world.turn();
     let leaving = entry("s-0", full.address(), "Terminating");
-    watch.send(&changes(8, &[leaving, entry("s-1", world.backend.address(), "Ready")]));
+    watch.send(&changes(
+        8,
+        &[leaving, entry("s-1", world.backend.address(), "Ready")],
+    ));
     let mut backend = world.backend.wait();
     backend.expect("body");
     backend.serve("200 OK", "elsewhere");
@@ -287,7 +332,11 @@
         backend.serve("400 Bad Request", "unknown");
         assert!(client.expect("unknown").starts_with("HTTP/1.1 400 "));
         client.send(&report(&format!("t{id}"), 5000));
-        assert!(backend.expect("body").contains(&format!("x-txn: t{id}\r\n")));
+        assert!(
+            backend
+                .expect("body")
+                .contains(&format!("x-txn: t{id}\r\n"))
+        );
     }
     backend.serve("200 OK", "played");
     client.expect("played");
@@ -306,9 +355,13 @@
     backend.expect_end();
 }
 
-/// The played backends beside the usual one, and a class that must never run twice, whose reqs carry no key.
+/// The played backends beside the usual one, and a class that must never run twice, whose reqs
+/// carry no key.
 fn with_payouts(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
-    let more: Vec<String> = backends.iter().map(|(uid, at)| entry(uid, *at, "Ready") + ",").collect();
+    let more: Vec<String> = backends
+        .iter()
+        .map(|(uid, at)| entry(uid, *at, "Ready") + ",")
+        .collect();
     config
         .replace(r#""targets":["#, &format!(r#""targets":[{}"#, more.concat()))
         .replace(
@@ -350,7 +403,11 @@
     client.send(&check("c0"));
     let mut silent = swallows.wait();
     for id in ["c0", "c1", "c2", "c3", "c4"] {
-        assert!(silent.expect("\r\n\r\n").contains(&format!("x-txn: {id}\r\n")));
+        assert!(
+            silent
+                .expect("\r\n\r\n")
+                .contains(&format!("x-txn: {id}\r\n"))
+        );
         silent.serve("200 OK", id);
         client.expect(&format!("\r\n\r\n{id}"));
         client.send(&if id == "c4" {
@@ -366,7 +423,10 @@
     client.send(&check("c5"));
     let mut silent = swallows.wait();
     silent.expect("\r\n\r\n");
-    discovery.send(&changes(8, &[entry("s-1", world.backend.address(), "Ready")]));
+    discovery.send(&changes(
+        8,
+        &[entry("s-1", world.backend.address(), "Ready")],
+    ));
     // Its attempt is called off: the connection closes, and only then does it go elsewhere.
     silent.expect_end();
     let mut backend = world.backend.wait();
@@ -400,7 +460,11 @@
     let mut backend = world.backend.wait();
     backend.expect("body");
     backend.serve("200 OK", &long);
-    assert!(client.expect("yend").contains(&format!("content-length: {}\r\n", long.len())));
+    assert!(
+        client
+            .expect("yend")
+            .contains(&format!("content-length: {}\r\n", long.len()))
+    );
     client.send(&report("v", 300));
     backend.expect("body");
     backend.send("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n");
@@ -424,26 +488,43 @@
 
 #[test]
 fn without_a_backend_a_req_is_refused_with_advice() {
-    let world = World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
+    let world =
+        World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
     let mut client = world.client();
     client.send(HEALTH).expect("503 Service Unavailable");
     client.send(&report("h", 100));
     let answer = client.expect("harmless\n");
-    assert!(answer.contains("503 ") && answer.contains("retry-after: 2\r\n"), "{answer}");
+    assert!(
+        answer.contains("503 ") && answer.contains("retry-after: 2\r\n"),
+        "{answer}"
+    );
 }
 
 #[test]
 fn the_watch_is_resumed_after_a_bad_line_and_moves_reqs_to_new_backends() {
     let mut world = World::start();
     let mut watch = world.discovery.wait();
-    assert!(watch.expect("\r\n\r\n").starts_with("GET /catalog/members?watch=1&after=7 HTTP/1.1\r\n"));
+    assert!(
+        watch
+            .expect("\r\n\r\n")
+            .starts_with("GET /catalog/members?watch=1&after=7 HTTP/1.1\r\n")
+    );
     let other = Party::new();
-    let change =
-        entry("s-1", world.backend.address(), "Terminating") + "," + &entry("s-2", other.address(), "Ready");
-    let line = format!("{{\"rev\":9,\"all\":false,\"targets\":[{}]}}\n", change.replace('\n', ""));
+    let change = entry("s-1", world.backend.address(), "Terminating")
+        + ","
+        + &entry("s-2", other.address(), "Ready");
+    let line = format!(
+        "{{\"rev\":9,\"all\":false,\"targets\":[{}]}}\n",
+        change.replace('\n', "")
+    );
     // Cut in the middle: a line is read when its end has come.
     let (one, two) = line.split_at(60);
-    watch.send(WATCH).send(&chunk("\n")).send(&chunk(one)).send(&chunk(two)).send(&chunk("{\"rev\":}\n"));
+    watch
+        .send(WATCH)
+        .send(&chunk("\n"))
+        .send(&chunk(one))
+        .send(&chunk(two))
+        .send(&chunk("{\"rev\":}\n"));
     world.expect_log("discovery-failed not JSON");
     watch.expect_end();
     let mut again = world.discovery.wait();
@@ -500,7 +581,10 @@
     }
     world.reload(|config| config.replace("\"discovery\"", "\"dicovery\""));
     let log = world.expect_log("reload-failed configuration: missing field `discovery`");
-    assert!(!log.contains("discovery-failed") && !log.contains("out of reach"), "{log}");
+    assert!(
+        !log.contains("discovery-failed") && !log.contains("out of reach"),
+        "{log}"
+    );
     backend.serve("200 OK", "played");
     client.expect("played");
     client.send(HEALTH).expect("ok\n");
@@ -514,8 +598,9 @@
 
 #[test]
 fn sighup_does_not_wait_for_a_backoff_and_the_backoff_opens_no_second_watch() {
-    let mut world =
-        World::with(|config| config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#));
+    let mut world = World::with(|config| {
+        config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#)
+    });
     // The decisions wait half a second or more before they ask again.
     let old = world.discovery.address().to_string();
     world.discovery.wait().close();
@@ -558,7 +643,11 @@
 
 #[test]
 fn a_node_whose_discovery_is_down_busy_or_silent_at_start_serves_from_the_list_it_was_given() {
-    for answer in [None, Some("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), Some("")] {
+    for answer in [
+        None,
+        Some("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+        Some(""),
+    ] {
         let world = World::start();
         let mut call = world.discovery.wait();
         call.expect("after=7 ");
@@ -584,8 +673,9 @@
     let mut world = World::start();
     let elsewhere = Party::new();
     // Thousands that come and go beside the one that counts.
-    let mut entries: Vec<String> =
-        (0..5000).map(|n| entry(&format!("x-{n}"), elsewhere.address(), "Gone")).collect();
+    let mut entries: Vec<String> = (0..5000)
+        .map(|n| entry(&format!("x-{n}"), elsewhere.address(), "Gone"))
+        .collect();
     entries.push(entry("s-1", world.backend.address(), "Terminating"));
     entries.push(entry("s-2", elsewhere.address(), "Ready"));
     let whole = changes(9, &entries);
@@ -625,7 +715,10 @@
         backend.serve("200 OK", new);
         client.expect(new);
         let address = world.backend.address();
-        watch.send(&more_changes(rev, &[entry(old, address, "Gone"), entry(new, address, "Ready")]));
+        watch.send(&more_changes(
+            rev,
+            &[entry(old, address, "Gone"), entry(new, address, "Ready")],
+        ));
         backend.expect_end();
     }
     client.send(&report("last", 5000));
@@ -637,6 +730,9 @@
     let mut node = run(r#"{"seed":"1"}"#, &[]);
     let mut line = String::new();
     std::io::Read::read_to_string(&mut node.stderr.take().unwrap(), &mut line).unwrap();
-    assert_eq!(line, "kitefork: fault configuration: missing field `settings`\n");
+    assert_eq!(
+        line,
+        "kitefork: fault configuration: missing field `settings`\n"
+    );
     assert_eq!(node.wait().unwrap().code(), Some(2));
 }
--- a/node/tests/terms/clock.rs
+++ b/node/tests/terms/clock.rs
@@ -5,12 +5,16 @@
 use crate::common::{Line, World, changes, entry, more_changes, pass};
 
 fn unix_ms() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as i64
 }
 
 /// A backend's entry with the moment of its start.
 fn started(world: &World, uid: &str, boot_ms: i64) -> String {
-    entry(uid, world.backend.address(), "Ready").replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
+    entry(uid, world.backend.address(), "Ready")
+        .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
 }
 
 /// A node whose wall clock follows a plan, and its watch, on which its list has come.
@@ -18,11 +22,15 @@
     let world = World::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| config);
     let mut watch = world.discovery.wait();
     watch.expect("\r\n\r\n");
-    watch.send(&changes(8, &[entry("s-1", world.backend.address(), "Ready")]));
+    watch.send(&changes(
+        8,
+        &[entry("s-1", world.backend.address(), "Ready")],
+    ));
     (world, watch)
 }
 
-/// A node whose wall clock follows a plan, and that starts with a list on which `s-2` has just started.
+/// A node whose wall clock follows a plan, and that starts with a list on which `s-2` has just
+/// started.
 fn started_with(plan: &str, boot_ms: i64) -> World {
     World::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| {
         let fresh = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
@@ -33,8 +41,17 @@
 /// The age in milliseconds that the node takes a backend to have when its list says this.
 fn age_ms(world: &mut World, uid: &str) -> i64 {
     let lines = world.expect_log(&format!("uid={uid} "));
-    let line = lines.lines().rfind(|line| line.contains(&format!("uid={uid} "))).unwrap();
-    let age = line.split("age_ms=").nth(1).expect("an age").split(' ').next().unwrap();
+    let line = lines
+        .lines()
+        .rfind(|line| line.contains(&format!("uid={uid} ")))
+        .unwrap();
+    let age = line
+        .split("age_ms=")
+        .nth(1)
+        .expect("an age")
+        .split(' ')
+        .next()
+        .unwrap();
     age.parse().unwrap()
 }
 
@@ -56,7 +73,10 @@
 fn a_start_that_lies_ahead_is_not_later_than_the_moment_it_was_heard() {
     for (plan, machines) in [("clock=step:-3600", 0), ("", HOUR_MS)] {
         let (mut world, mut watch) = followed(plan);
-        watch.send(&more_changes(9, &[started(&world, "s-2", unix_ms() + machines)]));
+        watch.send(&more_changes(
+            9,
+            &[started(&world, "s-2", unix_ms() + machines)],
+        ));
         let age = age_ms(&mut world, "s-2");
         assert!((0..=100).contains(&age), "{plan} {machines}: {age} ms");
     }
@@ -80,7 +100,10 @@
     for step in [2, 5] {
         let (mut world, mut watch) = followed(&format!("clock=step:{step}"));
         for (rev, uid, told_after) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
-            watch.send(&more_changes(rev, &[started(&world, uid, unix_ms() - told_after)]));
+            watch.send(&more_changes(
+                rev,
+                &[started(&world, uid, unix_ms() - told_after)],
+            ));
             let age = age_ms(&mut world, uid);
             assert!(
                 (0..=told_after + 100).contains(&age),
@@ -92,12 +115,18 @@
 
 #[test]
 fn a_start_on_the_first_list_is_recent_whatever_the_clock_says() {
-    for (plan, at_least_so_old) in
-        [("", 500), ("clock=step:3600", 500), ("clock=step:-3600", 500), ("", HOUR_MS)]
-    {
+    for (plan, at_least_so_old) in [
+        ("", 500),
+        ("clock=step:3600", 500),
+        ("clock=step:-3600", 500),
+        ("", HOUR_MS),
+    ] {
         let mut world = started_with(plan, unix_ms() - at_least_so_old);
         let age = age_ms(&mut world, "s-2");
-        assert!((0..=100).contains(&age), "{plan} {at_least_so_old}: {age} ms");
+        assert!(
+            (0..=100).contains(&age),
+            "{plan} {at_least_so_old}: {age} ms"
+        );
     }
     // A clock that is an hour off can't explain this.
     let mut world = started_with("clock=step:3600", unix_ms() - 3 * HOUR_MS);
@@ -109,7 +138,10 @@
     let (mut world, mut watch) = followed("");
     // The first start that is told soon shows that the clock is not ahead.
     watch.send(&more_changes(9, &[started(&world, "s-4", unix_ms())]));
-    watch.send(&more_changes(10, &[started(&world, "s-2", unix_ms() - 3_000)]));
+    watch.send(&more_changes(
+        10,
+        &[started(&world, "s-2", unix_ms() - 3_000)],
+    ));
     let age = age_ms(&mut world, "s-2");
     assert!((2_900..=3_500).contains(&age), "{age} ms");
     // Told again, it is as old as it was: nothing has started anew.
--- a/node/tests/terms/deadline.rs
+++ b/node/tests/terms/deadline.rs
@@ -58,7 +58,11 @@
         known.send(HEALTH).expect("ok\n");
         world.stall();
         let sent = Instant::now();
-        let mut client = if in_accept_queue { world.client() } else { known };
+        let mut client = if in_accept_queue {
+            world.client()
+        } else {
+            known
+        };
         client.send(&report("stalled", PATIENCE_MS));
         pass(800);
         world.go_on();
@@ -69,7 +73,8 @@
 #[test]
 fn a_retry_is_told_what_is_left_when_it_goes_out() {
     // An attempt is not called off as overdue within the pause.
-    let patient = |config: String| config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":3000000000"#);
+    let patient =
+        |config: String| config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":3000000000"#);
     let world = World::with(patient);
     let mut client = world.client();
     client.send(&report("w0", 5_000));
@@ -80,7 +85,10 @@
         backend.serve("200 OK", "warm");
         client.expect("warm");
         let name = format!("w{number}");
-        client.send(&report(if number < 5 { &name } else { "again" }, PATIENCE_MS));
+        client.send(&report(
+            if number < 5 { &name } else { "again" },
+            PATIENCE_MS,
+        ));
     }
     let sent = Instant::now();
     expect_told(&mut backend, sent);
@@ -99,5 +107,8 @@
     client.send(&report("idle", PATIENCE_MS));
     let head = world.backend.wait().expect("body");
     let told = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
-    assert!(told + TOLD_SLACK >= PATIENCE.saturating_sub(sent.elapsed()), "told only {told:?}");
+    assert!(
+        told + TOLD_SLACK >= PATIENCE.saturating_sub(sent.elapsed()),
+        "told only {told:?}"
+    );
 }
--- a/node/tests/terms/faults.rs
+++ b/node/tests/terms/faults.rs
@@ -44,7 +44,11 @@
     ] {
         let (world, backend) = world(plan);
         let served = ask(&world, 120);
-        assert!(served >= 114, "{plan}: {served} of 120 served, {} at the backend", backend.served());
+        assert!(
+            served >= 114,
+            "{plan}: {served} of 120 served, {} at the backend",
+            backend.served()
+        );
     }
 }
 
@@ -75,16 +79,27 @@
         for number in 0..100 {
             let mut client = world.client();
             let name = format!("r{number}");
-            client.send(&report(&name, 3_000)).expect(&format!("\r\n\r\n{name}"));
+            client
+                .send(&report(&name, 3_000))
+                .expect(&format!("\r\n\r\n{name}"));
         }
-        assert!(since.elapsed() < Duration::from_millis(1_200), "{errno}: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_millis(1_200),
+            "{errno}: {:?}",
+            since.elapsed()
+        );
         assert!(!idle.has_ended(), "{errno}: an idle session was given up");
     }
 }
 
 #[test]
 fn a_shortage_of_this_machine_neither_burns_an_attempt_nor_speaks_against_the_backend() {
-    for fault in ["connect=EADDRNOTAVAIL", "connect=ENETUNREACH", "socket=ENFILE", "epoll_ctl=ENOMEM"] {
+    for fault in [
+        "connect=EADDRNOTAVAIL",
+        "connect=ENETUNREACH",
+        "socket=ENFILE",
+        "epoll_ctl=ENOMEM",
+    ] {
         let party = crate::common::Party::new();
         let address = party.address();
         let world = World::with_faults(&format!("{fault},from:300,to:700"), |config| {
@@ -102,7 +117,13 @@
 
 #[test]
 fn a_shortage_that_lasts_is_not_spun_on() {
-    for fault in ["send=ENOBUFS", "recv=ENOMEM", "accept=ENFILE", "connect=EADDRNOTAVAIL", "socket=ENOBUFS"] {
+    for fault in [
+        "send=ENOBUFS",
+        "recv=ENOMEM",
+        "accept=ENFILE",
+        "connect=EADDRNOTAVAIL",
+        "socket=ENOBUFS",
+    ] {
         let (world, _backend) = world(&format!("{fault},from:300,to:1300"));
         assert_eq!(ask(&world, 5), 5, "{fault}");
         let mut clients: Vec<Line> = (0..5).map(|_| world.client()).collect();
@@ -113,7 +134,10 @@
         let before = world.cpu();
         crate::common::pass(700);
         let used = world.cpu() - before;
-        assert!(used < Duration::from_millis(200), "{fault}: {used:?} of a core in 0.7 s");
+        assert!(
+            used < Duration::from_millis(200),
+            "{fault}: {used:?} of a core in 0.7 s"
+        );
         for (number, mut client) in clients.into_iter().enumerate() {
             client.expect(&format!("\r\n\r\ns{number}"));
         }
@@ -181,7 +205,10 @@
 
 #[test]
 fn a_configuration_that_never_ends_or_never_comes_holds_up_nobody() {
-    for put in [|world: &World| world.reload_from("/dev/zero"), World::reload_from_pipe] {
+    for put in [
+        |world: &World| world.reload_from("/dev/zero"),
+        World::reload_from_pipe,
+    ] {
         let (mut world, backend) = world_of(|config| World::with(config));
         put(&world);
         world.expect_log("reload-failed");
@@ -204,13 +231,19 @@
     world.terminate();
     wait_until(started, Duration::from_millis(1_650));
     client.send(&report("second", 3_000));
-    let head = client.expect_or_end("\r\n\r\n").expect("an answer, not a close");
+    let head = client
+        .expect_or_end("\r\n\r\n")
+        .expect("an answer, not a close");
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     client.expect("second");
     // What has asked nothing is not waited for.
     idle.expect_end();
     client.expect_end();
-    assert!(started.elapsed() < Duration::from_millis(3_000), "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < Duration::from_millis(3_000),
+        "{:?}",
+        started.elapsed()
+    );
     assert_eq!(world.wait_exit().code(), Some(0));
 }
 
--- a/node/tests/terms/half_close.rs
+++ b/node/tests/terms/half_close.rs
@@ -1,5 +1,5 @@
-//! A request that was read gets an answer, also where its client has ended its sending behind it. Nothing is
-//! sent on for such a client: a half-close can't be told from a close.
+//! A request that was read gets an answer, also where its client has ended its sending behind it.
+//! Nothing is sent on for such a client: a half-close can't be told from a close.
 
 use crate::common::{World, pass, report};
 
@@ -17,7 +17,8 @@
 
 #[test]
 fn a_client_that_ends_its_sending_while_its_request_is_held_is_refused() {
-    let world = World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
+    let world =
+        World::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
     let mut client = world.client();
     client.send(&report("held", 5_000));
     world.turn();
@@ -47,7 +48,10 @@
     world.turn();
     client.end();
     let answer = client.expect_end();
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400 "), "{answer}");
+    assert!(
+        answer.is_empty() || answer.starts_with("HTTP/1.1 400 "),
+        "{answer}"
+    );
     pass(20);
     assert!(world.backend.is_quiet());
 }
--- a/node/tests/terms/mod.rs
+++ b/node/tests/terms/mod.rs
@@ -43,7 +43,10 @@
     while let Some(head) = line.expect_or_end("body") {
         let txn = crate::common::header(&head, "x-txn").to_string();
         count.fetch_add(1, Ordering::SeqCst);
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{txn}", txn.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{txn}",
+            txn.len()
+        );
         if !line.try_send(&answer) {
             return;
         }
@@ -57,13 +60,16 @@
     let world = start(&|config: String| {
         let from = config.find(r#""targets":["#).expect("a list");
         let to = from + config[from..].find("]}").expect("its end");
-        config[..from].to_string() + r#""targets":["# + &entry("s-1", address, "Ready") + &config[to..]
+        config[..from].to_string()
+            + r#""targets":["#
+            + &entry("s-1", address, "Ready")
+            + &config[to..]
     });
     (world, EchoBackend::serve(party))
 }
 
-/// So many requests on connections that are kept, a new one after each tenth; gives how many were served.
-/// Each gets a whole answer.
+/// So many requests on connections that are kept, a new one after each tenth; gives how many were
+/// served. Each gets a whole answer.
 fn ask(world: &World, count: usize) -> usize {
     let mut client: Option<Line> = None;
     let mut served = 0;
@@ -71,8 +77,12 @@
         let mut line = client.take().unwrap_or_else(|| world.client());
         let name = format!("r{number}");
         line.send(&report(&name, 3_000));
-        let head = line.expect_or_end("\r\n\r\n").unwrap_or_else(|| panic!("{name} got no answer"));
-        let length: usize = crate::common::header(&head, "content-length").parse().unwrap();
+        let head = line
+            .expect_or_end("\r\n\r\n")
+            .unwrap_or_else(|| panic!("{name} got no answer"));
+        let length: usize = crate::common::header(&head, "content-length")
+            .parse()
+            .unwrap();
         let body = line.take(length);
         if head.starts_with("HTTP/1.1 200 ") {
             assert_eq!(body, name);
--- a/node/tests/terms/unframed.rs
+++ b/node/tests/terms/unframed.rs
@@ -1,5 +1,5 @@
-//! An answer with neither length nor chunks ends with its connection. An orderly end makes it whole; a reset
-//! is no end.
+//! An answer with neither length nor chunks ends with its connection. An orderly end makes it
+//! whole; a reset is no end.
 
 use crate::common::{Line, World, report};
 
@@ -13,7 +13,10 @@
 }
 
 fn unsafe_class(config: String) -> String {
-    config.replace(r#""effect":"by_key","keyScope":"cell","windowNs":3000000000"#, r#""effect":"once""#)
+    config.replace(
+        r#""effect":"by_key","keyScope":"cell","windowNs":3000000000"#,
+        r#""effect":"once""#,
+    )
 }
 
 #[test]
@@ -25,7 +28,10 @@
         backend.close();
         let head = client.expect("\r\n\r\n");
         assert!(head.starts_with("HTTP/1.1 200 "), "{head}");
-        assert!(head.contains(&format!("content-length: {}\r\n", body.len())), "{head}");
+        assert!(
+            head.contains(&format!("content-length: {}\r\n", body.len())),
+            "{head}"
+        );
         assert_eq!(client.take(body.len()), body);
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings of a deployment, decoded once into what the decisions and the node use. Node and drill
-//! adapter share this decoder, so that both run on the same figures.
+//! The settings of a deployment, decoded once into what the decisions and the node use. Node and
+//! drill adapter share this decoder, so that both run on the same figures.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -48,32 +48,44 @@
         classes: grades.iter().map(class).collect::<Result<_, _>>()?,
         tenants: tenants
             .iter()
-            .map(|t| Ok(Tenant { quota_per_s: t.or("quotaPerS", 0.0, Place::number)? }))
+            .map(|t| {
+                Ok(Tenant {
+                    quota_per_s: t.or("quotaPerS", 0.0, Place::number)?,
+                })
+            })
             .collect::<Result<_, Fault>>()?,
         zone: ZoneId(root.or("zone", 0, Place::narrow)?),
         me: root.or("me", 0, Place::narrow)?,
         siblings: root.or("siblings", 1, Place::narrow)?,
-        ask_list: word(&root.get("membershipMode")?, &[("automatic", false), ("subscribe", true)])?,
+        ask_list: word(
+            &root.get("membershipMode")?,
+            &[("automatic", false), ("subscribe", true)],
+        )?,
         tick: root.get("tickNs")?.whole()?,
         over_quota_worth: root.or("overShareWorth", 1.0, Place::number)?,
-        worth_by_work: root
-            .find("worthBy")
-            .map_or(Ok(false), |place| word(&place, &[("request", false), ("work", true)]))?,
-        cross_zone_price: within("penalties", "crossZone").map_or(Ok(0.0), |place| place.number())?,
+        worth_by_work: root.find("worthBy").map_or(Ok(false), |place| {
+            word(&place, &[("request", false), ("work", true)])
+        })?,
+        cross_zone_price: within("penalties", "crossZone")
+            .map_or(Ok(0.0), |place| place.number())?,
         tail: within("goal", "tail").map_or(Ok(0.0), |place| place.number())?,
         limits: Limits {
             max_attempts: limits.get("maxAttempts")?.narrow()?,
             cancel: limits.or("cancel", false, Place::flag)?,
             probes: limits.or("probes", false, Place::flag)?,
-            // `retryAfter` only says whether the drill's clients are handed the advice. A refusal over HTTP
-            // may always carry it, and without it a refused client is back at once, into the same crowd.
+            // `retryAfter` only says whether the drill's clients are handed the advice. A refusal
+            // over HTTP may always carry it, and without it a refused client is back at once, into
+            // the same crowd.
             max_retry_after: limits.or("maxRetryAfterNs", 0, Place::whole)?,
             untried: 1.0,
         },
         rules: Rules {
             answer_slack: rules.or("answerSlackNs", 0, Place::whole)?,
             drain_grace: rules.get("drainGraceNs")?.whole()?,
-            drain_close: rules.find("drainCloseNs").map(|place| place.whole()).transpose()?,
+            drain_close: rules
+                .find("drainCloseNs")
+                .map(|place| place.whole())
+                .transpose()?,
             cold_from: rules.get("coldFrom")?.number()?,
             cold: rules.get("coldNs")?.whole()?,
             fall_multiple: rules.get("tipMultiple")?.number()?,
@@ -82,7 +94,10 @@
         },
     };
     settings.check().map_err(|wrong| {
-        let name = NAMES.iter().find(|(own, _)| *own == wrong.key).map_or(wrong.key, |(_, name)| name);
+        let name = NAMES
+            .iter()
+            .find(|(own, _)| *own == wrong.key)
+            .map_or(wrong.key, |(_, name)| name);
         root.bad_at(name, wrong.reason)
     })?;
     Ok(Deployment {
@@ -98,12 +113,22 @@
 }
 
 fn class(grade: &Place) -> Result<Class, Fault> {
-    let scopes = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let scopes = [
+        ("all", Group::All),
+        ("zone", Group::Zone),
+        ("cell", Group::Cell),
+    ];
     let keyed = Effect::Keyed {
-        group: grade.find("keyScope").map_or(Ok(Group::Cell), |place| word(&place, &scopes))?,
+        group: grade
+            .find("keyScope")
+            .map_or(Ok(Group::Cell), |place| word(&place, &scopes))?,
         window: grade.or("windowNs", 0, Place::whole)?,
     };
-    let effects = [("repeatable", Effect::Safe), ("by_key", keyed), ("once", Effect::Unsafe)];
+    let effects = [
+        ("repeatable", Effect::Safe),
+        ("by_key", keyed),
+        ("once", Effect::Unsafe),
+    ];
     Ok(Class {
         aim: grade.get("goalTimeNs")?.whole()?,
         aim_stretch: grade.or("aimStretch", 0.0, Place::number)?,
@@ -119,16 +144,27 @@
 fn word<T: Copy>(place: &Place, words: &[(&str, T)]) -> Result<T, Fault> {
     let found = place.text()?;
     let known = words.iter().find(|(name, _)| *name == found);
-    known.map(|(_, meaning)| *meaning).ok_or_else(|| place.bad(&format!("unknown word `{found}`")))
+    known
+        .map(|(_, meaning)| *meaning)
+        .ok_or_else(|| place.bad(&format!("unknown word `{found}`")))
 }
 
 fn names(places: &[Place]) -> Result<Vec<String>, Fault> {
-    places.iter().map(|place| Ok(place.or("name", "", Place::text)?.to_string())).collect()
+    places
+        .iter()
+        .map(|place| Ok(place.or("name", "", Place::text)?.to_string()))
+        .collect()
 }
 
 fn texts(root: &Place, key: &str) -> Result<Vec<String>, Fault> {
-    let Some(place) = root.find(key) else { return Ok(Vec::new()) };
-    place.list()?.iter().map(|entry| Ok(entry.text()?.to_string())).collect()
+    let Some(place) = root.find(key) else {
+        return Ok(Vec::new());
+    };
+    place
+        .list()?
+        .iter()
+        .map(|entry| Ok(entry.text()?.to_string()))
+        .collect()
 }
 
 #[cfg(test)]
--- a/settings/src/lib_tests.rs
+++ b/settings/src/lib_tests.rs
@@ -15,11 +15,19 @@
 
 #[test]
 fn reads_what_it_knows_and_passes_over_the_rest() {
-    let Deployment { settings, classes, .. } = parse(SETTINGS).unwrap();
+    let Deployment {
+        settings, classes, ..
+    } = parse(SETTINGS).unwrap();
     assert!(settings.ask_list);
     assert_eq!((settings.zone, settings.me), (ZoneId(1), 1));
     assert_eq!(settings.limits.max_retry_after, 8);
-    assert_eq!(settings.classes[0].effect, Effect::Keyed { group: Group::Zone, window: 7 });
+    assert_eq!(
+        settings.classes[0].effect,
+        Effect::Keyed {
+            group: Group::Zone,
+            window: 7
+        }
+    );
     assert_eq!(classes, ["reads"]);
 }
 
@@ -27,9 +35,17 @@
 fn names_the_key_that_is_missing_or_wrong() {
     let cases = [
         ("tickNs", "tock", "missing field `tickNs`"),
-        ("\"coldNs\": 1", "\"coldNs\": \"x\"", "field `rules.coldNs`: must be a whole number"),
+        (
+            "\"coldNs\": 1",
+            "\"coldNs\": \"x\"",
+            "field `rules.coldNs`: must be a whole number",
+        ),
         ("importance", "imp", "missing field `grades[0].importance`"),
-        ("by_key", "bye", "field `grades[0].effect`: unknown word `bye`"),
+        (
+            "by_key",
+            "bye",
+            "field `grades[0].effect`: unknown word `bye`",
+        ),
     ];
     for (old, new, wanted) in cases {
         let fault = parse(&SETTINGS.replace(old, new)).err().unwrap();
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,7 +1,7 @@
 //! Every decision of the balancer. Its interface (settings, events, actions) is `src/interface.rs`.
 //!
-//! The ordinary path is the rate-learning splitter of `docs/design.md`: rates from own completions over
-//! summed latencies, the split (9) with trimming, independent draws, decaying exploration.
+//! The ordinary path is the rate-learning splitter of `docs/design.md`: rates from own completions
+//! over summed latencies, the split (9) with trimming, independent draws, decaying exploration.
 
 mod admission;
 mod attempts;
@@ -22,61 +22,67 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// c of the design: how many requests a backend is taken to work on at once, so that c completions come in
-/// one latency. One figure everywhere; summed estimates exceed lambda under ordinary load.
+/// c of the design: how many requests a backend is taken to work on at once, so that c completions
+/// come in one latency. One figure everywhere; summed estimates exceed lambda under ordinary load.
 const CONCURRENCY: f64 = 8.0;
-/// Attempts that all nodes together let a backend hold: half of c, as room must end before the estimates do.
+/// Attempts that all nodes together let a backend hold: half of c, as room must end before the
+/// estimates do.
 const HELD: f64 = CONCURRENCY / 2.0;
 /// Completions of a backend that the discount keeps: standard error of a rate near a quarter.
 const MEMORY: f64 = 12.0;
 /// An estimate stays this far under one completion a slot.
 const RATE_CAP: f64 = 0.99;
-/// Evidence, in completions, by which an estimate leans to the pooled one as its own samples age away.
+/// Evidence, in completions, by which an estimate leans to the pooled one as its own samples age
+/// away.
 const PRIOR: f64 = 1.0;
 /// The same for estimates that are pooled over the backends of a label.
 const POOL_PRIOR: f64 = 2.0;
 /// Longest memory of a backend's completions, in longest aims.
 const MEMORY_AIMS: f64 = 10.0;
-/// Share of what is believed safe that this node sends a cold backend; the rest is for what it can't see.
+/// Share of what is believed safe that this node sends a cold backend; the rest is for what it
+/// can't see.
 const COLD_MARGIN: f64 = 0.5;
 /// Further attempts that a request pays for: the storm limit.
 const RETRY_RATIO: f64 = 0.2;
 /// Failures that can make an outlier.
 const OUTLIER_FAILURES: f64 = 3.0;
-/// An outlier fails by this share more often than the rest of the fleet. One that fails less still has
-/// capacity, which a crowd elsewhere lacks; its rate tells how much.
+/// An outlier fails by this share more often than the rest of the fleet. One that fails less still
+/// has capacity, which a crowd elsewhere lacks; its rate tells how much.
 const OUTLIER_EXCESS: f64 = 0.5;
-/// Failures in a row that make an outlier, whatever it did before: in one that has use they are rare.
+/// Failures in a row that make an outlier, whatever it did before: in one that has use they are
+/// rare.
 const OUTLIER_STREAK: f64 = 6.0;
 /// Latencies that the means of a class remember: standard error under a tenth.
 const SAMPLES: f64 = 64.0;
 /// Multiple of the usual latency in the best of times up to which a backend keeps up.
 const TOLERANCE: f64 = 1.3;
-/// Part of its share that a backend away from home keeps while home has time: it shows what is there.
+/// Part of its share that a backend away from home keeps while home has time: it shows what is
+/// there.
 const SPILL_LEAST: f64 = 0.05;
 /// Part by which room moves at an answer that is off by as much as the tolerance.
 const ROOM_GAIN: f64 = 0.2;
-/// Multiple of what it was to take by which an attempt is overdue, and part of the aim that it has at least.
+/// Multiple of what it was to take by which an attempt is overdue, and part of the aim that it has
+/// at least.
 const OVERDUE: f64 = 8.0;
 const OVERDUE_AIM: f64 = 0.25;
-/// Multiple of what is completed that a pace reaches at most, and part of their aims that answers may take
-/// in the mean: an exponential tail then leaves a fifth late.
+/// Multiple of what is completed that a pace reaches at most, and part of their aims that answers
+/// may take in the mean: an exponential tail then leaves a fifth late.
 const PACE_MOST: f64 = 5.0;
 const PACE_AIM: f64 = 0.65;
-/// Attempts that a pace keeps for what is worth the most, as many as it saves up in any case; less than half
-/// of that worth for the same work leaves them alone.
+/// Attempts that a pace keeps for what is worth the most, as many as it saves up in any case; less
+/// than half of that worth for the same work leaves them alone.
 const RESERVE: f64 = 2.0;
 const WORTHY: f64 = 0.5;
-/// Bits of a worth that don't count in the order of waiting: those within a fifth are equals. Guards
-/// against an order by age where the usual work, which worth is divided by, drifts.
+/// Bits of a worth that don't count in the order of waiting: those within a fifth are equals.
+/// Guards against an order by age where the usual work, which worth is divided by, drifts.
 const EQUALS: u32 = 50;
 /// What attempts out have waited strains by at most this multiple of what answers took.
 const MOST_WAITED: f64 = 3.0;
 /// At most this share of the listed backends is ejected; beyond, ejection fails open.
 const MAX_EJECTED: f64 = 0.5;
 
-/// Longest wait after a failed call for the list. A change counts as told 6 s after the list service had
-/// it and could be reached (protocol page); of these, 2 s are left for the call.
+/// Longest wait after a failed call for the list. A change counts as told 6 s after the list
+/// service had it and could be reached (protocol page); of these, 2 s are left for the call.
 const LONGEST_BACKOFF: Nanos = 3_990_000_000;
 /// Backends up to which shares are renewed at the full rate.
 const USUAL_LIST: f64 = 200.0;
@@ -89,7 +95,9 @@
     }
     /// Attempts that may have run or may still run.
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+        self.attempts
+            .iter()
+            .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
     }
 }
 
@@ -117,14 +125,15 @@
     lingering: BTreeSet<BackendId>,
     stale: bool,
     split_at: Nanos,
-    /// As of the last split: completions a second for each warm backend, and whether ejection fails open.
+    /// As of the last split: completions a second for each warm backend, and whether ejection fails
+    /// open.
     per_backend: f64,
     failed_open: bool,
     /// Attempts out, and the summed room of usable backends.
     out: f64,
     room: f64,
-    /// Completions and their latencies, of all backends together in the window of lambda; the attempts that
-    /// the pace from these has saved up; and when a timer for those that wait is due.
+    /// Completions and their latencies, of all backends together in the window of lambda; the
+    /// attempts that the pace from these has saved up; and when a timer for those that wait is due.
     recent: Sum,
     saved: f64,
     wake: Nanos,
@@ -197,9 +206,18 @@
             Event::ListFailed => self.on_list_failed(now, actions),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::FirstByte { request, .. } => {
-                self.open.entry(request).and_modify(|open| open.streaming = true);
+                self.open
+                    .entry(request)
+                    .and_modify(|open| open.streaming = true);
             }
-            Event::Outcome { request, attempt, latency, outcome, finished, .. } => {
+            Event::Outcome {
+                request,
+                attempt,
+                latency,
+                outcome,
+                finished,
+                ..
+            } => {
                 self.on_outcome(now, (request, attempt), latency, outcome, finished, actions);
             }
             Event::ClientGone { request } => self.close(request, actions),
@@ -216,7 +234,10 @@
             }
         }
         if let Some((at, timer)) = self.agenda.arm() {
-            actions.push(Action::SetTimer { at, timer: TimerId(timer) });
+            actions.push(Action::SetTimer {
+                at,
+                timer: TimerId(timer),
+            });
         }
     }
 }
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -17,11 +17,22 @@
         let deadline = now.saturating_add(request.patience);
         let elapsed = self.elapsed(&request);
         let late = elapsed >= span;
-        let aim = now.saturating_add(if late { span } else { span - elapsed }).min(deadline);
+        let aim = now
+            .saturating_add(if late { span } else { span - elapsed })
+            .min(deadline);
         let (rank, needs) = self.rank(&request, late);
         self.asked += 1.0;
         let (finished, streaming, attempts) = (false, false, Vec::new());
-        let open = Open { request, deadline, aim, attempts, finished, streaming, rank, needs };
+        let open = Open {
+            request,
+            deadline,
+            aim,
+            attempts,
+            finished,
+            streaming,
+            rank,
+            needs,
+        };
         self.open.insert(id, open);
         self.waiting.insert((rank, id));
         self.agenda.add(self.give_up(id), Task::Look(id));
@@ -31,20 +42,29 @@
     fn give_up(&self, id: RequestId) -> Nanos {
         let open = &self.open[&id];
         let class = usize::from(open.request.class.0);
-        // Where misses are counted apart, a refusal within the aim is none, and a late answer is one.
+        // Where misses are counted apart, a refusal within the aim is none, and a late answer is
+        // one.
         let late = self.settings.classes[class].late_worth > 0.0 && self.settings.tail == 0.0;
         let end = if late { open.deadline } else { open.aim };
         // A refusal of what was never written to a backend costs nothing up to a part of its time.
-        let unwritten = |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
-        let untried = (open.request.patience as f64 * (1.0 - self.settings.limits.untried)) as Nanos;
-        let end = if open.attempts.iter().all(unwritten) { end.min(open.deadline - untried) } else { end };
+        let unwritten =
+            |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
+        let untried =
+            (open.request.patience as f64 * (1.0 - self.settings.limits.untried)) as Nanos;
+        let end = if open.attempts.iter().all(unwritten) {
+            end.min(open.deadline - untried)
+        } else {
+            end
+        };
         let usual = (self.classes[class].all.base * SECOND) as Nanos;
         end.saturating_sub(usual.min(self.settings.classes[class].aim / 2) + self.settings.tick)
     }
 
     /// Sends an attempt if some backend is legal and has room; else the request waits.
     pub(super) fn attempt(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(backend) = self.draw(now, id) else { return false };
+        let Some(backend) = self.draw(now, id) else {
+            return false;
+        };
         let server = self.servers.get_mut(&backend).expect("drawn from the list");
         self.out += 1.0;
         self.saved -= 1.0;
@@ -53,7 +73,13 @@
         server.cold_credit = (server.cold_credit - 1.0).max(0.0);
         let (zone, cell) = (server.entry.zone, server.entry.cell);
         let open = self.open.get_mut(&id).expect("held");
-        open.attempts.push(Attempt { backend, sent: now, zone, cell, outcome: None });
+        open.attempts.push(Attempt {
+            backend,
+            sent: now,
+            zone,
+            cell,
+            outcome: None,
+        });
         self.waiting.remove(&(open.rank, id));
         if open.attempts.len() == 1 {
             self.arrivals += 1.0;
@@ -62,9 +88,18 @@
         }
         // An answer without worth is not waited for.
         let class = &self.settings.classes[usize::from(open.request.class.0)];
-        let until = if class.late_worth > 0.0 { open.deadline } else { open.aim };
-        actions.push(Action::Send { request: id, backend, until });
-        self.agenda.add(now.saturating_add(self.overdue(id)), Task::Look(id));
+        let until = if class.late_worth > 0.0 {
+            open.deadline
+        } else {
+            open.aim
+        };
+        actions.push(Action::Send {
+            request: id,
+            backend,
+            until,
+        });
+        self.agenda
+            .add(now.saturating_add(self.overdue(id)), Task::Look(id));
         true
     }
 
@@ -78,17 +113,21 @@
     }
 
     /// Calls off an attempt that looks lost, if another may go out in time. Guards against
-    /// connections that fall silent, which cost a request all its time and hold room for as long, so one
-    /// that can't be called off yet is looked at again. Harm: work is done twice where backends are only
-    /// slow; the storm limit bounds it.
+    /// connections that fall silent, which cost a request all its time and hold room for as long,
+    /// so one that can't be called off yet is looked at again. Harm: work is done twice where
+    /// backends are only slow; the storm limit bounds it.
     fn call_off(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let (open, limits) = (&self.open[&id], &self.settings.limits);
         let class = usize::from(open.request.class.0);
-        let Some((place, last)) = open.attempts.iter().enumerate().next_back() else { return };
+        let Some((place, last)) = open.attempts.iter().enumerate().next_back() else {
+            return;
+        };
         let once = match self.settings.classes[class].effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            Effect::Keyed { window, .. } => open.may_have_run().all(|a| now < a.sent.saturating_add(window)),
+            Effect::Keyed { window, .. } => open
+                .may_have_run()
+                .all(|a| now < a.sent.saturating_add(window)),
         };
         let more = limits.cancel && once && open.attempts.len() < limits.max_attempts as usize;
         if !more || now >= self.give_up(id) {
@@ -97,17 +136,26 @@
         let span = self.overdue(id);
         let at = last.sent.saturating_add(span);
         if now < at || self.retry_tokens < 1.0 {
-            let again = if now < at { at } else { now.saturating_add(span / OVERDUE as u64) };
+            let again = if now < at {
+                at
+            } else {
+                now.saturating_add(span / OVERDUE as u64)
+            };
             self.agenda.add(again, Task::Look(id));
         } else {
             self.retry_tokens -= 1.0;
-            actions.push(Action::Cancel { request: id, attempt: place as u8 });
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: place as u8,
+            });
         }
     }
 
     /// A moment set for a request has come: it was held, or an attempt is slow.
     pub(super) fn look(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.finished && !o.streaming) else { return };
+        let Some(open) = self.open.get(&id).filter(|o| !o.finished && !o.streaming) else {
+            return;
+        };
         if open.out() == 0 {
             // What is usual may have changed since this moment was set.
             match self.give_up(id) {
@@ -128,8 +176,14 @@
         finished: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(done) = open.attempts.get_mut(usize::from(attempt)).filter(|a| a.outcome.is_none()) else {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(done) = open
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|a| a.outcome.is_none())
+        else {
             return;
         };
         done.outcome = Some(outcome);
@@ -144,13 +198,18 @@
             server.out_sent -= sent as f64 / SECOND;
             server.spent += match outcome {
                 Outcome::Rejected => 0.0,
-                // At once or not, the request has to begin again elsewhere. Guards against a backend that is
-                // gone or leaving while the list is late: its own latency would make it the fastest.
+                // At once or not, the request has to begin again elsewhere. Guards against a
+                // backend that is gone or leaving while the list is late: its own latency would
+                // make it the fastest.
                 Outcome::ConnectFailed | Outcome::Full => spent.max(self.shortest_aim),
                 _ => spent,
             };
             if outcome == Outcome::Ok {
-                server.joined = if server.done > 0.0 { server.joined } else { now };
+                server.joined = if server.done > 0.0 {
+                    server.joined
+                } else {
+                    now
+                };
                 server.done += 1.0;
                 server.streak = 0.0;
                 let pool = self.kinds.entry(server.entry.kind).or_default();
@@ -163,15 +222,21 @@
                 }
             }
         }
-        if self.servers.get(&backend).is_none_or(|s| s.entry.state != BackendState::Ready) {
+        if self
+            .servers
+            .get(&backend)
+            .is_none_or(|s| s.entry.state != BackendState::Ready)
+        {
             self.let_go(now, backend, actions);
         }
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) {
             self.classes[class].all.add(spent, SAMPLES);
         }
         self.adjust_room(backend, class, spent, outcome);
-        let failed =
-            matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::Timeout);
+        let failed = matches!(
+            outcome,
+            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::Timeout
+        );
         if failed || lost {
             self.on_failure(now, backend, actions);
         }
@@ -203,9 +268,14 @@
 
     /// Gives the final answer: a refusal where that is true, else a failure.
     fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.finished) else { return };
+        let Some(open) = self.open.get(&id).filter(|o| !o.finished) else {
+            return;
+        };
         if self.may_refuse(open) {
-            actions.push(Action::Refuse { request: id, retry_after: self.settings.limits.max_retry_after });
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after: self.settings.limits.max_retry_after,
+            });
         } else {
             actions.push(Action::Fail { request: id });
         }
@@ -214,7 +284,9 @@
 
     /// The request is over: calls off what is out and forgets it when nothing is.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let first = !std::mem::replace(&mut open.finished, true);
         self.waiting.remove(&(open.rank, id));
         if open.out() == 0 {
@@ -222,7 +294,10 @@
         } else if first && self.settings.limits.cancel {
             for (place, attempt) in open.attempts.iter().enumerate() {
                 if attempt.outcome.is_none() {
-                    actions.push(Action::Cancel { request: id, attempt: place as u8 });
+                    actions.push(Action::Cancel {
+                        request: id,
+                        attempt: place as u8,
+                    });
                 }
             }
         }
--- a/src/balance/draw.rs
+++ b/src/balance/draw.rs
@@ -1,5 +1,5 @@
-//! Draws: an independent choice of a backend for each attempt, by the shares of the split and the weights of
-//! exploration.
+//! Draws: an independent choice of a backend for each attempt, by the shares of the split and the
+//! weights of exploration.
 
 use super::*;
 
@@ -23,8 +23,8 @@
         sound && Self::has_room(server) && self.may_send(now, open, server)
     }
 
-    /// What must not run twice is not what finds out whether one that failed is sound; where many nodes
-    /// share a backend, a time-out there tells of a crowd.
+    /// What must not run twice is not what finds out whether one that failed is sound; where many
+    /// nodes share a backend, a time-out there tells of a crowd.
     fn wants_proven(&self, open: &Open) -> bool {
         let once = |class: &Class| class.effect == Effect::Unsafe;
         let classes = &self.settings.classes;
@@ -32,8 +32,8 @@
         once(of_open) && !classes.iter().all(once) && !self.coarse()
     }
 
-    /// Draws among the support set, or an exploration by its weight. `None` where neither finds a backend
-    /// that is legal now and was not tried.
+    /// Draws among the support set, or an exploration by its weight. `None` where neither finds a
+    /// backend that is legal now and was not tried.
     fn draw_candidate(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
         let (dice, place) = (unit(&mut self.rng), unit(&mut self.rng));
         let again = unit(&mut self.rng);
@@ -42,7 +42,11 @@
         let wanted = |s: &&Server| untried(s) && self.is_usable(now, open, s);
         let total = self.candidates.explore_total();
         if dice < total {
-            let drawn = self.candidates.explorer(place).and_then(|id| self.servers.get(&id)).filter(wanted);
+            let drawn = self
+                .candidates
+                .explorer(place)
+                .and_then(|id| self.servers.get(&id))
+                .filter(wanted);
             let proven = |s: &&Server| s.streak == 0.0 || !self.wants_proven(open);
             if let Some(server) = drawn.filter(proven) {
                 return Some(server.entry.id);
@@ -51,7 +55,11 @@
                 return None;
             }
         }
-        let support = self.candidates.support().iter().filter_map(|id| self.servers.get(id));
+        let support = self
+            .candidates
+            .support()
+            .iter()
+            .filter_map(|id| self.servers.get(id));
         let mut pool: Vec<&Server> = support.filter(wanted).collect();
         self.prefer_proven(open, &mut pool);
         self.pick_shared(now, open, &pool, again)
@@ -61,15 +69,25 @@
     fn draw_from_all(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
         let (dice, place) = (unit(&mut self.rng), unit(&mut self.rng));
         let open = &self.open[&id];
-        let mut pool: Vec<&Server> = self.servers.values().filter(|s| self.is_usable(now, open, s)).collect();
+        let mut pool: Vec<&Server> = self
+            .servers
+            .values()
+            .filter(|s| self.is_usable(now, open, s))
+            .collect();
         let tried = |s: &&Server| open.attempts.iter().any(|a| a.backend == s.entry.id);
         if !open.attempts.is_empty() && !pool.iter().all(tried) {
             pool.retain(|s| !tried(s));
         }
         self.prefer_proven(open, &mut pool);
         let explore: f64 = pool.iter().map(|s| s.explore).sum();
-        let drawn = if dice >= explore.min(1.0) { self.pick_shared(now, open, &pool, place) } else { None };
-        drawn.or_else(|| pick(&pool, place, |s| s.explore)).or_else(|| pick(&pool, place, |_| 1.0))
+        let drawn = if dice >= explore.min(1.0) {
+            self.pick_shared(now, open, &pool, place)
+        } else {
+            None
+        };
+        drawn
+            .or_else(|| pick(&pool, place, |s| s.explore))
+            .or_else(|| pick(&pool, place, |_| 1.0))
     }
 
     fn prefer_proven(&self, open: &Open, pool: &mut Vec<&Server>) {
@@ -80,7 +98,13 @@
     }
 
     /// The backend at `place` of the shares, idle ones first.
-    fn pick_shared(&self, now: Nanos, open: &Open, pool: &[&Server], place: f64) -> Option<BackendId> {
+    fn pick_shared(
+        &self,
+        now: Nanos,
+        open: &Open,
+        pool: &[&Server],
+        place: f64,
+    ) -> Option<BackendId> {
         let part = |whether: bool, weight: f64| if whether { weight } else { 0.0 };
         let lately = now.saturating_sub((self.longest_aim * SECOND) as Nanos);
         let quick = |s: &Server| s.out == 0.0 && s.last < 1.0 && s.heard >= lately;
@@ -89,10 +113,13 @@
         pick(pool, place, |s| part(first && quick(s), s.rate))
             // What this node knows to be idle goes first: there is no wait at it.
             .or_else(|| pick(pool, place, |s| part(s.own && s.out == 0.0, s.share)))
-            // One that (9) leaves out is slow, but there at once; not where it is a crowd of others'.
+            // One that (9) leaves out is slow, but there at once; not where it is a crowd of
+            // others'.
             .or_else(|| {
                 let keeps_up = |s: &Server| s.ratio < TOLERANCE * TOLERANCE;
-                pick(pool, place, |s| part(s.own && s.out == 0.0 && keeps_up(s), s.rate))
+                pick(pool, place, |s| {
+                    part(s.own && s.out == 0.0 && keeps_up(s), s.rate)
+                })
             })
             .or_else(|| pick(pool, place, |s| s.share))
     }
--- a/src/balance/ejection.rs
+++ b/src/balance/ejection.rs
@@ -1,5 +1,5 @@
-//! Outlier ejection: backends that fail far more often than the rest get nothing for a while, with a
-//! backoff and a floor on how many.
+//! Outlier ejection: backends that fail far more often than the rest get nothing for a while, with
+//! a backoff and a floor on how many.
 
 use super::*;
 
@@ -10,16 +10,21 @@
         ejected > MAX_EJECTED * self.ready().count() as f64
     }
 
-    /// Counts a failure and ejects an outlier. Guards against fast errors, dead and unreachable backends,
-    /// which answer too quickly for their latency to show. Harm: a fault of one class of requests only.
+    /// Counts a failure and ejects an outlier. Guards against fast errors, dead and unreachable
+    /// backends, which answer too quickly for their latency to show. Harm: a fault of one class of
+    /// requests only.
     pub(super) fn on_failure(&mut self, now: Nanos, id: BackendId, actions: &mut Vec<Action>) {
-        let all = self.ready().fold((0.0, 0.0), |sum, s| (sum.0 + s.failed, sum.1 + s.done));
+        let all = self
+            .ready()
+            .fold((0.0, 0.0), |sum, s| (sum.0 + s.failed, sum.1 + s.done));
         let full = self.ready().filter(|s| s.ejected_until > now).count() as f64 + 1.0
             > MAX_EJECTED * self.ready().count() as f64;
         let first_room = self.first_room();
         let base = 2.0 * self.longest_aim;
         let jitter = 0.75 + 0.5 * unit(&mut self.rng);
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         server.failed += 1.0;
         server.streak += 1.0;
         let others = (all.0 - server.failed).max(0.0) / (all.0 + all.1 - server.done).max(1.0);
@@ -34,7 +39,10 @@
             server.joined = server.ejected_until;
             server.room = first_room;
             (server.done, server.spent, server.failed) = (0.0, 0.0, 0.0);
-            actions.push(Action::Log(format!("backend {} ejected for {span:.1} s", id.0)));
+            actions.push(Action::Log(format!(
+                "backend {} ejected for {span:.1} s",
+                id.0
+            )));
             self.stale = true;
         }
     }
--- a/src/balance/estimator.rs
+++ b/src/balance/estimator.rs
@@ -8,7 +8,8 @@
         2.0 * self.longest_aim
     }
 
-    /// A count that is discounted over the window of lambda, by the second; that of arrivals is lambda.
+    /// A count that is discounted over the window of lambda, by the second; that of arrivals is
+    /// lambda.
     pub(super) fn per_second(&self, now: Nanos, count: f64) -> f64 {
         let window = self.lambda_window();
         let age = now.saturating_sub(self.started) as f64 / SECOND;
@@ -16,7 +17,9 @@
     }
 
     pub(super) fn ready(&self) -> impl Iterator<Item = &Server> {
-        self.servers.values().filter(|s| s.entry.state == BackendState::Ready)
+        self.servers
+            .values()
+            .filter(|s| s.entry.state == BackendState::Ready)
     }
 
     /// Once for each time: discounts what was counted.
