--- a/src/balance/legality.rs
+++ b/src/balance/legality.rs
@@ -1,6 +1,8 @@
-//! Legality: whether a send or a refusal keeps the four rules. Every send passes [`Balancer::may_send`].
+//! Legality: whether a send or a refusal keeps the four rules. Every send passes
+//! [`Balancer::may_send`].
 //!
-//! Also the fourth rule's budget: what this node may send a backend in slow start, saved up as whole sends.
+//! Also the fourth rule's budget: what this node may send a backend in slow start, saved up as
+//! whole sends.
 
 use super::*;
 
@@ -22,26 +24,35 @@
                     }
             }),
         };
-        lasting && counted && once && entry.state == BackendState::Ready && self.cold_room(now, server)
+        lasting
+            && counted
+            && once
+            && entry.state == BackendState::Ready
+            && self.cold_room(now, server)
     }
 
     /// Whether `open` may be refused, which tells the client that trying again is harmless.
     pub(super) fn may_refuse(&self, open: &Open) -> bool {
         match self.settings.classes[usize::from(open.request.class.0)].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             Effect::Unsafe | Effect::Keyed { .. } => open.may_have_run().next().is_none(),
         }
     }
 
-    /// Rule 4: this node's share of what a cold backend can take, in whole sends that are saved up for.
+    /// Rule 4: this node's share of what a cold backend can take, in whole sends that are saved up
+    /// for.
     fn cold_room(&self, now: Nanos, server: &Server) -> bool {
         self.warmth(now, server) >= 1.0 || server.cold_credit >= 1.0
     }
 
-    /// Saves up sends to a cold backend over `step` seconds. What a warm one is seen to bear is a lower bound
-    /// of capacity, and linear warming from the stated start one of warmth. The credit starts at a random
-    /// part of a send: many nodes, each with less than a send for a window, then keep the budget by chance.
-    /// Two are saved at least: a node that draws the backend seldom would else lose a part at most draws.
+    /// Saves up sends to a cold backend over `step` seconds. What a warm one is seen to bear is a
+    /// lower bound of capacity, and linear warming from the stated start one of warmth. The credit
+    /// starts at a random part of a send: many nodes, each with less than a send for a window, then
+    /// keep the budget by chance. Two are saved at least: a node that draws the backend seldom
+    /// would else lose a part at most draws.
     pub(super) fn save_up(&self, server: &Server, warmth: f64, step: f64) -> f64 {
         let rules = &self.settings.rules;
         // A fleet that is cold as a whole gets something to be judged by.
@@ -54,7 +65,10 @@
     /// Part of its capacity that a backend surely has: 1 when warm.
     pub(super) fn warmth(&self, now: Nanos, server: &Server) -> f64 {
         let rules = &self.settings.rules;
-        let age = server.entry.started.map_or(rules.cold, |at| now.saturating_sub(at));
+        let age = server
+            .entry
+            .started
+            .map_or(rules.cold, |at| now.saturating_sub(at));
         if age >= rules.cold {
             return 1.0;
         }
--- a/src/balance/split.rs
+++ b/src/balance/split.rs
@@ -1,5 +1,5 @@
-//! The optimal split (9) of the paper over the backends that this node knows, renewed at a bounded rate,
-//! and the weights of exploration, K ln t / t.
+//! The optimal split (9) of the paper over the backends that this node knows, renewed at a bounded
+//! rate, and the weights of exploration, K ln t / t.
 
 use super::*;
 
@@ -11,7 +11,8 @@
         }
         let step = now.saturating_sub(self.split_at) as f64 / SECOND;
         let rate = self.per_second(now, self.arrivals) / (self.servers.len().max(1) as f64);
-        let memory = (MEMORY / rate.max(1e-9)).clamp(self.shortest_aim, MEMORY_AIMS * self.longest_aim);
+        let memory =
+            (MEMORY / rate.max(1e-9)).clamp(self.shortest_aim, MEMORY_AIMS * self.longest_aim);
         let keep = (-step / memory).exp();
         for server in self.servers.values_mut() {
             server.done *= keep;
@@ -24,7 +25,10 @@
         let starved = self.starved(now);
         self.failed_open = self.fails_open(now);
         let members = self.members(now);
-        let warm: f64 = members.iter().map(|id| self.warmth(now, &self.servers[id])).sum();
+        let warm: f64 = members
+            .iter()
+            .map(|id| self.warmth(now, &self.servers[id]))
+            .sum();
         self.per_backend = self.per_second(now, self.recent.done) / warm.max(1e-9);
         self.room = 0.0;
         let mut total = (0.0, 0.0, 0.0, 0.0);
@@ -39,9 +43,9 @@
             let latency = (server.spent + waited + PRIOR * prior) / (server.done + PRIOR);
             let rate = (CONCURRENCY * slot / latency.max(1e-9)).min(RATE_CAP);
             let known = server.done > 0.0 || starved && *prior > 0.0;
-            // A backend that tips when crowded needs rest, which a smaller share is not; it is back in the
-            // set as its samples age. Harm: slow but sound ones rest too, so only where others are many
-            // nodes'.
+            // A backend that tips when crowded needs rest, which a smaller share is not; it is back
+            // in the set as its samples age. Harm: slow but sound ones rest too, so only where
+            // others are many nodes'.
             let rests = self.coarse() && latency > TOLERANCE * TOLERANCE * usual;
             let member = members.contains(&server.entry.id) && !rests;
             rates.push(if usable && known && member { rate } else { 0.0 });
@@ -54,11 +58,16 @@
                 let waited = waited.min(MOST_WAITED * server.spent);
                 // By completions: one that is met no more would strain all room for good.
                 let ratio = server.ratio * server.done;
-                total = (total.0 + server.spent, total.1 + waited, total.2 + ratio, total.3 + server.done);
+                total = (
+                    total.0 + server.spent,
+                    total.1 + waited,
+                    total.2 + ratio,
+                    total.3 + server.done,
+                );
             }
         }
-        // What has waited shows a crowd before outcomes do. Guards against a whole fleet that tips or goes
-        // silent at once; could waste capacity where latencies are long for another cause.
+        // What has waited shows a crowd before outcomes do. Guards against a whole fleet that tips
+        // or goes silent at once; could waste capacity where latencies are long for another cause.
         let (spent, waited, ratios, count) = total;
         let strain = ratios / f64::max(count, 1e-9) * (1.0 + waited / f64::max(spent, 1e-3));
         if !self.coarse() {
@@ -66,7 +75,11 @@
         }
         // Crossing costs: away from home the shares count by how far home is from its tolerance.
         let near = |s: &Server| s.entry.zone == self.settings.zone;
-        let home = self.servers.values().zip(&rates).filter(|(s, rate)| **rate > 0.0 && near(s));
+        let home = self
+            .servers
+            .values()
+            .zip(&rates)
+            .filter(|(s, rate)| **rate > 0.0 && near(s));
         let (sum, count) = home.fold((0.0, 0.0), |all, (s, _)| (all.0 + s.ratio, all.1 + 1.0));
         let spill = if count == 0.0 || self.settings.cross_zone_price <= 0.0 {
             1.0
@@ -77,11 +90,21 @@
         let part = members.len() as f64 / self.ready().count().max(1) as f64;
         let shares = shares(lambda * part, &rates);
         // Where evidence is pooled, as many rates are unknown as there are kinds: that is K then.
-        let unknown = if starved { self.kinds.len() as f64 / self.servers.len().max(1) as f64 } else { 1.0 };
+        let unknown = if starved {
+            self.kinds.len() as f64 / self.servers.len().max(1) as f64
+        } else {
+            1.0
+        };
         for (place, server) in self.servers.values_mut().enumerate() {
-            // A newcomer's clock stands until it has completed something: late in t it would get scraps.
-            let since = if server.done > 0.0 || starved { server.joined } else { now };
-            let clock = now.saturating_sub(since) as f64 / self.settings.tick as f64 + std::f64::consts::E;
+            // A newcomer's clock stands until it has completed something: late in t it would get
+            // scraps.
+            let since = if server.done > 0.0 || starved {
+                server.joined
+            } else {
+                now
+            };
+            let clock =
+                now.saturating_sub(since) as f64 / self.settings.tick as f64 + std::f64::consts::E;
             server.explore = unknown * warmths[place] * clock.ln() / clock / (1.0 + server.streak);
             server.cold_credit = credits[place];
             server.rate = rates[place];
@@ -92,21 +115,31 @@
         self.stale = false;
     }
 
-    /// Marks the part of its zone that this node uses first: by its number, a stretch of the backends in the
-    /// order that all nodes have in common, so that parts cover the zone evenly. Guards against nodes that
-    /// crowd one backend beside an idle one, as none knows what the others have out.
+    /// Marks the part of its zone that this node uses first: by its number, a stretch of the
+    /// backends in the order that all nodes have in common, so that parts cover the zone evenly.
+    /// Guards against nodes that crowd one backend beside an idle one, as none knows what the
+    /// others have out.
     fn take_part(&mut self) {
         let mut marks: BTreeMap<ZoneId, Vec<u64>> = BTreeMap::new();
         for server in self.ready() {
-            marks.entry(server.entry.zone).or_default().push(server.entry.mark);
+            marks
+                .entry(server.entry.zone)
+                .or_default()
+                .push(server.entry.mark);
         }
         marks.values_mut().for_each(|zone| zone.sort_unstable());
         let nodes = (self.siblings / marks.len().max(1) as f64).max(1.0);
         // Where only some of the nodes are of this zone, multiples of the golden ratio lie evenly.
-        let step = if marks.len() > 1 { std::f64::consts::GOLDEN_RATIO } else { 1.0 / nodes };
+        let step = if marks.len() > 1 {
+            std::f64::consts::GOLDEN_RATIO
+        } else {
+            1.0 / nodes
+        };
         let start = f64::from(self.settings.me) * step;
         for server in self.servers.values_mut() {
-            let Some(zone) = marks.get(&server.entry.zone) else { continue };
+            let Some(zone) = marks.get(&server.entry.zone) else {
+                continue;
+            };
             let rank = zone.partition_point(|mark| *mark < server.entry.mark) as f64;
             server.order = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
             server.own = server.entry.zone == self.settings.zone && server.order < 1.0 / nodes;
@@ -119,32 +152,56 @@
         rate * MEMORY_AIMS * self.longest_aim < MEMORY
     }
 
-    /// The backends of each zone that this node can come to know: the first in its own order, as many as get
-    /// the completions that an estimate wants within the longest memory. Guards against starved estimates and
-    /// a handshake for every request; nodes have other orders, so together they cover the fleet. All backends
-    /// where completions are plenty. Where crossing costs, little goes to other zones: together they have
-    /// what home has. Harm: a node's few may be struck together, then it draws among the rest.
+    /// The backends of each zone that this node can come to know: the first in its own order, as
+    /// many as get the completions that an estimate wants within the longest memory. Guards against
+    /// starved estimates and a handshake for every request; nodes have other orders, so together
+    /// they cover the fleet. All backends where completions are plenty. Where crossing costs,
+    /// little goes to other zones: together they have what home has. Harm: a node's few may be
+    /// struck together, then it draws among the rest.
     pub(super) fn members(&self, now: Nanos) -> BTreeSet<BackendId> {
         let age = (now.saturating_sub(self.started) as f64 / SECOND).max(self.longest_aim);
         let count = self.sends / age * MEMORY_AIMS * self.longest_aim / MEMORY;
         let usable = |s: &&Server| s.ejected_until <= now || self.failed_open;
-        let mut order: Vec<(ZoneId, f64, BackendId)> =
-            self.ready().filter(usable).map(|s| (s.entry.zone, s.order, s.entry.id)).collect();
+        let mut order: Vec<(ZoneId, f64, BackendId)> = self
+            .ready()
+            .filter(usable)
+            .map(|s| (s.entry.zone, s.order, s.entry.id))
+            .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let zones: Vec<_> = order.chunk_by(|a, b| a.0 == b.0).collect();
-        let others = if self.settings.cross_zone_price > 0.0 { zones.len() as f64 - 1.0 } else { 1.0 };
-        let share = |zone: ZoneId| if zone == self.settings.zone { 1.0 } else { others.max(1.0) };
+        let others = if self.settings.cross_zone_price > 0.0 {
+            zones.len() as f64 - 1.0
+        } else {
+            1.0
+        };
+        let share = |zone: ZoneId| {
+            if zone == self.settings.zone {
+                1.0
+            } else {
+                others.max(1.0)
+            }
+        };
         let most = |zone: ZoneId| (count / share(zone)).max(OUTLIER_FAILURES).ceil() as usize;
-        zones.iter().flat_map(|zone| zone.iter().take(most(zone[0].0))).map(|place| place.2).collect()
+        zones
+            .iter()
+            .flat_map(|zone| zone.iter().take(most(zone[0].0)))
+            .map(|place| place.2)
+            .collect()
     }
 
-    /// Latency that an estimate leans to, and that of its kind, for each backend: the fleet's, times what is
-    /// pooled for its kind, its cell, its zone, and for being cold. Guards against starved estimates behind
-    /// many nodes, and against what strikes all of one label at once (a silent rack, a zone cut off). Harm: a
-    /// sound backend among bad ones gets little.
+    /// Latency that an estimate leans to, and that of its kind, for each backend: the fleet's,
+    /// times what is pooled for its kind, its cell, its zone, and for being cold. Guards against
+    /// starved estimates behind many nodes, and against what strikes all of one label at once (a
+    /// silent rack, a zone cut off). Harm: a sound backend among bad ones gets little.
     fn priors(&self, seconds: f64) -> (Vec<(f64, f64)>, f64) {
-        let pooled = self.ready().fold((0.0, 0.0), |sum, s| (sum.0 + s.spent, sum.1 + s.done));
-        let mean = if pooled.1 > 0.0 { pooled.0 / pooled.1 } else { 0.0 };
+        let pooled = self
+            .ready()
+            .fold((0.0, 0.0), |sum, s| (sum.0 + s.spent, sum.1 + s.done));
+        let mean = if pooled.1 > 0.0 {
+            pooled.0 / pooled.1
+        } else {
+            0.0
+        };
         let leaning = |pool: &Sum| pool.lean(POOL_PRIOR);
         let kind = |s: &Server| self.kinds.get(&s.entry.kind).map_or(1.0, leaning);
         let mut cells: BTreeMap<CellId, Sum> = BTreeMap::new();
@@ -153,8 +210,8 @@
         let cold = |s: &Server| self.warmth(self.refreshed, s) < 1.0;
         for server in self.ready() {
             let usual = (mean * kind(server)).max(1e-9);
-            // Only what attempts out have waited beyond the usual speaks against them; a failure costs an
-            // aim.
+            // Only what attempts out have waited beyond the usual speaks against them; a failure
+            // costs an aim.
             let waited = (server.out * seconds - server.out_sent - server.out * usual).max(0.0);
             let spent = (server.spent + waited + server.failed * self.shortest_aim) / usual;
             let age = &mut ages[usize::from(cold(server))];
@@ -169,21 +226,35 @@
         let of = |s: &Server| {
             let cell = cells.get(&s.entry.cell).map_or(1.0, leaning);
             let usual = mean * kind(s);
-            let age = if cold(s) { leaning(&ages[1]) / leaning(&ages[0]) } else { 1.0 };
-            (usual * cell * age * zones.get(&s.entry.zone).map_or(1.0, leaning), usual)
+            let age = if cold(s) {
+                leaning(&ages[1]) / leaning(&ages[0])
+            } else {
+                1.0
+            };
+            (
+                usual * cell * age * zones.get(&s.entry.zone).map_or(1.0, leaning),
+                usual,
+            )
         };
         let (mut home, mut away) = (Sum::default(), Sum::default());
         for (zone, pool) in &zones {
-            let side = if *zone == self.settings.zone { &mut home } else { &mut away };
+            let side = if *zone == self.settings.zone {
+                &mut home
+            } else {
+                &mut away
+            };
             side.add(pool.done, pool.spent);
         }
-        (self.servers.values().map(of).collect(), leaning(&home) / leaning(&away))
+        (
+            self.servers.values().map(of).collect(),
+            leaning(&home) / leaning(&away),
+        )
     }
 }
 
-/// The paper's split (9): the slowest leave the support set while any share is not positive; no share is
-/// under the slowest's. With lambda at or over the summed rates (9) has no answer; its limit from below is
-/// proportional to the rates. A rate of 0 is outside the support set.
+/// The paper's split (9): the slowest leave the support set while any share is not positive; no
+/// share is under the slowest's. With lambda at or over the summed rates (9) has no answer; its
+/// limit from below is proportional to the rates. A rate of 0 is outside the support set.
 pub(super) fn shares(lambda: f64, rates: &[f64]) -> Vec<f64> {
     let mut sum: f64 = rates.iter().sum();
     let mut result = vec![0.0; rates.len()];
@@ -209,7 +280,11 @@
         order.pop();
     }
     for i in &order {
-        result[*i] = if order.len() == 1 { 1.0 } else { share(*i, sum, roots).max(0.0) };
+        result[*i] = if order.len() == 1 {
+            1.0
+        } else {
+            share(*i, sum, roots).max(0.0)
+        };
     }
     result
 }
--- a/src/balance_tests.rs
+++ b/src/balance_tests.rs
@@ -8,17 +8,34 @@
 const MS: Nanos = 1_000_000;
 /// A node of three hundred, of whose backends each gets little.
 fn one_of_many() -> Settings {
-    let class = Class { aim: 300 * MS, deadline: 1_600 * MS, ..Class::default() };
-    Settings { classes: vec![class], siblings: 300, ..Settings::default() }
+    let class = Class {
+        aim: 300 * MS,
+        deadline: 1_600 * MS,
+        ..Class::default()
+    };
+    Settings {
+        classes: vec![class],
+        siblings: 300,
+        ..Settings::default()
+    }
 }
 
 fn request(id: u32) -> Event {
     let (id, patience) = (RequestId(id), 1_600 * MS);
-    Event::Request(Request { id, key: u64::from(id.0), patience, write: true, ..Request::default() })
+    Event::Request(Request {
+        id,
+        key: u64::from(id.0),
+        patience,
+        write: true,
+        ..Request::default()
+    })
 }
 
 fn near(found: &[f64], wanted: &[f64]) {
-    assert!(found.iter().zip(wanted).all(|(a, b)| (a - b).abs() < 1e-9), "{found:?} {wanted:?}");
+    assert!(
+        found.iter().zip(wanted).all(|(a, b)| (a - b).abs() < 1e-9),
+        "{found:?} {wanted:?}"
+    );
 }
 
 #[test]
@@ -36,11 +53,31 @@
 
 #[test]
 fn a_long_way_to_a_zone_is_no_crowd_there() {
-    let class = Class { aim: 300_000_000, deadline: 900_000_000, ..Class::default() };
-    let mut balancer = Balancer::new(Settings { classes: vec![class], ..Settings::default() }, 7, 0).unwrap();
+    let class = Class {
+        aim: 300_000_000,
+        deadline: 900_000_000,
+        ..Class::default()
+    };
+    let mut balancer = Balancer::new(
+        Settings {
+            classes: vec![class],
+            ..Settings::default()
+        },
+        7,
+        0,
+    )
+    .unwrap();
     let state = BackendState::Ready;
-    let backend = |id| Backend { id: BackendId(id), zone: ZoneId(id as u16), state, ..Backend::default() };
-    let list = Event::List { kind: ListKind::Full, backends: vec![backend(0), backend(1)] };
+    let backend = |id| Backend {
+        id: BackendId(id),
+        zone: ZoneId(id as u16),
+        state,
+        ..Backend::default()
+    };
+    let list = Event::List {
+        kind: ListKind::Full,
+        backends: vec![backend(0), backend(1)],
+    };
     balancer.handle(1, list, &mut Vec::new());
     for _ in 0..2 * SAMPLES as usize {
         for (id, spent) in [(0, 0.002), (1, 0.012)] {
@@ -56,13 +93,24 @@
     let mut balancer = Balancer::new(one_of_many(), 7, 0).unwrap();
     // Thirty a second, and no backend takes any.
     for turn in 0..60 {
-        balancer.handle((1 + Nanos::from(turn) * 33) * MS, request(turn), &mut Vec::new());
+        balancer.handle(
+            (1 + Nanos::from(turn) * 33) * MS,
+            request(turn),
+            &mut Vec::new(),
+        );
     }
     let pace = balancer.pace(2_000 * MS);
     assert!((4.0..8.0).contains(&pace), "{pace} of 30 a second");
     // Once they answer fast, what a window completes at that pace brings back all that comes.
-    balancer.recent = Sum { done: pace * 0.6, spent: pace * 0.6 * 0.035 };
-    assert!(balancer.pace(2_000 * MS) > 25.0, "{}", balancer.pace(2_000 * MS));
+    balancer.recent = Sum {
+        done: pace * 0.6,
+        spent: pace * 0.6 * 0.035,
+    };
+    assert!(
+        balancer.pace(2_000 * MS) > 25.0,
+        "{}",
+        balancer.pace(2_000 * MS)
+    );
 }
 
 #[test]
@@ -74,15 +122,25 @@
     for turn in 0..20_000 {
         now += 10 * MS;
         if turn % 50 == 0 {
-            // Ten new ones, each in a cell and of a kind of its own, and the ten before them are gone.
+            // Ten new ones, each in a cell and of a kind of its own, and the ten before them are
+            // gone.
             let (state, label) = (BackendState::Ready, |id: u32| (id % 1_000) as u16);
             let backends = (turn / 5..turn / 5 + 10).map(|id| {
                 let (id, cell, kind) = (BackendId(id), CellId(label(id)), KindId(label(id)));
-                Backend { id, cell, kind, state, ..Backend::default() }
+                Backend {
+                    id,
+                    cell,
+                    kind,
+                    state,
+                    ..Backend::default()
+                }
             });
             balancer.handle(
                 now,
-                Event::List { kind: ListKind::Full, backends: backends.collect() },
+                Event::List {
+                    kind: ListKind::Full,
+                    backends: backends.collect(),
+                },
                 &mut actions,
             );
         }
@@ -97,37 +155,70 @@
             .collect();
         for request in sent {
             let (latency, outcome, load) = (5 * MS, Outcome::Ok, Vec::new());
-            let ended = Event::Outcome { request, attempt: 0, latency, outcome, finished: true, load };
+            let ended = Event::Outcome {
+                request,
+                attempt: 0,
+                latency,
+                outcome,
+                finished: true,
+                load,
+            };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
         if let Some(left) = turn.checked_sub(160) {
             for attempt in 0..5 {
                 let (latency, outcome, load) = (1_600 * MS, Outcome::Timeout, Vec::new());
                 let request = RequestId(left);
-                let ended = Event::Outcome { request, attempt, latency, outcome, finished: true, load };
+                let ended = Event::Outcome {
+                    request,
+                    attempt,
+                    latency,
+                    outcome,
+                    finished: true,
+                    load,
+                };
                 balancer.handle(now, ended, &mut actions);
             }
         }
-        let sizes =
-            [balancer.servers.len(), balancer.open.len(), balancer.agenda.len(), balancer.kinds.len()];
+        let sizes = [
+            balancer.servers.len(),
+            balancer.open.len(),
+            balancer.agenda.len(),
+            balancer.kinds.len(),
+        ];
         most = std::array::from_fn(|place| most[place].max(sizes[place]));
     }
-    // Four seconds of attempts and of closes to come at the very most, and a kind for each name there can be.
+    // Four seconds of attempts and of closes to come at the very most, and a kind for each name
+    // there can be.
     let [servers, open, agenda, kinds] = most;
-    assert!(servers <= 60 && open <= 200 && agenda <= 2_000 && kinds <= 1_000, "{most:?}");
+    assert!(
+        servers <= 60 && open <= 200 && agenda <= 2_000 && kinds <= 1_000,
+        "{most:?}"
+    );
 }
 
 #[test]
 fn a_node_knows_as_many_backends_as_it_can_estimate_and_abroad_no_more_than_at_home() {
     for (price, abroad) in [(0.03, 4 * 4), (0.0, 4 * 15)] {
-        let settings = Settings { cross_zone_price: price, ..one_of_many() };
+        let settings = Settings {
+            cross_zone_price: price,
+            ..one_of_many()
+        };
         let mut balancer = Balancer::new(settings, 7, 0).unwrap();
         let (zone, state) = (|id: u32| ZoneId((id % 5) as u16), BackendState::Ready);
-        let backends =
-            (0..200).map(|id| Backend { id: BackendId(id), zone: zone(id), state, ..Backend::default() });
-        let list = Event::List { kind: ListKind::Full, backends: backends.collect() };
+        let backends = (0..200).map(|id| Backend {
+            id: BackendId(id),
+            zone: zone(id),
+            state,
+            ..Backend::default()
+        });
+        let list = Event::List {
+            kind: ListKind::Full,
+            backends: backends.collect(),
+        };
         balancer.handle(1, list, &mut Vec::new());
-        // Sixty a second for twenty seconds: in ten aims fifteen backends get twelve completions each.
+        // Sixty a second for twenty seconds: in ten aims fifteen backends get twelve completions
+        // each.
         balancer.sends = 1_200.0;
         let known = balancer.members(20_000_000_000);
         let home = known.iter().filter(|id| zone(id.0) == ZoneId(0)).count();
@@ -139,38 +230,89 @@
 fn what_three_hundred_nodes_know_covers_the_fleet_evenly() {
     let state = BackendState::Ready;
     let marked = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let backend = |id| Backend { id: BackendId(id), mark: marked(id), state, ..Backend::default() };
+    let backend = |id| Backend {
+        id: BackendId(id),
+        mark: marked(id),
+        state,
+        ..Backend::default()
+    };
     let mut known = std::collections::BTreeMap::new();
     for me in 0..300 {
-        let settings = Settings { me, ..one_of_many() };
+        let settings = Settings {
+            me,
+            ..one_of_many()
+        };
         let mut node = Balancer::new(settings, u64::from(me), 0).unwrap();
-        let list = Event::List { kind: ListKind::Full, backends: (0..60).map(backend).collect() };
+        let list = Event::List {
+            kind: ListKind::Full,
+            backends: (0..60).map(backend).collect(),
+        };
         node.handle(1, list, &mut Vec::new());
-        node.members(2).into_iter().for_each(|id| *known.entry(id).or_insert(0) += 1);
+        node.members(2)
+            .into_iter()
+            .for_each(|id| *known.entry(id).or_insert(0) += 1);
     }
-    // Three each are fifteen nodes for a backend; sets drawn by chance give some of them 7 and some 24.
-    assert!(known.len() == 60 && known.values().all(|nodes| (14..=16).contains(nodes)), "{known:?}");
+    // Three each are fifteen nodes for a backend; sets drawn by chance give some of them 7 and some
+    // 24.
+    assert!(
+        known.len() == 60 && known.values().all(|nodes| (14..=16).contains(nodes)),
+        "{known:?}"
+    );
 }
 
 #[test]
 fn what_is_turned_away_is_not_what_backends_bear() {
-    let class = Class { aim: 300 * MS, deadline: 600 * MS, ..Class::default() };
-    let mut settings = Settings { classes: vec![class], ..Settings::default() };
+    let class = Class {
+        aim: 300 * MS,
+        deadline: 600 * MS,
+        ..Class::default()
+    };
+    let mut settings = Settings {
+        classes: vec![class],
+        ..Settings::default()
+    };
     settings.limits.max_attempts = 1;
     let mut balancer = Balancer::new(settings, 7, 0).unwrap();
     let state = BackendState::Ready;
-    let backends = (0..3).map(|id| Backend { id: BackendId(id), state, ..Backend::default() }).collect();
-    balancer.handle(1, Event::List { kind: ListKind::Full, backends }, &mut Vec::new());
+    let backends = (0..3)
+        .map(|id| Backend {
+            id: BackendId(id),
+            state,
+            ..Backend::default()
+        })
+        .collect();
+    balancer.handle(
+        1,
+        Event::List {
+            kind: ListKind::Full,
+            backends,
+        },
+        &mut Vec::new(),
+    );
     // A hundred a second, of which they take one in four: rule 4 is judged by these.
     let mut actions = Vec::new();
     for turn in 0..500 {
         let now = Nanos::from(turn) * 10 * MS + 2;
         balancer.handle(now, request(turn), &mut actions);
         for action in std::mem::take(&mut actions) {
-            let Action::Send { request, .. } = action else { continue };
-            let outcome = if turn % 4 == 0 { Outcome::Ok } else { Outcome::Full };
-            let (attempt, latency, finished, load) = (0, 5 * MS, outcome == Outcome::Ok, Vec::new());
-            let ended = Event::Outcome { request, attempt, latency, outcome, finished, load };
+            let Action::Send { request, .. } = action else {
+                continue;
+            };
+            let outcome = if turn % 4 == 0 {
+                Outcome::Ok
+            } else {
+                Outcome::Full
+            };
+            let (attempt, latency, finished, load) =
+                (0, 5 * MS, outcome == Outcome::Ok, Vec::new());
+            let ended = Event::Outcome {
+                request,
+                attempt,
+                latency,
+                outcome,
+                finished,
+                load,
+            };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
     }
--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -1,10 +1,10 @@
 //! Which backends a draw looks at, so that its cost does not follow the length of the list.
 //!
-//! The split (9) gives a share to the backends that this node knows, its support set; the exploration gives a
-//! small weight to every ready backend (DESIGN page, K ln t / t). Both are renewed together. A draw then
-//! walks the support set alone, and finds an exploration by its place in the running sums of the weights.
-//! Where what is found is not legal now, the caller walks the whole list; that is exact in distribution,
-//! and counted.
+//! The split (9) gives a share to the backends that this node knows, its support set; the
+//! exploration gives a small weight to every ready backend (DESIGN page, K ln t / t). Both are
+//! renewed together. A draw then walks the support set alone, and finds an exploration by its place
+//! in the running sums of the weights. Where what is found is not legal now, the caller walks the
+//! whole list; that is exact in distribution, and counted.
 
 use crate::interface::BackendId;
 use crate::state::Server;
@@ -33,7 +33,10 @@
             }
             if server.explore > 0.0 {
                 sum += server.explore;
-                candidates.explorers.push(Explorer { upto: sum, backend: server.entry.id });
+                candidates.explorers.push(Explorer {
+                    upto: sum,
+                    backend: server.entry.id,
+                });
             }
         }
         candidates
@@ -57,8 +60,13 @@
     /// The backend at `place`, from 0 to 1, of the summed exploration weights.
     pub(crate) fn explorer(&self, place: f64) -> Option<BackendId> {
         let at = place * self.explore_total();
-        let found = self.explorers.partition_point(|explorer| explorer.upto <= at);
-        self.explorers.get(found).or(self.explorers.last()).map(|explorer| explorer.backend)
+        let found = self
+            .explorers
+            .partition_point(|explorer| explorer.upto <= at);
+        self.explorers
+            .get(found)
+            .or(self.explorers.last())
+            .map(|explorer| explorer.backend)
     }
 }
 
--- a/src/candidates_tests.rs
+++ b/src/candidates_tests.rs
@@ -4,12 +4,24 @@
 use crate::interface::Backend;
 
 fn server(id: u32, share: f64, explore: f64) -> Server {
-    Server { entry: Backend { id: BackendId(id), ..Backend::default() }, share, explore, ..Server::default() }
+    Server {
+        entry: Backend {
+            id: BackendId(id),
+            ..Backend::default()
+        },
+        share,
+        explore,
+        ..Server::default()
+    }
 }
 
 #[test]
 fn an_explorer_is_found_in_proportion_to_its_weight() {
-    let servers = [server(1, 0.0, 0.1), server(2, 0.5, 0.0), server(3, 0.5, 0.3)];
+    let servers = [
+        server(1, 0.0, 0.1),
+        server(2, 0.5, 0.0),
+        server(3, 0.5, 0.3),
+    ];
     let candidates = Candidates::of(servers.iter());
     assert_eq!(candidates.support(), [BackendId(2), BackendId(3)]);
     assert!((candidates.explore_total() - 0.4).abs() < 1e-12);
@@ -23,7 +35,10 @@
 #[test]
 fn nothing_is_found_where_nothing_has_weight() {
     let candidates = Candidates::of(std::iter::empty());
-    assert_eq!((candidates.explore_total(), candidates.explorer(0.5)), (0.0, None));
+    assert_eq!(
+        (candidates.explore_total(), candidates.explorer(0.5)),
+        (0.0, None)
+    );
     let candidates = Candidates::of([server(1, 1.0, 0.2)].iter());
     assert_eq!(candidates.explorer(1.0), Some(BackendId(1)));
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -106,8 +106,8 @@
     pub answer_slack: Nanos,
     /// Sends to a backend told draining or gone must stop within this time.
     pub drain_grace: Nanos,
-    /// Idle connections to a backend told draining must be closed within this time of the notice or, if
-    /// later, of the last send or outcome there; `None`: they may stay open.
+    /// Idle connections to a backend told draining must be closed within this time of the notice
+    /// or, if later, of the last send or outcome there; `None`: they may stay open.
     pub drain_close: Option<Nanos>,
     /// A backend starts at this part of its capacity or more.
     pub cold_from: f64,
@@ -144,7 +144,8 @@
     pub worth_by_work: bool,
     /// Price of an attempt that crosses zones, in worth of a mean request.
     pub cross_zone_price: f64,
-    /// Weight of the tail in the goal: above 0, misses cost more than their worth, refusals in time do not.
+    /// Weight of the tail in the goal: above 0, misses cost more than their worth, refusals in time
+    /// do not.
     pub tail: f64,
     /// What the site permits.
     pub limits: Limits,
@@ -166,7 +167,13 @@
             worth_by_work: false,
             cross_zone_price: 0.0,
             tail: 0.0,
-            limits: Limits { max_attempts: 3, cancel: true, probes: false, max_retry_after: 0, untried: 1.0 },
+            limits: Limits {
+                max_attempts: 3,
+                cancel: true,
+                probes: false,
+                max_retry_after: 0,
+                untried: 1.0,
+            },
             rules: Rules {
                 answer_slack: 0,
                 drain_grace: 0,
@@ -193,7 +200,9 @@
                 "aim and deadline must be above 0",
             ),
             (
-                classes.iter().all(|c| c.worth.is_finite() && c.worth >= 0.0),
+                classes
+                    .iter()
+                    .all(|c| c.worth.is_finite() && c.worth >= 0.0),
                 "classes",
                 "worth must be 0 or more",
             ),
@@ -202,12 +211,26 @@
                 "rules.cold_from",
                 "must be above 0, at most 1",
             ),
-            (self.tail >= 0.0 && self.tail.is_finite(), "tail", "must be 0 or more"),
-            (rules.drain_close != Some(0), "rules.drain_close", "must be above 0"),
-            (rules.fall > 0 && rules.fall_multiple > 0.0, "rules.fall", "span and multiple must be above 0"),
+            (
+                self.tail >= 0.0 && self.tail.is_finite(),
+                "tail",
+                "must be 0 or more",
+            ),
+            (
+                rules.drain_close != Some(0),
+                "rules.drain_close",
+                "must be above 0",
+            ),
+            (
+                rules.fall > 0 && rules.fall_multiple > 0.0,
+                "rules.fall",
+                "span and multiple must be above 0",
+            ),
         ];
         let wrong = sound.into_iter().find(|check| !check.0);
-        wrong.map_or(Ok(()), |(_, key, reason)| Err(SettingsError { key, reason }))
+        wrong.map_or(Ok(()), |(_, key, reason)| {
+            Err(SettingsError { key, reason })
+        })
     }
 }
 
@@ -305,7 +328,8 @@
     Cancelled,
     /// Never sent.
     Moot,
-    /// The backend found fault with the request itself: another would too, and it tells nothing of this one.
+    /// The backend found fault with the request itself: another would too, and it tells nothing of
+    /// this one.
     Rejected,
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -35,7 +35,8 @@
     pub(crate) ejections: u32,
     /// Sends that the rule on cold backends leaves to this node, by now.
     pub(crate) cold_credit: f64,
-    /// Place from 0 to 1 in this node's own order of its zone's backends: the first are used and known first.
+    /// Place from 0 to 1 in this node's own order of its zone's backends: the first are used and
+    /// known first.
     pub(crate) order: f64,
     /// It is of the part of its zone that this node uses first.
     pub(crate) own: bool,
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -11,18 +11,32 @@
 const START: Nanos = 100_000 * MS;
 
 fn class(effect: Effect) -> Class {
-    Class { aim: 400 * MS, deadline: 1000 * MS, worth: 1.0, effect, ..Class::default() }
+    Class {
+        aim: 400 * MS,
+        deadline: 1000 * MS,
+        worth: 1.0,
+        effect,
+        ..Class::default()
+    }
 }
 
 fn settings() -> Settings {
-    let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
+    let keyed = |group| {
+        class(Effect::Keyed {
+            group,
+            window: 500 * MS,
+        })
+    };
     let mut settings = Settings {
         classes: vec![
             class(Effect::Safe),
             keyed(Group::All),
             keyed(Group::Cell),
             class(Effect::Unsafe),
-            Class { worth: 10.0, ..class(Effect::Safe) },
+            Class {
+                worth: 10.0,
+                ..class(Effect::Safe)
+            },
         ],
         ..Settings::default()
     };
@@ -48,7 +62,12 @@
 
 fn request(id: u32, class: u16) -> Event {
     let (id, class) = (RequestId(id), ClassId(class));
-    Event::Request(Request { id, class, patience: 800 * MS, ..Request::default() })
+    Event::Request(Request {
+        id,
+        class,
+        patience: 800 * MS,
+        ..Request::default()
+    })
 }
 
 /// Feeds events and keeps what is out; timers fire when due.
@@ -68,8 +87,17 @@
 
     fn seeded(settings: Settings, backends: Vec<Backend>, seed: u64) -> Feed {
         let balancer = Balancer::new(settings, seed, START).expect("sound settings");
-        let mut feed = Feed { balancer, now: START, timers: BTreeSet::new(), sent: BTreeMap::new(), next: 0 };
-        feed.give(Event::List { kind: ListKind::Cached, backends });
+        let mut feed = Feed {
+            balancer,
+            now: START,
+            timers: BTreeSet::new(),
+            sent: BTreeMap::new(),
+            next: 0,
+        };
+        feed.give(Event::List {
+            kind: ListKind::Cached,
+            backends,
+        });
         feed
     }
 
@@ -81,8 +109,13 @@
                 Action::SetTimer { at, timer } => {
                     self.timers.insert((*at, *timer));
                 }
-                Action::Send { request, backend, .. } => {
-                    self.sent.entry(*request).or_default().push((*backend, self.now, true));
+                Action::Send {
+                    request, backend, ..
+                } => {
+                    self.sent
+                        .entry(*request)
+                        .or_default()
+                        .push((*backend, self.now, true));
                 }
                 _ => {}
             }
@@ -109,7 +142,11 @@
     }
 
     fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        let sent = self.sent.get_mut(&id).map(|attempts| &mut attempts[attempt]).expect("sent");
+        let sent = self
+            .sent
+            .get_mut(&id)
+            .map(|attempts| &mut attempts[attempt])
+            .expect("sent");
         sent.2 = false;
         let latency = self.now - sent.1;
         let finished = outcome == Outcome::Ok;
@@ -124,7 +161,11 @@
     }
 
     /// Serves requests one after the other, each after what its backend takes; counts by backend.
-    fn serve(&mut self, count: usize, takes: impl Fn(BackendId) -> Nanos) -> BTreeMap<BackendId, usize> {
+    fn serve(
+        &mut self,
+        count: usize,
+        takes: impl Fn(BackendId) -> Nanos,
+    ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.ask(0);
@@ -139,7 +180,11 @@
 
 impl Feed {
     /// Like `serve`, at a node with little traffic: a request may wait for room before it is sent.
-    fn trickle(&mut self, count: usize, takes: impl Fn(BackendId) -> Nanos) -> BTreeMap<BackendId, usize> {
+    fn trickle(
+        &mut self,
+        count: usize,
+        takes: impl Fn(BackendId) -> Nanos,
+    ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.ask(0);
@@ -210,12 +255,20 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut feed = Feed::new(settings(), vec![backend(1), backend(2)]);
         feed.serve(40, |_| 10 * MS);
         let (id, _) = feed.ask(3);
         let actions = feed.end(id, 0, outcome);
-        assert!(failed(&actions) && sends(&actions).is_empty(), "{outcome:?}: {actions:?}");
+        assert!(
+            failed(&actions) && sends(&actions).is_empty(),
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
@@ -248,9 +301,18 @@
 #[test]
 fn nothing_new_goes_to_a_draining_backend() {
     let mut feed = Feed::new(settings(), vec![backend(1), backend(2)]);
-    let draining = Backend { state: BackendState::Draining, ..backend(1) };
-    feed.give(Event::List { kind: ListKind::Delta, backends: vec![draining] });
-    assert_eq!(feed.serve(100, |_| 10 * MS).keys().collect::<Vec<_>>(), [&BackendId(2)]);
+    let draining = Backend {
+        state: BackendState::Draining,
+        ..backend(1)
+    };
+    feed.give(Event::List {
+        kind: ListKind::Delta,
+        backends: vec![draining],
+    });
+    assert_eq!(
+        feed.serve(100, |_| 10 * MS).keys().collect::<Vec<_>>(),
+        [&BackendId(2)]
+    );
 }
 
 #[test]
@@ -258,11 +320,21 @@
     let nodes = 200;
     let mut sent = 0;
     for seed in 0..nodes {
-        let settings = Settings { siblings: nodes as u32, ..settings() };
-        let cold = Backend { started: Some(START - 1), ..backend(1) };
+        let settings = Settings {
+            siblings: nodes as u32,
+            ..settings()
+        };
+        let cold = Backend {
+            started: Some(START - 1),
+            ..backend(1)
+        };
         let backends = std::iter::once(cold).chain((2..=20).map(backend)).collect();
         let mut feed = Feed::seeded(settings, backends, seed);
-        sent += feed.trickle(10, |_| 20 * MS).get(&BackendId(1)).copied().unwrap_or(0);
+        sent += feed
+            .trickle(10, |_| 20 * MS)
+            .get(&BackendId(1))
+            .copied()
+            .unwrap_or(0);
     }
     // An even share would be 100; a fifth of the capacity is there.
     assert!(sent < 60, "{sent} sends to a cold backend");
@@ -270,28 +342,64 @@
 
 #[test]
 fn a_kind_that_is_slow_gets_less_from_a_node_that_hardly_knows_its_backends() {
-    let kind = |id: u32| Backend { kind: KindId((id % 2) as u16), ..backend(id) };
-    let mut feed = Feed::new(Settings { siblings: 200, ..settings() }, (1..=60).map(kind).collect());
-    let takes = |b: BackendId| if b.0.is_multiple_of(2) { 20 * MS } else { 60 * MS };
+    let kind = |id: u32| Backend {
+        kind: KindId((id % 2) as u16),
+        ..backend(id)
+    };
+    let mut feed = Feed::new(
+        Settings {
+            siblings: 200,
+            ..settings()
+        },
+        (1..=60).map(kind).collect(),
+    );
+    let takes = |b: BackendId| {
+        if b.0.is_multiple_of(2) {
+            20 * MS
+        } else {
+            60 * MS
+        }
+    };
     let counts = feed.trickle(300, takes);
-    let fast: usize = counts.iter().filter(|(b, _)| b.0.is_multiple_of(2)).map(|(_, n)| n).sum();
+    let fast: usize = counts
+        .iter()
+        .filter(|(b, _)| b.0.is_multiple_of(2))
+        .map(|(_, n)| n)
+        .sum();
     let all: usize = counts.values().sum();
     assert!(10 * fast > 6 * all, "{fast} of {all} to the fast kind");
 }
 
-/// One node of three hundred, with a class that can wait and one worth more that can't, on twenty backends.
+/// One node of three hundred, with a class that can wait and one worth more that can't, on twenty
+/// backends.
 fn paced() -> Feed {
-    let loose = Class { aim: 300 * MS, deadline: 1000 * MS, worth: 3.0, ..Class::default() };
+    let loose = Class {
+        aim: 300 * MS,
+        deadline: 1000 * MS,
+        worth: 3.0,
+        ..Class::default()
+    };
     let (aim, deadline, effect) = (75 * MS, 150 * MS, Effect::Unsafe);
-    let tight = Class { aim, deadline, worth: 8.0, effect, ..Class::default() };
+    let tight = Class {
+        aim,
+        deadline,
+        worth: 8.0,
+        effect,
+        ..Class::default()
+    };
     Feed::new(
-        Settings { classes: vec![loose, tight], siblings: 300, ..settings() },
+        Settings {
+            classes: vec![loose, tight],
+            siblings: 300,
+            ..settings()
+        },
         (1..=20).map(backend).collect(),
     )
 }
 
-/// Asks at the times given, by class, and answers each attempt after what `takes` says of class, backend and
-/// time since the start; gives the wait of each request before its first attempt, if it had one.
+/// Asks at the times given, by class, and answers each attempt after what `takes` says of class,
+/// backend and time since the start; gives the wait of each request before its first attempt, if it
+/// had one.
 fn day(
     feed: &mut Feed,
     asks: &BTreeMap<Nanos, u16>,
@@ -311,14 +419,20 @@
                     due.insert((at + takes(asked[id].0, to, at - START), *id));
                 }
             }
-            let Some((_, id)) = due.first().copied().filter(|(at, _)| *at <= feed.now) else { break };
+            let Some((_, id)) = due.first().copied().filter(|(at, _)| *at <= feed.now) else {
+                break;
+            };
             due.pop_first();
             feed.end(id, 0, Outcome::Ok);
         }
     }
     let fate = |(id, (class, at)): (RequestId, (u16, Nanos))| {
         let first = feed.sent.get(&id).map(|sent| sent[0]);
-        (class, first.map(|first| first.1 - at), first.map_or(BackendId(0), |first| first.0))
+        (
+            class,
+            first.map(|first| first.1 - at),
+            first.map_or(BackendId(0), |first| first.0),
+        )
     };
     asked.into_iter().map(fate).collect()
 }
@@ -328,12 +442,28 @@
     // Forty a second that can wait, more than the answers let through, and five that can't.
     let loose = (0..400).map(|n| (n * 25 * MS, 0));
     let tight = (0..50).map(|n| (n * 197 * MS + MS, 1));
-    let fates =
-        day(&mut paced(), &loose.chain(tight).collect(), |class, _, _| [220, 60][usize::from(class)] * MS);
-    let started = |class| fates.iter().filter(move |f| f.0 == class && f.1.is_some()).count();
+    let fates = day(
+        &mut paced(),
+        &loose.chain(tight).collect(),
+        |class, _, _| [220, 60][usize::from(class)] * MS,
+    );
+    let started = |class| {
+        fates
+            .iter()
+            .filter(move |f| f.0 == class && f.1.is_some())
+            .count()
+    };
     let at_once = fates.iter().filter(|f| f.0 == 1 && f.1 == Some(0)).count();
-    assert!(started(0) < 300, "the pace binds: {} of 400 that can wait", started(0));
-    assert!(at_once >= 45, "{at_once} of 50 that can't wait start at once, {} at all", started(1));
+    assert!(
+        started(0) < 300,
+        "the pace binds: {} of 400 that can wait",
+        started(0)
+    );
+    assert!(
+        at_once >= 45,
+        "{at_once} of 50 that can't wait start at once, {} at all",
+        started(1)
+    );
 }
 
 #[test]
@@ -341,10 +471,18 @@
     // Each backend is held up for a second in two, by others, each at a time of its own.
     let held_up = |to: BackendId, at: Nanos| (at / (500 * MS) + u64::from(to.0) * 3) % 4 < 2;
     let asks = (0..200).map(|n| (n * 49 * MS, 1)).collect();
-    let fates = day(&mut paced(), &asks, |_, to, at| if held_up(to, at) { 60 * MS } else { 20 * MS });
-    let lost =
-        fates.iter().zip(asks.keys()).filter(|(f, at)| f.1.is_none_or(|w| held_up(f.2, *at + w))).count();
-    assert!(lost < 70, "{lost} of 200 went to backends that were held up");
+    let fates = day(&mut paced(), &asks, |_, to, at| {
+        if held_up(to, at) { 60 * MS } else { 20 * MS }
+    });
+    let lost = fates
+        .iter()
+        .zip(asks.keys())
+        .filter(|(f, at)| f.1.is_none_or(|w| held_up(f.2, *at + w)))
+        .count();
+    assert!(
+        lost < 70,
+        "{lost} of 200 went to backends that were held up"
+    );
 }
 
 #[test]
@@ -357,23 +495,42 @@
         refused(&feed.wait(400 * MS))
     };
     assert!(!answer(settings.clone()));
-    assert!(answer(Settings { tail: 0.3, ..settings }));
+    assert!(answer(Settings {
+        tail: 0.3,
+        ..settings
+    }));
 }
 
 #[test]
 fn idle_connections_close_at_the_notice_of_a_drain_and_after_each_outcome() {
-    let close = |actions: &[Action]| actions.contains(&Action::CloseIdle { backend: BackendId(1) });
+    let close = |actions: &[Action]| {
+        actions.contains(&Action::CloseIdle {
+            backend: BackendId(1),
+        })
+    };
     let mut settings = settings();
     settings.rules.drain_close = Some(100 * MS);
     let mut feed = Feed::new(settings.clone(), vec![backend(1)]);
     let (id, _) = feed.ask(0);
-    let draining = Backend { state: BackendState::Draining, ..backend(1) };
-    let told = Event::List { kind: ListKind::Delta, backends: vec![draining] };
+    let draining = Backend {
+        state: BackendState::Draining,
+        ..backend(1)
+    };
+    let told = Event::List {
+        kind: ListKind::Delta,
+        backends: vec![draining],
+    };
     assert!(close(&feed.give(told.clone())));
-    assert!(!close(&feed.give(told.clone())), "told again, with nothing new to close");
+    assert!(
+        !close(&feed.give(told.clone())),
+        "told again, with nothing new to close"
+    );
     feed.wait(200 * MS);
     assert!(close(&feed.end(id, 0, Outcome::Ok)));
-    assert!(close(&feed.wait(100 * MS)), "once more, for a connection that was not idle yet");
+    assert!(
+        close(&feed.wait(100 * MS)),
+        "once more, for a connection that was not idle yet"
+    );
     settings.rules.drain_close = None;
     let mut feed = Feed::new(settings, vec![backend(1)]);
     assert!(!close(&feed.give(told)));
@@ -383,8 +540,14 @@
 fn a_cold_backend_gets_a_part_and_a_warm_one_its_share() {
     let mut feed = Feed::new(settings(), vec![backend(1), backend(2), backend(3)]);
     feed.serve(300, |_| 10 * MS);
-    let restarted = Backend { started: Some(feed.now), ..backend(1) };
-    feed.give(Event::List { kind: ListKind::Delta, backends: vec![restarted] });
+    let restarted = Backend {
+        started: Some(feed.now),
+        ..backend(1)
+    };
+    feed.give(Event::List {
+        kind: ListKind::Delta,
+        backends: vec![restarted],
+    });
     let cold = feed.serve(200, |_| 10 * MS);
     assert!(cold.get(&BackendId(1)).is_none_or(|n| *n < 40), "{cold:?}");
     feed.wait(10_000 * MS);
@@ -424,10 +587,16 @@
         let (id, _) = feed.ask(class);
         let early = feed.wait(90 * MS);
         let late = feed.wait(20 * MS);
-        let off = Action::Cancel { request: id, attempt: 0 };
+        let off = Action::Cancel {
+            request: id,
+            attempt: 0,
+        };
         assert!(!early.contains(&off));
         assert_eq!(late.contains(&off), again);
-        assert_eq!(sends(&feed.end(id, 0, Outcome::Cancelled)).len(), usize::from(again));
+        assert_eq!(
+            sends(&feed.end(id, 0, Outcome::Cancelled)).len(),
+            usize::from(again)
+        );
     }
 }
 
@@ -447,7 +616,10 @@
         }
         let (id, _) = feed.ask(0);
         // The usual latency rises, so that it is not overdue at the moment which was set for it.
-        let off = Action::Cancel { request: id, attempt: 0 };
+        let off = Action::Cancel {
+            request: id,
+            attempt: 0,
+        };
         let mut called_off = false;
         for _ in 0..8 {
             let (other, _) = feed.ask(0);
@@ -462,11 +634,15 @@
 
 #[test]
 fn an_attempt_that_takes_six_times_as_long_as_others_is_not_lost_yet() {
-    // Where work and waits are exponential one in 150 takes five times the mean, one in 3,000 eight times.
+    // Where work and waits are exponential one in 150 takes five times the mean, one in 3,000 eight
+    // times.
     let mut feed = Feed::new(settings(), (1..=4).map(backend).collect());
     feed.serve(40, |_| 30 * MS);
     let (id, _) = feed.ask(0);
-    let off = Action::Cancel { request: id, attempt: 0 };
+    let off = Action::Cancel {
+        request: id,
+        attempt: 0,
+    };
     assert!(!feed.wait(200 * MS).contains(&off));
     assert!(feed.wait(50 * MS).contains(&off));
 }
@@ -502,14 +678,30 @@
             let (id, _) = feed.ask(0);
             feed.wait(2 * MS);
             for attempt in 0.. {
-                let Some(to) = feed.sent[&id].get(attempt).map(|s| s.0) else { break };
+                let Some(to) = feed.sent[&id].get(attempt).map(|s| s.0) else {
+                    break;
+                };
                 of_one += usize::from(to == BackendId(1));
                 let fails = to == BackendId(1) && of_one % every == 0;
-                let actions = feed.end(id, attempt, if fails { Outcome::Reset } else { Outcome::Ok });
-                logs += actions.iter().filter(|a| matches!(a, Action::Log(_))).count();
+                let actions = feed.end(
+                    id,
+                    attempt,
+                    if fails { Outcome::Reset } else { Outcome::Ok },
+                );
+                logs += actions
+                    .iter()
+                    .filter(|a| matches!(a, Action::Log(_)))
+                    .count();
             }
         }
-        assert!(if kept { logs == 0 && of_one > 50 } else { of_one < 40 }, "{logs} {of_one}: 1 in {every}");
+        assert!(
+            if kept {
+                logs == 0 && of_one > 50
+            } else {
+                of_one < 40
+            },
+            "{logs} {of_one}: 1 in {every}"
+        );
     }
 }
 
@@ -520,8 +712,16 @@
     for _ in 0..200 {
         let (id, _) = feed.ask(2);
         let actions = feed.end(id, 0, Outcome::Rejected);
-        assert!(actions.contains(&Action::Fail { request: id }), "{actions:?}");
-        assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. } | Action::Log(_))), "{actions:?}");
+        assert!(
+            actions.contains(&Action::Fail { request: id }),
+            "{actions:?}"
+        );
+        assert!(
+            !actions
+                .iter()
+                .any(|a| matches!(a, Action::Send { .. } | Action::Log(_))),
+            "{actions:?}"
+        );
         feed.wait(10 * MS);
     }
 }
@@ -566,7 +766,10 @@
         }
         feed.wait(10 * MS);
         feed.end(first, 0, Outcome::Ok);
-        let served: Vec<u32> = ids.into_iter().filter(|id| feed.sent.contains_key(&RequestId(*id))).collect();
+        let served: Vec<u32> = ids
+            .into_iter()
+            .filter(|id| feed.sent.contains_key(&RequestId(*id)))
+            .collect();
         assert_eq!(served, [ids[2]]);
     }
 }
@@ -575,8 +778,13 @@
 fn a_marked_repeat_waits_behind_first_tries() {
     let mut feed = Feed::new(settings(), vec![backend(1)]);
     let (first, _) = feed.ask(0);
-    let Event::Request(marked) = request(900, 0) else { unreachable!() };
-    feed.give(Event::Request(Request { client_retry: true, ..marked }));
+    let Event::Request(marked) = request(900, 0) else {
+        unreachable!()
+    };
+    feed.give(Event::Request(Request {
+        client_retry: true,
+        ..marked
+    }));
     let (fresh, _) = feed.ask(0);
     feed.wait(10 * MS);
     feed.end(first, 0, Outcome::Ok);
@@ -587,15 +795,26 @@
 #[test]
 fn a_repeat_is_told_by_what_patience_it_has_left() {
     let repeat = |id, left| {
-        let Event::Request(request) = request(id, 0) else { unreachable!() };
-        Event::Request(Request { patience: left * MS, ..request })
+        let Event::Request(request) = request(id, 0) else {
+            unreachable!()
+        };
+        Event::Request(Request {
+            patience: left * MS,
+            ..request
+        })
     };
-    // 350 of the 400 ms of its aim are gone: its attempt is not waited for any longer than the rest.
+    // 350 of the 400 ms of its aim are gone: its attempt is not waited for any longer than the
+    // rest.
     let mut feed = Feed::new(settings(), vec![backend(1)]);
     feed.serve(20, |_| 10 * MS);
     let actions = feed.give(repeat(900, 650));
     let by = feed.now + 50 * MS;
-    assert!(actions.iter().any(|a| matches!(a, Action::Send { until, .. } if *until == by)), "{actions:?}");
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Send { until, .. } if *until == by)),
+        "{actions:?}"
+    );
     // Past its aim: the first try goes before it, though it came earlier in a crowd, newest first.
     let mut feed = Feed::new(settings(), vec![backend(1)]);
     let (first, _) = feed.ask(0);
@@ -617,7 +836,11 @@
         for me in 0..nodes {
             // Each knows the backends in an order of its own; what they have in common is the mark.
             let list = (1..=fleet).rev().map(backend).collect();
-            let settings = Settings { me, siblings: nodes, ..settings() };
+            let settings = Settings {
+                me,
+                siblings: nodes,
+                ..settings()
+            };
             let mut feed = Feed::seeded(settings, list, 7 + u64::from(me));
             feed.serve(4_000, |_| 10 * MS);
             let counts = feed.serve(2_000, |_| 10 * MS);
@@ -626,15 +849,27 @@
             parts += part.len();
             met.extend(part);
         }
-        assert_eq!((parts, met.len()), (fleet as usize, fleet as usize), "{nodes} nodes");
+        assert_eq!(
+            (parts, met.len()),
+            (fleet as usize, fleet as usize),
+            "{nodes} nodes"
+        );
     }
 }
 
 #[test]
 fn two_nodes_let_a_backend_hold_no_more_than_the_tightest_class_bears() {
-    // Three of 25 ms are as long as the aim of 75 ms is; a node's share of what is less is one or two.
-    let tight = Class { aim: 75 * MS, deadline: 150 * MS, ..class(Effect::Unsafe) };
-    let mut settings = Settings { siblings: 2, ..settings() };
+    // Three of 25 ms are as long as the aim of 75 ms is; a node's share of what is less is one or
+    // two.
+    let tight = Class {
+        aim: 75 * MS,
+        deadline: 150 * MS,
+        ..class(Effect::Unsafe)
+    };
+    let mut settings = Settings {
+        siblings: 2,
+        ..settings()
+    };
     settings.classes.push(tight);
     let mut feed = Feed::new(settings, vec![backend(1)]);
     let mut most = 0;
@@ -648,7 +883,8 @@
             }
             most = most.max(out.len());
             feed.wait(25 * MS);
-            out.into_iter().for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+            out.into_iter()
+                .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
         }
     }
     assert_eq!(most, 2);
@@ -659,13 +895,26 @@
     for (work, tick) in [(MS / 20, MS / 1_000), (5 * MS, MS), (1_000 * MS, MS)] {
         for fleet in [2, 12, 50] {
             let aim = (8 * work).max(20 * MS);
-            let whole = Class { aim, deadline: 3 * aim, ..class(Effect::Safe) };
-            let settings = Settings { classes: vec![whole], siblings: 2, tick, ..settings() };
+            let whole = Class {
+                aim,
+                deadline: 3 * aim,
+                ..class(Effect::Safe)
+            };
+            let settings = Settings {
+                classes: vec![whole],
+                siblings: 2,
+                tick,
+                ..settings()
+            };
             let mut feed = Feed::new(settings, (1..=fleet).map(backend).collect());
             let ask = |feed: &mut Feed| {
                 let id = RequestId(feed.next + 1);
                 feed.next = id.0;
-                feed.give(Event::Request(Request { id, patience: 3 * aim, ..Request::default() }));
+                feed.give(Event::Request(Request {
+                    id,
+                    patience: 3 * aim,
+                    ..Request::default()
+                }));
                 id
             };
             let answer = |feed: &mut Feed, id, takes| {
@@ -682,19 +931,35 @@
                     ask(&mut feed);
                 }
                 feed.wait(6 * work);
-                let out: Vec<_> = feed.sent.iter().filter(|s| s.1[0].2).map(|s| *s.0).collect();
-                out.into_iter().for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+                let out: Vec<_> = feed
+                    .sent
+                    .iter()
+                    .filter(|s| s.1[0].2)
+                    .map(|s| *s.0)
+                    .collect();
+                out.into_iter()
+                    .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
             }
             feed.wait(3 * aim);
-            let out: Vec<_> = feed.sent.iter().filter(|s| s.1[0].2).map(|s| *s.0).collect();
-            out.into_iter().for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+            let out: Vec<_> = feed
+                .sent
+                .iter()
+                .filter(|s| s.1[0].2)
+                .map(|s| *s.0)
+                .collect();
+            out.into_iter()
+                .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
             // The burst is over: one is out at a time, and others idle. It is never held back.
             for turn in 0..50 {
                 let id = ask(&mut feed);
-                assert!(feed.sent.contains_key(&id), "{fleet} of {work} ns: held back at turn {turn}");
+                assert!(
+                    feed.sent.contains_key(&id),
+                    "{fleet} of {work} ns: held back at turn {turn}"
+                );
                 answer(&mut feed, id, work);
             }
-            // Half as many as there are backends at once find room after ten answers of each and thirty aims.
+            // Half as many as there are backends at once find room after ten answers of each and
+            // thirty aims.
             for _ in 0..10 * fleet {
                 let id = ask(&mut feed);
                 answer(&mut feed, id, work);
@@ -702,7 +967,12 @@
             feed.wait(30 * aim);
             let all: Vec<_> = (0..fleet / 2).map(|_| ask(&mut feed)).collect();
             let held = all.iter().filter(|id| !feed.sent.contains_key(id)).count();
-            assert_eq!(held, 0, "{fleet} of {work} ns: {held} of {} wait", all.len());
+            assert_eq!(
+                held,
+                0,
+                "{fleet} of {work} ns: {held} of {} wait",
+                all.len()
+            );
         }
     }
 }
@@ -724,7 +994,13 @@
 
 #[test]
 fn a_failed_call_keeps_the_fleet_and_is_repeated() {
-    let mut feed = Feed::new(Settings { ask_list: true, ..settings() }, vec![backend(1)]);
+    let mut feed = Feed::new(
+        Settings {
+            ask_list: true,
+            ..settings()
+        },
+        vec![backend(1)],
+    );
     feed.give(Event::ListFailed);
     let (_, actions) = feed.ask(0);
     assert_eq!(sends(&actions), [BackendId(1)]);
@@ -733,11 +1009,14 @@
 
 #[test]
 fn however_often_calls_fail_the_next_one_is_answered_within_six_seconds_of_the_last() {
-    // A change counts as told 6 s after the list service had it and could be reached; of these, 2 s are
-    // for the call itself.
+    // A change counts as told 6 s after the list service had it and could be reached; of these, 2 s
+    // are for the call itself.
     for ask_within in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
         for seed in 0..40 {
-            let mut asking = Settings { ask_list: true, ..settings() };
+            let mut asking = Settings {
+                ask_list: true,
+                ..settings()
+            };
             asking.rules.ask_within = ask_within;
             let mut feed = Feed::seeded(asking, vec![backend(1)], seed);
             for failure in 0..8 {
@@ -745,7 +1024,10 @@
                 let before = feed.now;
                 while !feed.wait(50 * MS).contains(&Action::Subscribe(true)) {
                     let waited = feed.now - before;
-                    assert!(waited <= 4 * SECOND, "{ask_within}, seed {seed}, failure {failure}: {waited}");
+                    assert!(
+                        waited <= 4 * SECOND,
+                        "{ask_within}, seed {seed}, failure {failure}: {waited}"
+                    );
                 }
             }
         }
@@ -762,9 +1044,15 @@
     assert_eq!(named(|s| s.tick = 0), Some("tick"));
     assert_eq!(named(|s| s.classes[0].aim = 0), Some("classes"));
     assert_eq!(named(|s| s.rules.fall = 0), Some("rules.fall"));
-    assert_eq!(named(|s| s.rules.cold_from = f64::NAN), Some("rules.cold_from"));
+    assert_eq!(
+        named(|s| s.rules.cold_from = f64::NAN),
+        Some("rules.cold_from")
+    );
     assert_eq!(named(|s| s.tail = f64::NAN), Some("tail"));
-    assert_eq!(named(|s| s.rules.drain_close = Some(0)), Some("rules.drain_close"));
+    assert_eq!(
+        named(|s| s.rules.drain_close = Some(0)),
+        Some("rules.drain_close")
+    );
     assert_eq!(named(|s| s.siblings = 0), None);
     assert_eq!(named(|s| s.classes.clear()), None);
 }
@@ -830,30 +1118,57 @@
         for action in actions {
             match action {
                 Action::CloseIdle { backend } => drop(self.unclosed.remove(backend)),
-                Action::Send { request, backend, .. } => {
-                    let (class, deadline, seen) =
-                        self.open.get_mut(request).expect("rule 1: send after the end");
+                Action::Send {
+                    request, backend, ..
+                } => {
+                    let (class, deadline, seen) = self
+                        .open
+                        .get_mut(request)
+                        .expect("rule 1: send after the end");
                     assert!(now < *deadline);
                     assert_eq!(self.states[backend], BackendState::Ready, "rule 3");
-                    let risky: Vec<&Seen> =
-                        seen.iter().filter(|s| s.outcome.is_none_or(|o| !o.never_ran())).collect();
+                    let risky: Vec<&Seen> = seen
+                        .iter()
+                        .filter(|s| s.outcome.is_none_or(|o| !o.never_ran()))
+                        .collect();
                     match settings.classes[usize::from(*class)].effect {
                         Effect::Safe => {}
                         Effect::Unsafe => assert!(risky.is_empty(), "rule 2"),
                         Effect::Keyed { group, window } => {
-                            assert!(risky.iter().all(|s| now <= s.sent + window), "rule 2: window");
-                            let same = |s: &&Seen| group == Group::All || s.backend.0 % 2 == backend.0 % 2;
+                            assert!(
+                                risky.iter().all(|s| now <= s.sent + window),
+                                "rule 2: window"
+                            );
+                            let same =
+                                |s: &&Seen| group == Group::All || s.backend.0 % 2 == backend.0 % 2;
                             assert!(risky.iter().all(same), "rule 2: group");
                         }
                     }
-                    seen.push(Seen { backend: *backend, sent: now, outcome: None });
+                    seen.push(Seen {
+                        backend: *backend,
+                        sent: now,
+                        outcome: None,
+                    });
                 }
                 Action::Refuse { request, .. } => {
-                    let (class, deadline, seen) = self.open.remove(request).expect("rule 1: one answer");
+                    let (class, deadline, seen) =
+                        self.open.remove(request).expect("rule 1: one answer");
                     assert!(now <= deadline);
-                    let risky = seen.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-                    let effect = settings.classes.get(usize::from(class)).map_or(Effect::Safe, |c| c.effect);
-                    let free = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                    let risky = seen
+                        .iter()
+                        .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                    let effect = settings
+                        .classes
+                        .get(usize::from(class))
+                        .map_or(Effect::Safe, |c| c.effect);
+                    let free = matches!(
+                        effect,
+                        Effect::Safe
+                            | Effect::Keyed {
+                                group: Group::All,
+                                ..
+                            }
+                    );
                     assert!(free || !risky, "rule 2: refusal");
                 }
                 Action::Fail { request } => {
@@ -864,23 +1179,33 @@
             }
         }
         let within = settings.rules.drain_close.expect("set");
-        assert!(self.unclosed.values().all(|since| now <= since + within), "rule 5");
+        assert!(
+            self.unclosed.values().all(|since| now <= since + within),
+            "rule 5"
+        );
     }
 }
 
 fn play(steps: &[Step]) -> Vec<Action> {
-    let mut settings = Settings { ask_list: true, ..settings() };
+    let mut settings = Settings {
+        ask_list: true,
+        ..settings()
+    };
     settings.rules.drain_close = Some(20 * MS);
     let backends: Vec<Backend> = (1..=4).map(backend).collect();
     let mut watch = Watch::default();
-    watch.states.extend(backends.iter().map(|b| (b.id, b.state)));
+    watch
+        .states
+        .extend(backends.iter().map(|b| (b.id, b.state)));
     let mut feed = Feed::new(settings.clone(), backends);
     let mut log = Vec::new();
     for step in steps {
         let actions = match step {
             Step::Ask(class) => {
                 let id = RequestId(feed.next + 1);
-                watch.open.insert(id, (*class, feed.now + 800 * MS, Vec::new()));
+                watch
+                    .open
+                    .insert(id, (*class, feed.now + 800 * MS, Vec::new()));
                 feed.ask(*class).1
             }
             Step::End(place, outcome) => {
@@ -889,7 +1214,9 @@
                     .iter()
                     .flat_map(|(id, all)| (0..all.len()).filter(|i| all[*i].2).map(|i| (*id, i)))
                     .collect();
-                let Some((id, attempt)) = out.get(place % out.len().max(1)).copied() else { continue };
+                let Some((id, attempt)) = out.get(place % out.len().max(1)).copied() else {
+                    continue;
+                };
                 match outcome {
                     Outcome::Ok => drop(watch.open.remove(&id)),
                     _ => {
@@ -903,7 +1230,9 @@
             }
             Step::Leave(place) => {
                 let ids: Vec<RequestId> = watch.open.keys().copied().collect();
-                let Some(id) = ids.get(place % ids.len().max(1)).copied() else { continue };
+                let Some(id) = ids.get(place % ids.len().max(1)).copied() else {
+                    continue;
+                };
                 watch.open.remove(&id);
                 feed.give(Event::ClientGone { request: id })
             }
@@ -916,8 +1245,8 @@
                 load: vec![],
             }),
             Step::Wait(span) => {
-                // One timer at a time, so that each send is checked at its own time; attempts that are out
-                // at the deadline time out there.
+                // One timer at a time, so that each send is checked at its own time; attempts that
+                // are out at the deadline time out there.
                 let end = feed.now + span;
                 while feed.now < end {
                     let late: Vec<(RequestId, usize)> = watch
@@ -925,7 +1254,9 @@
                         .iter()
                         .filter(|(_, (_, deadline, _))| *deadline <= feed.now + MS)
                         .flat_map(|(id, (_, _, seen))| {
-                            (0..seen.len()).filter(|i| seen[*i].outcome.is_none()).map(|i| (*id, i))
+                            (0..seen.len())
+                                .filter(|i| seen[*i].outcome.is_none())
+                                .map(|i| (*id, i))
                         })
                         .collect();
                     for (id, attempt) in late {
@@ -941,7 +1272,10 @@
                     watch.check(feed.now, &settings, &actions);
                     log.extend(actions);
                     assert!(
-                        watch.open.values().all(|(_, deadline, _)| feed.now < *deadline + MS),
+                        watch
+                            .open
+                            .values()
+                            .all(|(_, deadline, _)| feed.now < *deadline + MS),
                         "rule 1: no answer in time"
                     );
                 }
@@ -951,24 +1285,36 @@
                 let backends: Vec<Backend> = entries
                     .iter()
                     .map(|(id, state, age)| Backend {
-                        state: [BackendState::Ready, BackendState::Draining, BackendState::Gone]
-                            [usize::from(*state)],
+                        state: [
+                            BackendState::Ready,
+                            BackendState::Draining,
+                            BackendState::Gone,
+                        ][usize::from(*state)],
                         started: (*age > 0).then(|| START + u64::from(*age)),
                         ..backend(*id)
                     })
                     .collect();
                 let before = watch.states.clone();
                 if *kind == ListKind::Full {
-                    watch.states.values_mut().for_each(|s| *s = BackendState::Gone);
+                    watch
+                        .states
+                        .values_mut()
+                        .for_each(|s| *s = BackendState::Gone);
                 }
-                watch.states.extend(backends.iter().map(|b| (b.id, b.state)));
+                watch
+                    .states
+                    .extend(backends.iter().map(|b| (b.id, b.state)));
                 let told = backends.iter().filter(|b| {
-                    b.state == BackendState::Draining && before.get(&b.id) != Some(&BackendState::Draining)
+                    b.state == BackendState::Draining
+                        && before.get(&b.id) != Some(&BackendState::Draining)
                 });
                 for b in told {
                     watch.used(feed.now, b.id);
                 }
-                feed.give(Event::List { kind: *kind, backends })
+                feed.give(Event::List {
+                    kind: *kind,
+                    backends,
+                })
             }
             Step::ListFailed => feed.give(Event::ListFailed),
         };
@@ -980,8 +1326,13 @@
 
 #[test]
 fn random_events_break_no_rule_and_equal_events_give_equal_actions() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     runner
         .run(&prop::collection::vec(step(), 1..150), |steps| {
             prop_assert_eq!(play(&steps), play(&steps));
@@ -992,8 +1343,13 @@
 
 #[test]
 fn an_unsafe_request_has_no_second_attempt_once_one_may_have_run() {
-    let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let config = Config {
+        cases: 500,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let outcome = prop_oneof![
         3 => Just(Outcome::ConnectFailed),
         2 => Just(Outcome::Full),
@@ -1004,7 +1360,10 @@
         1 => Just(Outcome::Cancelled),
         1 => Just(Outcome::Ok),
     ];
-    let lives = prop::collection::vec((prop::collection::vec((outcome, 0u64..40), 6), any::<bool>()), 1..12);
+    let lives = prop::collection::vec(
+        (prop::collection::vec((outcome, 0u64..40), 6), any::<bool>()),
+        1..12,
+    );
     runner
         .run(&lives, |lives| {
             let mut feed = Feed::new(settings(), (1..=5).map(backend).collect());
@@ -1016,7 +1375,9 @@
                 for (id, (ends, leaves)) in ids.iter().zip(&lives) {
                     let (outcome, wait) = ends[step];
                     feed.wait(wait * MS);
-                    let Some(sent) = feed.sent.get(id).map(Vec::len) else { continue };
+                    let Some(sent) = feed.sent.get(id).map(Vec::len) else {
+                        continue;
+                    };
                     if feed.sent[id][sent - 1].2 {
                         if *leaves && step == 2 {
                             feed.give(Event::ClientGone { request: *id });
@@ -1030,7 +1391,12 @@
             }
             feed.wait(2_000 * MS);
             for (id, sent) in &ran {
-                prop_assert_eq!(feed.sent[id].len(), *sent, "{:?} again after it may have run", id);
+                prop_assert_eq!(
+                    feed.sent[id].len(),
+                    *sent,
+                    "{:?} again after it may have run",
+                    id
+                );
             }
             prop_assert!(feed.sent.values().all(|sent| sent.len() <= 3));
             Ok(())
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,5 +1,6 @@
-//! A recording of all decisions over seeded streams of events: what they hash to stays the same while the
-//! module is moved and renamed. A change of behaviour that is meant replaces the hash, and says so.
+//! A recording of all decisions over seeded streams of events: what they hash to stays the same
+//! while the module is moved and renamed. A change of behaviour that is meant replaces the hash,
+//! and says so.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -89,7 +90,10 @@
 }
 
 fn settings(setup: Setup) -> Settings {
-    let keyed = Effect::Keyed { group: Group::Cell, window: 2 * SECOND };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: 2 * SECOND,
+    };
     let class = |aim: Nanos, worth: f64, effect| Class {
         aim: aim * MS,
         aim_stretch: 0.0,
@@ -100,7 +104,11 @@
         streamed: false,
     };
     let mut settings = Settings {
-        classes: vec![class(200, 1.0, Effect::Safe), class(300, 2.0, keyed), class(150, 4.0, Effect::Unsafe)],
+        classes: vec![
+            class(200, 1.0, Effect::Safe),
+            class(300, 2.0, keyed),
+            class(150, 4.0, Effect::Unsafe),
+        ],
         tenants: vec![Tenant { quota_per_s: 1e9 }],
         me: 1 % setup.siblings,
         siblings: setup.siblings,
@@ -121,7 +129,9 @@
 
 impl Recorder {
     fn new(setup: Setup, seed: u64) -> Recorder {
-        let list = (0..setup.backends).map(|id| backend(id, BackendState::Ready, None)).collect();
+        let list = (0..setup.backends)
+            .map(|id| backend(id, BackendState::Ready, None))
+            .collect();
         let mut recorder = Recorder {
             setup,
             balancer: Balancer::new(settings(setup), seed, START).unwrap(),
@@ -174,7 +184,11 @@
     }
 
     fn arrive(&mut self) {
-        let surge = if (self.now - START) % SURGE_PERIOD < SECOND { SURGE } else { 1.0 };
+        let surge = if (self.now - START) % SURGE_PERIOD < SECOND {
+            SURGE
+        } else {
+            1.0
+        };
         let rate = RATE_PER_BACKEND * f64::from(self.setup.backends) * surge;
         let gap = self.exponential(SECOND as f64 / rate);
         self.schedule(self.now + gap, Due::Arrival);
@@ -224,7 +238,9 @@
     }
 
     fn end_attempt(&mut self, id: RequestId, attempt: u8) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let state = &mut request.attempts[usize::from(attempt)];
         if !std::mem::replace(&mut state.out, false) {
             return;
@@ -232,11 +248,20 @@
         let (outcome, latency) = (state.outcome, self.now - state.sent);
         request.finished |= outcome == Outcome::Ok;
         let finished = request.finished;
-        self.feed(Event::Outcome { request: id, attempt, latency, outcome, finished, load: Vec::new() });
+        self.feed(Event::Outcome {
+            request: id,
+            attempt,
+            latency,
+            outcome,
+            finished,
+            load: Vec::new(),
+        });
     }
 
     fn leave(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !std::mem::replace(&mut request.finished, true) {
             self.feed(Event::ClientGone { request: id });
         }
@@ -261,23 +286,32 @@
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, .. } => self.send(request, backend),
+            Action::Send {
+                request, backend, ..
+            } => self.send(request, backend),
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 if let Some(open) = self.requests.get_mut(&request) {
                     open.finished = true;
                 }
             }
             Action::Cancel { request, attempt } => {
-                if let Some(state) =
-                    self.requests.get_mut(&request).and_then(|open| open.attempts.get_mut(attempt as usize))
+                if let Some(state) = self
+                    .requests
+                    .get_mut(&request)
+                    .and_then(|open| open.attempts.get_mut(attempt as usize))
                 {
                     state.outcome = Outcome::Cancelled;
                     self.schedule(self.now, Due::AttemptEnds { request, attempt });
                 }
             }
             Action::SetTimer { at, timer } => self.schedule(at, Due::Timer(timer)),
-            Action::Subscribe(_) | Action::FetchList => self.schedule(self.now + 5 * MS, Due::ListAnswer),
-            Action::Probe { .. } | Action::CloseIdle { .. } | Action::Tell { .. } | Action::Log(_) => {}
+            Action::Subscribe(_) | Action::FetchList => {
+                self.schedule(self.now + 5 * MS, Due::ListAnswer)
+            }
+            Action::Probe { .. }
+            | Action::CloseIdle { .. }
+            | Action::Tell { .. }
+            | Action::Log(_) => {}
         }
     }
 
@@ -301,9 +335,15 @@
         if outcome == Outcome::Timeout {
             latency = 2 * SECOND;
         }
-        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return;
+        };
         let attempt = open.attempts.len() as u8;
-        open.attempts.push(AttemptState { sent: self.now, outcome, out: true });
+        open.attempts.push(AttemptState {
+            sent: self.now,
+            outcome,
+            out: true,
+        });
         self.schedule(self.now + latency, Due::AttemptEnds { request, attempt });
     }
 }
@@ -311,13 +351,28 @@
 fn backend(id: u32, state: BackendState, started: Option<Nanos>) -> Backend {
     let mark = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let (zone, cell) = (ZoneId(0), CellId((id / 4) as u16));
-    Backend { id: BackendId(id), mark, zone, cell, kind: KindId(0), state, weight: 1.0, started }
+    Backend {
+        id: BackendId(id),
+        mark,
+        zone,
+        cell,
+        kind: KindId(0),
+        state,
+        weight: 1.0,
+        started,
+    }
 }
 
 fn setups() -> impl Iterator<Item = Setup> {
     [(3, 2), (30, 12), (300, 100)]
         .into_iter()
-        .flat_map(|(backends, siblings)| [false, true].map(|ask_list| Setup { backends, siblings, ask_list }))
+        .flat_map(|(backends, siblings)| {
+            [false, true].map(|ask_list| Setup {
+                backends,
+                siblings,
+                ask_list,
+            })
+        })
 }
 
 #[test]
@@ -332,17 +387,29 @@
         }
     }
     // A stream in which something is never decided says nothing of it.
-    for (name, least) in
-        [("Send", 30_000), ("Refuse", 500), ("Fail", 500), ("Cancel", 500), ("SetTimer", 1_000), ("Log", 100)]
-    {
-        assert!(counts.get(name).is_some_and(|count| *count >= least), "{name}: {counts:?}");
+    for (name, least) in [
+        ("Send", 30_000),
+        ("Refuse", 500),
+        ("Fail", 500),
+        ("Cancel", 500),
+        ("SetTimer", 1_000),
+        ("Log", 100),
+    ] {
+        assert!(
+            counts.get(name).is_some_and(|count| *count >= least),
+            "{name}: {counts:?}"
+        );
     }
     assert_eq!(hashes, RECORDED, "of {:?}", setups().collect::<Vec<_>>());
 }
 
 #[test]
 fn a_stream_is_the_same_each_time_and_another_seed_is_another_one() {
-    let setup = Setup { backends: 3, siblings: 2, ask_list: true };
+    let setup = Setup {
+        backends: 3,
+        siblings: 2,
+        ask_list: true,
+    };
     let play = |seed| Recorder::new(setup, seed).play().0;
     assert_eq!(play(7), play(7));
     assert_ne!(play(7), play(8));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Long lists: what a decision costs does not follow their length, and the draws stay what they are.
+//! Long lists: what a decision costs does not follow their length, and the draws stay what they
+//! are.
 
 mod world;
 
@@ -13,14 +14,21 @@
 const RATE: f64 = 40.0;
 
 fn one_of_many(backends: &[Backend], seed: u64) -> World {
-    let settings = Settings { siblings: SIBLINGS, ..settings(1) };
+    let settings = Settings {
+        siblings: SIBLINGS,
+        ..settings(1)
+    };
     World::of(settings, vec![WORK], 1, backends, seed)
 }
 
-/// Processor time of this thread, by the kernel's scheduler: what else runs on the machine does not count.
+/// Processor time of this thread, by the kernel's scheduler: what else runs on the machine does not
+/// count.
 fn thread_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
-    let nanoseconds = stat.split_whitespace().next().and_then(|text| text.parse().ok());
+    let nanoseconds = stat
+        .split_whitespace()
+        .next()
+        .and_then(|text| text.parse().ok());
     Duration::from_nanos(nanoseconds.expect("a figure"))
 }
 
@@ -33,7 +41,10 @@
     for second in 0..10 {
         world.run(SECOND, RATE);
         let state = BackendState::Draining;
-        let leaving = Backend { state, ..backends[second * 7].clone() };
+        let leaving = Backend {
+            state,
+            ..backends[second * 7].clone()
+        };
         world.tell(ListKind::Delta, &[leaving]);
     }
     assert!(world.in_time(START) > 0.9);
@@ -44,9 +55,13 @@
 fn the_cost_of_decisions_does_not_follow_the_length_of_the_list() {
     let least = |count| (0..4).map(|_| cost(count)).min().expect("some plays");
     let (usual, longest) = (least(200), least(3_200));
-    // Sixteen times the backends. The acceptance allows 1.4 times for the node as a whole (make scale), of
-    // which the decisions are a small part; the walk of the whole list took eleven times.
-    assert!(longest < 3 * usual, "{usual:?} with 200 backends, {longest:?} with 3,200");
+    // Sixteen times the backends. The acceptance allows 1.4 times for the node as a whole (make
+    // scale), of which the decisions are a small part; the walk of the whole list took eleven
+    // times.
+    assert!(
+        longest < 3 * usual,
+        "{usual:?} with 200 backends, {longest:?} with 3,200"
+    );
 }
 
 /// Strengths of four groups of backends, by number.
@@ -56,12 +71,16 @@
     Health::Works(STRENGTHS[id.0 as usize % 4])
 }
 
-/// Share of the first attempts that each group of strength gets from one node of so many, over some seeds.
+/// Share of the first attempts that each group of strength gets from one node of so many, over some
+/// seeds.
 fn shares_of_groups(siblings: u32, backends: u32, rate: f64) -> [f64; 4] {
     let mut sent = [0usize; 4];
     for seed in 0..48 {
         let list: Vec<Backend> = (0..backends).map(backend).collect();
-        let settings = Settings { siblings, ..settings(1) };
+        let settings = Settings {
+            siblings,
+            ..settings(1)
+        };
         let mut world = World::of(settings, vec![WORK], 1, &list, seed * 1_000 + 1);
         world.health = by_group;
         world.run(20 * SECOND, rate);
@@ -77,8 +96,8 @@
 
 #[test]
 fn draws_are_spread_as_by_the_full_walk() {
-    // Measured on the code that walked the whole list for each draw: means of 48 plays, standard errors up to
-    // 0.013.
+    // Measured on the code that walked the whole list for each draw: means of 48 plays, standard
+    // errors up to 0.013.
     for (siblings, backends, rate, wanted) in [
         (2, 10, 60.0, [0.773, 0.101, 0.109, 0.017]),
         (10, 60, 60.0, [0.815, 0.040, 0.135, 0.009]),
@@ -89,7 +108,10 @@
         let found = shares_of_groups(siblings, backends, rate);
         for (share, wanted_share) in found.iter().zip(wanted) {
             let distance = (share - wanted_share).abs();
-            assert!(distance < 0.05, "{siblings} nodes, {backends}: {found:?}, wanted {wanted:?}");
+            assert!(
+                distance < 0.05,
+                "{siblings} nodes, {backends}: {found:?}, wanted {wanted:?}"
+            );
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic world of backends that work first come, first served, for tests of what many nodes do
-//! together; no sockets and no wall clock.
+//! A deterministic world of backends that work first come, first served, for tests of what many
+//! nodes do together; no sockets and no wall clock.
 
 // Each test program uses a part of it.
 #![allow(dead_code)]
@@ -24,8 +24,16 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Coming {
     Arrival,
-    Timer { node: usize, timer: TimerId },
-    End { node: usize, request: u32, attempt: usize, outcome: u8 },
+    Timer {
+        node: usize,
+        timer: TimerId,
+    },
+    End {
+        node: usize,
+        request: u32,
+        attempt: usize,
+        outcome: u8,
+    },
 }
 
 /// How a backend is doing.
@@ -39,9 +47,15 @@
     Swallows,
 }
 
-pub const ENDS: [Outcome; 4] = [Outcome::Ok, Outcome::Full, Outcome::Timeout, Outcome::Cancelled];
+pub const ENDS: [Outcome; 4] = [
+    Outcome::Ok,
+    Outcome::Full,
+    Outcome::Timeout,
+    Outcome::Cancelled,
+];
 
-/// What became of a request, its node, and each of its attempts: when, where, and whether it is still out.
+/// What became of a request, its node, and each of its attempts: when, where, and whether it is
+/// still out.
 #[derive(Clone)]
 pub struct Fate {
     pub node: usize,
@@ -54,7 +68,9 @@
 impl Fate {
     /// It was not started at once.
     pub fn held(&self) -> bool {
-        self.attempts.first().is_none_or(|first| first.0 > self.asked)
+        self.attempts
+            .first()
+            .is_none_or(|first| first.0 > self.asked)
     }
 }
 
@@ -85,11 +101,25 @@
 }
 
 pub fn settings(nodes: usize) -> Settings {
-    let effect = Effect::Keyed { group: Group::Cell, window: 3 * SECOND };
+    let effect = Effect::Keyed {
+        group: Group::Cell,
+        window: 3 * SECOND,
+    };
     let (aim, deadline) = (300 * MS, 1_670 * MS);
-    let class = Class { aim, deadline, worth: 1.0, late_worth: 0.3, effect, ..Class::default() };
-    let mut settings =
-        Settings { classes: vec![class], siblings: nodes as u32, ask_list: true, ..Settings::default() };
+    let class = Class {
+        aim,
+        deadline,
+        worth: 1.0,
+        late_worth: 0.3,
+        effect,
+        ..Class::default()
+    };
+    let mut settings = Settings {
+        classes: vec![class],
+        siblings: nodes as u32,
+        ask_list: true,
+        ..Settings::default()
+    };
     settings.limits.max_attempts = 5;
     settings.limits.max_retry_after = 2 * SECOND;
     settings.limits.untried = 0.5;
@@ -103,8 +133,19 @@
 pub fn backend(id: u32) -> Backend {
     let (zone, cell) = (ZoneId((id % 2) as u16), CellId((id % 6) as u16));
     // Marks tell nothing of place or age, as the node's hash of a uid does not.
-    let (id, mark) = (BackendId(id), u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    Backend { id, mark, zone, cell, state: BackendState::Ready, weight: 1.0, ..Backend::default() }
+    let (id, mark) = (
+        BackendId(id),
+        u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+    );
+    Backend {
+        id,
+        mark,
+        zone,
+        cell,
+        state: BackendState::Ready,
+        weight: 1.0,
+        ..Backend::default()
+    }
 }
 
 impl World {
@@ -116,10 +157,20 @@
         World::of(settings(nodes), vec![WORK], nodes, backends, seed)
     }
 
-    pub fn of(settings: Settings, work: Vec<Nanos>, nodes: usize, backends: &[Backend], seed: u64) -> World {
+    pub fn of(
+        settings: Settings,
+        work: Vec<Nanos>,
+        nodes: usize,
+        backends: &[Backend],
+        seed: u64,
+    ) -> World {
         let zone = |node: usize| ZoneId((node % 2) as u16);
         let balancer = |node| {
-            let settings = Settings { zone: zone(node), me: node as u32, ..settings.clone() };
+            let settings = Settings {
+                zone: zone(node),
+                me: node as u32,
+                ..settings.clone()
+            };
             Balancer::new(settings, seed + node as u64, START).expect("sound settings")
         };
         let mut world = World {
@@ -148,7 +199,13 @@
     /// Tells every node.
     pub fn tell(&mut self, kind: ListKind, backends: &[Backend]) {
         for node in 0..self.nodes.len() {
-            self.give(node, Event::List { kind, backends: backends.to_vec() });
+            self.give(
+                node,
+                Event::List {
+                    kind,
+                    backends: backends.to_vec(),
+                },
+            );
         }
     }
 
@@ -171,10 +228,22 @@
         for action in actions {
             match action {
                 Action::SetTimer { at, timer } => self.plan(at, Coming::Timer { node, timer }),
-                Action::Send { request, backend, until } => self.send(node, request.0, backend, until),
+                Action::Send {
+                    request,
+                    backend,
+                    until,
+                } => self.send(node, request.0, backend, until),
                 Action::Cancel { request, attempt } => {
                     let attempt = usize::from(attempt);
-                    self.plan(self.now, Coming::End { node, request: request.0, attempt, outcome: 3 });
+                    self.plan(
+                        self.now,
+                        Coming::End {
+                            node,
+                            request: request.0,
+                            attempt,
+                            outcome: 3,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -195,18 +264,34 @@
                 *free_at = (*free_at).max(now) + (work as f64 / strength) as Nanos;
                 if *free_at > now.saturating_add(self.deep) {
                     // It falls under the mark when it has worked off what is above.
-                    let (since, end) =
-                        self.above.get(&backend).copied().filter(|a| a.1 >= now).unwrap_or((now, 0));
+                    let (since, end) = self
+                        .above
+                        .get(&backend)
+                        .copied()
+                        .filter(|a| a.1 >= now)
+                        .unwrap_or((now, 0));
                     let end = end.max(*free_at - self.deep);
                     self.above.insert(backend, (since, end));
                     self.longest = self.longest.max(end - since);
                 }
-                if *free_at < until { (*free_at, 0) } else { (until, 2) }
+                if *free_at < until {
+                    (*free_at, 0)
+                } else {
+                    (until, 2)
+                }
             }
             Health::Swallows => (until, 2),
             _ => (now + MS, 1),
         };
-        self.plan(at, Coming::End { node, request, attempt, outcome });
+        self.plan(
+            at,
+            Coming::End {
+                node,
+                request,
+                attempt,
+                outcome,
+            },
+        );
     }
 
     pub fn end(&mut self, node: usize, request: u32, attempt: usize, outcome: Outcome) {
@@ -220,7 +305,17 @@
         let finished = outcome == Outcome::Ok;
         fate.served = finished.then_some(now);
         let (request, attempt, load) = (RequestId(request), attempt as u8, Vec::new());
-        self.give(node, Event::Outcome { request, attempt, latency, outcome, finished, load });
+        self.give(
+            node,
+            Event::Outcome {
+                request,
+                attempt,
+                latency,
+                outcome,
+                finished,
+                load,
+            },
+        );
     }
 
     /// Goes on for `span`, with Poisson arrivals of `rate` requests a second over the fleet.
@@ -229,8 +324,12 @@
         let gap = SECOND as f64 / rate;
         let first = self.now + self.exponential(gap);
         self.plan(first, Coming::Arrival);
-        while let Some(Reverse((at, ..))) = self.coming.peek().copied().filter(|next| next.0.0 <= end) {
-            let Some(Reverse((.., what))) = self.coming.pop() else { return };
+        while let Some(Reverse((at, ..))) =
+            self.coming.peek().copied().filter(|next| next.0.0 <= end)
+        {
+            let Some(Reverse((.., what))) = self.coming.pop() else {
+                return;
+            };
             self.now = self.now.max(at);
             match what {
                 Coming::Arrival => {
@@ -241,7 +340,12 @@
                     self.ask();
                 }
                 Coming::Timer { node, timer } => self.give(node, Event::Timer { timer }),
-                Coming::End { node, request, attempt, outcome } => {
+                Coming::End {
+                    node,
+                    request,
+                    attempt,
+                    outcome,
+                } => {
                     self.end(node, request, attempt, ENDS[usize::from(outcome)]);
                 }
             }
@@ -253,14 +357,33 @@
         let ticket = self.rng.next_u64() % (self.nodes.len() as u64 + self.busier);
         let node = ticket.saturating_sub(self.busier) as usize;
         // The front has clients of a node that is down go to the next one.
-        let node = if self.down == Some(node) { (node + 1) % self.nodes.len() } else { node };
+        let node = if self.down == Some(node) {
+            (node + 1) % self.nodes.len()
+        } else {
+            node
+        };
         let last = self.last_share > 0.0 && self.unit() < self.last_share;
         let class = if last { self.work.len() - 1 } else { 0 };
         let id = self.fates.len() as u32;
         let deadline = self.settings.classes[class].deadline;
-        self.fates.insert(id, Fate { node, class, asked: self.now, served: None, attempts: Vec::new() });
+        self.fates.insert(
+            id,
+            Fate {
+                node,
+                class,
+                asked: self.now,
+                served: None,
+                attempts: Vec::new(),
+            },
+        );
         let (class, patience) = (ClassId(class as u16), deadline / 167 * 160);
-        let request = Request { id: RequestId(id), class, patience, write: true, ..Request::default() };
+        let request = Request {
+            id: RequestId(id),
+            class,
+            patience,
+            write: true,
+            ..Request::default()
+        };
         self.give(node, Event::Request(request));
         let idle = |at: &Nanos| *at <= self.now;
         self.beside_idle +=
@@ -269,9 +392,19 @@
 
     /// A node starts anew, with nothing but this list.
     pub fn restart(&mut self, node: usize, backends: &[Backend]) {
-        let settings = Settings { me: node as u32, ..self.settings.clone() };
-        self.nodes[node] = Balancer::new(settings, 77 + node as u64, self.now).expect("sound settings");
-        self.give(node, Event::List { kind: ListKind::Cached, backends: backends.to_vec() });
+        let settings = Settings {
+            me: node as u32,
+            ..self.settings.clone()
+        };
+        self.nodes[node] =
+            Balancer::new(settings, 77 + node as u64, self.now).expect("sound settings");
+        self.give(
+            node,
+            Event::List {
+                kind: ListKind::Cached,
+                backends: backends.to_vec(),
+            },
+        );
     }
 
     /// Those asked from `from` on.
--- a/wirehost/src/frame.rs
+++ b/wirehost/src/frame.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use kitefork::{
-    Action, Backend, BackendId, BackendState, CellId, ClassId, Event, KindId, ListKind, Outcome, Request,
-    RequestId, TenantId, TimerId, ZoneId,
+    Action, Backend, BackendId, BackendState, CellId, ClassId, Event, KindId, ListKind, Outcome,
+    Request, RequestId, TenantId, TimerId, ZoneId,
 };
 use thiserror::Error;
 
@@ -51,7 +51,11 @@
     }
 
     fn error(&self, offset: usize, what: impl Into<String>) -> FrameError {
-        FrameError { batch: self.batch, offset, what: what.into() }
+        FrameError {
+            batch: self.batch,
+            offset,
+            what: what.into(),
+        }
     }
 }
 
@@ -76,7 +80,11 @@
 pub struct Lists(BTreeMap<u16, Vec<Backend>>);
 
 /// Decodes the body of a batch into messages to instances, in order.
-pub fn decode(header: &Header, body: &[u8], lists: &mut Lists) -> Result<Vec<(u16, Message)>, FrameError> {
+pub fn decode(
+    header: &Header,
+    body: &[u8],
+    lists: &mut Lists,
+) -> Result<Vec<(u16, Message)>, FrameError> {
     let records = (header.records as usize)
         .checked_mul(EVENT)
         .filter(|n| *n <= body.len())
@@ -99,7 +107,9 @@
         };
         let node = u16_at(record, 1);
         let event = match record[0] {
-            16 => Event::Timer { timer: TimerId(u32_at(record, 3)) },
+            16 => Event::Timer {
+                timer: TimerId(u32_at(record, 3)),
+            },
             17 => Event::Outcome {
                 request: RequestId(u32_at(record, 3)),
                 attempt: record[7],
@@ -108,7 +118,10 @@
                 finished: record[21] != 0,
                 load: load(record, 22),
             },
-            18 => Event::FirstByte { request: RequestId(u32_at(record, 3)), attempt: record[19] },
+            18 => Event::FirstByte {
+                request: RequestId(u32_at(record, 3)),
+                attempt: record[19],
+            },
             19 => Event::Request(Request {
                 id: RequestId(u32_at(record, 3)),
                 class: ClassId(u16_at(record, 7)),
@@ -126,12 +139,16 @@
                         0 => ListKind::Delta,
                         1 => ListKind::Cached,
                         4 => ListKind::Full,
-                        _ => return Err(header.error(offset + 9, format!("unknown list mode {mode}"))),
+                        _ => {
+                            return Err(
+                                header.error(offset + 9, format!("unknown list mode {mode}"))
+                            );
+                        }
                     };
                     let set = u16_at(record, 7);
                     let backends = lists.0.get(&set).cloned();
-                    let backends =
-                        backends.ok_or_else(|| header.error(offset + 7, format!("no list number {set}")))?;
+                    let backends = backends
+                        .ok_or_else(|| header.error(offset + 7, format!("no list number {set}")))?;
                     Event::List { kind, backends }
                 }
             },
@@ -143,7 +160,13 @@
             },
             22 => {
                 let settings = slice(11, 1)?.to_vec();
-                messages.push((node, Message::Start { seed: u64_at(record, 3), settings }));
+                messages.push((
+                    node,
+                    Message::Start {
+                        seed: u64_at(record, 3),
+                        settings,
+                    },
+                ));
                 continue;
             }
             23 => {
@@ -158,12 +181,17 @@
                 lists.0.insert(node, entries);
                 continue;
             }
-            24 => Event::ClientGone { request: RequestId(u32_at(record, 3)) },
+            24 => Event::ClientGone {
+                request: RequestId(u32_at(record, 3)),
+            },
             25 => {
                 messages.push((node, Message::Stop));
                 continue;
             }
-            26 => Event::Peer { from: u16_at(record, 3), bytes: slice(5, 1)?.to_vec() },
+            26 => Event::Peer {
+                from: u16_at(record, 3),
+                bytes: slice(5, 1)?.to_vec(),
+            },
             code => return Err(header.error(offset, format!("unknown event code {code}"))),
         };
         messages.push((node, Message::Event(event)));
@@ -209,7 +237,9 @@
 
 fn load(record: &[u8], at: usize) -> Vec<f32> {
     let count = usize::from(record[at]).min(4);
-    (0..count).map(|i| f32::from_bits(u32_at(record, at + 1 + 4 * i))).collect()
+    (0..count)
+        .map(|i| f32::from_bits(u32_at(record, at + 1 + 4 * i)))
+        .collect()
 }
 
 /// A reply under construction.
@@ -223,13 +253,20 @@
     /// Adds an action of an instance.
     pub fn push(&mut self, node: u16, action: &Action) {
         match action {
-            Action::Send { request, backend, until } => {
+            Action::Send {
+                request,
+                backend,
+                until,
+            } => {
                 let record = self.record(80, node);
                 put(record, 3, &request.0.to_le_bytes());
                 put(record, 7, &backend.0.to_le_bytes());
                 put(record, 11, &until.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let record = self.record(81, node);
                 put(record, 3, &request.0.to_le_bytes());
                 put(record, 7, &retry_after.to_le_bytes());
@@ -246,9 +283,15 @@
                 put(record, 11, &timer.0.to_le_bytes());
             }
             Action::Probe { backend } => put(self.record(85, node), 3, &backend.0.to_le_bytes()),
-            Action::CloseIdle { backend } => put(self.record(86, node), 3, &backend.0.to_le_bytes()),
+            Action::CloseIdle { backend } => {
+                put(self.record(86, node), 3, &backend.0.to_le_bytes())
+            }
             Action::Tell { to, bytes } => {
-                put(self.record(87, node), 3, &to.unwrap_or(u16::MAX).to_le_bytes());
+                put(
+                    self.record(87, node),
+                    3,
+                    &to.unwrap_or(u16::MAX).to_le_bytes(),
+                );
                 self.data(5, bytes);
             }
             Action::Log(line) => self.text(88, node, line),
@@ -293,8 +336,16 @@
     /// Puts data into the tail and its place into the last record.
     fn data(&mut self, at: usize, bytes: &[u8]) {
         let record = self.records.len() - ACTION;
-        put(&mut self.records[record..], at, &(self.tail.len() as u32).to_le_bytes());
-        put(&mut self.records[record..], at + 4, &(bytes.len() as u32).to_le_bytes());
+        put(
+            &mut self.records[record..],
+            at,
+            &(self.tail.len() as u32).to_le_bytes(),
+        );
+        put(
+            &mut self.records[record..],
+            at + 4,
+            &(bytes.len() as u32).to_le_bytes(),
+        );
         self.tail.extend(bytes);
     }
 }
--- a/wirehost/src/frame_tests.rs
+++ b/wirehost/src/frame_tests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 fn header(records: u32) -> Header {
-    Header { records, length: 0, now: 5, batch: 9 }
+    Header {
+        records,
+        length: 0,
+        now: 5,
+        batch: 9,
+    }
 }
 
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
@@ -44,10 +49,25 @@
     let cases = [
         (header(2), record(16, &[]), 0, "records"),
         (header(1), record(99, &[]), HEADER, "event code 99"),
-        (header(1), record(22, &[(15, &1u32.to_le_bytes())]), HEADER + 11, "tail"),
-        (header(1), record(23, &[(7, &u32::MAX.to_le_bytes())]), HEADER + 3, "tail"),
+        (
+            header(1),
+            record(22, &[(15, &1u32.to_le_bytes())]),
+            HEADER + 11,
+            "tail",
+        ),
+        (
+            header(1),
+            record(23, &[(7, &u32::MAX.to_le_bytes())]),
+            HEADER + 3,
+            "tail",
+        ),
         (header(1), record(20, &[]), HEADER + 7, "no list"),
-        (header(1), record(17, &[(20, &[77])]), HEADER + 20, "outcome 77"),
+        (
+            header(1),
+            record(17, &[(20, &[77])]),
+            HEADER + 20,
+            "outcome 77",
+        ),
     ];
     for (header, body, offset, what) in cases {
         let error = decode(&header, &body, &mut Lists::default()).unwrap_err();
@@ -59,11 +79,27 @@
 #[test]
 fn a_reply_carries_records_and_text() {
     let mut reply = Reply::default();
-    reply.push(3, &Action::Send { request: RequestId(8), backend: BackendId(4), until: 77 });
+    reply.push(
+        3,
+        &Action::Send {
+            request: RequestId(8),
+            backend: BackendId(4),
+            until: 77,
+        },
+    );
     reply.push(5, &Action::Log("hi".into()));
     let frame = reply.finish(12);
     assert_eq!(frame.len(), 12 + 2 * ACTION + 2);
-    assert_eq!((u32_at(&frame, 0), u32_at(&frame, 4), u32_at(&frame, 8)), (50, 2, 12));
-    assert_eq!((frame[12], u32_at(&frame, 19), u64_at(&frame, 23)), (80, 4, 77));
-    assert_eq!((frame[36], u32_at(&frame, 43), &frame[60..]), (88, 2, &b"hi"[..]));
+    assert_eq!(
+        (u32_at(&frame, 0), u32_at(&frame, 4), u32_at(&frame, 8)),
+        (50, 2, 12)
+    );
+    assert_eq!(
+        (frame[12], u32_at(&frame, 19), u64_at(&frame, 23)),
+        (80, 4, 77)
+    );
+    assert_eq!(
+        (frame[36], u32_at(&frame, 43), &frame[60..]),
+        (88, 2, &b"hi"[..])
+    );
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancers on a binary wire: batches of events on standard input, replies on standard output.
-//! No decision is made here.
+//! Hosts balancers on a binary wire: batches of events on standard input, replies on standard
+//! output. No decision is made here.
 #![forbid(unsafe_code)]
 
 mod frame;
@@ -88,14 +88,24 @@
         match fill(&mut input, &mut bytes)? {
             0 => return Ok(()),
             HEADER => {}
-            offset => return Err(HostError::Truncated { batch: last_batch, offset }),
+            offset => {
+                return Err(HostError::Truncated {
+                    batch: last_batch,
+                    offset,
+                });
+            }
         }
         let header = Header::read(&bytes);
         last_batch = header.batch;
         body.clear();
-        let read = (&mut input).take(u64::from(header.length)).read_to_end(&mut body)?;
+        let read = (&mut input)
+            .take(u64::from(header.length))
+            .read_to_end(&mut body)?;
         if read < header.length as usize {
-            return Err(HostError::Truncated { batch: header.batch, offset: HEADER + read });
+            return Err(HostError::Truncated {
+                batch: header.batch,
+                offset: HEADER + read,
+            });
         }
         output.write_all(&host.answer(&header, &body)?)?;
         output.flush()?;
@@ -103,7 +113,10 @@
 }
 
 fn main() -> ExitCode {
-    match run(io::BufReader::with_capacity(1 << 16, io::stdin().lock()), io::stdout().lock()) {
+    match run(
+        io::BufReader::with_capacity(1 << 16, io::stdin().lock()),
+        io::stdout().lock(),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("kitefork-wirehost: {error}");
--- a/wirehost/src/main_tests.rs
+++ b/wirehost/src/main_tests.rs
@@ -35,6 +35,9 @@
     let mut output = Vec::new();
     let whole = frame(1, 5, 7, &[16; 40]);
     let error = run(&whole[..30], &mut output).unwrap_err();
-    assert_eq!(error.to_string(), "batch 7, offset 30: the input ends within a frame");
+    assert_eq!(
+        error.to_string(),
+        "batch 7, offset 30: the input ends within a frame"
+    );
     assert!(output.is_empty());
 }
