--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -6,12 +6,13 @@
 //! | part | values |
 //! | --- | --- |
 //! | `CALL` | one of the calls below |
-//! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`; `step:SECONDS` (`clock`) |
+//! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`, `step:SECONDS` |
 //! | `every:N` | the rule strikes each N-th call (default 1) |
 //! | `chance:P` | instead, the rule strikes with probability P, drawn from the plan's seed |
 //! | `from:MS`, `to:MS` | the rule is in force in this span since the start of the process |
 //!
-//! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, `clock`.
+//! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, and
+//! `clock`, which takes `step` alone.
 //!
 //! Example: `accept=ENFILE,every:5;clock=step:3600,from:2000`.
 
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -29,6 +29,9 @@
     backends: u32,
     siblings: u32,
     ask_list: bool,
+    /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that must
+    /// close at drains.
+    wide: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -84,9 +87,10 @@
     /// Backends that fail most of what they get.
     failing: u32,
     events: usize,
-    /// Actions by their names.
-    counts: BTreeMap<String, usize>,
+    /// Actions by their numbers.
+    counts: BTreeMap<u64, usize>,
     hash: Fnv1a,
+    hash_by_name: Fnv1a,
 }
 
 fn settings(setup: Setup) -> Settings {
@@ -124,13 +128,31 @@
     settings.rules.fall_multiple = 3.0;
     settings.rules.fall = 2 * SECOND;
     settings.rules.answer_slack = 20 * MS;
+    if setup.wide {
+        widen(&mut settings, setup);
+    }
     settings
 }
 
+fn widen(settings: &mut Settings, setup: Setup) {
+    let quota_per_s =
+        RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.siblings) / 4.0;
+    settings.tenants.push(Tenant { quota_per_s });
+    settings.over_quota_worth = 0.2;
+    settings.cross_zone_price = 0.03;
+    settings.worth_by_work = setup.siblings == 2;
+    settings.tail = if setup.siblings == 12 { 0.5 } else { 0.0 };
+    settings.limits.cancel = setup.siblings != 12;
+    settings.zone = ZoneId(1);
+    settings.rules.drain_close = Some(300 * MS);
+    settings.classes[0].aim_stretch = 1.5;
+    settings.classes[1].streamed = true;
+}
+
 impl Recorder {
     fn new(setup: Setup, seed: u64) -> Recorder {
         let list = (0..setup.backends)
-            .map(|id| backend(id, BackendState::Ready, None))
+            .map(|id| backend(setup, id, BackendState::Ready, None))
             .collect();
         let mut recorder = Recorder {
             setup,
@@ -146,6 +168,7 @@
             events: 0,
             counts: BTreeMap::new(),
             hash: Fnv1a::default(),
+            hash_by_name: Fnv1a::default(),
         };
         recorder.tell(ListKind::Full, recorder.list.clone());
         recorder.schedule(START, Due::Arrival);
@@ -166,8 +189,8 @@
         self.agenda.push(Reverse((at, self.scheduled, due)));
     }
 
-    /// Plays the whole stream; gives the hash of all actions, and how many there were of each name.
-    fn play(mut self) -> (u64, BTreeMap<String, usize>) {
+    /// Plays the whole stream; gives the hashes of all actions, and how many there were of each number.
+    fn play(mut self) -> (u64, u64, BTreeMap<u64, usize>) {
         while self.events < EVENTS {
             let Reverse((at, _, due)) = self.agenda.pop().expect("arrivals never end");
             self.now = self.now.max(at);
@@ -180,7 +203,7 @@
                 Due::ClientLeaves(request) => self.leave(request),
             }
         }
-        (self.hash.0, self.counts)
+        (self.hash.0, self.hash_by_name.0, self.counts)
     }
 
     fn arrive(&mut self) {
@@ -198,7 +221,7 @@
         let patience = if class == 2 { 700 * MS } else { 1_200 * MS };
         self.requests.insert(id, OpenRequest::default());
         self.schedule(self.now + patience + 20 * MS, Due::ClientLeaves(id));
-        let request = Request {
+        let mut request = Request {
             id,
             class: ClassId(class),
             patience,
@@ -206,6 +229,10 @@
             write: class > 0,
             ..Request::default()
         };
+        if self.setup.wide {
+            request.tenant = TenantId((self.unit() * 2.0) as u16);
+            request.work_hint = (self.unit() < 0.5).then_some(20 * MS);
+        }
         self.feed(Event::Request(request));
     }
 
@@ -216,14 +243,18 @@
         let id = place as u32;
         let (now, state, dice) = (self.now, self.list[place].state, self.unit());
         let entry = match state {
-            BackendState::Ready if dice < 0.3 => backend(id, BackendState::Draining, None),
-            BackendState::Ready if dice < 0.5 => backend(id, BackendState::Ready, Some(now)),
+            BackendState::Ready if dice < 0.3 => {
+                backend(self.setup, id, BackendState::Draining, None)
+            }
+            BackendState::Ready if dice < 0.5 => {
+                backend(self.setup, id, BackendState::Ready, Some(now))
+            }
             BackendState::Ready => {
                 self.failing = id;
                 return;
             }
-            BackendState::Draining => backend(id, BackendState::Gone, None),
-            BackendState::Gone => backend(id, BackendState::Ready, Some(now)),
+            BackendState::Draining => backend(self.setup, id, BackendState::Gone, None),
+            BackendState::Gone => backend(self.setup, id, BackendState::Ready, Some(now)),
         };
         self.list[place] = entry.clone();
         match self.unit() {
@@ -246,6 +277,13 @@
             return;
         }
         let (outcome, latency) = (state.outcome, self.now - state.sent);
+        if self.setup.wide && outcome == Outcome::Reset && !request.finished {
+            let request = id;
+            self.feed(Event::FirstByte { request, attempt });
+        }
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.finished |= outcome == Outcome::Ok;
         let finished = request.finished;
         self.feed(Event::Outcome {
@@ -276,14 +314,22 @@
         for action in actions {
             text.clear();
             write!(text, "{} {action:?}", self.now).unwrap();
-            self.hash.write(text.as_bytes());
-            let name = format!("{action:?}");
-            let name = name.split([' ', '(']).next().unwrap_or_default();
-            *self.counts.entry(name.to_string()).or_default() += 1;
+            self.hash_by_name.write(text.as_bytes());
+            self.record(&action);
             self.execute(action);
         }
     }
 
+    /// Hashes an action by its number and the numbers in its fields, whatever they are called.
+    fn record(&mut self, action: &Action) {
+        let fields = encode(action);
+        self.hash.write(&self.now.to_le_bytes());
+        for field in &fields {
+            self.hash.write(&field.to_le_bytes());
+        }
+        *self.counts.entry(fields[0]).or_default() += 1;
+    }
+
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
@@ -348,15 +394,14 @@
     }
 }
 
-fn backend(id: u32, state: BackendState, started: Option<Nanos>) -> Backend {
-    let mark = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let (zone, cell) = (ZoneId(0), CellId((id / 4) as u16));
+fn backend(setup: Setup, id: u32, state: BackendState, started: Option<Nanos>) -> Backend {
+    let label = |count: u32| if setup.wide { (id % count) as u16 } else { 0 };
     Backend {
         id: BackendId(id),
-        mark,
-        zone,
-        cell,
-        kind: KindId(0),
+        mark: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        zone: ZoneId(label(3)),
+        cell: CellId((id / 4) as u16),
+        kind: KindId(label(2)),
         state,
         weight: 1.0,
         started,
@@ -371,44 +416,124 @@
                 backends,
                 siblings,
                 ask_list,
+                wide: false,
             })
         })
 }
 
+fn wide_setups() -> impl Iterator<Item = Setup> {
+    [(10, 2, true), (60, 12, false), (200, 300, true)]
+        .into_iter()
+        .map(|(backends, siblings, ask_list)| Setup {
+            backends,
+            siblings,
+            ask_list,
+            wide: true,
+        })
+}
+
+/// Numbers of actions in the recording. They never change, whatever the actions are called.
+const SEND: u64 = 1;
+const REFUSE: u64 = 2;
+const FAIL: u64 = 3;
+const CANCEL: u64 = 4;
+const SET_TIMER: u64 = 5;
+const PROBE: u64 = 6;
+const CLOSE_IDLE: u64 = 7;
+const TELL: u64 = 8;
+const SUBSCRIBE: u64 = 9;
+const FETCH_LIST: u64 = 10;
+const LOG: u64 = 11;
+
+/// An action as its number and the numbers in its fields; of a log line only that there is one.
+fn encode(action: &Action) -> Vec<u64> {
+    match action {
+        Action::Send {
+            request,
+            backend,
+            until,
+        } => {
+            vec![SEND, request.0.into(), backend.0.into(), *until]
+        }
+        Action::Refuse {
+            request,
+            retry_after,
+        } => vec![REFUSE, request.0.into(), *retry_after],
+        Action::Fail { request } => vec![FAIL, request.0.into()],
+        Action::Cancel { request, attempt } => {
+            vec![CANCEL, request.0.into(), (*attempt).into()]
+        }
+        Action::SetTimer { at, timer } => vec![SET_TIMER, *at, timer.0.into()],
+        Action::Probe { backend } => vec![PROBE, backend.0.into()],
+        Action::CloseIdle { backend } => vec![CLOSE_IDLE, backend.0.into()],
+        Action::Tell { to, bytes } => {
+            let to = to.map_or(u64::MAX, u64::from);
+            let bytes = bytes.iter().copied().map(u64::from);
+            [TELL, to].into_iter().chain(bytes).collect()
+        }
+        Action::Subscribe(on) => vec![SUBSCRIBE, (*on).into()],
+        Action::FetchList => vec![FETCH_LIST],
+        Action::Log(_) => vec![LOG],
+    }
+}
+
 #[test]
 fn all_decisions_are_as_recorded() {
     let mut hashes = Vec::new();
-    let mut counts = BTreeMap::<String, usize>::new();
+    let mut hashes_by_name = Vec::new();
+    let mut counts = BTreeMap::<u64, usize>::new();
     for (place, setup) in setups().enumerate() {
-        let (hash, counted) = Recorder::new(setup, place as u64 + 1).play();
+        let (hash, hash_by_name, counted) = Recorder::new(setup, place as u64 + 1).play();
         hashes.push(hash);
-        for (name, count) in counted {
-            *counts.entry(name).or_default() += count;
+        hashes_by_name.push(hash_by_name);
+        for (number, count) in counted {
+            *counts.entry(number).or_default() += count;
         }
     }
     // A stream in which something is never decided says nothing of it.
-    for (name, least) in [
-        ("Send", 30_000),
-        ("Refuse", 500),
-        ("Fail", 500),
-        ("Cancel", 500),
-        ("SetTimer", 1_000),
-        ("Log", 100),
+    for (number, least) in [
+        (SEND, 30_000),
+        (REFUSE, 500),
+        (FAIL, 500),
+        (CANCEL, 500),
+        (SET_TIMER, 1_000),
+        (LOG, 100),
     ] {
         assert!(
-            counts.get(name).is_some_and(|count| *count >= least),
-            "{name}: {counts:?}"
+            counts.get(&number).is_some_and(|count| *count >= least),
+            "action {number}: {counts:?}"
         );
     }
+    assert_eq!(
+        hashes_by_name,
+        BY_NAME,
+        "of {:?}",
+        setups().collect::<Vec<_>>()
+    );
     assert_eq!(hashes, RECORDED, "of {:?}", setups().collect::<Vec<_>>());
 }
 
+#[test]
+fn all_decisions_are_as_recorded_with_zones_quotas_and_streams() {
+    let hashes: Vec<u64> = wide_setups()
+        .enumerate()
+        .map(|(place, setup)| Recorder::new(setup, place as u64 + 11).play().0)
+        .collect();
+    assert_eq!(
+        hashes,
+        RECORDED_WIDE,
+        "of {:?}",
+        wide_setups().collect::<Vec<_>>()
+    );
+}
+
 #[test]
 fn a_stream_is_the_same_each_time_and_another_seed_is_another_one() {
     let setup = Setup {
         backends: 3,
         siblings: 2,
         ask_list: true,
+        wide: false,
     };
     let play = |seed| Recorder::new(setup, seed).play().0;
     assert_eq!(play(7), play(7));
@@ -417,6 +542,23 @@
 
 /// What the streams of `setups` hash to.
 const RECORDED: [u64; 6] = [
+    12_786_921_807_614_902_306,
+    7_379_061_564_831_453_002,
+    12_684_950_265_294_078_953,
+    4_743_792_019_669_178_329,
+    17_461_562_763_215_201_970,
+    15_964_821_636_492_578_482,
+];
+
+/// What the streams of `wide_setups` hash to.
+const RECORDED_WIDE: [u64; 3] = [
+    3_573_954_004_103_346_401,
+    427_959_500_892_172_197,
+    12_175_326_164_420_875_243,
+];
+
+/// What they hash to by the text of each action, which changes with every name.
+const BY_NAME: [u64; 6] = [
     11_790_424_298_163_473_345,
     3_095_937_027_801_753_851,
     16_106_656_441_381_326_002,
