--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # CONFIG names the configuration file that `make run` starts with.
 CONFIG ?= config.json
 
-.PHONY: build test lint run rig fleet fleet-small scale soak
+.PHONY: build test lint run testbed fleet fleet-small scale soak
 
 build:
 	cargo build --release --locked
@@ -16,23 +16,23 @@
 run: build
 	BALANCER_CONFIG=$(CONFIG) exec target/release/kitefork
 
-rig: build
-	cargo build --release --locked -p kitefork-rig
+testbed: build
+	cargo build --release --locked -p kitefork-testbed
 
 # Every scenario with 30 processes of the node: under a minute and a half.
-fleet-small: rig
-	for file in scenarios/*.toml; do target/release/kitefork-rig run $$file --nodes 30 || exit 1; done
+fleet-small: testbed
+	for file in scenarios/*.toml; do target/release/kitefork-testbed run $$file --nodes 30 || exit 1; done
 
 # The same at the size in the files.
-fleet: rig
-	for file in scenarios/*.toml; do target/release/kitefork-rig run $$file || exit 1; done
+fleet: testbed
+	for file in scenarios/*.toml; do target/release/kitefork-testbed run $$file || exit 1; done
 
 # One node with 200 and with 3,200 backends under the same traffic: what it needs may grow only so far.
-scale: rig
-	target/release/kitefork-rig scale
+scale: testbed
+	target/release/kitefork-testbed scale
 
 # Seeds of overlapping troubles over 24 processes, a quarter of a minute each.
 SEEDS ?= 20
-soak: rig
+soak: testbed
 	cargo build --release --locked -p kitefork-fault-shim
-	target/release/kitefork-rig soak --seeds $(SEEDS)
+	target/release/kitefork-testbed soak --seeds $(SEEDS)
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -6,7 +6,7 @@
 //! no thread. Equal events give equal actions.
 //!
 //! ```
-//! use kitefork::{
+//! use kitefork_balancer::{
 //!     Action, Backend, BackendId, BackendState, Balancer, CellId, Class, ClassId, Effect, Event,
 //!     KindId, ListKind, Request, RequestId, Settings, TenantId, ZoneId,
 //! };
@@ -44,7 +44,7 @@
 //! };
 //! balancer.handle(1_000_000, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { backend: BackendId(7), .. })));
-//! # Ok::<(), kitefork::SettingsError>(())
+//! # Ok::<(), kitefork_balancer::SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use kitefork::*;
+use kitefork_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use kitefork::*;
+use kitefork_balancer::*;
 use world::*;
 
 #[test]
--- a/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use kitefork::*;
+use kitefork_balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
--- a/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use kitefork::*;
+use kitefork_balancer::*;
 use world::*;
 
 /// Nodes of the fleet of which one is played.
--- a/node/src/arrival.rs
+++ b/crates/node/src/arrival.rs
@@ -1,6 +1,6 @@
 //! When a client's bytes can have come: what the time told to backends is reckoned from.
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 
 use crate::clock::MS;
 
--- a/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::os::fd::OwnedFd;
 
-use kitefork::{Effect, Nanos};
+use kitefork_balancer::{Effect, Nanos};
 use kitefork_settings::Deployment;
 use rustix::event::epoll::{EventData, EventFlags};
 use rustix::io::Errno;
--- a/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 
 use crate::start_time::Heard;
 
--- a/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-use kitefork::{Backend, BackendId, BackendState, CellId, Event, KindId, ListKind, Nanos, ZoneId};
+use kitefork_balancer::{
+    Backend, BackendId, BackendState, CellId, Event, KindId, ListKind, Nanos, ZoneId,
+};
 use kitefork_settings::json::{Fault, Place, Tree};
 
 use crate::clock::{MS, SECOND};
--- a/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::os::fd::OwnedFd;
 
-use kitefork::{BackendId, Nanos, Outcome};
+use kitefork_balancer::{BackendId, Nanos, Outcome};
 use rustix::net::sockopt;
 
 use crate::clock::{MS, SECOND};
--- a/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -5,7 +5,7 @@
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 use rustix::event::PollFlags;
 
 use crate::clock::SECOND;
--- a/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
 
-use kitefork::{BackendId, Event, Nanos, Outcome, TimerId};
+use kitefork_balancer::{BackendId, Event, Nanos, Outcome, TimerId};
 use kitefork_settings::Deployment;
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, EventData, EventFlags};
--- a/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -1,6 +1,6 @@
 //! The end of a node: from SIGTERM to the last answer.
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 
 use super::sessions::ACCEPT_PAUSE;
 use super::{Due, MIN_RETRY, Node};
--- a/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -1,6 +1,6 @@
 //! The loop's side of fetches: starting attempts, the pool, and how attempts ended.
 
-use kitefork::{BackendId, Event, Nanos, Outcome};
+use kitefork_balancer::{BackendId, Event, Nanos, Outcome};
 use rustix::event::PollFlags;
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
--- a/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -1,6 +1,6 @@
 //! The loop's side of discovery: calls, and what their news does to connections.
 
-use kitefork::{Event, Nanos, Outcome};
+use kitefork_balancer::{Event, Nanos, Outcome};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
--- a/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -2,7 +2,7 @@
 
 use std::os::fd::OwnedFd;
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 use rustix::event::epoll::{self, EventFlags};
 
 use super::{BOTH, Due, LEFT, LISTENER, MIN_RETRY, Node, READ, SESSION, token};
--- a/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use kitefork::{
+use kitefork_balancer::{
     Action, BackendId, Balancer, ClassId, Effect, Event, Nanos, Outcome, Request, RequestId,
     Settings, SettingsError, TenantId, TimerId,
 };
--- a/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::clock::{MS, SECOND};
-use kitefork::{Backend, BackendState, CellId, Class, Group, ListKind};
+use kitefork_balancer::{Backend, BackendState, CellId, Class, Group, ListKind};
 
 const NOW: Nanos = 100 * SECOND;
 
--- a/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-use kitefork::{Effect, Group, Nanos};
+use kitefork_balancer::{Effect, Group, Nanos};
 
 use crate::clock::MS;
 
--- a/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -1,6 +1,6 @@
 //! Each rule as a table: one fact is changed at a time.
 
-use kitefork::{Effect, Group};
+use kitefork_balancer::{Effect, Group};
 
 use super::*;
 
--- a/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -13,7 +13,7 @@
 //! those that a clock which is off by an hour can't explain. What this costs a restarted node is a
 //! smaller share, for some seconds, for backends that started lately.
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 
 use crate::clock::{MS, SECOND};
 
--- a/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -2,7 +2,7 @@
 //! after its tick, so up to a tick late and never early. Nothing is taken off: whoever hung a
 //! deadline checks, when it fires, whether it still stands.
 
-use kitefork::Nanos;
+use kitefork_balancer::Nanos;
 
 const SLOTS: usize = 1024;
 
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod json;
 
 use json::{Fault, Place};
-use kitefork::{Class, Effect, Group, Limits, Nanos, Rules, Settings, Tenant, ZoneId};
+use kitefork_balancer::{Class, Effect, Group, Limits, Nanos, Rules, Settings, Tenant, ZoneId};
 
 /// What the node needs beyond the decisions: names, and limits on connections.
 pub struct Deployment {
--- a/wirehost/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use kitefork::{
+use kitefork_balancer::{
     Action, Backend, BackendId, BackendState, CellId, ClassId, Event, KindId, ListKind, Outcome,
     Request, RequestId, TenantId, TimerId, ZoneId,
 };
--- a/wirehost/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use frame::{FrameError, HEADER, Header, Lists, Message, Reply};
-use kitefork::Balancer;
+use kitefork_balancer::Balancer;
 use kitefork_settings::json::Tree;
 use thiserror::Error;
 
@@ -119,7 +119,7 @@
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("kitefork-wirehost: {error}");
+            eprintln!("kitefork-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitefork-rig`: see `docs/rig.md`.
+//! `kitefork-testbed`: see `docs/testbed.md`.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use kitefork_rig::scenario::Scenario;
-use kitefork_rig::world::{self, Programs, Report};
-use kitefork_rig::{scale, soak};
+use kitefork_testbed::scenario::Scenario;
+use kitefork_testbed::world::{self, Programs, Report};
+use kitefork_testbed::{scale, soak};
 
 #[derive(Parser)]
 #[command(about = "Plays scenarios with many processes of the node, and judges them")]
@@ -139,7 +139,7 @@
                 println!("  {story}");
             }
             println!(
-                "  {} stories; again: kitefork-rig soak --from {seed} --seeds 1 --nodes {} --quiet {}",
+                "  {} stories; again: kitefork-testbed soak --from {seed} --seeds 1 --nodes {} --quiet {}",
                 report.broken.len(),
                 options.nodes,
                 options.quiet_s
@@ -249,7 +249,7 @@
             }
             if !report.passed() {
                 println!(
-                    "again: kitefork-rig run {} --seed {}",
+                    "again: kitefork-testbed run {} --seed {}",
                     file.display(),
                     scenario.seed
                 );
@@ -364,7 +364,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(why) => {
-            eprintln!("kitefork-rig: {why}");
+            eprintln!("kitefork-testbed: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/rig/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A scenario. `docs/rig.md` documents each key.
+/// A scenario. `docs/testbed.md` documents each key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -290,7 +290,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Which; `kitefork-rig run` prints all.
+    /// Which; `kitefork-testbed run` prints all.
     pub figure: String,
     /// At least this.
     pub least: Option<f64>,
--- a/crates/rig/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -4,8 +4,8 @@
 
 use std::path::{Path, PathBuf};
 
-use kitefork_rig::scenario::{Expect, Scenario};
-use kitefork_rig::world::{self, Programs};
+use kitefork_testbed::scenario::{Expect, Scenario};
+use kitefork_testbed::world::{self, Programs};
 
 /// The program that this test run has built.
 fn program() -> PathBuf {
--- a/crates/rig/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use kitefork_rig::scenario::What;
-use kitefork_rig::soak;
-use kitefork_rig::world::Programs;
+use kitefork_testbed::scenario::What;
+use kitefork_testbed::soak;
+use kitefork_testbed::world::Programs;
 
 const NODES: usize = 12;
 
