--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -97,7 +97,7 @@
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
-            .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+            .filter(|a| a.outcome.is_none_or(|o| !o.not_executed()))
     }
 }
 
@@ -105,7 +105,7 @@
 pub struct Balancer {
     settings: Settings,
     rng: Xoshiro256PlusPlus,
-    siblings: f64,
+    proxy_count: f64,
     servers: BTreeMap<BackendId, Server>,
     open: BTreeMap<RequestId, Open>,
     classes: Vec<ClassStats>,
@@ -156,14 +156,19 @@
     /// Starts a balancer at `now` with the seed of its draws.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
-        let aims = || settings.classes.iter().map(|c| c.aim as f64 / SECOND);
+        let aims = || {
+            settings
+                .classes
+                .iter()
+                .map(|c| c.latency_objective as f64 / SECOND)
+        };
         let mut agenda = Agenda::default();
-        if settings.ask_list {
+        if settings.poll_endpoints {
             agenda.add(now, Task::Ask);
         }
         Ok(Balancer {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            siblings: f64::from(settings.siblings.max(1)),
+            proxy_count: f64::from(settings.proxy_count.max(1)),
             servers: BTreeMap::new(),
             open: BTreeMap::new(),
             classes: vec![ClassStats::default(); settings.classes.len()],
@@ -202,15 +207,17 @@
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.refresh(now);
         match event {
-            Event::List { kind, backends } => self.on_list(now, kind, backends, actions),
-            Event::ListFailed => self.on_list_failed(now, actions),
+            Event::EndpointUpdate { kind, endpoints } => {
+                self.on_list(now, kind, endpoints, actions)
+            }
+            Event::DiscoveryFailed => self.on_list_failed(now, actions),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::FirstByte { request, .. } => {
                 self.open
                     .entry(request)
                     .and_modify(|open| open.streaming = true);
             }
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
@@ -220,17 +227,17 @@
             } => {
                 self.on_outcome(now, (request, attempt), latency, outcome, finished, actions);
             }
-            Event::ClientGone { request } => self.close(request, actions),
+            Event::ClientDisconnected { request } => self.close(request, actions),
             Event::Timer { timer } => self.agenda.fired(timer.0),
-            Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::HealthCheckEnded { .. } | Event::GossipReceived { .. } => {}
         }
         self.serve_waiting(now, actions);
         while let Some(task) = self.agenda.due(now) {
             match task {
-                Task::Ask => actions.push(Action::Subscribe(true)),
+                Task::Ask => actions.push(Action::WatchEndpoints(true)),
                 Task::Look(id) => self.look(now, id, actions),
                 Task::Wake => {}
-                Task::Close(id) => actions.push(Action::CloseIdle { backend: id }),
+                Task::Close(id) => actions.push(Action::CloseIdleConnections { backend: id }),
             }
         }
         if let Some((at, timer)) = self.agenda.arm() {
--- a/crates/balancer/src/balance/admission.rs
+++ b/crates/balancer/src/balance/admission.rs
@@ -7,12 +7,12 @@
     /// Room of a backend of which nothing is known: one attempt, or this node's share of c if that
     /// is less.
     pub(super) fn first_room(&self) -> f64 {
-        (HELD / self.siblings).min(1.0)
+        (HELD / self.proxy_count).min(1.0)
     }
 
-    /// This node's share of a backend's c, siblings' swings included, is less than one attempt.
+    /// This node's share of a backend's c, proxy_count' swings included, is less than one attempt.
     pub(super) fn coarse(&self) -> bool {
-        let share = HELD / self.siblings;
+        let share = HELD / self.proxy_count;
         share + share.sqrt() < 1.0
     }
 
@@ -68,10 +68,11 @@
             .zones
             .entry(server.entry.zone)
             .or_default();
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             zone.add(spent, SAMPLES);
         }
-        let scale = self.shortest_aim * SECOND / self.settings.classes[class].aim as f64;
+        let scale =
+            self.shortest_aim * SECOND / self.settings.classes[class].latency_objective as f64;
         let base = if zone.seen < SAMPLES {
             self.classes[class].all.base
         } else {
@@ -79,29 +80,29 @@
         };
         let ratio = spent / base.max(1e-9);
         match outcome {
-            Outcome::Ok => self.recent.add(1.0, spent * scale),
-            Outcome::Full | Outcome::Timeout => self.recent.spent += self.shortest_aim,
+            Outcome::Success => self.recent.add(1.0, spent * scale),
+            Outcome::Overloaded | Outcome::Timeout => self.recent.spent += self.shortest_aim,
             // It has used no capacity: another may go out for it.
             _ => self.saved += 1.0,
         }
         let ratio = match outcome {
-            Outcome::Ok => ratio,
-            Outcome::Timeout | Outcome::Full => ratio.max(2.0 * TOLERANCE),
+            Outcome::Success => ratio,
+            Outcome::Timeout | Outcome::Overloaded => ratio.max(2.0 * TOLERANCE),
             _ => return,
         };
-        // This node's share of c, and the root of it, as siblings are not all at their shares at a
+        // This node's share of c, and the root of it, as proxy_count are not all at their shares at a
         // time.
-        let share = HELD / self.siblings;
+        let share = HELD / self.proxy_count;
         // Behind as many of the longest work as it lets a backend hold, the tightest class is still
         // in time.
         let longest = self.classes.iter().map(|c| c.all.base).fold(1e-9, f64::max);
-        let fits = HELD.min(self.shortest_aim / longest - 1.0).max(1.0) / self.siblings;
+        let fits = HELD.min(self.shortest_aim / longest - 1.0).max(1.0) / self.proxy_count;
         let most = (fits + fits.sqrt()).round();
         let mean = self.classes[class].all.mean;
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        server.last = if outcome == Outcome::Ok {
+        server.last = if outcome == Outcome::Success {
             spent / mean.max(1e-9)
         } else {
             f64::INFINITY
@@ -132,14 +133,14 @@
             if *tokens >= 1.0 {
                 *tokens -= 1.0;
             } else {
-                value *= self.settings.over_quota_worth;
+                value *= self.settings.over_quota_weight;
             }
         }
         // A marked repeat comes when its first try has used up the aim or nearly so. Guards against
         // room spent on answers that count no more; could harm repeats after a fast failure, in a
         // crowd only.
         if request.client_retry || late {
-            value *= settings.late_worth.clamp(0.0, 1.0);
+            value *= settings.late_priority_weight.clamp(0.0, 1.0);
         }
         self.turns += 1;
         let needs = if value < WORTHY * most {
@@ -158,12 +159,12 @@
 
     /// Worth of a class for its usual work.
     fn value(&self, class: usize) -> f64 {
-        let work = if self.settings.worth_by_work {
+        let work = if self.settings.weight_per_unit_of_work {
             1.0
         } else {
             self.classes[class].all.base.max(1e-3)
         };
-        self.settings.classes[class].worth / work
+        self.settings.classes[class].priority_weight / work
     }
 
     /// How long ago a request's first try was, as its patience tells: first tries come with one
@@ -172,14 +173,14 @@
     /// behind others in a crowd.
     pub(super) fn elapsed(&mut self, request: &Request) -> Nanos {
         let class = usize::from(request.class.0);
-        let deadline = self.settings.classes[class].deadline;
+        let deadline = self.settings.classes[class].client_timeout;
         let usual = self.classes[class]
             .patience
-            .add(request.patience as f64 / deadline as f64);
+            .add(request.client_timeout as f64 / deadline as f64);
         if usual {
             0
         } else {
-            deadline.saturating_sub(request.patience)
+            deadline.saturating_sub(request.client_timeout)
         }
     }
 
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -12,9 +12,10 @@
         if self.open.contains_key(&id) {
             return;
         }
-        let stretch = class.aim_stretch.max(0.0) * request.work_hint.unwrap_or(0) as f64;
-        let span = class.aim.saturating_add(stretch as Nanos);
-        let deadline = now.saturating_add(request.patience);
+        let stretch = class.latency_objective_per_unit_of_work.max(0.0)
+            * request.work_hint.unwrap_or(0) as f64;
+        let span = class.latency_objective.saturating_add(stretch as Nanos);
+        let deadline = now.saturating_add(request.client_timeout);
         let elapsed = self.elapsed(&request);
         let late = elapsed >= span;
         let aim = now
@@ -44,20 +45,23 @@
         let class = usize::from(open.request.class.0);
         // Where misses are counted apart, a refusal within the aim is none, and a late answer is
         // one.
-        let late = self.settings.classes[class].late_worth > 0.0 && self.settings.tail == 0.0;
+        let late = self.settings.classes[class].late_priority_weight > 0.0
+            && self.settings.tail_weight == 0.0;
         let end = if late { open.deadline } else { open.aim };
         // A refusal of what was never written to a backend costs nothing up to a part of its time.
         let unwritten =
-            |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
-        let untried =
-            (open.request.patience as f64 * (1.0 - self.settings.limits.untried)) as Nanos;
+            |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
+        let untried = (open.request.client_timeout as f64
+            * (1.0 - self.settings.limits.never_attempted_fraction)) as Nanos;
         let end = if open.attempts.iter().all(unwritten) {
             end.min(open.deadline - untried)
         } else {
             end
         };
         let usual = (self.classes[class].all.base * SECOND) as Nanos;
-        end.saturating_sub(usual.min(self.settings.classes[class].aim / 2) + self.settings.tick)
+        end.saturating_sub(
+            usual.min(self.settings.classes[class].latency_objective / 2) + self.settings.tick,
+        )
     }
 
     /// Sends an attempt if some backend is legal and has room; else the request waits.
@@ -88,15 +92,15 @@
         }
         // An answer without worth is not waited for.
         let class = &self.settings.classes[usize::from(open.request.class.0)];
-        let until = if class.late_worth > 0.0 {
+        let until = if class.late_priority_weight > 0.0 {
             open.deadline
         } else {
             open.aim
         };
-        actions.push(Action::Send {
+        actions.push(Action::StartAttempt {
             request: id,
             backend,
-            until,
+            abandon_at: until,
         });
         self.agenda
             .add(now.saturating_add(self.overdue(id)), Task::Look(id));
@@ -108,7 +112,7 @@
         let open = &self.open[&id];
         let class = usize::from(open.request.class.0);
         let hint = open.request.work_hint.unwrap_or(0) as f64;
-        let least = OVERDUE_AIM * self.settings.classes[class].aim as f64;
+        let least = OVERDUE_AIM * self.settings.classes[class].latency_objective as f64;
         (OVERDUE * (self.classes[class].all.mean * SECOND + hint)).max(least) as Nanos
     }
 
@@ -122,14 +126,14 @@
         let Some((place, last)) = open.attempts.iter().enumerate().next_back() else {
             return;
         };
-        let once = match self.settings.classes[class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { window, .. } => open
+        let once = match self.settings.classes[class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::IdempotencyKey { window, .. } => open
                 .may_have_run()
                 .all(|a| now < a.sent.saturating_add(window)),
         };
-        let more = limits.cancel && once && open.attempts.len() < limits.max_attempts as usize;
+        let more = limits.can_cancel && once && open.attempts.len() < limits.max_attempts as usize;
         if !more || now >= self.give_up(id) {
             return;
         }
@@ -144,7 +148,7 @@
             self.agenda.add(again, Task::Look(id));
         } else {
             self.retry_tokens -= 1.0;
-            actions.push(Action::Cancel {
+            actions.push(Action::CancelAttempt {
                 request: id,
                 attempt: place as u8,
             });
@@ -197,14 +201,14 @@
             server.out -= 1.0;
             server.out_sent -= sent as f64 / SECOND;
             server.spent += match outcome {
-                Outcome::Rejected => 0.0,
+                Outcome::BadRequest => 0.0,
                 // At once or not, the request has to begin again elsewhere. Guards against a
                 // backend that is gone or leaving while the list is late: its own latency would
                 // make it the fastest.
-                Outcome::ConnectFailed | Outcome::Full => spent.max(self.shortest_aim),
+                Outcome::ConnectFailed | Outcome::Overloaded => spent.max(self.shortest_aim),
                 _ => spent,
             };
-            if outcome == Outcome::Ok {
+            if outcome == Outcome::Success {
                 server.joined = if server.done > 0.0 {
                     server.joined
                 } else {
@@ -225,11 +229,11 @@
         if self
             .servers
             .get(&backend)
-            .is_none_or(|s| s.entry.state != BackendState::Ready)
+            .is_none_or(|s| s.entry.state != EndpointState::Ready)
         {
             self.let_go(now, backend, actions);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Timeout) {
+        if matches!(outcome, Outcome::Success | Outcome::Timeout) {
             self.classes[class].all.add(spent, SAMPLES);
         }
         self.adjust_room(backend, class, spent, outcome);
@@ -249,9 +253,10 @@
         } else if open.out() == 0 {
             let open = &self.open[&id];
             // An unsafe request that may have run is over, and so is one that is itself at fault.
-            let effect = self.settings.classes[class].effect;
-            let barred = effect == Effect::Unsafe && open.may_have_run().next().is_some()
-                || outcome == Outcome::Rejected;
+            let effect = self.settings.classes[class].idempotency;
+            let barred = effect == Idempotency::NotIdempotent
+                && open.may_have_run().next().is_some()
+                || outcome == Outcome::BadRequest;
             let more = !barred && open.attempts.len() < self.settings.limits.max_attempts as usize;
             // What was lost has paid already.
             let free = lost || outcome == Outcome::ConnectFailed;
@@ -272,7 +277,7 @@
             return;
         };
         if self.may_refuse(open) {
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 request: id,
                 retry_after: self.settings.limits.max_retry_after,
             });
@@ -291,10 +296,10 @@
         self.waiting.remove(&(open.rank, id));
         if open.out() == 0 {
             self.open.remove(&id);
-        } else if first && self.settings.limits.cancel {
+        } else if first && self.settings.limits.can_cancel {
             for (place, attempt) in open.attempts.iter().enumerate() {
                 if attempt.outcome.is_none() {
-                    actions.push(Action::Cancel {
+                    actions.push(Action::CancelAttempt {
                         request: id,
                         attempt: place as u8,
                     });
--- a/crates/balancer/src/balance/draw.rs
+++ b/crates/balancer/src/balance/draw.rs
@@ -26,7 +26,7 @@
     /// What must not run twice is not what finds out whether one that failed is sound; where many
     /// nodes share a backend, a time-out there tells of a crowd.
     fn wants_proven(&self, open: &Open) -> bool {
-        let once = |class: &Class| class.effect == Effect::Unsafe;
+        let once = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
         let classes = &self.settings.classes;
         let of_open = &classes[usize::from(open.request.class.0)];
         once(of_open) && !classes.iter().all(once) && !self.coarse()
--- a/crates/balancer/src/balance/ejection.rs
+++ b/crates/balancer/src/balance/ejection.rs
@@ -39,10 +39,10 @@
             server.joined = server.ejected_until;
             server.room = first_room;
             (server.done, server.spent, server.failed) = (0.0, 0.0, 0.0);
-            actions.push(Action::Log(format!(
-                "backend {} ejected for {span:.1} s",
-                id.0
-            )));
+            actions.push(Action::Log(LogEvent::BackendEjected {
+                backend: id,
+                seconds: span,
+            }));
             self.stale = true;
         }
     }
--- a/crates/balancer/src/balance/estimator.rs
+++ b/crates/balancer/src/balance/estimator.rs
@@ -19,7 +19,7 @@
     pub(super) fn ready(&self) -> impl Iterator<Item = &Server> {
         self.servers
             .values()
-            .filter(|s| s.entry.state == BackendState::Ready)
+            .filter(|s| s.entry.state == EndpointState::Ready)
     }
 
     /// Once for each time: discounts what was counted.
@@ -34,7 +34,7 @@
         let pace = self.pace(now);
         self.saved = (self.saved + pace * step).min((pace * self.shortest_aim).max(2.0 + RESERVE));
         for (tokens, tenant) in self.quota.iter_mut().zip(&self.settings.tenants) {
-            let rate = tenant.quota_per_s / self.siblings;
+            let rate = tenant.quota_per_second / self.proxy_count;
             *tokens = (*tokens + rate * step).min(rate.max(1.0));
         }
         for class in &mut self.classes {
--- a/crates/balancer/src/balance/legality.rs
+++ b/crates/balancer/src/balance/legality.rs
@@ -12,33 +12,36 @@
         let (limits, entry) = (&self.settings.limits, &server.entry);
         let lasting = !open.finished && !open.streaming && now < open.deadline;
         let counted = open.attempts.len() < limits.max_attempts as usize && open.out() == 0;
-        let once = match self.settings.classes[usize::from(open.request.class.0)].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => open.may_have_run().next().is_none(),
-            Effect::Keyed { group, window } => open.may_have_run().all(|a| {
+        let once = match self.settings.classes[usize::from(open.request.class.0)].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => open.may_have_run().next().is_none(),
+            Idempotency::IdempotencyKey { scope, window } => open.may_have_run().all(|a| {
                 now <= a.sent.saturating_add(window)
-                    && match group {
-                        Group::All => true,
-                        Group::Zone => a.zone == entry.zone,
-                        Group::Cell => a.cell == entry.cell,
+                    && match scope {
+                        DeduplicationScope::Global => true,
+                        DeduplicationScope::Zone => a.zone == entry.zone,
+                        DeduplicationScope::Cell => a.cell == entry.cell,
                     }
             }),
         };
         lasting
             && counted
             && once
-            && entry.state == BackendState::Ready
+            && entry.state == EndpointState::Ready
             && self.cold_room(now, server)
     }
 
     /// Whether `open` may be refused, which tells the client that trying again is harmless.
     pub(super) fn may_refuse(&self, open: &Open) -> bool {
-        match self.settings.classes[usize::from(open.request.class.0)].effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+        match self.settings.classes[usize::from(open.request.class.0)].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: DeduplicationScope::Global,
+                ..
             } => true,
-            Effect::Unsafe | Effect::Keyed { .. } => open.may_have_run().next().is_none(),
+            Idempotency::NotIdempotent | Idempotency::IdempotencyKey { .. } => {
+                open.may_have_run().next().is_none()
+            }
         }
     }
 
@@ -56,9 +59,9 @@
     pub(super) fn save_up(&self, server: &Server, warmth: f64, step: f64) -> f64 {
         let rules = &self.settings.rules;
         // A fleet that is cold as a whole gets something to be judged by.
-        let least = 1.0 / (self.siblings * self.shortest_aim);
-        let rate = COLD_MARGIN * rules.fall_multiple * warmth * self.per_backend.max(least);
-        let most = (rate * rules.fall as f64 / SECOND).max(2.0);
+        let least = 1.0 / (self.proxy_count * self.shortest_aim);
+        let rate = COLD_MARGIN * rules.overload_multiple * warmth * self.per_backend.max(least);
+        let most = (rate * rules.overload_duration as f64 / SECOND).max(2.0);
         (server.cold_credit + rate * step).min(most)
     }
 
@@ -67,11 +70,13 @@
         let rules = &self.settings.rules;
         let age = server
             .entry
-            .started
-            .map_or(rules.cold, |at| now.saturating_sub(at));
-        if age >= rules.cold {
+            .started_at
+            .map_or(rules.slow_start_duration, |at| now.saturating_sub(at));
+        if age >= rules.slow_start_duration {
             return 1.0;
         }
-        rules.cold_from + (1.0 - rules.cold_from) * age as f64 / rules.cold as f64
+        rules.slow_start_initial_capacity
+            + (1.0 - rules.slow_start_initial_capacity) * age as f64
+                / rules.slow_start_duration as f64
     }
 }
--- a/crates/balancer/src/balance/split.rs
+++ b/crates/balancer/src/balance/split.rs
@@ -20,7 +20,7 @@
             server.failed *= keep;
         }
         let (slot, seconds) = (self.settings.tick as f64 / SECOND, now as f64 / SECOND);
-        let lambda = self.per_second(now, self.arrivals) * self.siblings * slot;
+        let lambda = self.per_second(now, self.arrivals) * self.proxy_count * slot;
         let (priors, against) = self.priors(seconds);
         let starved = self.starved(now);
         self.failed_open = self.fails_open(now);
@@ -36,7 +36,7 @@
         let mut warmths = Vec::with_capacity(self.servers.len());
         let mut credits = Vec::with_capacity(self.servers.len());
         for (server, (prior, usual)) in self.servers.values().zip(&priors) {
-            let usable = server.entry.state == BackendState::Ready
+            let usable = server.entry.state == EndpointState::Ready
                 && (server.ejected_until <= now || self.failed_open);
             // Silence: what attempts out have waited joins L as a censored sample.
             let waited = server.out * seconds - server.out_sent;
@@ -81,7 +81,7 @@
             .zip(&rates)
             .filter(|(s, rate)| **rate > 0.0 && near(s));
         let (sum, count) = home.fold((0.0, 0.0), |all, (s, _)| (all.0 + s.ratio, all.1 + 1.0));
-        let spill = if count == 0.0 || self.settings.cross_zone_price <= 0.0 {
+        let spill = if count == 0.0 || self.settings.cross_zone_cost <= 0.0 {
             1.0
         } else {
             ((against.min(sum / count) - 1.0) / (TOLERANCE - 1.0)).clamp(SPILL_LEAST, 1.0)
@@ -125,22 +125,22 @@
             marks
                 .entry(server.entry.zone)
                 .or_default()
-                .push(server.entry.mark);
+                .push(server.entry.hash);
         }
         marks.values_mut().for_each(|zone| zone.sort_unstable());
-        let nodes = (self.siblings / marks.len().max(1) as f64).max(1.0);
+        let nodes = (self.proxy_count / marks.len().max(1) as f64).max(1.0);
         // Where only some of the nodes are of this zone, multiples of the golden ratio lie evenly.
         let step = if marks.len() > 1 {
             std::f64::consts::GOLDEN_RATIO
         } else {
             1.0 / nodes
         };
-        let start = f64::from(self.settings.me) * step;
+        let start = f64::from(self.settings.proxy_index) * step;
         for server in self.servers.values_mut() {
             let Some(zone) = marks.get(&server.entry.zone) else {
                 continue;
             };
-            let rank = zone.partition_point(|mark| *mark < server.entry.mark) as f64;
+            let rank = zone.partition_point(|mark| *mark < server.entry.hash) as f64;
             server.order = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
             server.own = server.entry.zone == self.settings.zone && server.order < 1.0 / nodes;
         }
@@ -169,7 +169,7 @@
             .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let zones: Vec<_> = order.chunk_by(|a, b| a.0 == b.0).collect();
-        let others = if self.settings.cross_zone_price > 0.0 {
+        let others = if self.settings.cross_zone_cost > 0.0 {
             zones.len() as f64 - 1.0
         } else {
             1.0
--- a/crates/balancer/src/balance_tests.rs
+++ b/crates/balancer/src/balance_tests.rs
@@ -9,13 +9,13 @@
 /// A node of three hundred, of whose backends each gets little.
 fn one_of_many() -> Settings {
     let class = Class {
-        aim: 300 * MS,
-        deadline: 1_600 * MS,
+        latency_objective: 300 * MS,
+        client_timeout: 1_600 * MS,
         ..Class::default()
     };
     Settings {
         classes: vec![class],
-        siblings: 300,
+        proxy_count: 300,
         ..Settings::default()
     }
 }
@@ -25,8 +25,8 @@
     Event::Request(Request {
         id,
         key: u64::from(id.0),
-        patience,
-        write: true,
+        client_timeout: patience,
+        is_write: true,
         ..Request::default()
     })
 }
@@ -54,8 +54,8 @@
 #[test]
 fn a_long_way_to_a_zone_is_no_crowd_there() {
     let class = Class {
-        aim: 300_000_000,
-        deadline: 900_000_000,
+        latency_objective: 300_000_000,
+        client_timeout: 900_000_000,
         ..Class::default()
     };
     let mut balancer = Balancer::new(
@@ -67,22 +67,22 @@
         0,
     )
     .unwrap();
-    let state = BackendState::Ready;
-    let backend = |id| Backend {
+    let state = EndpointState::Ready;
+    let backend = |id| Endpoint {
         id: BackendId(id),
         zone: ZoneId(id as u16),
         state,
-        ..Backend::default()
+        ..Endpoint::default()
     };
-    let list = Event::List {
-        kind: ListKind::Full,
-        backends: vec![backend(0), backend(1)],
+    let list = Event::EndpointUpdate {
+        kind: UpdateKind::Full,
+        endpoints: vec![backend(0), backend(1)],
     };
     balancer.handle(1, list, &mut Vec::new());
     for _ in 0..2 * SAMPLES as usize {
         for (id, spent) in [(0, 0.002), (1, 0.012)] {
             balancer.classes[0].all.add(spent, SAMPLES);
-            balancer.adjust_room(BackendId(id), 0, spent, Outcome::Ok);
+            balancer.adjust_room(BackendId(id), 0, spent, Outcome::Success);
         }
     }
     assert!(balancer.servers.values().all(|server| server.ratio < 1.1));
@@ -116,7 +116,7 @@
 #[test]
 fn tables_stay_small_while_thousands_of_backends_come_and_go() {
     let mut settings = one_of_many();
-    settings.rules.drain_close = Some(2_000 * MS);
+    settings.rules.drain_close_within = Some(2_000 * MS);
     let mut balancer = Balancer::new(settings, 7, 0).unwrap();
     let (mut now, mut actions, mut most) = (0, Vec::new(), [0; 4]);
     for turn in 0..20_000 {
@@ -124,22 +124,22 @@
         if turn % 50 == 0 {
             // Ten new ones, each in a cell and of a kind of its own, and the ten before them are
             // gone.
-            let (state, label) = (BackendState::Ready, |id: u32| (id % 1_000) as u16);
+            let (state, label) = (EndpointState::Ready, |id: u32| (id % 1_000) as u16);
             let backends = (turn / 5..turn / 5 + 10).map(|id| {
                 let (id, cell, kind) = (BackendId(id), CellId(label(id)), KindId(label(id)));
-                Backend {
+                Endpoint {
                     id,
                     cell,
                     kind,
                     state,
-                    ..Backend::default()
+                    ..Endpoint::default()
                 }
             });
             balancer.handle(
                 now,
-                Event::List {
-                    kind: ListKind::Full,
-                    backends: backends.collect(),
+                Event::EndpointUpdate {
+                    kind: UpdateKind::Full,
+                    endpoints: backends.collect(),
                 },
                 &mut actions,
             );
@@ -149,19 +149,19 @@
         let sent: Vec<RequestId> = actions
             .drain(..)
             .filter_map(|action| match action {
-                Action::Send { request, .. } if request.0 % 7 != 0 => Some(request),
+                Action::StartAttempt { request, .. } if request.0 % 7 != 0 => Some(request),
                 _ => None,
             })
             .collect();
         for request in sent {
-            let (latency, outcome, load) = (5 * MS, Outcome::Ok, Vec::new());
-            let ended = Event::Outcome {
+            let (latency, outcome, load) = (5 * MS, Outcome::Success, Vec::new());
+            let ended = Event::AttemptEnded {
                 request,
                 attempt: 0,
                 latency,
                 outcome,
                 finished: true,
-                load,
+                load_report: load,
             };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
@@ -169,13 +169,13 @@
             for attempt in 0..5 {
                 let (latency, outcome, load) = (1_600 * MS, Outcome::Timeout, Vec::new());
                 let request = RequestId(left);
-                let ended = Event::Outcome {
+                let ended = Event::AttemptEnded {
                     request,
                     attempt,
                     latency,
                     outcome,
                     finished: true,
-                    load,
+                    load_report: load,
                 };
                 balancer.handle(now, ended, &mut actions);
             }
@@ -201,20 +201,20 @@
 fn a_node_knows_as_many_backends_as_it_can_estimate_and_abroad_no_more_than_at_home() {
     for (price, abroad) in [(0.03, 4 * 4), (0.0, 4 * 15)] {
         let settings = Settings {
-            cross_zone_price: price,
+            cross_zone_cost: price,
             ..one_of_many()
         };
         let mut balancer = Balancer::new(settings, 7, 0).unwrap();
-        let (zone, state) = (|id: u32| ZoneId((id % 5) as u16), BackendState::Ready);
-        let backends = (0..200).map(|id| Backend {
+        let (zone, state) = (|id: u32| ZoneId((id % 5) as u16), EndpointState::Ready);
+        let backends = (0..200).map(|id| Endpoint {
             id: BackendId(id),
             zone: zone(id),
             state,
-            ..Backend::default()
+            ..Endpoint::default()
         });
-        let list = Event::List {
-            kind: ListKind::Full,
-            backends: backends.collect(),
+        let list = Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: backends.collect(),
         };
         balancer.handle(1, list, &mut Vec::new());
         // Sixty a second for twenty seconds: in ten aims fifteen backends get twelve completions
@@ -228,24 +228,24 @@
 
 #[test]
 fn what_three_hundred_nodes_know_covers_the_fleet_evenly() {
-    let state = BackendState::Ready;
+    let state = EndpointState::Ready;
     let marked = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let backend = |id| Backend {
+    let backend = |id| Endpoint {
         id: BackendId(id),
-        mark: marked(id),
+        hash: marked(id),
         state,
-        ..Backend::default()
+        ..Endpoint::default()
     };
     let mut known = std::collections::BTreeMap::new();
     for me in 0..300 {
         let settings = Settings {
-            me,
+            proxy_index: me,
             ..one_of_many()
         };
         let mut node = Balancer::new(settings, u64::from(me), 0).unwrap();
-        let list = Event::List {
-            kind: ListKind::Full,
-            backends: (0..60).map(backend).collect(),
+        let list = Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: (0..60).map(backend).collect(),
         };
         node.handle(1, list, &mut Vec::new());
         node.members(2)
@@ -263,8 +263,8 @@
 #[test]
 fn what_is_turned_away_is_not_what_backends_bear() {
     let class = Class {
-        aim: 300 * MS,
-        deadline: 600 * MS,
+        latency_objective: 300 * MS,
+        client_timeout: 600 * MS,
         ..Class::default()
     };
     let mut settings = Settings {
@@ -273,19 +273,19 @@
     };
     settings.limits.max_attempts = 1;
     let mut balancer = Balancer::new(settings, 7, 0).unwrap();
-    let state = BackendState::Ready;
+    let state = EndpointState::Ready;
     let backends = (0..3)
-        .map(|id| Backend {
+        .map(|id| Endpoint {
             id: BackendId(id),
             state,
-            ..Backend::default()
+            ..Endpoint::default()
         })
         .collect();
     balancer.handle(
         1,
-        Event::List {
-            kind: ListKind::Full,
-            backends,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: backends,
         },
         &mut Vec::new(),
     );
@@ -295,23 +295,23 @@
         let now = Nanos::from(turn) * 10 * MS + 2;
         balancer.handle(now, request(turn), &mut actions);
         for action in std::mem::take(&mut actions) {
-            let Action::Send { request, .. } = action else {
+            let Action::StartAttempt { request, .. } = action else {
                 continue;
             };
             let outcome = if turn % 4 == 0 {
-                Outcome::Ok
+                Outcome::Success
             } else {
-                Outcome::Full
+                Outcome::Overloaded
             };
             let (attempt, latency, finished, load) =
-                (0, 5 * MS, outcome == Outcome::Ok, Vec::new());
-            let ended = Event::Outcome {
+                (0, 5 * MS, outcome == Outcome::Success, Vec::new());
+            let ended = Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
                 finished,
-                load,
+                load_report: load,
             };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -1,13 +1,13 @@
 //! Tests of the running sums.
 
 use super::*;
-use crate::interface::Backend;
+use crate::interface::Endpoint;
 
 fn server(id: u32, share: f64, explore: f64) -> Server {
     Server {
-        entry: Backend {
+        entry: Endpoint {
             id: BackendId(id),
-            ..Backend::default()
+            ..Endpoint::default()
         },
         share,
         explore,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -18,7 +18,7 @@
 /// What is known of a backend.
 #[derive(Clone, Default)]
 pub(crate) struct Server {
-    pub(crate) entry: Backend,
+    pub(crate) entry: Endpoint,
     /// Discounted completions and summed latencies (seconds): N and L of the design.
     pub(crate) done: f64,
     pub(crate) spent: f64,
--- a/crates/balancer/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -10,53 +10,53 @@
 const SECOND: Nanos = 1_000 * MS;
 const START: Nanos = 100_000 * MS;
 
-fn class(effect: Effect) -> Class {
+fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: 400 * MS,
-        deadline: 1000 * MS,
-        worth: 1.0,
-        effect,
+        latency_objective: 400 * MS,
+        client_timeout: 1000 * MS,
+        priority_weight: 1.0,
+        idempotency,
         ..Class::default()
     }
 }
 
 fn settings() -> Settings {
     let keyed = |group| {
-        class(Effect::Keyed {
-            group,
+        class(Idempotency::IdempotencyKey {
+            scope: group,
             window: 500 * MS,
         })
     };
     let mut settings = Settings {
         classes: vec![
-            class(Effect::Safe),
-            keyed(Group::All),
-            keyed(Group::Cell),
-            class(Effect::Unsafe),
+            class(Idempotency::Idempotent),
+            keyed(DeduplicationScope::Global),
+            keyed(DeduplicationScope::Cell),
+            class(Idempotency::NotIdempotent),
             Class {
-                worth: 10.0,
-                ..class(Effect::Safe)
+                priority_weight: 10.0,
+                ..class(Idempotency::Idempotent)
             },
         ],
         ..Settings::default()
     };
-    settings.rules.cold_from = 0.2;
-    settings.rules.cold = 10_000 * MS;
-    settings.rules.fall_multiple = 3.0;
-    settings.rules.fall = 2_000 * MS;
+    settings.rules.slow_start_initial_capacity = 0.2;
+    settings.rules.slow_start_duration = 10_000 * MS;
+    settings.rules.overload_multiple = 3.0;
+    settings.rules.overload_duration = 2_000 * MS;
     settings
 }
 
-fn backend(id: u32) -> Backend {
-    Backend {
+fn backend(id: u32) -> Endpoint {
+    Endpoint {
         id: BackendId(id),
-        mark: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         zone: ZoneId(0),
         cell: CellId((id % 2) as u16),
         kind: KindId(0),
-        state: BackendState::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -65,7 +65,7 @@
     Event::Request(Request {
         id,
         class,
-        patience: 800 * MS,
+        client_timeout: 800 * MS,
         ..Request::default()
     })
 }
@@ -81,11 +81,11 @@
 }
 
 impl Feed {
-    fn new(settings: Settings, backends: Vec<Backend>) -> Feed {
+    fn new(settings: Settings, backends: Vec<Endpoint>) -> Feed {
         Feed::seeded(settings, backends, 7)
     }
 
-    fn seeded(settings: Settings, backends: Vec<Backend>, seed: u64) -> Feed {
+    fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Feed {
         let balancer = Balancer::new(settings, seed, START).expect("sound settings");
         let mut feed = Feed {
             balancer,
@@ -94,9 +94,9 @@
             sent: BTreeMap::new(),
             next: 0,
         };
-        feed.give(Event::List {
-            kind: ListKind::Cached,
-            backends,
+        feed.give(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: backends,
         });
         feed
     }
@@ -109,7 +109,7 @@
                 Action::SetTimer { at, timer } => {
                     self.timers.insert((*at, *timer));
                 }
-                Action::Send {
+                Action::StartAttempt {
                     request, backend, ..
                 } => {
                     self.sent
@@ -149,14 +149,14 @@
             .expect("sent");
         sent.2 = false;
         let latency = self.now - sent.1;
-        let finished = outcome == Outcome::Ok;
-        self.give(Event::Outcome {
+        let finished = outcome == Outcome::Success;
+        self.give(Event::AttemptEnded {
             request: id,
             attempt: attempt as u8,
             latency,
             outcome,
             finished,
-            load: vec![],
+            load_report: vec![],
         })
     }
 
@@ -172,7 +172,7 @@
             let to = self.sent[&id][0].0;
             *counts.entry(to).or_default() += 1;
             self.wait(takes(to));
-            self.end(id, 0, Outcome::Ok);
+            self.end(id, 0, Outcome::Success);
         }
         counts
     }
@@ -195,13 +195,13 @@
                 *counts.entry(*to).or_default() += 1;
                 // It was over by then; told late, with the latency that it had.
                 let latency = takes(*to).min(self.now - *sent);
-                self.give(Event::Outcome {
+                self.give(Event::AttemptEnded {
                     request: id,
                     attempt: 0,
                     latency,
-                    outcome: Outcome::Ok,
+                    outcome: Outcome::Success,
                     finished: true,
-                    load: vec![],
+                    load_report: vec![],
                 });
             }
             self.wait(100 * MS);
@@ -214,14 +214,14 @@
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { backend, .. } => Some(*backend),
+            Action::StartAttempt { backend, .. } => Some(*backend),
             _ => None,
         })
         .collect()
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 fn failed(actions: &[Action]) -> bool {
@@ -292,7 +292,7 @@
             assert_eq!(b.0 % 2, sends(&first)[0].0 % 2);
         }
         for attempt in 1..=second.len() {
-            feed.end(id, attempt, Outcome::Ok);
+            feed.end(id, attempt, Outcome::Success);
         }
         feed.serve(10, |_| 10 * MS);
     }
@@ -301,13 +301,13 @@
 #[test]
 fn nothing_new_goes_to_a_draining_backend() {
     let mut feed = Feed::new(settings(), vec![backend(1), backend(2)]);
-    let draining = Backend {
-        state: BackendState::Draining,
+    let draining = Endpoint {
+        state: EndpointState::Draining,
         ..backend(1)
     };
-    feed.give(Event::List {
-        kind: ListKind::Delta,
-        backends: vec![draining],
+    feed.give(Event::EndpointUpdate {
+        kind: UpdateKind::Delta,
+        endpoints: vec![draining],
     });
     assert_eq!(
         feed.serve(100, |_| 10 * MS).keys().collect::<Vec<_>>(),
@@ -321,11 +321,11 @@
     let mut sent = 0;
     for seed in 0..nodes {
         let settings = Settings {
-            siblings: nodes as u32,
+            proxy_count: nodes as u32,
             ..settings()
         };
-        let cold = Backend {
-            started: Some(START - 1),
+        let cold = Endpoint {
+            started_at: Some(START - 1),
             ..backend(1)
         };
         let backends = std::iter::once(cold).chain((2..=20).map(backend)).collect();
@@ -342,13 +342,13 @@
 
 #[test]
 fn a_kind_that_is_slow_gets_less_from_a_node_that_hardly_knows_its_backends() {
-    let kind = |id: u32| Backend {
+    let kind = |id: u32| Endpoint {
         kind: KindId((id % 2) as u16),
         ..backend(id)
     };
     let mut feed = Feed::new(
         Settings {
-            siblings: 200,
+            proxy_count: 200,
             ..settings()
         },
         (1..=60).map(kind).collect(),
@@ -374,23 +374,23 @@
 /// backends.
 fn paced() -> Feed {
     let loose = Class {
-        aim: 300 * MS,
-        deadline: 1000 * MS,
-        worth: 3.0,
+        latency_objective: 300 * MS,
+        client_timeout: 1000 * MS,
+        priority_weight: 3.0,
         ..Class::default()
     };
-    let (aim, deadline, effect) = (75 * MS, 150 * MS, Effect::Unsafe);
+    let (aim, deadline, effect) = (75 * MS, 150 * MS, Idempotency::NotIdempotent);
     let tight = Class {
-        aim,
-        deadline,
-        worth: 8.0,
-        effect,
+        latency_objective: aim,
+        client_timeout: deadline,
+        priority_weight: 8.0,
+        idempotency: effect,
         ..Class::default()
     };
     Feed::new(
         Settings {
             classes: vec![loose, tight],
-            siblings: 300,
+            proxy_count: 300,
             ..settings()
         },
         (1..=20).map(backend).collect(),
@@ -423,7 +423,7 @@
                 break;
             };
             due.pop_first();
-            feed.end(id, 0, Outcome::Ok);
+            feed.end(id, 0, Outcome::Success);
         }
     }
     let fate = |(id, (class, at)): (RequestId, (u16, Nanos))| {
@@ -488,7 +488,7 @@
 #[test]
 fn a_miss_that_counts_in_the_tail_is_refused_within_its_aim() {
     let mut settings = settings();
-    settings.classes[0].late_worth = 0.5;
+    settings.classes[0].late_priority_weight = 0.5;
     let answer = |settings: Settings| {
         let mut feed = Feed::new(settings, vec![]);
         feed.ask(0);
@@ -496,7 +496,7 @@
     };
     assert!(!answer(settings.clone()));
     assert!(answer(Settings {
-        tail: 0.3,
+        tail_weight: 0.3,
         ..settings
     }));
 }
@@ -504,21 +504,21 @@
 #[test]
 fn idle_connections_close_at_the_notice_of_a_drain_and_after_each_outcome() {
     let close = |actions: &[Action]| {
-        actions.contains(&Action::CloseIdle {
+        actions.contains(&Action::CloseIdleConnections {
             backend: BackendId(1),
         })
     };
     let mut settings = settings();
-    settings.rules.drain_close = Some(100 * MS);
+    settings.rules.drain_close_within = Some(100 * MS);
     let mut feed = Feed::new(settings.clone(), vec![backend(1)]);
     let (id, _) = feed.ask(0);
-    let draining = Backend {
-        state: BackendState::Draining,
+    let draining = Endpoint {
+        state: EndpointState::Draining,
         ..backend(1)
     };
-    let told = Event::List {
-        kind: ListKind::Delta,
-        backends: vec![draining],
+    let told = Event::EndpointUpdate {
+        kind: UpdateKind::Delta,
+        endpoints: vec![draining],
     };
     assert!(close(&feed.give(told.clone())));
     assert!(
@@ -526,12 +526,12 @@
         "told again, with nothing new to close"
     );
     feed.wait(200 * MS);
-    assert!(close(&feed.end(id, 0, Outcome::Ok)));
+    assert!(close(&feed.end(id, 0, Outcome::Success)));
     assert!(
         close(&feed.wait(100 * MS)),
         "once more, for a connection that was not idle yet"
     );
-    settings.rules.drain_close = None;
+    settings.rules.drain_close_within = None;
     let mut feed = Feed::new(settings, vec![backend(1)]);
     assert!(!close(&feed.give(told)));
 }
@@ -540,13 +540,13 @@
 fn a_cold_backend_gets_a_part_and_a_warm_one_its_share() {
     let mut feed = Feed::new(settings(), vec![backend(1), backend(2), backend(3)]);
     feed.serve(300, |_| 10 * MS);
-    let restarted = Backend {
-        started: Some(feed.now),
+    let restarted = Endpoint {
+        started_at: Some(feed.now),
         ..backend(1)
     };
-    feed.give(Event::List {
-        kind: ListKind::Delta,
-        backends: vec![restarted],
+    feed.give(Event::EndpointUpdate {
+        kind: UpdateKind::Delta,
+        endpoints: vec![restarted],
     });
     let cold = feed.serve(200, |_| 10 * MS);
     assert!(cold.get(&BackendId(1)).is_none_or(|n| *n < 40), "{cold:?}");
@@ -568,10 +568,10 @@
             bad += 1;
             let second = sends(&feed.end(id, 0, Outcome::Error));
             if !second.is_empty() {
-                feed.end(id, 1, Outcome::Ok);
+                feed.end(id, 1, Outcome::Success);
             }
         } else {
-            feed.end(id, 0, Outcome::Ok);
+            feed.end(id, 0, Outcome::Success);
         }
     }
     assert!(bad < 20, "{bad} sends to a backend that only fails");
@@ -587,7 +587,7 @@
         let (id, _) = feed.ask(class);
         let early = feed.wait(90 * MS);
         let late = feed.wait(20 * MS);
-        let off = Action::Cancel {
+        let off = Action::CancelAttempt {
             request: id,
             attempt: 0,
         };
@@ -616,7 +616,7 @@
         }
         let (id, _) = feed.ask(0);
         // The usual latency rises, so that it is not overdue at the moment which was set for it.
-        let off = Action::Cancel {
+        let off = Action::CancelAttempt {
             request: id,
             attempt: 0,
         };
@@ -625,7 +625,7 @@
             let (other, _) = feed.ask(0);
             called_off |= feed.wait(40 * MS).contains(&off);
             if feed.sent.contains_key(&other) {
-                feed.end(other, 0, Outcome::Ok);
+                feed.end(other, 0, Outcome::Success);
             }
         }
         assert!(called_off, "with {retries} retries before");
@@ -639,7 +639,7 @@
     let mut feed = Feed::new(settings(), (1..=4).map(backend).collect());
     feed.serve(40, |_| 30 * MS);
     let (id, _) = feed.ask(0);
-    let off = Action::Cancel {
+    let off = Action::CancelAttempt {
         request: id,
         attempt: 0,
     };
@@ -650,7 +650,7 @@
 #[test]
 fn a_few_silent_attempts_do_not_close_all_room() {
     let mut settings = settings();
-    settings.limits.cancel = false;
+    settings.limits.can_cancel = false;
     let mut feed = Feed::new(settings, (1..=8).map(backend).collect());
     feed.serve(400, |_| 2 * MS);
     for _ in 0..4 {
@@ -662,7 +662,7 @@
         let (id, actions) = feed.ask(0);
         sent += sends(&actions).len();
         if feed.sent.contains_key(&id) {
-            feed.end(id, 0, Outcome::Ok);
+            feed.end(id, 0, Outcome::Success);
         }
     }
     assert!(sent > 90, "{sent} of 100 are sent while four are silent");
@@ -686,7 +686,11 @@
                 let actions = feed.end(
                     id,
                     attempt,
-                    if fails { Outcome::Reset } else { Outcome::Ok },
+                    if fails {
+                        Outcome::Reset
+                    } else {
+                        Outcome::Success
+                    },
                 );
                 logs += actions
                     .iter()
@@ -711,7 +715,7 @@
     feed.serve(40, |_| 10 * MS);
     for _ in 0..200 {
         let (id, _) = feed.ask(2);
-        let actions = feed.end(id, 0, Outcome::Rejected);
+        let actions = feed.end(id, 0, Outcome::BadRequest);
         assert!(
             actions.contains(&Action::Fail { request: id }),
             "{actions:?}"
@@ -719,7 +723,7 @@
         assert!(
             !actions
                 .iter()
-                .any(|a| matches!(a, Action::Send { .. } | Action::Log(_))),
+                .any(|a| matches!(a, Action::StartAttempt { .. } | Action::Log(_))),
             "{actions:?}"
         );
         feed.wait(10 * MS);
@@ -751,7 +755,7 @@
     let (dear, actions) = feed.ask(4);
     assert!(sends(&actions).is_empty());
     feed.wait(10 * MS);
-    feed.end(first, 0, Outcome::Ok);
+    feed.end(first, 0, Outcome::Success);
     assert!(feed.sent.contains_key(&dear));
     assert!(cheap.iter().any(|id| !feed.sent.contains_key(id)));
 }
@@ -765,7 +769,7 @@
             feed.give(request(id, 0));
         }
         feed.wait(10 * MS);
-        feed.end(first, 0, Outcome::Ok);
+        feed.end(first, 0, Outcome::Success);
         let served: Vec<u32> = ids
             .into_iter()
             .filter(|id| feed.sent.contains_key(&RequestId(*id)))
@@ -787,7 +791,7 @@
     }));
     let (fresh, _) = feed.ask(0);
     feed.wait(10 * MS);
-    feed.end(first, 0, Outcome::Ok);
+    feed.end(first, 0, Outcome::Success);
     assert!(feed.sent.contains_key(&fresh));
     assert!(!feed.sent.contains_key(&RequestId(900)));
 }
@@ -799,7 +803,7 @@
             unreachable!()
         };
         Event::Request(Request {
-            patience: left * MS,
+            client_timeout: left * MS,
             ..request
         })
     };
@@ -812,19 +816,19 @@
     assert!(
         actions
             .iter()
-            .any(|a| matches!(a, Action::Send { until, .. } if *until == by)),
+            .any(|a| matches!(a, Action::StartAttempt { abandon_at, .. } if *abandon_at == by)),
         "{actions:?}"
     );
-    // Past its aim: the first try goes before it, though it came earlier in a crowd, newest first.
+    // Past its latency_objective: the first try goes before it, though it came earlier in a crowd, newest first.
     let mut feed = Feed::new(settings(), vec![backend(1)]);
     let (first, _) = feed.ask(0);
     let (fresh, _) = feed.ask(0);
     feed.give(repeat(901, 300));
     feed.wait(10 * MS);
-    feed.end(first, 0, Outcome::Ok);
+    feed.end(first, 0, Outcome::Success);
     assert!(feed.sent.contains_key(&fresh) && !feed.sent.contains_key(&RequestId(901)));
     // It is served all the same once nothing better waits.
-    feed.end(fresh, 0, Outcome::Ok);
+    feed.end(fresh, 0, Outcome::Success);
     assert!(feed.sent.contains_key(&RequestId(901)));
 }
 
@@ -837,8 +841,8 @@
             // Each knows the backends in an order of its own; what they have in common is the mark.
             let list = (1..=fleet).rev().map(backend).collect();
             let settings = Settings {
-                me,
-                siblings: nodes,
+                proxy_index: me,
+                proxy_count: nodes,
                 ..settings()
             };
             let mut feed = Feed::seeded(settings, list, 7 + u64::from(me));
@@ -862,12 +866,12 @@
     // Three of 25 ms are as long as the aim of 75 ms is; a node's share of what is less is one or
     // two.
     let tight = Class {
-        aim: 75 * MS,
-        deadline: 150 * MS,
-        ..class(Effect::Unsafe)
+        latency_objective: 75 * MS,
+        client_timeout: 150 * MS,
+        ..class(Idempotency::NotIdempotent)
     };
     let mut settings = Settings {
-        siblings: 2,
+        proxy_count: 2,
         ..settings()
     };
     settings.classes.push(tight);
@@ -884,7 +888,7 @@
             most = most.max(out.len());
             feed.wait(25 * MS);
             out.into_iter()
-                .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+                .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
         }
     }
     assert_eq!(most, 2);
@@ -896,13 +900,13 @@
         for fleet in [2, 12, 50] {
             let aim = (8 * work).max(20 * MS);
             let whole = Class {
-                aim,
-                deadline: 3 * aim,
-                ..class(Effect::Safe)
+                latency_objective: aim,
+                client_timeout: 3 * aim,
+                ..class(Idempotency::Idempotent)
             };
             let settings = Settings {
                 classes: vec![whole],
-                siblings: 2,
+                proxy_count: 2,
                 tick,
                 ..settings()
             };
@@ -912,14 +916,14 @@
                 feed.next = id.0;
                 feed.give(Event::Request(Request {
                     id,
-                    patience: 3 * aim,
+                    client_timeout: 3 * aim,
                     ..Request::default()
                 }));
                 id
             };
             let answer = |feed: &mut Feed, id, takes| {
                 feed.wait(takes);
-                feed.end(id, 0, Outcome::Ok);
+                feed.end(id, 0, Outcome::Success);
             };
             for _ in 0..200 {
                 let id = ask(&mut feed);
@@ -938,7 +942,7 @@
                     .map(|s| *s.0)
                     .collect();
                 out.into_iter()
-                    .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+                    .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
             }
             feed.wait(3 * aim);
             let out: Vec<_> = feed
@@ -948,7 +952,7 @@
                 .map(|s| *s.0)
                 .collect();
             out.into_iter()
-                .for_each(|id| drop(feed.end(id, 0, Outcome::Ok)));
+                .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
             // The burst is over: one is out at a time, and others idle. It is never held back.
             for turn in 0..50 {
                 let id = ask(&mut feed);
@@ -987,7 +991,7 @@
     let (held, actions) = feed.ask(0);
     assert!(sends(&actions).is_empty());
     for id in silent {
-        feed.end(id, 0, Outcome::Ok);
+        feed.end(id, 0, Outcome::Success);
     }
     assert!(feed.sent.contains_key(&held));
 }
@@ -996,37 +1000,40 @@
 fn a_failed_call_keeps_the_fleet_and_is_repeated() {
     let mut feed = Feed::new(
         Settings {
-            ask_list: true,
+            poll_endpoints: true,
             ..settings()
         },
         vec![backend(1)],
     );
-    feed.give(Event::ListFailed);
+    feed.give(Event::DiscoveryFailed);
     let (_, actions) = feed.ask(0);
     assert_eq!(sends(&actions), [BackendId(1)]);
-    assert!(feed.wait(5_000 * MS).contains(&Action::Subscribe(true)));
+    assert!(
+        feed.wait(5_000 * MS)
+            .contains(&Action::WatchEndpoints(true))
+    );
 }
 
 #[test]
 fn however_often_calls_fail_the_next_one_is_answered_within_six_seconds_of_the_last() {
     // A change counts as told 6 s after the list service had it and could be reached; of these, 2 s
     // are for the call itself.
-    for ask_within in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
+    for poll_interval in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
         for seed in 0..40 {
             let mut asking = Settings {
-                ask_list: true,
+                poll_endpoints: true,
                 ..settings()
             };
-            asking.rules.ask_within = ask_within;
+            asking.rules.poll_interval = poll_interval;
             let mut feed = Feed::seeded(asking, vec![backend(1)], seed);
             for failure in 0..8 {
-                feed.give(Event::ListFailed);
+                feed.give(Event::DiscoveryFailed);
                 let before = feed.now;
-                while !feed.wait(50 * MS).contains(&Action::Subscribe(true)) {
+                while !feed.wait(50 * MS).contains(&Action::WatchEndpoints(true)) {
                     let waited = feed.now - before;
                     assert!(
                         waited <= 4 * SECOND,
-                        "{ask_within}, seed {seed}, failure {failure}: {waited}"
+                        "{poll_interval}, seed {seed}, failure {failure}: {waited}"
                     );
                 }
             }
@@ -1042,18 +1049,24 @@
         Balancer::new(settings, 1, 0).err().map(|e| e.key)
     };
     assert_eq!(named(|s| s.tick = 0), Some("tick"));
-    assert_eq!(named(|s| s.classes[0].aim = 0), Some("classes"));
-    assert_eq!(named(|s| s.rules.fall = 0), Some("rules.fall"));
     assert_eq!(
-        named(|s| s.rules.cold_from = f64::NAN),
-        Some("rules.cold_from")
+        named(|s| s.classes[0].latency_objective = 0),
+        Some("classes")
+    );
+    assert_eq!(
+        named(|s| s.rules.overload_duration = 0),
+        Some("rules.overload_duration")
+    );
+    assert_eq!(
+        named(|s| s.rules.slow_start_initial_capacity = f64::NAN),
+        Some("rules.slow_start_initial_capacity")
     );
-    assert_eq!(named(|s| s.tail = f64::NAN), Some("tail"));
+    assert_eq!(named(|s| s.tail_weight = f64::NAN), Some("tail_weight"));
     assert_eq!(
-        named(|s| s.rules.drain_close = Some(0)),
-        Some("rules.drain_close")
+        named(|s| s.rules.drain_close_within = Some(0)),
+        Some("rules.drain_close_within")
     );
-    assert_eq!(named(|s| s.siblings = 0), None);
+    assert_eq!(named(|s| s.proxy_count = 0), None);
     assert_eq!(named(|s| s.classes.clear()), None);
 }
 
@@ -1064,21 +1077,21 @@
     Leave(usize),
     Stray(u32, u8),
     Wait(Nanos),
-    List(ListKind, Vec<(u32, u8, u16)>),
+    List(UpdateKind, Vec<(u32, u8, u16)>),
     ListFailed,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
-        4 => Just(Outcome::Ok),
+        4 => Just(Outcome::Success),
         1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Overloaded),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
-        1 => Just(Outcome::Moot),
+        1 => Just(Outcome::NotSent),
     ];
-    let kind = prop_oneof![Just(ListKind::Delta), Just(ListKind::Full)];
+    let kind = prop_oneof![Just(UpdateKind::Delta), Just(UpdateKind::Full)];
     prop_oneof![
         8 => (0u16..6).prop_map(Step::Ask),
         8 => (any::<usize>(), outcome).prop_map(|(i, o)| Step::End(i, o)),
@@ -1095,7 +1108,7 @@
 #[derive(Default)]
 struct Watch {
     open: BTreeMap<RequestId, (u16, Nanos, Vec<Seen>)>,
-    states: BTreeMap<BackendId, BackendState>,
+    states: BTreeMap<BackendId, EndpointState>,
     /// Backends that drain, and since when their idle connections may be open.
     unclosed: BTreeMap<BackendId, Nanos>,
 }
@@ -1109,7 +1122,7 @@
 impl Watch {
     /// A backend was told draining or had an outcome: from now on its connections are to be closed.
     fn used(&mut self, now: Nanos, backend: BackendId) {
-        if self.states.get(&backend) == Some(&BackendState::Draining) {
+        if self.states.get(&backend) == Some(&EndpointState::Draining) {
             self.unclosed.insert(backend, now);
         }
     }
@@ -1117,8 +1130,8 @@
     fn check(&mut self, now: Nanos, settings: &Settings, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::CloseIdle { backend } => drop(self.unclosed.remove(backend)),
-                Action::Send {
+                Action::CloseIdleConnections { backend } => drop(self.unclosed.remove(backend)),
+                Action::StartAttempt {
                     request, backend, ..
                 } => {
                     let (class, deadline, seen) = self
@@ -1126,21 +1139,26 @@
                         .get_mut(request)
                         .expect("rule 1: send after the end");
                     assert!(now < *deadline);
-                    assert_eq!(self.states[backend], BackendState::Ready, "rule 3");
+                    assert_eq!(self.states[backend], EndpointState::Ready, "rule 3");
                     let risky: Vec<&Seen> = seen
                         .iter()
-                        .filter(|s| s.outcome.is_none_or(|o| !o.never_ran()))
+                        .filter(|s| s.outcome.is_none_or(|o| !o.not_executed()))
                         .collect();
-                    match settings.classes[usize::from(*class)].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => assert!(risky.is_empty(), "rule 2"),
-                        Effect::Keyed { group, window } => {
+                    match settings.classes[usize::from(*class)].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => assert!(risky.is_empty(), "rule 2"),
+                        Idempotency::IdempotencyKey {
+                            scope: group,
+                            window,
+                        } => {
                             assert!(
                                 risky.iter().all(|s| now <= s.sent + window),
                                 "rule 2: window"
                             );
-                            let same =
-                                |s: &&Seen| group == Group::All || s.backend.0 % 2 == backend.0 % 2;
+                            let same = |s: &&Seen| {
+                                group == DeduplicationScope::Global
+                                    || s.backend.0 % 2 == backend.0 % 2
+                            };
                             assert!(risky.iter().all(same), "rule 2: group");
                         }
                     }
@@ -1150,22 +1168,22 @@
                         outcome: None,
                     });
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let (class, deadline, seen) =
                         self.open.remove(request).expect("rule 1: one answer");
                     assert!(now <= deadline);
                     let risky = seen
                         .iter()
-                        .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                        .any(|s| s.outcome.is_none_or(|o| !o.not_executed()));
                     let effect = settings
                         .classes
                         .get(usize::from(class))
-                        .map_or(Effect::Safe, |c| c.effect);
+                        .map_or(Idempotency::Idempotent, |c| c.idempotency);
                     let free = matches!(
                         effect,
-                        Effect::Safe
-                            | Effect::Keyed {
-                                group: Group::All,
+                        Idempotency::Idempotent
+                            | Idempotency::IdempotencyKey {
+                                scope: DeduplicationScope::Global,
                                 ..
                             }
                     );
@@ -1178,7 +1196,7 @@
                 _ => {}
             }
         }
-        let within = settings.rules.drain_close.expect("set");
+        let within = settings.rules.drain_close_within.expect("set");
         assert!(
             self.unclosed.values().all(|since| now <= since + within),
             "rule 5"
@@ -1188,11 +1206,11 @@
 
 fn play(steps: &[Step]) -> Vec<Action> {
     let mut settings = Settings {
-        ask_list: true,
+        poll_endpoints: true,
         ..settings()
     };
-    settings.rules.drain_close = Some(20 * MS);
-    let backends: Vec<Backend> = (1..=4).map(backend).collect();
+    settings.rules.drain_close_within = Some(20 * MS);
+    let backends: Vec<Endpoint> = (1..=4).map(backend).collect();
     let mut watch = Watch::default();
     watch
         .states
@@ -1218,7 +1236,7 @@
                     continue;
                 };
                 match outcome {
-                    Outcome::Ok => drop(watch.open.remove(&id)),
+                    Outcome::Success => drop(watch.open.remove(&id)),
                     _ => {
                         if let Some((_, _, seen)) = watch.open.get_mut(&id) {
                             seen[attempt].outcome = Some(*outcome);
@@ -1234,15 +1252,15 @@
                     continue;
                 };
                 watch.open.remove(&id);
-                feed.give(Event::ClientGone { request: id })
+                feed.give(Event::ClientDisconnected { request: id })
             }
-            Step::Stray(id, attempt) => feed.give(Event::Outcome {
+            Step::Stray(id, attempt) => feed.give(Event::AttemptEnded {
                 request: RequestId(id | 1 << 31),
                 attempt: *attempt,
                 latency: MS,
-                outcome: Outcome::Ok,
+                outcome: Outcome::Success,
                 finished: true,
-                load: vec![],
+                load_report: vec![],
             }),
             Step::Wait(span) => {
                 // One timer at a time, so that each send is checked at its own time; attempts that
@@ -1282,41 +1300,41 @@
                 continue;
             }
             Step::List(kind, entries) => {
-                let backends: Vec<Backend> = entries
+                let backends: Vec<Endpoint> = entries
                     .iter()
-                    .map(|(id, state, age)| Backend {
+                    .map(|(id, state, age)| Endpoint {
                         state: [
-                            BackendState::Ready,
-                            BackendState::Draining,
-                            BackendState::Gone,
+                            EndpointState::Ready,
+                            EndpointState::Draining,
+                            EndpointState::Removed,
                         ][usize::from(*state)],
-                        started: (*age > 0).then(|| START + u64::from(*age)),
+                        started_at: (*age > 0).then(|| START + u64::from(*age)),
                         ..backend(*id)
                     })
                     .collect();
                 let before = watch.states.clone();
-                if *kind == ListKind::Full {
+                if *kind == UpdateKind::Full {
                     watch
                         .states
                         .values_mut()
-                        .for_each(|s| *s = BackendState::Gone);
+                        .for_each(|s| *s = EndpointState::Removed);
                 }
                 watch
                     .states
                     .extend(backends.iter().map(|b| (b.id, b.state)));
                 let told = backends.iter().filter(|b| {
-                    b.state == BackendState::Draining
-                        && before.get(&b.id) != Some(&BackendState::Draining)
+                    b.state == EndpointState::Draining
+                        && before.get(&b.id) != Some(&EndpointState::Draining)
                 });
                 for b in told {
                     watch.used(feed.now, b.id);
                 }
-                feed.give(Event::List {
+                feed.give(Event::EndpointUpdate {
                     kind: *kind,
-                    backends,
+                    endpoints: backends,
                 })
             }
-            Step::ListFailed => feed.give(Event::ListFailed),
+            Step::ListFailed => feed.give(Event::DiscoveryFailed),
         };
         watch.check(feed.now, &settings, &actions);
         log.extend(actions);
@@ -1352,13 +1370,13 @@
         TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let outcome = prop_oneof![
         3 => Just(Outcome::ConnectFailed),
-        2 => Just(Outcome::Full),
-        1 => Just(Outcome::Moot),
+        2 => Just(Outcome::Overloaded),
+        1 => Just(Outcome::NotSent),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::Reset),
         1 => Just(Outcome::Error),
         1 => Just(Outcome::Cancelled),
-        1 => Just(Outcome::Ok),
+        1 => Just(Outcome::Success),
     ];
     let lives = prop::collection::vec(
         (prop::collection::vec((outcome, 0u64..40), 6), any::<bool>()),
@@ -1380,9 +1398,9 @@
                     };
                     if feed.sent[id][sent - 1].2 {
                         if *leaves && step == 2 {
-                            feed.give(Event::ClientGone { request: *id });
+                            feed.give(Event::ClientDisconnected { request: *id });
                         }
-                        if !outcome.never_ran() {
+                        if !outcome.not_executed() {
                             ran.insert(*id, sent);
                         }
                         feed.end(*id, sent - 1, outcome);
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_fleet_that_is_half_idle_holds_nothing_back() {
     for nodes in NODES {
-        let backends: Vec<Backend> = (0..60).map(backend).collect();
+        let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let mut world = World::new(nodes, &backends);
         // 60 backends do 1,500 a second.
         world.run(12 * SECOND, 750.0);
@@ -53,18 +53,18 @@
 /// Sends to thirty cold backends in the last two seconds, none of which is sent more than rule 4
 /// allows.
 fn used_while_cold(nodes: usize, seed: u64) -> usize {
-    let mut backends: Vec<Backend> = (0..30).map(backend).collect();
+    let mut backends: Vec<Endpoint> = (0..30).map(backend).collect();
     let mut world = World::seeded(nodes, &backends, seed);
     world.run(5 * SECOND, 500.0);
     backends = (30..60)
-        .map(|id| Backend {
-            started: Some(START + 5 * SECOND),
+        .map(|id| Endpoint {
+            started_at: Some(START + 5 * SECOND),
             ..backend(id)
         })
         .collect();
     world.free_at.extend(backends.iter().map(|b| (b.id, START)));
     world.health = second_half_starts;
-    world.tell(ListKind::Delta, &backends);
+    world.tell(UpdateKind::Delta, &backends);
     // More than the warm ones bear.
     world.run(4 * SECOND, 850.0);
     let cold: BTreeMap<BackendId, Vec<Nanos>> = world
@@ -102,17 +102,17 @@
 #[test]
 fn a_crowd_is_served_in_time_as_far_as_it_can_be() {
     for nodes in NODES {
-        let backends: Vec<Backend> = (0..60).map(backend).collect();
+        let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let mut world = World::new(nodes, &backends);
         world.run(3 * SECOND, 750.0);
         // Six in ten vanish at once, and the rest meet nearly twice what they can do.
         let gone = (24..60)
-            .map(|id| Backend {
-                state: BackendState::Gone,
+            .map(|id| Endpoint {
+                state: EndpointState::Removed,
                 ..backend(id)
             })
             .collect::<Vec<_>>();
-        world.tell(ListKind::Delta, &gone);
+        world.tell(UpdateKind::Delta, &gone);
         world.run(8 * SECOND, 1_100.0);
         let in_time = world.in_time(START + 4 * SECOND);
         // With 300 nodes each has about two answers a window to go by.
@@ -142,7 +142,7 @@
 #[test]
 fn backends_that_leave_before_the_list_says_so_draw_little() {
     for nodes in NODES {
-        let backends: Vec<Backend> = (0..60).map(backend).collect();
+        let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let mut world = World::new(nodes, &backends);
         world.run(3 * SECOND, 600.0);
         world.health = ten_are_leaving;
@@ -171,7 +171,7 @@
 #[test]
 fn a_node_at_five_times_the_mean_holds_nothing_back_and_every_backend_is_reached() {
     for nodes in [10, 100, 300] {
-        let backends: Vec<Backend> = (0..60).map(backend).collect();
+        let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let (mut all, mut held) = (0, 0);
         // One play in 25 falls behind for a second by chance, so a few count together.
         for seed in 1..=4 {
@@ -205,17 +205,17 @@
 fn refunds(nodes: usize, scale: f64) -> Settings {
     let span = |ms: u64| (scale * (ms * MS) as f64) as Nanos;
     let check = Class {
-        aim: span(300),
-        deadline: span(1_000),
-        worth: 3.0,
+        latency_objective: span(300),
+        client_timeout: span(1_000),
+        priority_weight: 3.0,
         ..Class::default()
     };
-    let effect = Effect::Unsafe;
+    let effect = Idempotency::NotIdempotent;
     let payout = Class {
-        aim: span(75),
-        deadline: span(150),
-        worth: 8.0,
-        effect,
+        latency_objective: span(75),
+        client_timeout: span(150),
+        priority_weight: 8.0,
+        idempotency: effect,
         ..Class::default()
     };
     let mut settings = Settings {
@@ -223,17 +223,17 @@
         ..settings(nodes)
     };
     settings.limits.max_attempts = 6;
-    settings.rules.cold = 8_700 * MS;
-    settings.rules.fall = 3_000 * MS;
+    settings.rules.slow_start_duration = 8_700 * MS;
+    settings.rules.overload_duration = 3_000 * MS;
     settings.tick = span(1).max(1_000);
     settings
 }
 
 /// Two nodes on so many backends of one zone, asked for `load` of what these can do, four in ten
 /// for payouts.
-fn two_nodes(backends: u32, seed: u64, scale: f64) -> (World, Vec<Backend>) {
-    let backends: Vec<Backend> = (0..backends)
-        .map(|id| Backend {
+fn two_nodes(backends: u32, seed: u64, scale: f64) -> (World, Vec<Endpoint>) {
+    let backends: Vec<Endpoint> = (0..backends)
+        .map(|id| Endpoint {
             zone: ZoneId(0),
             ..backend(id)
         })
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Setup {
     backends: u32,
-    siblings: u32,
-    ask_list: bool,
+    proxy_count: u32,
+    poll_endpoints: bool,
     /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that must
     /// close at drains.
     wide: bool,
@@ -82,7 +82,7 @@
     scheduled: u64,
     requests: BTreeMap<RequestId, OpenRequest>,
     next_request: u32,
-    list: Vec<Backend>,
+    list: Vec<Endpoint>,
     /// Backends that fail most of what they get.
     failing: u32,
     events: usize,
@@ -92,39 +92,41 @@
 }
 
 fn settings(setup: Setup) -> Settings {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
         window: 2 * SECOND,
     };
-    let class = |aim: Nanos, worth: f64, effect| Class {
-        aim: aim * MS,
-        aim_stretch: 0.0,
-        deadline: 5 * aim * MS,
-        worth,
-        late_worth: 0.3 * worth,
-        effect,
+    let class = |objective: Nanos, weight: f64, idempotency| Class {
+        latency_objective: objective * MS,
+        latency_objective_per_unit_of_work: 0.0,
+        client_timeout: 5 * objective * MS,
+        priority_weight: weight,
+        late_priority_weight: 0.3 * weight,
+        idempotency,
         streamed: false,
     };
     let mut settings = Settings {
         classes: vec![
-            class(200, 1.0, Effect::Safe),
+            class(200, 1.0, Idempotency::Idempotent),
             class(300, 2.0, keyed),
-            class(150, 4.0, Effect::Unsafe),
+            class(150, 4.0, Idempotency::NotIdempotent),
         ],
-        tenants: vec![Tenant { quota_per_s: 1e9 }],
-        me: 1 % setup.siblings,
-        siblings: setup.siblings,
-        ask_list: setup.ask_list,
+        tenants: vec![Tenant {
+            quota_per_second: 1e9,
+        }],
+        proxy_index: 1 % setup.proxy_count,
+        proxy_count: setup.proxy_count,
+        poll_endpoints: setup.poll_endpoints,
         ..Settings::default()
     };
     settings.limits.max_attempts = 4;
     settings.limits.max_retry_after = SECOND;
-    settings.limits.untried = 0.5;
+    settings.limits.never_attempted_fraction = 0.5;
     settings.rules.drain_grace = SECOND;
-    settings.rules.cold_from = 0.3;
-    settings.rules.cold = 8 * SECOND;
-    settings.rules.fall_multiple = 3.0;
-    settings.rules.fall = 2 * SECOND;
+    settings.rules.slow_start_initial_capacity = 0.3;
+    settings.rules.slow_start_duration = 8 * SECOND;
+    settings.rules.overload_multiple = 3.0;
+    settings.rules.overload_duration = 2 * SECOND;
     settings.rules.answer_slack = 20 * MS;
     if setup.wide {
         widen(&mut settings, setup);
@@ -133,24 +135,24 @@
 }
 
 fn widen(settings: &mut Settings, setup: Setup) {
-    let quota_per_s =
-        RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.siblings) / 4.0;
-    settings.tenants.push(Tenant { quota_per_s });
-    settings.over_quota_worth = 0.2;
-    settings.cross_zone_price = 0.03;
-    settings.worth_by_work = setup.siblings == 2;
-    settings.tail = if setup.siblings == 12 { 0.5 } else { 0.0 };
-    settings.limits.cancel = setup.siblings != 12;
+    let quota_per_second =
+        RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.proxy_count) / 4.0;
+    settings.tenants.push(Tenant { quota_per_second });
+    settings.over_quota_weight = 0.2;
+    settings.cross_zone_cost = 0.03;
+    settings.weight_per_unit_of_work = setup.proxy_count == 2;
+    settings.tail_weight = if setup.proxy_count == 12 { 0.5 } else { 0.0 };
+    settings.limits.can_cancel = setup.proxy_count != 12;
     settings.zone = ZoneId(1);
-    settings.rules.drain_close = Some(300 * MS);
-    settings.classes[0].aim_stretch = 1.5;
+    settings.rules.drain_close_within = Some(300 * MS);
+    settings.classes[0].latency_objective_per_unit_of_work = 1.5;
     settings.classes[1].streamed = true;
 }
 
 impl Recorder {
     fn new(setup: Setup, seed: u64) -> Recorder {
         let list = (0..setup.backends)
-            .map(|id| backend(setup, id, BackendState::Ready, None))
+            .map(|id| backend(setup, id, EndpointState::Ready, None))
             .collect();
         let mut recorder = Recorder {
             setup,
@@ -167,7 +169,7 @@
             counts: BTreeMap::new(),
             hash: Fnv1a::default(),
         };
-        recorder.tell(ListKind::Full, recorder.list.clone());
+        recorder.tell(UpdateKind::Full, recorder.list.clone());
         recorder.schedule(START, Due::Arrival);
         recorder.schedule(START + SECOND, Due::ListNews);
         recorder
@@ -194,7 +196,7 @@
             match due {
                 Due::Arrival => self.arrive(),
                 Due::ListNews => self.change_list(),
-                Due::ListAnswer => self.tell(ListKind::Full, self.list.clone()),
+                Due::ListAnswer => self.tell(UpdateKind::Full, self.list.clone()),
                 Due::Timer(timer) => self.feed(Event::Timer { timer }),
                 Due::AttemptEnds { request, attempt } => self.end_attempt(request, attempt),
                 Due::ClientLeaves(request) => self.leave(request),
@@ -221,9 +223,9 @@
         let mut request = Request {
             id,
             class: ClassId(class),
-            patience,
+            client_timeout: patience,
             client_retry: self.unit() < 0.05,
-            write: class > 0,
+            is_write: class > 0,
             ..Request::default()
         };
         if self.setup.wide {
@@ -240,29 +242,32 @@
         let id = place as u32;
         let (now, state, dice) = (self.now, self.list[place].state, self.unit());
         let entry = match state {
-            BackendState::Ready if dice < 0.3 => {
-                backend(self.setup, id, BackendState::Draining, None)
+            EndpointState::Ready if dice < 0.3 => {
+                backend(self.setup, id, EndpointState::Draining, None)
             }
-            BackendState::Ready if dice < 0.5 => {
-                backend(self.setup, id, BackendState::Ready, Some(now))
+            EndpointState::Ready if dice < 0.5 => {
+                backend(self.setup, id, EndpointState::Ready, Some(now))
             }
-            BackendState::Ready => {
+            EndpointState::Ready => {
                 self.failing = id;
                 return;
             }
-            BackendState::Draining => backend(self.setup, id, BackendState::Gone, None),
-            BackendState::Gone => backend(self.setup, id, BackendState::Ready, Some(now)),
+            EndpointState::Draining => backend(self.setup, id, EndpointState::Removed, None),
+            EndpointState::Removed => backend(self.setup, id, EndpointState::Ready, Some(now)),
         };
         self.list[place] = entry.clone();
         match self.unit() {
-            dice if dice < 0.2 => self.feed(Event::ListFailed),
-            dice if dice < 0.4 => self.tell(ListKind::Full, self.list.clone()),
-            _ => self.tell(ListKind::Delta, vec![entry]),
+            dice if dice < 0.2 => self.feed(Event::DiscoveryFailed),
+            dice if dice < 0.4 => self.tell(UpdateKind::Full, self.list.clone()),
+            _ => self.tell(UpdateKind::Delta, vec![entry]),
         }
     }
 
-    fn tell(&mut self, kind: ListKind, backends: Vec<Backend>) {
-        self.feed(Event::List { kind, backends });
+    fn tell(&mut self, kind: UpdateKind, backends: Vec<Endpoint>) {
+        self.feed(Event::EndpointUpdate {
+            kind,
+            endpoints: backends,
+        });
     }
 
     fn end_attempt(&mut self, id: RequestId, attempt: u8) {
@@ -281,15 +286,15 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.finished |= outcome == Outcome::Ok;
+        request.finished |= outcome == Outcome::Success;
         let finished = request.finished;
-        self.feed(Event::Outcome {
+        self.feed(Event::AttemptEnded {
             request: id,
             attempt,
             latency,
             outcome,
             finished,
-            load: Vec::new(),
+            load_report: Vec::new(),
         });
     }
 
@@ -298,7 +303,7 @@
             return;
         };
         if !std::mem::replace(&mut request.finished, true) {
-            self.feed(Event::ClientGone { request: id });
+            self.feed(Event::ClientDisconnected { request: id });
         }
     }
 
@@ -325,15 +330,15 @@
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request, backend, ..
             } => self.send(request, backend),
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 if let Some(open) = self.requests.get_mut(&request) {
                     open.finished = true;
                 }
             }
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 if let Some(state) = self
                     .requests
                     .get_mut(&request)
@@ -344,12 +349,12 @@
                 }
             }
             Action::SetTimer { at, timer } => self.schedule(at, Due::Timer(timer)),
-            Action::Subscribe(_) | Action::FetchList => {
+            Action::WatchEndpoints(_) | Action::PollEndpoints => {
                 self.schedule(self.now + 5 * MS, Due::ListAnswer)
             }
-            Action::Probe { .. }
-            | Action::CloseIdle { .. }
-            | Action::Tell { .. }
+            Action::CheckHealth { .. }
+            | Action::CloseIdleConnections { .. }
+            | Action::Gossip { .. }
             | Action::Log(_) => {}
         }
     }
@@ -361,15 +366,15 @@
         let outcome = if self.unit() < fails {
             let kinds = [
                 Outcome::Error,
-                Outcome::Full,
+                Outcome::Overloaded,
                 Outcome::Timeout,
                 Outcome::ConnectFailed,
                 Outcome::Reset,
-                Outcome::Rejected,
+                Outcome::BadRequest,
             ];
             kinds[(self.unit() * kinds.len() as f64) as usize]
         } else {
-            Outcome::Ok
+            Outcome::Success
         };
         if outcome == Outcome::Timeout {
             latency = 2 * SECOND;
@@ -387,28 +392,28 @@
     }
 }
 
-fn backend(setup: Setup, id: u32, state: BackendState, started: Option<Nanos>) -> Backend {
+fn backend(setup: Setup, id: u32, state: EndpointState, started: Option<Nanos>) -> Endpoint {
     let label = |count: u32| if setup.wide { (id % count) as u16 } else { 0 };
-    Backend {
+    Endpoint {
         id: BackendId(id),
-        mark: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         zone: ZoneId(label(3)),
         cell: CellId((id / 4) as u16),
         kind: KindId(label(2)),
         state,
         weight: 1.0,
-        started,
+        started_at: started,
     }
 }
 
 fn setups() -> impl Iterator<Item = Setup> {
     [(3, 2), (30, 12), (300, 100)]
         .into_iter()
-        .flat_map(|(backends, siblings)| {
-            [false, true].map(|ask_list| Setup {
+        .flat_map(|(backends, proxy_count)| {
+            [false, true].map(|poll_endpoints| Setup {
                 backends,
-                siblings,
-                ask_list,
+                proxy_count,
+                poll_endpoints,
                 wide: false,
             })
         })
@@ -417,10 +422,10 @@
 fn wide_setups() -> impl Iterator<Item = Setup> {
     [(10, 2, true), (60, 12, false), (200, 300, true)]
         .into_iter()
-        .map(|(backends, siblings, ask_list)| Setup {
+        .map(|(backends, proxy_count, poll_endpoints)| Setup {
             backends,
-            siblings,
-            ask_list,
+            proxy_count,
+            poll_endpoints,
             wide: true,
         })
 }
@@ -441,31 +446,31 @@
 /// An action as its number and the numbers in its fields; of a log line only that there is one.
 fn encode(action: &Action) -> Vec<u64> {
     match action {
-        Action::Send {
+        Action::StartAttempt {
             request,
             backend,
-            until,
+            abandon_at: until,
         } => {
             vec![SEND, request.0.into(), backend.0.into(), *until]
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => vec![REFUSE, request.0.into(), *retry_after],
         Action::Fail { request } => vec![FAIL, request.0.into()],
-        Action::Cancel { request, attempt } => {
+        Action::CancelAttempt { request, attempt } => {
             vec![CANCEL, request.0.into(), (*attempt).into()]
         }
         Action::SetTimer { at, timer } => vec![SET_TIMER, *at, timer.0.into()],
-        Action::Probe { backend } => vec![PROBE, backend.0.into()],
-        Action::CloseIdle { backend } => vec![CLOSE_IDLE, backend.0.into()],
-        Action::Tell { to, bytes } => {
+        Action::CheckHealth { backend } => vec![PROBE, backend.0.into()],
+        Action::CloseIdleConnections { backend } => vec![CLOSE_IDLE, backend.0.into()],
+        Action::Gossip { to, bytes } => {
             let to = to.map_or(u64::MAX, u64::from);
             let bytes = bytes.iter().copied().map(u64::from);
             [TELL, to].into_iter().chain(bytes).collect()
         }
-        Action::Subscribe(on) => vec![SUBSCRIBE, (*on).into()],
-        Action::FetchList => vec![FETCH_LIST],
+        Action::WatchEndpoints(on) => vec![SUBSCRIBE, (*on).into()],
+        Action::PollEndpoints => vec![FETCH_LIST],
         Action::Log(_) => vec![LOG],
     }
 }
@@ -516,8 +521,8 @@
 fn a_stream_is_the_same_each_time_and_another_seed_is_another_one() {
     let setup = Setup {
         backends: 3,
-        siblings: 2,
-        ask_list: true,
+        proxy_count: 2,
+        poll_endpoints: true,
         wide: false,
     };
     let play = |seed| Recorder::new(setup, seed).play().0;
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -13,9 +13,9 @@
 /// Requests a second of the node.
 const RATE: f64 = 40.0;
 
-fn one_of_many(backends: &[Backend], seed: u64) -> World {
+fn one_of_many(backends: &[Endpoint], seed: u64) -> World {
     let settings = Settings {
-        siblings: SIBLINGS,
+        proxy_count: SIBLINGS,
         ..settings(1)
     };
     World::of(settings, vec![WORK], 1, backends, seed)
@@ -34,18 +34,18 @@
 
 /// What 10 s of traffic with a change of the list each second cost, once the node has its list.
 fn cost(count: u32) -> Duration {
-    let backends: Vec<Backend> = (0..count).map(backend).collect();
+    let backends: Vec<Endpoint> = (0..count).map(backend).collect();
     let mut world = one_of_many(&backends, 1);
     world.run(2 * SECOND, RATE);
     let before = thread_time();
     for second in 0..10 {
         world.run(SECOND, RATE);
-        let state = BackendState::Draining;
-        let leaving = Backend {
+        let state = EndpointState::Draining;
+        let leaving = Endpoint {
             state,
             ..backends[second * 7].clone()
         };
-        world.tell(ListKind::Delta, &[leaving]);
+        world.tell(UpdateKind::Delta, &[leaving]);
     }
     assert!(world.in_time(START) > 0.9);
     thread_time() - before
@@ -73,12 +73,12 @@
 
 /// Share of the first attempts that each group of strength gets from one node of so many, over some
 /// seeds.
-fn shares_of_groups(siblings: u32, backends: u32, rate: f64) -> [f64; 4] {
+fn shares_of_groups(proxy_count: u32, backends: u32, rate: f64) -> [f64; 4] {
     let mut sent = [0usize; 4];
     for seed in 0..48 {
-        let list: Vec<Backend> = (0..backends).map(backend).collect();
+        let list: Vec<Endpoint> = (0..backends).map(backend).collect();
         let settings = Settings {
-            siblings,
+            proxy_count,
             ..settings(1)
         };
         let mut world = World::of(settings, vec![WORK], 1, &list, seed * 1_000 + 1);
@@ -98,19 +98,19 @@
 fn draws_are_spread_as_by_the_full_walk() {
     // Measured on the code that walked the whole list for each draw: means of 48 plays, standard
     // errors up to 0.013.
-    for (siblings, backends, rate, wanted) in [
+    for (proxy_count, backends, rate, wanted) in [
         (2, 10, 60.0, [0.773, 0.101, 0.109, 0.017]),
         (10, 60, 60.0, [0.815, 0.040, 0.135, 0.009]),
         (300, 200, 40.0, [0.598, 0.225, 0.140, 0.037]),
         (300, 400, 40.0, [0.649, 0.199, 0.121, 0.031]),
         (300, 3_200, 40.0, [0.842, 0.010, 0.143, 0.005]),
     ] {
-        let found = shares_of_groups(siblings, backends, rate);
+        let found = shares_of_groups(proxy_count, backends, rate);
         for (share, wanted_share) in found.iter().zip(wanted) {
             let distance = (share - wanted_share).abs();
             assert!(
                 distance < 0.05,
-                "{siblings} nodes, {backends}: {found:?}, wanted {wanted:?}"
+                "{proxy_count} nodes, {backends}: {found:?}, wanted {wanted:?}"
             );
         }
     }
--- a/crates/balancer/tests/world/mod.rs
+++ b/crates/balancer/tests/world/mod.rs
@@ -48,8 +48,8 @@
 }
 
 pub const ENDS: [Outcome; 4] = [
-    Outcome::Ok,
-    Outcome::Full,
+    Outcome::Success,
+    Outcome::Overloaded,
     Outcome::Timeout,
     Outcome::Cancelled,
 ];
@@ -101,59 +101,59 @@
 }
 
 pub fn settings(nodes: usize) -> Settings {
-    let effect = Effect::Keyed {
-        group: Group::Cell,
+    let effect = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
         window: 3 * SECOND,
     };
     let (aim, deadline) = (300 * MS, 1_670 * MS);
     let class = Class {
-        aim,
-        deadline,
-        worth: 1.0,
-        late_worth: 0.3,
-        effect,
+        latency_objective: aim,
+        client_timeout: deadline,
+        priority_weight: 1.0,
+        late_priority_weight: 0.3,
+        idempotency: effect,
         ..Class::default()
     };
     let mut settings = Settings {
         classes: vec![class],
-        siblings: nodes as u32,
-        ask_list: true,
+        proxy_count: nodes as u32,
+        poll_endpoints: true,
         ..Settings::default()
     };
     settings.limits.max_attempts = 5;
     settings.limits.max_retry_after = 2 * SECOND;
-    settings.limits.untried = 0.5;
-    settings.rules.cold_from = 0.31;
-    settings.rules.cold = 8_800 * MS;
-    settings.rules.fall_multiple = 3.0;
-    settings.rules.fall = 2 * SECOND;
+    settings.limits.never_attempted_fraction = 0.5;
+    settings.rules.slow_start_initial_capacity = 0.31;
+    settings.rules.slow_start_duration = 8_800 * MS;
+    settings.rules.overload_multiple = 3.0;
+    settings.rules.overload_duration = 2 * SECOND;
     settings
 }
 
-pub fn backend(id: u32) -> Backend {
+pub fn backend(id: u32) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u16), CellId((id % 6) as u16));
     // Marks tell nothing of place or age, as the node's hash of a uid does not.
     let (id, mark) = (
         BackendId(id),
         u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
     );
-    Backend {
+    Endpoint {
         id,
-        mark,
+        hash: mark,
         zone,
         cell,
-        state: BackendState::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        ..Backend::default()
+        ..Endpoint::default()
     }
 }
 
 impl World {
-    pub fn new(nodes: usize, backends: &[Backend]) -> World {
+    pub fn new(nodes: usize, backends: &[Endpoint]) -> World {
         World::seeded(nodes, backends, 1)
     }
 
-    pub fn seeded(nodes: usize, backends: &[Backend], seed: u64) -> World {
+    pub fn seeded(nodes: usize, backends: &[Endpoint], seed: u64) -> World {
         World::of(settings(nodes), vec![WORK], nodes, backends, seed)
     }
 
@@ -161,14 +161,14 @@
         settings: Settings,
         work: Vec<Nanos>,
         nodes: usize,
-        backends: &[Backend],
+        backends: &[Endpoint],
         seed: u64,
     ) -> World {
         let zone = |node: usize| ZoneId((node % 2) as u16);
         let balancer = |node| {
             let settings = Settings {
                 zone: zone(node),
-                me: node as u32,
+                proxy_index: node as u32,
                 ..settings.clone()
             };
             Balancer::new(settings, seed + node as u64, START).expect("sound settings")
@@ -192,18 +192,18 @@
             busier: 0,
             fates: BTreeMap::new(),
         };
-        world.tell(ListKind::Cached, backends);
+        world.tell(UpdateKind::Cached, backends);
         world
     }
 
     /// Tells every node.
-    pub fn tell(&mut self, kind: ListKind, backends: &[Backend]) {
+    pub fn tell(&mut self, kind: UpdateKind, backends: &[Endpoint]) {
         for node in 0..self.nodes.len() {
             self.give(
                 node,
-                Event::List {
+                Event::EndpointUpdate {
                     kind,
-                    backends: backends.to_vec(),
+                    endpoints: backends.to_vec(),
                 },
             );
         }
@@ -228,12 +228,12 @@
         for action in actions {
             match action {
                 Action::SetTimer { at, timer } => self.plan(at, Coming::Timer { node, timer }),
-                Action::Send {
+                Action::StartAttempt {
                     request,
                     backend,
-                    until,
+                    abandon_at: until,
                 } => self.send(node, request.0, backend, until),
-                Action::Cancel { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     let attempt = usize::from(attempt);
                     self.plan(
                         self.now,
@@ -302,18 +302,18 @@
             return;
         }
         let latency = now - *sent;
-        let finished = outcome == Outcome::Ok;
+        let finished = outcome == Outcome::Success;
         fate.served = finished.then_some(now);
         let (request, attempt, load) = (RequestId(request), attempt as u8, Vec::new());
         self.give(
             node,
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
                 finished,
-                load,
+                load_report: load,
             },
         );
     }
@@ -365,7 +365,7 @@
         let last = self.last_share > 0.0 && self.unit() < self.last_share;
         let class = if last { self.work.len() - 1 } else { 0 };
         let id = self.fates.len() as u32;
-        let deadline = self.settings.classes[class].deadline;
+        let deadline = self.settings.classes[class].client_timeout;
         self.fates.insert(
             id,
             Fate {
@@ -380,8 +380,8 @@
         let request = Request {
             id: RequestId(id),
             class,
-            patience,
-            write: true,
+            client_timeout: patience,
+            is_write: true,
             ..Request::default()
         };
         self.give(node, Event::Request(request));
@@ -391,18 +391,18 @@
     }
 
     /// A node starts anew, with nothing but this list.
-    pub fn restart(&mut self, node: usize, backends: &[Backend]) {
+    pub fn restart(&mut self, node: usize, backends: &[Endpoint]) {
         let settings = Settings {
-            me: node as u32,
+            proxy_index: node as u32,
             ..self.settings.clone()
         };
         self.nodes[node] =
             Balancer::new(settings, 77 + node as u64, self.now).expect("sound settings");
         self.give(
             node,
-            Event::List {
-                kind: ListKind::Cached,
-                backends: backends.to_vec(),
+            Event::EndpointUpdate {
+                kind: UpdateKind::Cached,
+                endpoints: backends.to_vec(),
             },
         );
     }
@@ -414,7 +414,7 @@
 
     /// Share of those asked from `from` on that were served within the aim.
     pub fn in_time(&self, from: Nanos) -> f64 {
-        let aim = |fate: &Fate| self.settings.classes[fate.class].aim;
+        let aim = |fate: &Fate| self.settings.classes[fate.class].latency_objective;
         let timely = |fate: &&Fate| fate.served.is_some_and(|at| at <= fate.asked + aim(fate));
         self.asked(from).filter(timely).count() as f64 / self.asked(from).count() as f64
     }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::os::fd::OwnedFd;
 
-use kitefork_balancer::{Effect, Nanos};
+use kitefork_balancer::{Idempotency, Nanos};
 use kitefork_settings::Deployment;
 use rustix::event::epoll::{EventData, EventFlags};
 use rustix::io::Errno;
@@ -537,15 +537,16 @@
     let estimate = figure("x-estimate", "X-Estimate is bad")?;
     // The class fixes the method, and a keyed req must have its key: without it backends can't drop
     // repeats.
-    let safe = deployment.settings.classes[usize::from(class)].effect == Effect::Safe;
+    let safe =
+        deployment.settings.classes[usize::from(class)].idempotency == Idempotency::Idempotent;
     match (method.as_str(), safe) {
         ("GET", false) => return Err((405, "POST")),
         ("POST", true) => return Err((405, "GET")),
         _ => {}
     }
     let keyed = matches!(
-        deployment.settings.classes[usize::from(class)].effect,
-        Effect::Keyed { .. }
+        deployment.settings.classes[usize::from(class)].idempotency,
+        Idempotency::IdempotencyKey { .. }
     );
     if keyed && header("idempotency-key")?.is_none_or(str::is_empty) {
         return Err((400, "Idempotency-Key is missing"));
@@ -555,7 +556,7 @@
         class,
         tenant,
         // Counted from when the client sent it: what its last bytes took to come has passed.
-        patience: (remaining * MS).saturating_sub(waited),
+        client_timeout: (remaining * MS).saturating_sub(waited),
         work_hint: estimate.map(|us| us * 1_000),
         client_retry: header("x-resent")? == Some("1"),
     }))
--- a/crates/node/src/client_tests.rs
+++ b/crates/node/src/client_tests.rs
@@ -22,7 +22,7 @@
         panic!("not a req")
     };
     assert_eq!(
-        (ask.class, ask.tenant, ask.patience, ask.work_hint),
+        (ask.class, ask.tenant, ask.client_timeout, ask.work_hint),
         (0, 0, 450 * MS, Some(1_500_000))
     );
     let bytes = String::from_utf8(call.bytes(449)).unwrap();
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -7,7 +7,7 @@
 use std::os::fd::OwnedFd;
 
 use kitefork_balancer::{
-    Backend, BackendId, BackendState, CellId, Event, KindId, ListKind, Nanos, ZoneId,
+    BackendId, CellId, Endpoint, EndpointState, Event, KindId, Nanos, UpdateKind, ZoneId,
 };
 use kitefork_settings::json::{Fault, Place, Tree};
 
@@ -50,7 +50,7 @@
     zone: String,
     kind: String,
     cell: u16,
-    state: BackendState,
+    state: EndpointState,
     weight: f32,
     boot_ms: u64,
 }
@@ -82,16 +82,16 @@
     fn read(place: &Place) -> Result<Entry, Fault> {
         let word = place.get("state")?;
         let state = match word.text()? {
-            "Ready" => BackendState::Ready,
-            "Terminating" => BackendState::Draining,
-            "Gone" => BackendState::Gone,
+            "Ready" => EndpointState::Ready,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
             _ => return Err(word.bad("unknown state")),
         };
         let endpoint = place
             .find("endpoint")
             .map(|e| e.text()?.parse().map_err(|_| e.bad("not an address")));
         let endpoint = endpoint.transpose()?;
-        if endpoint.is_none() && state == BackendState::Ready {
+        if endpoint.is_none() && state == EndpointState::Ready {
             return Err(place.bad("a ready backend needs an `endpoint`"));
         }
         Ok(Entry {
@@ -131,7 +131,7 @@
 
 struct Member {
     endpoint: Option<SocketAddr>,
-    state: BackendState,
+    state: EndpointState,
     /// Its last start that was told.
     boot_ms: u64,
     /// The same on the node's clock; `None`: long ago.
@@ -157,14 +157,14 @@
     pub fn endpoint(&self, id: BackendId) -> Option<SocketAddr> {
         self.members
             .get(&id)
-            .filter(|m| m.state == BackendState::Ready)?
+            .filter(|m| m.state == EndpointState::Ready)?
             .endpoint
     }
 
     pub fn has_ready(&self) -> bool {
         self.members
             .values()
-            .any(|member| member.state == BackendState::Ready)
+            .any(|member| member.state == EndpointState::Ready)
     }
 
     /// Takes an update; gives the event for the decisions and the backends to which connections
@@ -183,7 +183,7 @@
         for entry in &update.entries {
             self.start_times.note(entry.boot_ms, now);
         }
-        let mut backends: Vec<Backend> = update
+        let mut backends: Vec<Endpoint> = update
             .entries
             .iter()
             .map(|entry| self.backend(heard, entry, age))
@@ -198,16 +198,16 @@
                 .members
                 .get(&backend.id)
                 .filter(|member| entry.boot_ms <= member.boot_ms);
-            if let Some(left) = left.filter(|member| member.state != BackendState::Ready) {
+            if let Some(left) = left.filter(|member| member.state != EndpointState::Ready) {
                 backend.state = left.state;
             }
         }
         if update.all {
             let listed: HashSet<BackendId> = backends.iter().map(|b| b.id).collect();
             for (id, member) in self.members.iter_mut().filter(|m| !listed.contains(m.0)) {
-                if member.state != BackendState::Gone {
+                if member.state != EndpointState::Removed {
                     ends.push(*id);
-                    (member.state, member.told) = (BackendState::Gone, now);
+                    (member.state, member.told) = (EndpointState::Removed, now);
                 }
             }
         }
@@ -219,7 +219,7 @@
                 Some(before) if !is_new_start(before, entry, age) => before.boot_ms,
                 _ => entry.boot_ms,
             };
-            let started = backend.started;
+            let started = backend.started_at;
             self.members.insert(
                 backend.id,
                 Member {
@@ -230,21 +230,27 @@
                     told: now,
                 },
             );
-            if moved || backend.state != BackendState::Ready {
+            if moved || backend.state != EndpointState::Ready {
                 ends.push(backend.id);
             }
         }
         // Uids are new for ever on a day of releases.
         self.members.retain(|_, m| {
-            m.state != BackendState::Gone || now < m.told.saturating_add(REMEMBERED)
+            m.state != EndpointState::Removed || now < m.told.saturating_add(REMEMBERED)
         });
         self.ids.retain(|_, id| self.members.contains_key(id));
         let kind = match (age, update.all) {
-            (Freshness::Cached, _) => ListKind::Cached,
-            (_, true) => ListKind::Full,
-            (_, false) => ListKind::Delta,
+            (Freshness::Cached, _) => UpdateKind::Cached,
+            (_, true) => UpdateKind::Full,
+            (_, false) => UpdateKind::Delta,
         };
-        (Event::List { kind, backends }, ends)
+        (
+            Event::EndpointUpdate {
+                kind,
+                endpoints: backends,
+            },
+            ends,
+        )
     }
 
     /// The entries of an update that was taken, with the numbers of their backends, for the trace.
@@ -266,7 +272,7 @@
         })
     }
 
-    fn backend(&mut self, heard: &Heard, entry: &Entry, age: Freshness) -> Backend {
+    fn backend(&mut self, heard: &Heard, entry: &Entry, age: Freshness) -> Endpoint {
         let id = *self
             .ids
             .entry(entry.uid.clone())
@@ -283,15 +289,15 @@
         };
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(entry.uid.as_bytes());
-        Backend {
+        Endpoint {
             id,
-            mark: hasher.finish(),
+            hash: hasher.finish(),
             zone: ZoneId(place(&mut self.zones, &entry.zone)),
             cell: CellId(entry.cell),
             kind: KindId(place(&mut self.kinds, &entry.kind)),
             state: entry.state,
             weight: entry.weight,
-            started,
+            started_at: started,
         }
     }
 }
--- a/crates/node/src/discovery_tests.rs
+++ b/crates/node/src/discovery_tests.rs
@@ -26,7 +26,11 @@
 }
 
 fn ids(event: Event) -> Vec<u32> {
-    let Event::List { backends, .. } = event else {
+    let Event::EndpointUpdate {
+        endpoints: backends,
+        ..
+    } = event
+    else {
         panic!("{event:?}")
     };
     backends.iter().map(|b| b.id.0).collect()
@@ -68,10 +72,14 @@
     let marks = |entries: &[(&str, u16, &str)]| {
         let mut fleet = Fleet::new(vec![], vec![]);
         let (event, _) = fleet.apply(&at(0), &update(true, entries), Freshness::Cached);
-        let Event::List { backends, .. } = event else {
+        let Event::EndpointUpdate {
+            endpoints: backends,
+            ..
+        } = event
+        else {
             panic!("{event:?}")
         };
-        backends.iter().map(|b| b.mark).collect::<Vec<_>>()
+        backends.iter().map(|b| b.hash).collect::<Vec<_>>()
     };
     let here = marks(&[("s-1", 1, "Ready"), ("s-2", 2, "Ready")]);
     let there = marks(&[
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -183,7 +183,7 @@
             if let Some((head, body)) = self.parser.message() {
                 let whole = self.phase == Phase::Waiting;
                 // It can't be the answer to what is not sent yet, whoever's it is.
-                if !whole && outcome(&head) == Outcome::Ok {
+                if !whole && outcome(&head) == Outcome::Success {
                     return Progress::Failed(Outcome::ConnectFailed);
                 }
                 // What comes behind an answer would be taken for the next one.
@@ -223,14 +223,14 @@
 /// What a backend's answer means for the attempt.
 pub fn outcome(head: &Head) -> Outcome {
     match head.start {
-        Start::Response { status: 200 } => Outcome::Ok,
+        Start::Response { status: 200 } => Outcome::Success,
         // Overload and haste are told by a 4xx too, but they are no fault of the req's.
         Start::Response {
             status: 408 | 425 | 429,
         } => Outcome::Error,
-        Start::Response { status: 400..=499 } => Outcome::Rejected,
+        Start::Response { status: 400..=499 } => Outcome::BadRequest,
         Start::Response { status: 503 | 504 } if head.one("x-turned-away") == Ok(Some("1")) => {
-            Outcome::Full
+            Outcome::Overloaded
         }
         _ => Outcome::Error,
     }
--- a/crates/node/src/fetch_tests.rs
+++ b/crates/node/src/fetch_tests.rs
@@ -36,26 +36,26 @@
 #[test]
 fn every_ending_has_its_outcome() {
     let ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-    assert_eq!(end(ok, false), Ok((Outcome::Ok, Reuse::Yes)));
+    assert_eq!(end(ok, false), Ok((Outcome::Success, Reuse::Yes)));
     assert_eq!(
         end(
             &ok.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"),
             false
         ),
-        Ok((Outcome::Ok, Reuse::No))
+        Ok((Outcome::Success, Reuse::No))
     );
     assert_eq!(
         end(&format!("{ok}stray"), false),
-        Ok((Outcome::Ok, Reuse::Doubled))
+        Ok((Outcome::Success, Reuse::Doubled))
     );
     let away = "X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(
         end(&format!("HTTP/1.1 503 No\r\n{away}"), false),
-        Ok((Outcome::Full, Reuse::Yes))
+        Ok((Outcome::Overloaded, Reuse::Yes))
     );
     assert_eq!(
         end(&format!("HTTP/1.1 504 No\r\n{away}"), false),
-        Ok((Outcome::Full, Reuse::Yes))
+        Ok((Outcome::Overloaded, Reuse::Yes))
     );
     assert_eq!(
         end(&format!("HTTP/1.1 500 No\r\n{away}"), false),
@@ -63,7 +63,7 @@
     );
     assert_eq!(
         end(&format!("HTTP/1.1 400 No\r\n{away}"), false),
-        Ok((Outcome::Rejected, Reuse::Yes))
+        Ok((Outcome::BadRequest, Reuse::Yes))
     );
     assert_eq!(
         end(&format!("HTTP/1.1 429 No\r\n{away}"), false),
@@ -117,11 +117,11 @@
     };
     assert_eq!(
         (outcome(&head), &*body, reuse),
-        (Outcome::Ok, &b"hi"[..], Reuse::No)
+        (Outcome::Success, &b"hi"[..], Reuse::No)
     );
     assert_eq!(
         end(&("HTTP/1.1 103 Early\r\n\r\n".repeat(9) + ok), false),
-        Ok((Outcome::Ok, Reuse::Yes))
+        Ok((Outcome::Success, Reuse::Yes))
     );
     assert_eq!(
         end(&"HTTP/1.1 103 Early\r\n\r\n".repeat(99), false),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -172,7 +172,7 @@
         let mut settings = deployment.settings.clone();
         // Past half of its time, a refusal of what no backend has seen has a price (the platform's
         // figure).
-        settings.limits.untried = 0.5;
+        settings.limits.never_attempted_fraction = 0.5;
         let tick = settings.tick.clamp(MS, 10 * MS);
         let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = own.map_or(config.sockets, |own| config.sockets.min(own as usize));
@@ -232,7 +232,7 @@
             rev: config.known.rev,
             confirmed: None,
             backing_off: false,
-            list_synced: deployment.settings.ask_list,
+            list_synced: deployment.settings.poll_endpoints,
             failed_calls: 0,
             fleet: Fleet::new(deployment.zones.clone(), deployment.kinds.clone()),
             reqs,
@@ -484,6 +484,10 @@
                 Command::Watch(on) => self.watch(on),
                 Command::FetchList => self.call(false),
                 Command::Log(line) => self.log.line(self.now, "decision", line),
+                Command::GossipUnsupported => {
+                    let text = "a message to peers is not carried";
+                    self.log.line(self.now, "decision", text);
+                }
             }
         }
     }
--- a/crates/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -35,7 +35,7 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.deadline)
+            .map(|class| class.client_timeout)
             .max()
             .unwrap_or(0);
         let ends = self.now + longest.min(LONGEST_DRAIN) + DRAIN_MORE;
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DialError {
     /// The backend can't be reached or may not be sent to.
-    Backend,
+    Endpoint,
     /// This machine or process lacks something for a moment.
     Local,
 }
@@ -43,12 +43,12 @@
         if let Job::Request { req, .. } = job
             && !self.reqs.waits(req)
         {
-            return self.report(job, Outcome::Moot, None);
+            return self.report(job, Outcome::NotSent, None);
         }
         let connect_timeout = self.deployment.connect_timeout;
         let number = match self.connection(backend) {
             Ok(number) => number,
-            Err(DialError::Backend) => return self.report(job, Outcome::ConnectFailed, None),
+            Err(DialError::Endpoint) => return self.report(job, Outcome::ConnectFailed, None),
             Err(DialError::Local) => {
                 let give_up = until
                     .min(write_by)
@@ -96,12 +96,12 @@
         for dial in std::mem::take(&mut self.postponed) {
             let gone = matches!(dial.job, Job::Request { req, .. } if !self.reqs.waits(req));
             if gone || self.now >= dial.give_up {
-                self.report(dial.job, Outcome::Moot, None);
+                self.report(dial.job, Outcome::NotSent, None);
                 continue;
             }
             match self.connection(dial.backend) {
                 Ok(number) => self.begin_fetch(number, dial.job, dial.until, dial.write_by),
-                Err(DialError::Backend) => self.report(dial.job, Outcome::ConnectFailed, None),
+                Err(DialError::Endpoint) => self.report(dial.job, Outcome::ConnectFailed, None),
                 Err(DialError::Local) => self.postpone(dial),
             }
         }
@@ -115,7 +115,7 @@
             .position(|dial| dial.job.is_attempt_of(req))
         {
             let dial = self.postponed.remove(place);
-            self.report(dial.job, Outcome::Moot, None);
+            self.report(dial.job, Outcome::NotSent, None);
         }
     }
 
@@ -226,14 +226,14 @@
             Denial::BackendNotReady | Denial::DeadlinePassed | Denial::WindowClosed => {
                 Outcome::ConnectFailed
             }
-            _ => Outcome::Moot,
+            _ => Outcome::NotSent,
         };
         self.end_fetch(number, outcome);
     }
 
     /// A connection to a backend: the newest idle one that is sound, or a new one.
     fn connection(&mut self, backend: BackendId) -> Result<u32, DialError> {
-        let endpoint = self.fleet.endpoint(backend).ok_or(DialError::Backend)?;
+        let endpoint = self.fleet.endpoint(backend).ok_or(DialError::Endpoint)?;
         while let Some(number) = self.pool.take(backend, self.now) {
             let Some(fetch) = self.fetches.get_mut(number) else {
                 continue;
@@ -271,7 +271,7 @@
                 format_args!("backend={} {error}", backend.0),
             );
             match errno::of_connect(error) {
-                ErrorClass::ConnectionLost => DialError::Backend,
+                ErrorClass::ConnectionLost => DialError::Endpoint,
                 _ => DialError::Local,
             }
         })
@@ -409,7 +409,7 @@
             .find(|(_, fetch)| fetch.is_unwritten_of(req))
             .map(|(number, _)| number);
         if let Some(number) = found {
-            self.end_fetch(number, Outcome::Moot);
+            self.end_fetch(number, Outcome::NotSent);
         }
         self.drop_postponed(req);
     }
@@ -443,11 +443,11 @@
                 let latency = self.now.saturating_sub(sent);
                 self.reqs.feed(
                     self.now,
-                    Event::Probed {
+                    Event::HealthCheckEnded {
                         backend,
                         latency,
                         outcome,
-                        load: Vec::new(),
+                        load_report: Vec::new(),
                     },
                 );
             }
--- a/crates/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -80,7 +80,7 @@
     /// watch: the node keeps one open by itself from its start on. What the agent has counts as
     /// told whether or not this node has heard it, so no client is taken before it has spoken.
     pub(super) fn follow_pushes(&mut self) {
-        if !self.deployment.settings.ask_list {
+        if !self.deployment.settings.poll_endpoints {
             self.wheel.schedule(self.now + BLIND, Due::ServeStaleList);
             self.call(true);
         }
@@ -117,7 +117,7 @@
             let mut call = Call::new(socket, watch, self.rev, self.discovery, self.now);
             call.registration
                 .set(&self.epoll, &call.socket, token(CALL, number), BOTH)?;
-            let asked = self.deployment.settings.ask_list;
+            let asked = self.deployment.settings.poll_endpoints;
             let by = if asked {
                 discovery::CONNECT
             } else {
@@ -173,8 +173,8 @@
         if std::mem::replace(&mut self.backing_off, true) {
             return;
         }
-        if self.deployment.settings.ask_list {
-            self.reqs.feed(self.now, Event::ListFailed);
+        if self.deployment.settings.poll_endpoints {
+            self.reqs.feed(self.now, Event::DiscoveryFailed);
         } else {
             // The agent is this node's own: no crowd of others calls it. At once first, then ever
             // more seldom.
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -414,7 +414,7 @@
                 return self.reply(number, 503, &[], b"the node ends\n", true);
             }
             // No attempt outlives the node: what it began would be cut off and then have failed.
-            ask.patience = ask.patience.min(ends - self.now);
+            ask.client_timeout = ask.client_timeout.min(ends - self.now);
         }
         let (req, last_resort) = match self.reqs.open(self.now, number, ask, call) {
             Ok(opened) => opened,
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -5,8 +5,8 @@
 use std::collections::{HashSet, VecDeque};
 
 use kitefork_balancer::{
-    Action, BackendId, Balancer, ClassId, Effect, Event, Nanos, Outcome, Request, RequestId,
-    Settings, SettingsError, TenantId, TimerId,
+    Action, BackendId, Balancer, ClassId, Event, Idempotency, LogEvent, Nanos, Outcome, Request,
+    RequestId, Settings, SettingsError, TenantId, TimerId,
 };
 
 use crate::log::Trace;
@@ -21,7 +21,7 @@
     pub class: u16,
     pub tenant: u16,
     /// How long the client still waits.
-    pub patience: Nanos,
+    pub client_timeout: Nanos,
     pub work_hint: Option<Nanos>,
     pub client_retry: bool,
 }
@@ -76,7 +76,9 @@
     },
     Watch(bool),
     FetchList,
-    Log(String),
+    Log(LogEvent),
+    /// A gossip message was wanted, and this node carries none.
+    GossipUnsupported,
 }
 
 struct Attempt {
@@ -89,7 +91,7 @@
     owner: u32,
     txn: Box<str>,
     cargo: C,
-    effect: Effect,
+    effect: Idempotency,
     deadline: Nanos,
     attempts: Vec<Attempt>,
     /// It has its final answer, or nobody waits for one.
@@ -105,7 +107,7 @@
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
-            .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+            .filter(|a| a.outcome.is_none_or(|o| !o.not_executed()))
     }
 
     /// Whether "trying again is harmless" is true.
@@ -126,7 +128,7 @@
     /// Until when another attempt may reach a backend.
     fn write_by(&self) -> Nanos {
         match self.effect {
-            Effect::Keyed { window, .. } => self
+            Idempotency::IdempotencyKey { window, .. } => self
                 .may_have_run()
                 .map(|a| a.sent.saturating_add(window))
                 .min()
@@ -141,7 +143,7 @@
     table: Slab<OpenRequest<C>>,
     /// Names of the reqs in the table.
     names: HashSet<Box<str>>,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     max_attempts: usize,
     slack: Nanos,
     actions: Vec<Action>,
@@ -164,7 +166,11 @@
         Ok(RequestTable {
             table: Slab::new(most),
             names: HashSet::new(),
-            effects: settings.classes.iter().map(|class| class.effect).collect(),
+            effects: settings
+                .classes
+                .iter()
+                .map(|class| class.idempotency)
+                .collect(),
             max_attempts: settings.limits.max_attempts as usize,
             slack: settings.rules.answer_slack,
             balancer: Balancer::new(settings, seed, now)?,
@@ -194,7 +200,7 @@
             txn: ask.txn.clone(),
             cargo,
             effect: self.effects[usize::from(ask.class)],
-            deadline: now.saturating_add(ask.patience),
+            deadline: now.saturating_add(ask.client_timeout),
             attempts: Vec::new(),
             over: false,
             last_outcome: None,
@@ -205,7 +211,7 @@
             format_args!(
                 "req id={id} txn={} patience={}",
                 ask.txn,
-                ask.patience / 1_000
+                ask.client_timeout / 1_000
             ),
         );
         self.names.insert(ask.txn);
@@ -215,15 +221,19 @@
             tenant: TenantId(ask.tenant),
             // No request of ours names its subject, and no decision asks for it.
             key: 0,
-            patience: ask.patience,
+            client_timeout: ask.client_timeout,
             work_hint: ask.work_hint,
             client_retry: ask.client_retry,
-            write: !matches!(self.effects[usize::from(ask.class)], Effect::Safe),
+            is_write: !matches!(
+                self.effects[usize::from(ask.class)],
+                Idempotency::Idempotent
+            ),
         };
         self.feed(now, Event::Request(request));
         Ok((
             id,
-            now.saturating_add(ask.patience).saturating_add(self.slack),
+            now.saturating_add(ask.client_timeout)
+                .saturating_add(self.slack),
         ))
     }
 
@@ -257,7 +267,7 @@
         ended.outcome = Some(outcome);
         let latency = now.saturating_sub(ended.sent);
         req.last_outcome = Some(outcome);
-        let last = matches!(outcome, Outcome::Ok | Outcome::Rejected);
+        let last = matches!(outcome, Outcome::Success | Outcome::BadRequest);
         let served = (last && !req.over).then_some(req.owner);
         req.over |= last;
         if served.is_some() {
@@ -275,13 +285,13 @@
         let request = RequestId(id);
         self.feed(
             now,
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
                 finished,
-                load: Vec::new(),
+                load_report: Vec::new(),
             },
         );
         self.forget(id);
@@ -307,7 +317,7 @@
             self.trace.line(now, format_args!("gone id={id}"));
             self.feed(
                 now,
-                Event::ClientGone {
+                Event::ClientDisconnected {
                     request: RequestId(id),
                 },
             );
@@ -334,7 +344,7 @@
             self.answer(now, id, answer);
             self.feed(
                 now,
-                Event::ClientGone {
+                Event::ClientDisconnected {
                     request: RequestId(id),
                 },
             );
@@ -359,14 +369,14 @@
         let mut moot = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Send {
+                Action::StartAttempt {
                     request,
                     backend,
-                    until,
+                    abandon_at,
                 } => {
-                    moot.extend(self.send(now, request.0, backend, until));
+                    moot.extend(self.send(now, request.0, backend, abandon_at));
                 }
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                 } => {
@@ -377,7 +387,7 @@
                     self.answer(now, request.0, LocalReply::Failed);
                     self.forget(request.0);
                 }
-                Action::Cancel { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     self.trace
                         .line(now, format_args!("cancel id={} try={attempt}", request.0));
                     self.commands.push_back(Command::Stop {
@@ -388,22 +398,21 @@
                 Action::SetTimer { at, timer } => {
                     self.commands.push_back(Command::Timer { at, timer })
                 }
-                Action::Probe { backend } => self.commands.push_back(Command::Probe(backend)),
-                Action::CloseIdle { backend } => {
+                Action::CheckHealth { backend } => self.commands.push_back(Command::Probe(backend)),
+                Action::CloseIdleConnections { backend } => {
                     self.commands.push_back(Command::CloseIdle(backend))
                 }
-                Action::Subscribe(on) => self.commands.push_back(Command::Watch(on)),
-                Action::FetchList => self.commands.push_back(Command::FetchList),
+                Action::WatchEndpoints(on) => self.commands.push_back(Command::Watch(on)),
+                Action::PollEndpoints => self.commands.push_back(Command::FetchList),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
-                Action::Tell { .. } => {
-                    self.commands
-                        .push_back(Command::Log("a message to peers is not carried".into()));
+                Action::Gossip { .. } => {
+                    self.commands.push_back(Command::GossipUnsupported);
                 }
             }
         }
         self.actions = actions;
         for (id, attempt) in moot {
-            self.ended(now, id, attempt, Outcome::Moot);
+            self.ended(now, id, attempt, Outcome::NotSent);
         }
     }
 
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 use crate::clock::{MS, SECOND};
-use kitefork_balancer::{Backend, BackendState, CellId, Class, Group, ListKind};
+use kitefork_balancer::{CellId, Class, DeduplicationScope, Endpoint, EndpointState, UpdateKind};
 
 const NOW: Nanos = 100 * SECOND;
 
-fn reqs(effect: Effect) -> RequestTable<()> {
+fn reqs(effect: Idempotency) -> RequestTable<()> {
     let class = Class {
-        aim: SECOND,
-        deadline: 5 * SECOND,
-        worth: 1.0,
-        effect,
+        latency_objective: SECOND,
+        client_timeout: 5 * SECOND,
+        priority_weight: 1.0,
+        idempotency: effect,
         ..Class::default()
     };
     let settings = Settings {
@@ -19,18 +19,18 @@
         ..Settings::default()
     };
     let mut reqs = RequestTable::new(settings, 1, 4, NOW).unwrap();
-    let state = BackendState::Ready;
-    let backend = |id| Backend {
+    let state = EndpointState::Ready;
+    let backend = |id| Endpoint {
         id: BackendId(id),
         cell: CellId(0),
         state,
-        ..Backend::default()
+        ..Endpoint::default()
     };
     reqs.feed(
         NOW,
-        Event::List {
-            kind: ListKind::Full,
-            backends: vec![backend(1), backend(2)],
+        Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: vec![backend(1), backend(2)],
         },
     );
     reqs
@@ -45,7 +45,7 @@
         txn: "a".into(),
         class: 0,
         tenant: 0,
-        patience: SECOND,
+        client_timeout: SECOND,
         work_hint: None,
         client_retry: false,
     }
@@ -61,17 +61,17 @@
 
 #[test]
 fn one_answer_whatever_comes_after_it() {
-    let mut reqs = reqs(Effect::Safe);
+    let mut reqs = reqs(Idempotency::Idempotent);
     let id = open(&mut reqs);
-    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Ok), Some(77));
-    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Ok), None);
+    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Success), Some(77));
+    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Success), None);
     assert!(!reqs.expire(NOW + 2 * SECOND, id) && answers(&mut reqs).is_empty());
     assert!(reqs.unanswered().is_empty() && reqs.cargo(id).is_none());
 }
 
 #[test]
 fn a_name_is_free_again_once_its_req_has_nothing_out() {
-    let mut reqs = reqs(Effect::Safe);
+    let mut reqs = reqs(Idempotency::Idempotent);
     let id = open(&mut reqs);
     assert_eq!(reqs.open(NOW, 78, ask(), ()), Err(OpenError::DuplicateId));
     assert!(reqs.expire(NOW + SECOND, id));
@@ -85,7 +85,7 @@
 
 #[test]
 fn the_last_resort_answers_stops_the_fetch_and_keeps_the_req_until_that_has_ended() {
-    let mut reqs = reqs(Effect::Safe);
+    let mut reqs = reqs(Idempotency::Idempotent);
     let id = open(&mut reqs);
     assert!(reqs.expire(NOW + SECOND, id));
     assert!(reqs.commands.contains(&Command::Stop {
@@ -100,8 +100,8 @@
 
 #[test]
 fn a_node_that_ends_refuses_what_never_ran_and_fails_what_may_have() {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
         window: SECOND,
     };
     for (outcome, wanted) in [
@@ -122,24 +122,32 @@
 #[test]
 fn no_refusal_of_what_may_have_run() {
     for (effect, outcome, wanted) in [
-        (Effect::Unsafe, Outcome::Reset, LocalReply::Failed),
-        (Effect::Unsafe, Outcome::Timeout, LocalReply::TimedOut),
         (
-            Effect::Unsafe,
-            Outcome::Full,
+            Idempotency::NotIdempotent,
+            Outcome::Reset,
+            LocalReply::Failed,
+        ),
+        (
+            Idempotency::NotIdempotent,
+            Outcome::Timeout,
+            LocalReply::TimedOut,
+        ),
+        (
+            Idempotency::NotIdempotent,
+            Outcome::Overloaded,
             LocalReply::Refused { retry_after: 0 },
         ),
         (
-            Effect::Keyed {
-                group: Group::Cell,
+            Idempotency::IdempotencyKey {
+                scope: DeduplicationScope::Cell,
                 window: 1,
             },
             Outcome::Error,
             LocalReply::Failed,
         ),
         (
-            Effect::Keyed {
-                group: Group::All,
+            Idempotency::IdempotencyKey {
+                scope: DeduplicationScope::Global,
                 window: 1,
             },
             Outcome::Error,
@@ -158,8 +166,8 @@
 
 #[test]
 fn a_repeat_must_be_written_within_the_window_of_the_attempt_that_may_have_run() {
-    let mut reqs = reqs(Effect::Keyed {
-        group: Group::Cell,
+    let mut reqs = reqs(Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
         window: 300 * MS,
     });
     let id = open(&mut reqs);
@@ -170,7 +178,7 @@
         Some((id, 1))
     );
     let req = reqs.table.get_mut(id).unwrap();
-    req.attempts[1].outcome = Some(Outcome::Moot);
+    req.attempts[1].outcome = Some(Outcome::NotSent);
     assert_eq!(reqs.send(NOW + 299 * MS, id, BackendId(2), 0), None);
     // Never two at once.
     assert_eq!(
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-use kitefork_balancer::{Effect, Group, Nanos};
+use kitefork_balancer::{DeduplicationScope, Idempotency, Nanos};
 
 use crate::clock::MS;
 
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct History {
     /// What repeating the request does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Attempts so far.
     pub attempts: usize,
     /// Attempts that have not ended.
@@ -104,7 +104,7 @@
         Err(Denial::AttemptOut)
     } else if history.attempts >= facts.most_attempts {
         Err(Denial::AttemptsSpent)
-    } else if history.effect == Effect::Unsafe && history.may_have_run {
+    } else if history.effect == Idempotency::NotIdempotent && history.may_have_run {
         Err(Denial::MayHaveRun)
     } else if now > history.write_by {
         Err(Denial::WindowClosed)
@@ -176,14 +176,17 @@
 }
 
 /// Whether a refusal, which tells the client that trying again is harmless, would be true.
-pub fn may_refuse(effect: Effect, may_have_run: bool) -> Result<(), Denial> {
+pub fn may_refuse(effect: Idempotency, may_have_run: bool) -> Result<(), Denial> {
     match effect {
-        Effect::Safe
-        | Effect::Keyed {
-            group: Group::All, ..
+        Idempotency::Idempotent
+        | Idempotency::IdempotencyKey {
+            scope: DeduplicationScope::Global,
+            ..
         } => Ok(()),
-        Effect::Keyed { .. } | Effect::Unsafe if may_have_run => Err(Denial::MayHaveRun),
-        Effect::Keyed { .. } | Effect::Unsafe => Ok(()),
+        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent if may_have_run => {
+            Err(Denial::MayHaveRun)
+        }
+        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => Ok(()),
     }
 }
 
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -1,12 +1,12 @@
 //! Each rule as a table: one fact is changed at a time.
 
-use kitefork_balancer::{Effect, Group};
+use kitefork_balancer::{DeduplicationScope, Idempotency};
 
 use super::*;
 
 const NOW: Nanos = 1_000 * MS;
-const KEYED: Effect = Effect::Keyed {
-    group: Group::Cell,
+const KEYED: Idempotency = Idempotency::IdempotencyKey {
+    scope: DeduplicationScope::Cell,
     window: 300 * MS,
 };
 
@@ -47,10 +47,12 @@
         (Denial::DeadlinePassed, |f| f.deadline = NOW),
         (Denial::AttemptOut, |f| f.history.out = 1),
         (Denial::AttemptsSpent, |f| f.history.attempts = 3),
-        (Denial::MayHaveRun, |f| f.history.effect = Effect::Unsafe),
+        (Denial::MayHaveRun, |f| {
+            f.history.effect = Idempotency::NotIdempotent
+        }),
         (Denial::WindowClosed, |f| f.history.write_by = NOW - 1),
         (Denial::AttemptOut, |f| {
-            (f.history.out, f.history.effect) = (1, Effect::Safe)
+            (f.history.out, f.history.effect) = (1, Idempotency::Idempotent)
         }),
     ];
     for (wanted, change) in cases {
@@ -110,17 +112,17 @@
 
 #[test]
 fn a_refusal_is_true_only_where_a_repeat_is_harmless() {
-    let all = Effect::Keyed {
-        group: Group::All,
+    let all = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Global,
         window: MS,
     };
     for (effect, may_have_run, allowed) in [
-        (Effect::Safe, true, true),
+        (Idempotency::Idempotent, true, true),
         (all, true, true),
         (KEYED, true, false),
         (KEYED, false, true),
-        (Effect::Unsafe, true, false),
-        (Effect::Unsafe, false, true),
+        (Idempotency::NotIdempotent, true, false),
+        (Idempotency::NotIdempotent, false, true),
     ] {
         assert_eq!(
             may_refuse(effect, may_have_run).is_ok(),
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -634,7 +634,7 @@
             "send id=1 try=0 b=0 barred=0\n",
             "connect b=0 held=0\n",
             "took id=1 key=kt1\n",
-            "ended id=1 try=0 outcome=Ok us=",
+            "ended id=1 try=0 outcome=Success us=",
         ] {
             assert_eq!(log.contains(part), traced, "{part} in {log}");
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,9 @@
 pub mod json;
 
 use json::{Fault, Place};
-use kitefork_balancer::{Class, Effect, Group, Limits, Nanos, Rules, Settings, Tenant, ZoneId};
+use kitefork_balancer::{
+    Class, DeduplicationScope, Idempotency, Limits, Nanos, Rules, Settings, Tenant, ZoneId,
+};
 
 /// What the node needs beyond the decisions: names, and limits on connections.
 pub struct Deployment {
@@ -32,10 +34,10 @@
 const NAMES: [(&str, &str); 6] = [
     ("tick", "tickNs"),
     ("classes", "grades"),
-    ("tail", "goal.tail"),
-    ("rules.cold_from", "rules.coldFrom"),
-    ("rules.drain_close", "rules.drainCloseNs"),
-    ("rules.fall", "rules.fallNs"),
+    ("tail_weight", "goal.tail"),
+    ("rules.slow_start_initial_capacity", "rules.coldFrom"),
+    ("rules.drain_close_within", "rules.drainCloseNs"),
+    ("rules.overload_duration", "rules.fallNs"),
 ];
 
 /// Reads the settings object.
@@ -50,47 +52,47 @@
             .iter()
             .map(|t| {
                 Ok(Tenant {
-                    quota_per_s: t.or("quotaPerS", 0.0, Place::number)?,
+                    quota_per_second: t.or("quotaPerS", 0.0, Place::number)?,
                 })
             })
             .collect::<Result<_, Fault>>()?,
         zone: ZoneId(root.or("zone", 0, Place::narrow)?),
-        me: root.or("me", 0, Place::narrow)?,
-        siblings: root.or("siblings", 1, Place::narrow)?,
-        ask_list: word(
+        proxy_index: root.or("me", 0, Place::narrow)?,
+        proxy_count: root.or("siblings", 1, Place::narrow)?,
+        poll_endpoints: word(
             &root.get("membershipMode")?,
             &[("automatic", false), ("subscribe", true)],
         )?,
         tick: root.get("tickNs")?.whole()?,
-        over_quota_worth: root.or("overShareWorth", 1.0, Place::number)?,
-        worth_by_work: root.find("worthBy").map_or(Ok(false), |place| {
+        over_quota_weight: root.or("overShareWorth", 1.0, Place::number)?,
+        weight_per_unit_of_work: root.find("worthBy").map_or(Ok(false), |place| {
             word(&place, &[("request", false), ("work", true)])
         })?,
-        cross_zone_price: within("penalties", "crossZone")
+        cross_zone_cost: within("penalties", "crossZone")
             .map_or(Ok(0.0), |place| place.number())?,
-        tail: within("goal", "tail").map_or(Ok(0.0), |place| place.number())?,
+        tail_weight: within("goal", "tail").map_or(Ok(0.0), |place| place.number())?,
         limits: Limits {
             max_attempts: limits.get("maxAttempts")?.narrow()?,
-            cancel: limits.or("cancel", false, Place::flag)?,
-            probes: limits.or("probes", false, Place::flag)?,
+            can_cancel: limits.or("cancel", false, Place::flag)?,
+            health_checks: limits.or("probes", false, Place::flag)?,
             // `retryAfter` only says whether the drill's clients are handed the advice. A refusal
             // over HTTP may always carry it, and without it a refused client is back at once, into
             // the same crowd.
             max_retry_after: limits.or("maxRetryAfterNs", 0, Place::whole)?,
-            untried: 1.0,
+            never_attempted_fraction: 1.0,
         },
         rules: Rules {
             answer_slack: rules.or("answerSlackNs", 0, Place::whole)?,
             drain_grace: rules.get("drainGraceNs")?.whole()?,
-            drain_close: rules
+            drain_close_within: rules
                 .find("drainCloseNs")
                 .map(|place| place.whole())
                 .transpose()?,
-            cold_from: rules.get("coldFrom")?.number()?,
-            cold: rules.get("coldNs")?.whole()?,
-            fall_multiple: rules.get("tipMultiple")?.number()?,
-            fall: rules.get("fallNs")?.whole()?,
-            ask_within: rules.or("askWithinNs", 10_000_000_000, Place::whole)?,
+            slow_start_initial_capacity: rules.get("coldFrom")?.number()?,
+            slow_start_duration: rules.get("coldNs")?.whole()?,
+            overload_multiple: rules.get("tipMultiple")?.number()?,
+            overload_duration: rules.get("fallNs")?.whole()?,
+            poll_interval: rules.or("askWithinNs", 10_000_000_000, Place::whole)?,
         },
     };
     settings.check().map_err(|wrong| {
@@ -114,28 +116,28 @@
 
 fn class(grade: &Place) -> Result<Class, Fault> {
     let scopes = [
-        ("all", Group::All),
-        ("zone", Group::Zone),
-        ("cell", Group::Cell),
+        ("all", DeduplicationScope::Global),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
     ];
-    let keyed = Effect::Keyed {
-        group: grade
+    let keyed = Idempotency::IdempotencyKey {
+        scope: grade
             .find("keyScope")
-            .map_or(Ok(Group::Cell), |place| word(&place, &scopes))?,
+            .map_or(Ok(DeduplicationScope::Cell), |place| word(&place, &scopes))?,
         window: grade.or("windowNs", 0, Place::whole)?,
     };
     let effects = [
-        ("repeatable", Effect::Safe),
+        ("repeatable", Idempotency::Idempotent),
         ("by_key", keyed),
-        ("once", Effect::Unsafe),
+        ("once", Idempotency::NotIdempotent),
     ];
     Ok(Class {
-        aim: grade.get("goalTimeNs")?.whole()?,
-        aim_stretch: grade.or("aimStretch", 0.0, Place::number)?,
-        deadline: grade.get("giveUpNs")?.whole()?,
-        worth: grade.get("importance")?.number()?,
-        late_worth: grade.or("lateValue", 0.0, Place::number)?,
-        effect: word(&grade.get("effect")?, &effects)?,
+        latency_objective: grade.get("goalTimeNs")?.whole()?,
+        latency_objective_per_unit_of_work: grade.or("aimStretch", 0.0, Place::number)?,
+        client_timeout: grade.get("giveUpNs")?.whole()?,
+        priority_weight: grade.get("importance")?.number()?,
+        late_priority_weight: grade.or("lateValue", 0.0, Place::number)?,
+        idempotency: word(&grade.get("effect")?, &effects)?,
         streamed: grade.or("streamed", false, Place::flag)?,
     })
 }
--- a/crates/settings/src/lib_tests.rs
+++ b/crates/settings/src/lib_tests.rs
@@ -18,13 +18,13 @@
     let Deployment {
         settings, classes, ..
     } = parse(SETTINGS).unwrap();
-    assert!(settings.ask_list);
-    assert_eq!((settings.zone, settings.me), (ZoneId(1), 1));
+    assert!(settings.poll_endpoints);
+    assert_eq!((settings.zone, settings.proxy_index), (ZoneId(1), 1));
     assert_eq!(settings.limits.max_retry_after, 8);
     assert_eq!(
-        settings.classes[0].effect,
-        Effect::Keyed {
-            group: Group::Zone,
+        settings.classes[0].idempotency,
+        Idempotency::IdempotencyKey {
+            scope: DeduplicationScope::Zone,
             window: 7
         }
     );
--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use kitefork_balancer::{
-    Action, Backend, BackendId, BackendState, CellId, ClassId, Event, KindId, ListKind, Outcome,
-    Request, RequestId, TenantId, TimerId, ZoneId,
+    Action, BackendId, CellId, ClassId, Endpoint, EndpointState, Event, KindId, Outcome, Request,
+    RequestId, TenantId, TimerId, UpdateKind, ZoneId,
 };
 use thiserror::Error;
 
@@ -77,7 +77,7 @@
 
 /// Numbered lists of backends, kept over batches.
 #[derive(Default)]
-pub struct Lists(BTreeMap<u16, Vec<Backend>>);
+pub struct Lists(BTreeMap<u16, Vec<Endpoint>>);
 
 /// Decodes the body of a batch into messages to instances, in order.
 pub fn decode(
@@ -110,13 +110,13 @@
             16 => Event::Timer {
                 timer: TimerId(u32_at(record, 3)),
             },
-            17 => Event::Outcome {
+            17 => Event::AttemptEnded {
                 request: RequestId(u32_at(record, 3)),
                 attempt: record[7],
                 latency: u64_at(record, 12),
                 outcome: outcome(20)?,
                 finished: record[21] != 0,
-                load: load(record, 22),
+                load_report: load(record, 22),
             },
             18 => Event::FirstByte {
                 request: RequestId(u32_at(record, 3)),
@@ -127,18 +127,18 @@
                 class: ClassId(u16_at(record, 7)),
                 tenant: TenantId(u16_at(record, 9)),
                 key: u64_at(record, 11),
-                patience: u64_at(record, 19),
+                client_timeout: u64_at(record, 19),
                 work_hint: (record[35] & 1 != 0).then(|| u64_at(record, 27)),
                 client_retry: record[35] & 2 != 0,
-                write: record[35] & 4 != 0,
+                is_write: record[35] & 4 != 0,
             }),
             20 => match record[9] {
-                2 => Event::ListFailed,
+                2 => Event::DiscoveryFailed,
                 mode => {
                     let kind = match mode {
-                        0 => ListKind::Delta,
-                        1 => ListKind::Cached,
-                        4 => ListKind::Full,
+                        0 => UpdateKind::Delta,
+                        1 => UpdateKind::Cached,
+                        4 => UpdateKind::Full,
                         _ => {
                             return Err(
                                 header.error(offset + 9, format!("unknown list mode {mode}"))
@@ -149,14 +149,17 @@
                     let backends = lists.0.get(&set).cloned();
                     let backends = backends
                         .ok_or_else(|| header.error(offset + 7, format!("no list number {set}")))?;
-                    Event::List { kind, backends }
+                    Event::EndpointUpdate {
+                        kind,
+                        endpoints: backends,
+                    }
                 }
             },
-            21 => Event::Probed {
+            21 => Event::HealthCheckEnded {
                 backend: BackendId(u32_at(record, 3)),
                 latency: u64_at(record, 7),
                 outcome: outcome(15)?,
-                load: load(record, 16),
+                load_report: load(record, 16),
             },
             22 => {
                 let settings = slice(11, 1)?.to_vec();
@@ -181,14 +184,14 @@
                 lists.0.insert(node, entries);
                 continue;
             }
-            24 => Event::ClientGone {
+            24 => Event::ClientDisconnected {
                 request: RequestId(u32_at(record, 3)),
             },
             25 => {
                 messages.push((node, Message::Stop));
                 continue;
             }
-            26 => Event::Peer {
+            26 => Event::GossipReceived {
                 from: u16_at(record, 3),
                 bytes: slice(5, 1)?.to_vec(),
             },
@@ -199,37 +202,37 @@
     Ok(messages)
 }
 
-fn entry(bytes: &[u8], state: BackendState) -> Backend {
-    Backend {
+fn entry(bytes: &[u8], state: EndpointState) -> Endpoint {
+    Endpoint {
         id: BackendId(u32_at(bytes, 0)),
-        mark: u64::from(u32_at(bytes, 0)),
+        hash: u64::from(u32_at(bytes, 0)),
         zone: ZoneId(u16_at(bytes, 4)),
         kind: KindId(u16_at(bytes, 6)),
         cell: CellId(u16_at(bytes, 8)),
         state,
         weight: f32::from_bits(u32_at(bytes, 11)),
-        started: Some(u64_at(bytes, 15)).filter(|at| *at > 0),
+        started_at: Some(u64_at(bytes, 15)).filter(|at| *at > 0),
     }
 }
 
-fn state(code: u8) -> Option<BackendState> {
+fn state(code: u8) -> Option<EndpointState> {
     match code {
-        0 => Some(BackendState::Gone),
-        1 => Some(BackendState::Ready),
-        2 => Some(BackendState::Draining),
+        0 => Some(EndpointState::Removed),
+        1 => Some(EndpointState::Ready),
+        2 => Some(EndpointState::Draining),
         _ => None,
     }
 }
 
 fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
-        0 => Outcome::Ok,
+        0 => Outcome::Success,
         5 => Outcome::Error,
-        11 => Outcome::Full,
+        11 => Outcome::Overloaded,
         104 => Outcome::Reset,
         110 => Outcome::Timeout,
         111 => Outcome::ConnectFailed,
-        114 => Outcome::Moot,
+        114 => Outcome::NotSent,
         125 => Outcome::Cancelled,
         _ => return None,
     })
@@ -253,17 +256,17 @@
     /// Adds an action of an instance.
     pub fn push(&mut self, node: u16, action: &Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 backend,
-                until,
+                abandon_at,
             } => {
                 let record = self.record(80, node);
                 put(record, 3, &request.0.to_le_bytes());
                 put(record, 7, &backend.0.to_le_bytes());
-                put(record, 11, &until.to_le_bytes());
+                put(record, 11, &abandon_at.to_le_bytes());
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -272,7 +275,7 @@
                 put(record, 7, &retry_after.to_le_bytes());
             }
             Action::Fail { request } => put(self.record(82, node), 3, &request.0.to_le_bytes()),
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let record = self.record(83, node);
                 put(record, 3, &request.0.to_le_bytes());
                 put(record, 7, &[*attempt]);
@@ -282,11 +285,13 @@
                 put(record, 3, &at.to_le_bytes());
                 put(record, 11, &timer.0.to_le_bytes());
             }
-            Action::Probe { backend } => put(self.record(85, node), 3, &backend.0.to_le_bytes()),
-            Action::CloseIdle { backend } => {
+            Action::CheckHealth { backend } => {
+                put(self.record(85, node), 3, &backend.0.to_le_bytes())
+            }
+            Action::CloseIdleConnections { backend } => {
                 put(self.record(86, node), 3, &backend.0.to_le_bytes())
             }
-            Action::Tell { to, bytes } => {
+            Action::Gossip { to, bytes } => {
                 put(
                     self.record(87, node),
                     3,
@@ -294,9 +299,9 @@
                 );
                 self.data(5, bytes);
             }
-            Action::Log(line) => self.text(88, node, line),
-            Action::Subscribe(active) => put(self.record(90, node), 3, &[u8::from(*active)]),
-            Action::FetchList => {
+            Action::Log(event) => self.text(88, node, &event.to_string()),
+            Action::WatchEndpoints(active) => put(self.record(90, node), 3, &[u8::from(*active)]),
+            Action::PollEndpoints => {
                 self.record(91, node);
             }
         }
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of `frame`.
 
+use kitefork_balancer::LogEvent;
+
 use super::*;
 
 fn header(records: u32) -> Header {
@@ -37,7 +39,7 @@
     let ids: Vec<u32> = messages
         .iter()
         .map(|(_, message)| match message {
-            Message::Event(Event::List { backends, .. }) => backends[0].id.0,
+            Message::Event(Event::EndpointUpdate { endpoints, .. }) => endpoints[0].id.0,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -81,18 +83,18 @@
     let mut reply = Reply::default();
     reply.push(
         3,
-        &Action::Send {
+        &Action::StartAttempt {
             request: RequestId(8),
             backend: BackendId(4),
-            until: 77,
+            abandon_at: 77,
         },
     );
-    reply.push(5, &Action::Log("hi".into()));
+    reply.push(5, &Action::Log(LogEvent::NoBackendReady));
     let frame = reply.finish(12);
-    assert_eq!(frame.len(), 12 + 2 * ACTION + 2);
+    assert_eq!(frame.len(), 12 + 2 * ACTION + 19);
     assert_eq!(
         (u32_at(&frame, 0), u32_at(&frame, 4), u32_at(&frame, 8)),
-        (50, 2, 12)
+        (67, 2, 12)
     );
     assert_eq!(
         (frame[12], u32_at(&frame, 19), u64_at(&frame, 23)),
@@ -100,6 +102,6 @@
     );
     assert_eq!(
         (frame[36], u32_at(&frame, 43), &frame[60..]),
-        (88, 2, &b"hi"[..])
+        (88, 19, &b"no backend is ready"[..])
     );
 }
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -71,8 +71,8 @@
     return word
 
 
-COLUMNS = ["req", "send", "resend", "connect", "Ok", "Full", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
-           "Moot", "Refused", "Failed", "TimedOut", "gone", "call", "call-failed", "told"]
+COLUMNS = ["req", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
+           "NotSent", "Refused", "Failed", "TimedOut", "gone", "call", "call-failed", "told"]
 
 
 def seconds(folder):
@@ -90,12 +90,12 @@
             continue
         rows[uid][kind(word, fields)] += 1
         nodes[uid].add(node)
-        if fields.get("outcome") == "Ok":
+        if fields.get("outcome") == "Success":
             spent[uid] += int(fields["us"])
-    columns = ["send", "resend", "connect", "Ok", "Full", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled"]
+    columns = ["send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled"]
     failures = lambda uid: sum(rows[uid][c] for c in columns[4:])
     table(
-        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": spent[uid] // 1000 // max(rows[uid]["Ok"], 1), **rows[uid]}
+        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": spent[uid] // 1000 // max(rows[uid]["Success"], 1), **rows[uid]}
          for uid in sorted(rows, key=failures, reverse=True)],
         ["uid", "nodes", "ok_ms", *columns],
     )
