--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -416,9 +416,9 @@
 /// Status and `Retry-After` of an answer that no backend made.
 pub fn status_and_advice(answer: LocalReply) -> (u16, Option<String>) {
     match answer {
-        LocalReply::Refused { retry_after: 0 } => (503, None),
+        LocalReply::Rejected { retry_after: 0 } => (503, None),
         // Whole seconds are what every client reads.
-        LocalReply::Refused { retry_after } => {
+        LocalReply::Rejected { retry_after } => {
             (503, Some(retry_after.div_ceil(SECOND).to_string()))
         }
         LocalReply::Failed => (502, None),
--- a/crates/node/src/client_tests.rs
+++ b/crates/node/src/client_tests.rs
@@ -89,7 +89,7 @@
 
 #[test]
 fn advice_is_whole_seconds_and_only_refusals_carry_it() {
-    let refused = |retry_after| status_and_advice(LocalReply::Refused { retry_after });
+    let refused = |retry_after| status_and_advice(LocalReply::Rejected { retry_after });
     assert_eq!(refused(1_200 * MS), (503, Some("2".into())));
     assert_eq!(refused(0), (503, None));
     assert_eq!(status_and_advice(LocalReply::TimedOut), (504, None));
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -26,7 +26,7 @@
     /// The word in logs and counts.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientGone => "client_gone",
+            CloseReason::ClientGone => "client_disconnected",
             CloseReason::Broken => "broken",
             CloseReason::Answered => "answered",
             CloseReason::Evicted => "evicted",
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -274,7 +274,7 @@
         self.log.line(
             self.now,
             "counts",
-            format_args!("full_walks={walks} {}", self.counters),
+            format_args!("full_scans={walks} {}", self.counters),
         );
         self.log.line(self.now, "end", "all answered");
         Ok(())
@@ -401,7 +401,7 @@
             Due::Request(req) => {
                 if self.reqs.expire(self.now, req) {
                     self.log
-                        .line(self.now, "last-resort", format_args!("req={req}"));
+                        .line(self.now, "deadline-guard", format_args!("request={req}"));
                 }
             }
             Due::Fetch(number) => self.fetch_due(number),
@@ -445,16 +445,19 @@
         }
         while let Some(command) = self.reqs.commands.pop_front() {
             match command {
-                Command::Fetch {
-                    req,
+                Command::StartAttempt {
+                    request: req,
                     attempt,
                     backend,
-                    until,
+                    abandon_at: until,
                     write_by,
                 } => {
                     self.start_fetch(backend, Job::Request { req, attempt }, until, write_by);
                 }
-                Command::Stop { req, attempt } => {
+                Command::CancelAttempt {
+                    request: req,
+                    attempt,
+                } => {
                     let job = Some(Job::Request { req, attempt });
                     let found = self
                         .fetches
@@ -466,9 +469,9 @@
                     }
                     self.drop_postponed(req);
                 }
-                Command::Answer { owner, answer } => self.send_local_reply(owner, answer),
-                Command::CloseIdle(backend) => self.close_idle(backend),
-                Command::Probe(backend) => {
+                Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
+                Command::CloseIdleConnections(backend) => self.close_idle(backend),
+                Command::CheckHealth(backend) => {
                     let until = self.now + PROBE_PATIENCE;
                     self.start_fetch(
                         backend,
@@ -480,9 +483,9 @@
                         until,
                     );
                 }
-                Command::Timer { at, timer } => self.wheel.schedule(at, Due::Timer(timer)),
-                Command::Watch(on) => self.watch(on),
-                Command::FetchList => self.call(false),
+                Command::SetTimer { at, timer } => self.wheel.schedule(at, Due::Timer(timer)),
+                Command::WatchEndpoints(on) => self.watch(on),
+                Command::PollEndpoints => self.call(false),
                 Command::Log(line) => self.log.line(self.now, "decision", line),
                 Command::GossipUnsupported => {
                     let text = "a message to peers is not carried";
--- a/crates/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -28,7 +28,7 @@
         self.log.line(
             self.now,
             "sigterm",
-            format_args!("sessions={}", self.sessions.len()),
+            format_args!("connections={}", self.sessions.len()),
         );
         let longest = self
             .deployment
@@ -56,7 +56,7 @@
         let ending = self.ends.is_some_and(|ends| self.now >= ends);
         if !self.accepting && !ending {
             self.log
-                .line(self.now, "late-clients", "wait for a session to end");
+                .line(self.now, "late-clients", "wait for a connection to end");
             return self
                 .wheel
                 .schedule(self.now + ACCEPT_PAUSE, Due::StopAccepting);
@@ -94,7 +94,7 @@
         self.log.line(
             self.now,
             "last-answers",
-            format_args!("sessions={}", self.sessions.len()),
+            format_args!("connections={}", self.sessions.len()),
         );
     }
 
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -169,7 +169,7 @@
         }
         self.go_on(number, false);
         if let Err(violation) = permit.check(self.clock.read()) {
-            self.violated(violation, format_args!("fetch={number}"));
+            self.violated(violation, format_args!("upstream={number}"));
         }
     }
 
@@ -221,7 +221,7 @@
 
     /// Ends an attempt of which nothing has been written, and which must not be.
     fn deny_write(&mut self, number: u32, denial: Denial) {
-        self.count_denial(denial, format_args!("fetch={number}"));
+        self.count_denial(denial, format_args!("upstream={number}"));
         let outcome = match denial {
             Denial::BackendNotReady | Denial::DeadlinePassed | Denial::WindowClosed => {
                 Outcome::ConnectFailed
@@ -250,14 +250,14 @@
         if !self.room_for_fetch() {
             self.log.line(
                 self.now,
-                "fetches-full",
-                format_args!("held={}", self.fetches.len()),
+                "upstream-connections-full",
+                format_args!("open={}", self.fetches.len()),
             );
             return Err(DialError::Local);
         }
         self.trace.line(
             self.now,
-            format_args!("connect b={} held={}", backend.0, self.fetches.len()),
+            format_args!("connect b={} open={}", backend.0, self.fetches.len()),
         );
         let opened = net::dial(endpoint).and_then(|socket| {
             self.fetches
--- a/crates/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -90,7 +90,7 @@
         if !std::mem::replace(&mut self.list_synced, true) {
             self.log.line(
                 self.now,
-                "blind",
+                "serving-stale-list",
                 "discovery has not spoken: serving from the list that was given",
             );
         }
@@ -284,10 +284,10 @@
         if self.trace.is_on() {
             self.trace.line(
                 self.now,
-                format_args!("told rev={} all={}", update.rev, u8::from(update.all)),
+                format_args!("notified rev={} all={}", update.rev, u8::from(update.all)),
             );
             for line in self.fleet.lines(update, self.now) {
-                self.trace.line(self.now, format_args!("member {line}"));
+                self.trace.line(self.now, format_args!("endpoint {line}"));
             }
         }
         self.reqs.feed(self.now, event);
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -42,8 +42,8 @@
             if !self.room_for_session() {
                 self.log.line(
                     self.now,
-                    "sessions-full",
-                    format_args!("held={}", self.sessions.len()),
+                    "client-connections-full",
+                    format_args!("open={}", self.sessions.len()),
                 );
                 return self.pause_accepting();
             }
@@ -57,7 +57,7 @@
                 }
                 Err(error) => match errno::of_accept(error) {
                     ErrorClass::WouldBlock => return self.queue_emptied(self.now),
-                    ErrorClass::RetryNow => self.counters.add("accept", "client_gone"),
+                    ErrorClass::RetryNow => self.counters.add("accept", "client_disconnected"),
                     ErrorClass::RetryLater => {
                         self.log.line(self.now, "accept-failed", error);
                         return self.retry_accept_later();
@@ -174,7 +174,7 @@
         match rules::may_close(session.close_facts()) {
             Ok(permit) => self.close_session(number, permit, reason),
             Err(denial) => {
-                self.count_denial(denial, format_args!("session={number}"));
+                self.count_denial(denial, format_args!("connection={number}"));
                 self.read_session(number);
                 self.sessions.get(number).is_none()
             }
@@ -253,13 +253,13 @@
         self.counters.closed(reason);
         self.trace.line(
             self.now,
-            format_args!("closed session={number} why={}", reason.name()),
+            format_args!("closed connection={number} why={}", reason.name()),
         );
         let of_client = matches!(reason, CloseReason::ClientGone | CloseReason::Broken);
         if session.req.is_some() && !of_client {
             self.violated(
                 Violation::ClosedUnanswered,
-                format_args!("session={number}"),
+                format_args!("connection={number}"),
             );
         }
         if let Some(req) = session.req {
@@ -336,8 +336,8 @@
                     // sending alone, and then it waits for an answer.
                     Route::Request(..) if left => {
                         self.trace
-                            .line(self.now, format_args!("left session={number}"));
-                        self.count_denial(Denial::ClientGone, format_args!("session={number}"));
+                            .line(self.now, format_args!("client-closed connection={number}"));
+                        self.count_denial(Denial::ClientGone, format_args!("connection={number}"));
                         self.reply(number, 503, &[], LEFT_UNTRIED, true);
                     }
                     Route::Health => self.reply_health(number),
@@ -419,7 +419,7 @@
         let (req, last_resort) = match self.reqs.open(self.now, number, ask, call) {
             Ok(opened) => opened,
             Err(OpenError::TableFull) => {
-                self.log.line(self.now, "reqs-full", "refused");
+                self.log.line(self.now, "requests-full", "rejected");
                 return self.reply(number, 503, &[], b"too many requests are held\n", false);
             }
             Err(OpenError::DuplicateId) => {
@@ -441,8 +441,10 @@
         if self.trace.is_on()
             && let Some(call) = self.reqs.cargo(req)
         {
-            self.trace
-                .line(self.now, format_args!("took id={req} key={}", call.key()));
+            self.trace.line(
+                self.now,
+                format_args!("accepted id={req} key={}", call.key()),
+            );
         }
         self.wheel.schedule(last_resort, Due::Request(req));
     }
@@ -467,7 +469,7 @@
         let (status, advice) = client::status_and_advice(answer);
         let advice = advice.as_deref().map(|seconds| ("retry-after", seconds));
         let body = match answer {
-            LocalReply::Refused { .. } => "refused: trying again is harmless\n",
+            LocalReply::Rejected { .. } => "refused: trying again is harmless\n",
             LocalReply::Failed => "failed\n",
             LocalReply::TimedOut => "no answer in time\n",
         };
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -29,11 +29,14 @@
 /// A final answer that no backend made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocalReply {
-    /// Trying again is harmless.
-    Refused {
+    /// Rejected: a retry by the client is harmless.
+    Rejected {
+        /// How long the client should wait before it retries; 0: no advice.
         retry_after: Nanos,
     },
+    /// Failed: it may have been executed.
     Failed,
+    /// No answer in time.
     TimedOut,
 }
 
@@ -49,33 +52,30 @@
 /// What is to be done on the connections.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Start a fetch. It must be abandoned at `until`, and be written whole by `write_by` or not at
-    /// all.
-    Fetch {
-        req: u32,
+    /// Start an attempt. It must be abandoned at `abandon_at`, and be written whole by `write_by` or
+    /// not at all.
+    StartAttempt {
+        request: u32,
         attempt: u8,
         backend: BackendId,
-        until: Nanos,
+        abandon_at: Nanos,
         write_by: Nanos,
     },
-    /// Close the connection of a fetch.
-    Stop {
-        req: u32,
-        attempt: u8,
-    },
-    /// Give the client session `owner` its final answer.
-    Answer {
-        owner: u32,
-        answer: LocalReply,
-    },
-    CloseIdle(BackendId),
-    Probe(BackendId),
-    Timer {
-        at: Nanos,
-        timer: TimerId,
-    },
-    Watch(bool),
-    FetchList,
+    /// Close the connection of an attempt.
+    CancelAttempt { request: u32, attempt: u8 },
+    /// Give the client connection `connection` its final answer.
+    Reply { connection: u32, reply: LocalReply },
+    /// Close the idle connections to a backend.
+    CloseIdleConnections(BackendId),
+    /// Send a health check to a backend.
+    CheckHealth(BackendId),
+    /// Set a timer of the decisions.
+    SetTimer { at: Nanos, timer: TimerId },
+    /// Open a watch on the endpoint list, or close it.
+    WatchEndpoints(bool),
+    /// Read the whole endpoint list once.
+    PollEndpoints,
+    /// Write a line of the decisions to the log.
     Log(LogEvent),
     /// A gossip message was wanted, and this node carries none.
     GossipUnsupported,
@@ -209,7 +209,7 @@
         self.trace.line(
             now,
             format_args!(
-                "req id={id} txn={} patience={}",
+                "request id={id} txn={} client_timeout_us={}",
                 ask.txn,
                 ask.client_timeout / 1_000
             ),
@@ -314,7 +314,8 @@
     pub fn gone(&mut self, now: Nanos, id: u32) {
         if let Some(req) = self.table.get_mut(id).filter(|req| !req.over) {
             req.over = true;
-            self.trace.line(now, format_args!("gone id={id}"));
+            self.trace
+                .line(now, format_args!("client-disconnected id={id}"));
             self.feed(
                 now,
                 Event::ClientDisconnected {
@@ -334,7 +335,7 @@
     /// The node ends before the req has its answer. What never ran is refused, so that the client
     /// may go to another node at once; what may have run has failed.
     pub fn fail_on_shutdown(&mut self, now: Nanos, id: u32) {
-        self.force_reply(now, id, LocalReply::Refused { retry_after: 0 });
+        self.force_reply(now, id, LocalReply::Rejected { retry_after: 0 });
     }
 
     /// Answers a req over the head of the decisions; tells whether it still waited.
@@ -380,7 +381,7 @@
                     request,
                     retry_after,
                 } => {
-                    self.answer(now, request.0, LocalReply::Refused { retry_after });
+                    self.answer(now, request.0, LocalReply::Rejected { retry_after });
                     self.forget(request.0);
                 }
                 Action::Fail { request } => {
@@ -390,20 +391,22 @@
                 Action::CancelAttempt { request, attempt } => {
                     self.trace
                         .line(now, format_args!("cancel id={} try={attempt}", request.0));
-                    self.commands.push_back(Command::Stop {
-                        req: request.0,
+                    self.commands.push_back(Command::CancelAttempt {
+                        request: request.0,
                         attempt,
                     });
                 }
                 Action::SetTimer { at, timer } => {
-                    self.commands.push_back(Command::Timer { at, timer })
+                    self.commands.push_back(Command::SetTimer { at, timer })
                 }
-                Action::CheckHealth { backend } => self.commands.push_back(Command::Probe(backend)),
-                Action::CloseIdleConnections { backend } => {
-                    self.commands.push_back(Command::CloseIdle(backend))
+                Action::CheckHealth { backend } => {
+                    self.commands.push_back(Command::CheckHealth(backend))
                 }
-                Action::WatchEndpoints(on) => self.commands.push_back(Command::Watch(on)),
-                Action::PollEndpoints => self.commands.push_back(Command::FetchList),
+                Action::CloseIdleConnections { backend } => self
+                    .commands
+                    .push_back(Command::CloseIdleConnections(backend)),
+                Action::WatchEndpoints(on) => self.commands.push_back(Command::WatchEndpoints(on)),
+                Action::PollEndpoints => self.commands.push_back(Command::PollEndpoints),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
                 Action::Gossip { .. } => {
                     self.commands.push_back(Command::GossipUnsupported);
@@ -441,7 +444,7 @@
         self.trace.line(
             now,
             format_args!(
-                "send id={id} try={attempt} b={} barred={}",
+                "send id={id} try={attempt} b={} denied={}",
                 backend.0,
                 u8::from(allowed.is_err())
             ),
@@ -450,11 +453,11 @@
             self.denials.push(denial);
             return Some((id, attempt));
         }
-        self.commands.push_back(Command::Fetch {
-            req: id,
+        self.commands.push_back(Command::StartAttempt {
+            request: id,
             attempt,
             backend,
-            until,
+            abandon_at: until,
             write_by,
         });
         None
@@ -470,7 +473,7 @@
         self.violations
             .extend(rules::check_answer(now, req.deadline).err());
         let answer = match answer {
-            LocalReply::Refused { .. } if !req.refusable() => LocalReply::Failed,
+            LocalReply::Rejected { .. } if !req.refusable() => LocalReply::Failed,
             other => other,
         };
         let answer = match answer {
@@ -481,9 +484,9 @@
         };
         self.trace
             .line(now, format_args!("answer id={id} what={answer:?}"));
-        self.commands.push_back(Command::Answer {
-            owner: req.owner,
-            answer,
+        self.commands.push_back(Command::Reply {
+            connection: req.owner,
+            reply: answer,
         });
     }
 
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -53,7 +53,10 @@
 
 fn answers(reqs: &mut RequestTable<()>) -> Vec<LocalReply> {
     let answer = |command| match command {
-        Command::Answer { owner: 77, answer } => Some(answer),
+        Command::Reply {
+            connection: 77,
+            reply,
+        } => Some(reply),
         _ => None,
     };
     reqs.commands.drain(..).filter_map(answer).collect()
@@ -88,8 +91,8 @@
     let mut reqs = reqs(Idempotency::Idempotent);
     let id = open(&mut reqs);
     assert!(reqs.expire(NOW + SECOND, id));
-    assert!(reqs.commands.contains(&Command::Stop {
-        req: id,
+    assert!(reqs.commands.contains(&Command::CancelAttempt {
+        request: id,
         attempt: 0
     }));
     assert_eq!(answers(&mut reqs), [LocalReply::TimedOut]);
@@ -107,7 +110,7 @@
     for (outcome, wanted) in [
         (
             Some(Outcome::ConnectFailed),
-            LocalReply::Refused { retry_after: 0 },
+            LocalReply::Rejected { retry_after: 0 },
         ),
         (None, LocalReply::Failed),
     ] {
@@ -135,7 +138,7 @@
         (
             Idempotency::NotIdempotent,
             Outcome::Overloaded,
-            LocalReply::Refused { retry_after: 0 },
+            LocalReply::Rejected { retry_after: 0 },
         ),
         (
             Idempotency::IdempotencyKey {
@@ -151,7 +154,7 @@
                 window: 1,
             },
             Outcome::Error,
-            LocalReply::Refused { retry_after: 0 },
+            LocalReply::Rejected { retry_after: 0 },
         ),
     ] {
         let mut reqs = reqs(effect);
@@ -159,7 +162,7 @@
         // After a first answer nothing is decided any more, so the guard is met directly.
         reqs.table.get_mut(id).unwrap().attempts[0].outcome = Some(outcome);
         reqs.table.get_mut(id).unwrap().last_outcome = Some(outcome);
-        reqs.answer(NOW, id, LocalReply::Refused { retry_after: 0 });
+        reqs.answer(NOW, id, LocalReply::Rejected { retry_after: 0 });
         assert_eq!(answers(&mut reqs), [wanted], "{effect:?} {outcome:?}");
     }
 }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -46,7 +46,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
-            Denial::ClientGone => "client_gone",
+            Denial::ClientGone => "client_disconnected",
             Denial::DeadlinePassed => "deadline_passed",
             Denial::AttemptOut => "attempt_out",
             Denial::AttemptsSpent => "attempts_spent",
--- a/crates/node/tests/crossings/end.rs
+++ b/crates/node/tests/crossings/end.rs
@@ -27,7 +27,7 @@
     std::io::Read::read_to_string(&mut node.stderr.take().unwrap(), &mut log).unwrap();
     assert_eq!(node.wait().unwrap().code(), Some(0), "{log}");
     assert!(
-        log.contains("start name=t1") && log.contains("sigterm sessions=0"),
+        log.contains("start name=t1") && log.contains("sigterm connections=0"),
         "{log}"
     );
 }
@@ -48,7 +48,7 @@
     world.reload(str::to_string);
     world.terminate();
     world.go_on();
-    world.expect_log("sigterm sessions=2");
+    world.expect_log("sigterm connections=2");
     // The rest of the half one comes when the node has long been told to end.
     half.send(rest);
     for (client, body) in [(&mut out, "first"), (&mut half, "second")] {
@@ -126,7 +126,7 @@
     for (n, client) in waiting.iter_mut().enumerate() {
         client.send(&report(&format!("late{n}"), 60_000));
     }
-    world.expect_log("sessions-full");
+    world.expect_log("client-connections-full");
     // Every second one of those that wait goes, by a close or by a reset; then all the others make
     // room.
     for n in [4, 2, 0] {
@@ -258,7 +258,7 @@
     let since = std::time::Instant::now();
     let mut client = world.client();
     client.send(HEALTH).expect("discovery has not spoken\n");
-    world.expect_log("blind ");
+    world.expect_log("serving-stale-list ");
     client.send(HEALTH).expect("ok\n");
     assert!(since.elapsed().as_secs() < 10, "{:?}", since.elapsed());
 }
--- a/crates/node/tests/crossings/mod.rs
+++ b/crates/node/tests/crossings/mod.rs
@@ -363,7 +363,7 @@
     let mut busy = all_busy(&world);
     let mut late = world.client();
     late.send(&report("late", 4000));
-    world.expect_log("sessions-full");
+    world.expect_log("client-connections-full");
     world.terminate();
     world.expect_log("late-clients");
     // One of those that are served makes room.
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -629,11 +629,11 @@
         client.expect("told");
         let log = world.last_log();
         for part in [
-            "member b=0 uid=s-1 at=127.0.0.1:",
-            "req id=1 txn=t1 patience=5000000\n",
-            "send id=1 try=0 b=0 barred=0\n",
-            "connect b=0 held=0\n",
-            "took id=1 key=kt1\n",
+            "endpoint b=0 uid=s-1 at=127.0.0.1:",
+            "request id=1 txn=t1 client_timeout_us=5000000\n",
+            "send id=1 try=0 b=0 denied=0\n",
+            "connect b=0 open=0\n",
+            "accepted id=1 key=kt1\n",
             "ended id=1 try=0 outcome=Success us=",
         ] {
             assert_eq!(log.contains(part), traced, "{part} in {log}");
--- a/crates/node/tests/terms/log.rs
+++ b/crates/node/tests/terms/log.rs
@@ -9,7 +9,7 @@
     // Each request traces some hundred bytes; a pipe holds 64 KiB.
     assert_eq!(ask(&world, 600), 600);
     assert_eq!(backend.served(), 600);
-    let lines = world.expect_log("took id=");
+    let lines = world.expect_log("accepted id=");
     assert!(lines.contains("kitefork: trace"), "{lines}");
     world.expect_log("log-dropped lines=");
 }
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Sums the traces of many nodes, and follows one req through all of them.
+"""Sums the traces of many nodes, and follows one request through all of them.
 
     fleet_log.py seconds DIR           what all nodes did, by the second
     fleet_log.py backends DIR [FROM TO] the same by backend, the most failures first
@@ -34,7 +34,7 @@
                     continue
                 fields = dict(FIELD.findall(found[3]))
                 word, number = found[2], fields.get("id")
-                if word == "member":
+                if word == "endpoint":
                     uids[fields["b"]] = fields["uid"]
                 # One for each req; its key is told after its first send, so all its events share it.
                 names = reqs.setdefault(number, {}) if number else {}
@@ -71,8 +71,8 @@
     return word
 
 
-COLUMNS = ["req", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
-           "NotSent", "Refused", "Failed", "TimedOut", "gone", "call", "call-failed", "told"]
+COLUMNS = ["request", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
+           "NotSent", "Rejected", "Failed", "TimedOut", "client-disconnected", "call", "call-failed", "notified"]
 
 
 def seconds(folder):
@@ -86,7 +86,7 @@
     rows, nodes, spent = collections.defaultdict(collections.Counter), collections.defaultdict(set), collections.Counter()
     for at, node, word, fields in from_start(folder):
         uid = fields.get("uid")
-        if uid is None or word == "member" or not since <= at < until:
+        if uid is None or word == "endpoint" or not since <= at < until:
             continue
         rows[uid][kind(word, fields)] += 1
         nodes[uid].add(node)
@@ -107,7 +107,7 @@
         # The same node after a restart is told anew, which is no later news.
         node = node.split("/")[0]
         nodes.add(node)
-        if word == "member":
+        if word == "endpoint":
             told[fields["uid"], fields["state"], fields["boot_ms"]].setdefault(node, at)
     rows = []
     for (uid, state, _), times in told.items():
