--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -9,10 +9,10 @@
 
 use crate::arrival::Arrival;
 use crate::clock::{MS, SECOND};
-use crate::http1::{self, Bad, Head, MOST_ANSWER, MOST_HEAD, Parser, Start};
+use crate::http1::{self, Head, MAX_ANSWER, MAX_HEAD, ParseError, Parser, Start};
 use crate::net::{self, Registration, Unread};
 use crate::request_table::{LocalReply, RequestSpec};
-use crate::ring_buffer::{Body, Budget, Read, RingBuffer, Write};
+use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::rules::CloseFacts;
 use crate::timer_wheel::Deadline;
 
@@ -92,7 +92,7 @@
     Later,
     /// A whole message, and when its first byte can have come at the earliest.
     Message(Head, Body, Nanos),
-    Bad(Bad),
+    Bad(ParseError),
     /// The client has ended its sending.
     Ended,
     /// The connection has broken.
@@ -101,13 +101,13 @@
 
 impl Session {
     /// A connection that was accepted at `now`, and at `queued` at the earliest had come to be.
-    pub fn new(socket: OwnedFd, now: Nanos, queued: Nanos, budget: &Budget) -> Session {
+    pub fn new(socket: OwnedFd, now: Nanos, queued: Nanos, budget: &BufferBudget) -> Session {
         Session {
             socket,
             // An answer, its head, and a word of leave before it.
-            outbox: RingBuffer::new(MOST_ANSWER + 2 * MOST_HEAD).on(budget),
-            inbox: RingBuffer::new(MOST_HEAD + 1024).on(budget),
-            parser: Parser::requests().on(budget),
+            outbox: RingBuffer::new(MAX_ANSWER + 2 * MAX_HEAD).with_budget(budget),
+            inbox: RingBuffer::new(MAX_HEAD + 1024).with_budget(budget),
+            parser: Parser::requests().with_budget(budget),
             phase: Phase::Open,
             req: None,
             keep_alive: true,
@@ -168,7 +168,7 @@
     }
 
     /// Writes what it can.
-    pub fn flush(&mut self, now: Nanos) -> Write {
+    pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
         let written = self.outbox.write_to(&self.socket);
         if self.phase == Phase::Closing && self.outbox.is_empty() {
             let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
@@ -191,12 +191,12 @@
     /// Its last message is answered, and the next has come behind it.
     pub fn has_next(&self) -> bool {
         let free = self.phase == Phase::Open && self.req.is_none() && self.outbox.is_empty();
-        free && self.parser.is_fresh() && !self.inbox.is_empty()
+        free && self.parser.is_at_start() && !self.inbox.is_empty()
     }
 
     /// The inbox has no room until the current req is over and its answer written.
     pub fn is_input_full(&self) -> bool {
-        self.inbox.len() > MOST_HEAD
+        self.inbox.len() > MAX_HEAD
     }
 
     /// Reads what has come, up to a whole message. While a req is under way or an answer is not
@@ -223,32 +223,32 @@
             let was_empty = self.inbox.is_empty();
             match self.inbox.read_from(&self.socket) {
                 // One piece a round: a client that never stops must not hold the loop.
-                Read::Some if self.phase != Phase::Open => {
+                ReadOutcome::Data if self.phase != Phase::Open => {
                     let count = self.inbox.len();
                     self.inbox.consume(count);
                     return Intake::Wait;
                 }
-                Read::Some => {
+                ReadOutcome::Data => {
                     self.heard = now;
                     fresh = true;
                     if was_empty {
                         self.arrival.oldest = came;
                     }
                 }
-                Read::Dry => {
+                ReadOutcome::WouldBlock => {
                     self.arrival.emptied(now);
                     return Intake::Wait;
                 }
-                Read::Full => {
+                ReadOutcome::BufferFull => {
                     self.arrival.unread = true;
                     return Intake::Wait;
                 }
-                Read::Later => {
+                ReadOutcome::RetryLater => {
                     self.arrival.unread = true;
                     return Intake::Later;
                 }
-                Read::End => return Intake::Ended,
-                Read::Broken => return Intake::Broken,
+                ReadOutcome::EndOfStream => return Intake::Ended,
+                ReadOutcome::Broken => return Intake::Broken,
             }
         }
     }
@@ -261,16 +261,16 @@
                 self.arrival.oldest = came;
             }
             match self.inbox.read_from(&self.socket) {
-                Read::Some => {}
-                Read::Dry => {
+                ReadOutcome::Data => {}
+                ReadOutcome::WouldBlock => {
                     self.arrival.emptied(now);
                     break false;
                 }
-                Read::Full | Read::Later => {
+                ReadOutcome::BufferFull | ReadOutcome::RetryLater => {
                     self.arrival.unread = true;
-                    break net::has_left(&self.socket);
+                    break net::has_peer_closed(&self.socket);
                 }
-                Read::End | Read::Broken => break true,
+                ReadOutcome::EndOfStream | ReadOutcome::Broken => break true,
             }
         };
     }
@@ -302,7 +302,7 @@
         for _ in 0..MOST_PARTING {
             let count = self.inbox.len();
             self.inbox.consume(count);
-            if self.inbox.read_from(&self.socket) != Read::Some {
+            if self.inbox.read_from(&self.socket) != ReadOutcome::Data {
                 return;
             }
         }
@@ -343,15 +343,19 @@
         self.inbox.consume(used);
         if self.parser.awaits_body()
             && !self.leave_given
-            && self.parser.head.as_ref().is_some_and(Head::expects_leave)
+            && self
+                .parser
+                .head
+                .as_ref()
+                .is_some_and(Head::expects_continue)
         {
             // Small, and before any answer: it always fits.
             self.leave_given = self.outbox.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        if self.parser.is_fresh() && self.inbox.is_empty() {
+        if self.parser.is_at_start() && self.inbox.is_empty() {
             self.began = None;
         }
-        let (head, body) = self.parser.message()?;
+        let (head, body) = self.parser.take_message()?;
         (self.keep_alive, self.asked) = (head.keep_alive, self.asked.saturating_add(1));
         self.leave_given = false;
         Some(Intake::Message(
@@ -403,13 +407,13 @@
 }
 
 /// Status for a message that can't be read.
-pub fn status_of(bad: Bad) -> u16 {
+pub fn status_of(bad: ParseError) -> u16 {
     match bad {
-        Bad::Malformed => 400,
-        Bad::HeadTooLarge => 431,
-        Bad::BodyTooLarge => 413,
-        Bad::Version => 505,
-        Bad::NoRoom => 503,
+        ParseError::Malformed => 400,
+        ParseError::HeadTooLarge => 431,
+        ParseError::BodyTooLarge => 413,
+        ParseError::UnsupportedVersion => 505,
+        ParseError::BufferBudgetSpent => 503,
     }
 }
 
@@ -436,7 +440,7 @@
     /// What the client's own repeats of it share, for the trace.
     pub fn key(&self) -> &str {
         self.head
-            .one("idempotency-key")
+            .unique("idempotency-key")
             .ok()
             .flatten()
             .unwrap_or("-")
@@ -450,12 +454,12 @@
         let left = left_ms.to_string();
         let headers = self
             .head
-            .end_to_end()
+            .end_to_end_headers()
             .filter(|(name, _)| *name != "x-remaining-ms");
         // A client of HTTP/1.0 need not name a host; backends speak 1.1.
         let host = self
             .head
-            .one("host")
+            .unique("host")
             .is_ok_and(|host| host.is_none())
             .then_some(("host", "kitefork"));
         let headers = host
@@ -507,7 +511,10 @@
     if !matches!(method.as_str(), "GET" | "POST") {
         return Err((405, "GET, POST"));
     }
-    let header = |name| head.one(name).map_err(|_| (400, "a header stands twice"));
+    let header = |name| {
+        head.unique(name)
+            .map_err(|_| (400, "a header stands twice"))
+    };
     let place = |names: &[String], name: Option<&str>| {
         names
             .iter()
--- a/crates/node/src/client_tests.rs
+++ b/crates/node/src/client_tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::config::tests::CONFIG;
-use kitefork_settings::json::Tree;
+use kitefork_settings::json::Document;
 
 fn routed(text: &str) -> Route {
-    let tree = Tree::parse(CONFIG.as_bytes()).unwrap();
+    let tree = Document::parse(CONFIG.as_bytes()).unwrap();
     let deployment = kitefork_settings::read(&tree.root().get("settings").unwrap()).unwrap();
     let mut parser = Parser::requests();
     parser.feed(text.as_bytes()).unwrap();
-    let (head, body) = parser.message().unwrap();
+    let (head, body) = parser.take_message().unwrap();
     route(head, body, &deployment, 30 * MS)
 }
 
@@ -76,11 +76,11 @@
     );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
     let mut far = std::os::unix::net::UnixStream::from(far);
-    let mut session = Session::new(near, 0, 0, &Budget::default());
+    let mut session = Session::new(near, 0, 0, &BufferBudget::default());
     far.write_all(GOOD.as_bytes()).unwrap();
     assert!(matches!(session.read(0, 0), Intake::Message(..)));
     session.answer(0, 200, &[], b"hi", false);
-    assert!(session.flush(0) == Write::Done && far.read(&mut [0; 256]).unwrap() > 0);
+    assert!(session.flush(0) == WriteOutcome::Done && far.read(&mut [0; 256]).unwrap() > 0);
     far.write_all(GOOD.as_bytes()).unwrap();
     session.close_gracefully();
     assert_eq!(far.read(&mut [0; 256]).unwrap(), 0);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -7,8 +7,9 @@
 use std::os::unix::fs::OpenOptionsExt as _;
 
 use kitefork_settings::Deployment;
-use kitefork_settings::json::{Fault, Place, Tree};
+use kitefork_settings::json::{ConfigError, Document, JsonValue};
 use rustix::fs::OFlags;
+use thiserror::Error;
 
 use crate::discovery::Update;
 
@@ -32,29 +33,49 @@
     pub trace: bool,
 }
 
-/// Where the configuration file, read anew, has discovery. The whole file must be sound. The
+/// Why the node's configuration can't be loaded: one line that names the key or the variable.
+#[derive(Debug, Error)]
+pub enum LoadError {
+    /// The variable that names the file is not set.
+    #[error("BALANCER_CONFIG is not set")]
+    NoFile,
+    /// The file can't be read.
+    #[error("BALANCER_CONFIG: {0}")]
+    Unreadable(#[from] std::io::Error),
+    /// What the file says makes no sense.
+    #[error("configuration: {0}")]
+    Invalid(#[from] ConfigError),
+}
+
+/// Where the configuration file, read anew, has discovery. The whole file must make sense. The
 /// environment does not win here: it can't change in a running process and still has the address
-/// from the start. Nothing is waited for: a pipe that has nothing to say now is a fault.
-pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, Fault> {
+/// from the start. It never waits: a pipe that has nothing to say now can't be read.
+///
+/// # Errors
+///
+/// As [`load`].
+pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, LoadError> {
     let env = |name: &str| env(name).filter(|_| name != "BALANCER_DISCOVERY");
     load_with(env, OFlags::NONBLOCK).map(|config| config.discovery)
 }
 
-/// Reads it all; an error is one line that names the key or variable.
-pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
+/// Reads the environment and the configuration file.
+///
+/// # Errors
+///
+/// If the file can't be read, is too long, or a key is missing or makes no sense.
+pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, LoadError> {
     load_with(env, OFlags::empty())
 }
 
-fn load_with(env: impl Fn(&str) -> Option<String>, flags: OFlags) -> Result<Config, Fault> {
-    let path = env("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?;
-    let opened = OpenOptions::new()
+fn load_with(env: impl Fn(&str) -> Option<String>, flags: OFlags) -> Result<Config, LoadError> {
+    let path = env("BALANCER_CONFIG").ok_or(LoadError::NoFile)?;
+    let file = OpenOptions::new()
         .read(true)
         .custom_flags(flags.bits() as i32)
-        .open(&path);
-    let text = opened
-        .and_then(read_bounded)
-        .map_err(|e| format!("BALANCER_CONFIG: {e}"))?;
-    read(&text, env).map_err(|fault| format!("configuration: {fault}"))
+        .open(&path)?;
+    let text = read_bounded(file)?;
+    Ok(read(&text, env)?)
 }
 
 fn read_bounded(file: File) -> std::io::Result<Vec<u8>> {
@@ -66,21 +87,21 @@
     Ok(text)
 }
 
-fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
-    let tree = Tree::parse(text)?;
+fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let tree = Document::parse(text)?;
     let root = tree.root();
     let told = |variable: &str, key: &str| match env(variable) {
         Some(value) => Ok(value),
-        None => Ok::<_, Fault>(root.get(key)?.text()?.to_string()),
+        None => Ok::<_, ConfigError>(root.get(key)?.string()?.to_string()),
     };
     let address = |variable: &str, key: &str| {
         let value = told(variable, key)?;
         value
             .parse()
-            .map_err(|_| format!("field `{key}`: `{value}` is not an address and a port"))
+            .map_err(|_| root.invalid_at(key, format!("`{value}` is not an address and a port")))
     };
     let limit = |key, default| match root.find("limits") {
-        Some(limits) => limits.or(key, default, Place::narrow),
+        Some(limits) => limits.get_or(key, default, JsonValue::small_integer),
         None => Ok(default),
     };
     let seed = root.get("seed")?;
@@ -91,14 +112,14 @@
         .iter()
         .any(|class| class.streamed)
     {
-        return Err(root.bad_at(
+        return Err(root.invalid_at(
             "settings.grades",
             "streamed classes are not carried by this node",
         ));
     }
     let sockets: usize = limit("sockets", 1024)?;
     if sockets < LEAST_SOCKETS {
-        return Err(root.bad_at(
+        return Err(root.invalid_at(
             "limits.sockets",
             &format!("must be {LEAST_SOCKETS} or more"),
         ));
@@ -107,7 +128,8 @@
         name: told("BALANCER_NAME", "name")?,
         listen: address("BALANCER_LISTEN", "listen")?,
         discovery: address("BALANCER_DISCOVERY", "discovery")?,
-        seed: u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.bad("must be hexadecimal"))?,
+        seed: u64::from_str_radix(seed.string()?, 16)
+            .map_err(|_| seed.invalid("must be hexadecimal"))?,
         sockets,
         memory_mb: limit("memory_mb", 192)?,
         known: root
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -74,6 +74,6 @@
         let fault = read(CONFIG.replace(old, new).as_bytes(), |_| None)
             .err()
             .unwrap();
-        assert!(fault.contains(wanted), "{fault}");
+        assert!(fault.to_string().contains(wanted), "{fault}");
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,12 +9,13 @@
 use kitefork_balancer::{
     BackendId, CellId, Endpoint, EndpointState, Event, KindId, Nanos, UpdateKind, ZoneId,
 };
-use kitefork_settings::json::{Fault, Place, Tree};
+use kitefork_settings::json::{ConfigError, Document, JsonValue};
+use thiserror::Error;
 
 use crate::clock::{MS, SECOND};
-use crate::http1::{self, Parser, Start};
+use crate::http1::{self, ParseError, Parser, Start};
 use crate::net::Registration;
-use crate::ring_buffer::{Read, RingBuffer};
+use crate::ring_buffer::{ReadOutcome, RingBuffer};
 use crate::start_time::{Heard, StartTimes};
 use crate::timer_wheel::Deadline;
 
@@ -64,45 +65,45 @@
 }
 
 impl Update {
-    pub fn parse(text: &[u8]) -> Result<Update, Fault> {
-        Update::read(&Tree::parse(text)?.root())
+    pub fn parse(text: &[u8]) -> Result<Update, ConfigError> {
+        Update::read(&Document::parse(text)?.root())
     }
 
-    pub fn read(root: &Place) -> Result<Update, Fault> {
-        let entries = root.get("targets")?.list()?;
+    pub fn read(root: &JsonValue) -> Result<Update, ConfigError> {
+        let entries = root.get("targets")?.array()?;
         Ok(Update {
-            rev: root.get("rev")?.whole()?,
-            all: root.get("all")?.flag()?,
+            rev: root.get("rev")?.integer()?,
+            all: root.get("all")?.boolean()?,
             entries: entries.iter().map(Entry::read).collect::<Result<_, _>>()?,
         })
     }
 }
 
 impl Entry {
-    fn read(place: &Place) -> Result<Entry, Fault> {
+    fn read(place: &JsonValue) -> Result<Entry, ConfigError> {
         let word = place.get("state")?;
-        let state = match word.text()? {
+        let state = match word.string()? {
             "Ready" => EndpointState::Ready,
             "Terminating" => EndpointState::Draining,
             "Gone" => EndpointState::Removed,
-            _ => return Err(word.bad("unknown state")),
+            _ => return Err(word.invalid("unknown state")),
         };
         let endpoint = place
             .find("endpoint")
-            .map(|e| e.text()?.parse().map_err(|_| e.bad("not an address")));
+            .map(|e| e.string()?.parse().map_err(|_| e.invalid("not an address")));
         let endpoint = endpoint.transpose()?;
         if endpoint.is_none() && state == EndpointState::Ready {
-            return Err(place.bad("a ready backend needs an `endpoint`"));
+            return Err(place.invalid("a ready backend needs an `endpoint`"));
         }
         Ok(Entry {
-            uid: place.get("uid")?.text()?.to_string(),
+            uid: place.get("uid")?.string()?.to_string(),
             endpoint,
-            zone: place.or("az", "", Place::text)?.to_string(),
-            kind: place.or("model", "", Place::text)?.to_string(),
-            cell: place.or("pod_group", 0, Place::narrow)?,
+            zone: place.get_or("az", "", JsonValue::string)?.to_string(),
+            kind: place.get_or("model", "", JsonValue::string)?.to_string(),
+            cell: place.get_or("pod_group", 0, JsonValue::small_integer)?,
             state,
-            weight: place.or("capacity_hint", 1.0, Place::number)? as f32,
-            boot_ms: place.or("boot_ms", 0, Place::whole)?,
+            weight: place.get_or("capacity_hint", 1.0, JsonValue::number)? as f32,
+            boot_ms: place.get_or("boot_ms", 0, JsonValue::integer)?,
         })
     }
 }
@@ -373,6 +374,38 @@
     pub registration: Registration,
 }
 
+/// Why a call to discovery is over; the text is what the log says.
+#[derive(Debug, Error)]
+pub enum CallEnd {
+    /// It has brought the whole list.
+    #[error("done")]
+    Complete,
+    /// Nothing has come for too long.
+    #[error("silent for too long")]
+    Silent,
+    /// The connection ended or broke.
+    #[error("the connection ended")]
+    Disconnected,
+    /// The head of the answer is too long.
+    #[error("a head without end")]
+    EndlessHead,
+    /// The answer is no HTTP.
+    #[error("{0:?} answer")]
+    Malformed(ParseError),
+    /// Another answer than 200.
+    #[error("answered {0:?}")]
+    Refused(Start),
+    /// The answer to a watch is complete, which it never should be.
+    #[error("the watch ended")]
+    WatchEnded,
+    /// The answer has no body.
+    #[error("no answer")]
+    NoBody,
+    /// The answer is no endpoint list.
+    #[error(transparent)]
+    Invalid(#[from] ConfigError),
+}
+
 /// What a call has brought.
 #[derive(Debug, Default)]
 pub struct News {
@@ -380,7 +413,7 @@
     /// A whole object has come, or an empty line.
     pub spoke: bool,
     /// The call is over, and why.
-    pub over: Option<String>,
+    pub over: Option<CallEnd>,
     /// It ended as it should.
     pub well: bool,
     /// The machine lacks something for a moment: read again a little later.
@@ -402,7 +435,9 @@
             None,
         ));
         debug_assert!(sent, "a call fits its ring");
-        let parser = Parser::responses().with_most_body(MOST_LIST).open_ended();
+        let parser = Parser::responses()
+            .with_most_body(MOST_LIST)
+            .allow_close_delimited();
         Call {
             socket,
             watch,
@@ -433,40 +468,41 @@
                 break;
             }
             match self.inbox.read_from(&self.socket) {
-                Read::Some => {
+                ReadOutcome::Data => {
                     self.heard = now;
                     if let Err(fault) = self.take(&mut news) {
                         news.over = Some(fault);
                     }
                 }
-                Read::Dry => break,
-                Read::Later => {
+                ReadOutcome::WouldBlock => break,
+                ReadOutcome::RetryLater => {
                     news.later = true;
                     break;
                 }
-                Read::End | Read::Broken if self.parser.end() && !self.watch => {
+                ReadOutcome::EndOfStream | ReadOutcome::Broken
+                    if self.parser.end_of_input() && !self.watch =>
+                {
                     if let Err(fault) = self.whole(&mut news) {
                         news.over = Some(fault);
                     }
                 }
-                Read::End | Read::Broken => news.over = Some("the connection ended".into()),
-                Read::Full => news.over = Some("a head without end".into()),
+                ReadOutcome::EndOfStream | ReadOutcome::Broken => {
+                    news.over = Some(CallEnd::Disconnected)
+                }
+                ReadOutcome::BufferFull => news.over = Some(CallEnd::EndlessHead),
             }
         }
         news
     }
 
-    fn take(&mut self, news: &mut News) -> Result<(), Fault> {
+    fn take(&mut self, news: &mut News) -> Result<(), CallEnd> {
         let bytes = self.inbox.bytes();
-        let used = self
-            .parser
-            .feed(bytes)
-            .map_err(|bad| format!("{bad:?} answer"))?;
+        let used = self.parser.feed(bytes).map_err(CallEnd::Malformed)?;
         self.inbox.consume(used);
         match self.parser.head.as_ref().map(|head| &head.start) {
             None => return Ok(()),
             Some(Start::Response { status: 200 }) => {}
-            Some(start) => return Err(format!("answered {start:?}")),
+            Some(start) => return Err(CallEnd::Refused(start.clone())),
         }
         if self.watch {
             while let Some(end) = self.scan.end(&self.parser.body) {
@@ -485,13 +521,13 @@
         }
     }
 
-    fn whole(&mut self, news: &mut News) -> Result<(), Fault> {
+    fn whole(&mut self, news: &mut News) -> Result<(), CallEnd> {
         if self.watch {
-            return Err("the watch ended".into());
+            return Err(CallEnd::WatchEnded);
         }
-        let (_, body) = self.parser.message().ok_or("no answer")?;
+        let (_, body) = self.parser.take_message().ok_or(CallEnd::NoBody)?;
         news.updates.push(Update::parse(&body)?);
-        (news.over, news.well, news.spoke) = (Some("done".into()), true, true);
+        (news.over, news.well, news.spoke) = (Some(CallEnd::Complete), true, true);
         Ok(())
     }
 }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -8,9 +8,9 @@
 use rustix::net::sockopt;
 
 use crate::clock::{MS, SECOND};
-use crate::http1::{Head, MOST_BODY, MOST_HEAD, Parser, Start};
+use crate::http1::{Head, MAX_BODY, MAX_HEAD, Parser, Start};
 use crate::net::{self, Registration, Unread};
-use crate::ring_buffer::{Body, Budget, Read, RingBuffer, Write};
+use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
 /// Once some backend has said more than it was asked, for so long ...
@@ -89,7 +89,7 @@
 }
 
 impl Fetch {
-    pub fn new(socket: OwnedFd, backend: BackendId, budget: &Budget) -> Fetch {
+    pub fn new(socket: OwnedFd, backend: BackendId, budget: &BufferBudget) -> Fetch {
         Fetch {
             socket,
             backend,
@@ -99,11 +99,13 @@
             write_by: Nanos::MAX,
             waited_for_news: false,
             // A head as long as a client's, and what the node adds to it.
-            outbox: RingBuffer::new(MOST_BODY + 2 * MOST_HEAD).on(budget),
-            inbox: RingBuffer::new(MOST_HEAD + 1024).on(budget),
+            outbox: RingBuffer::new(MAX_BODY + 2 * MAX_HEAD).with_budget(budget),
+            inbox: RingBuffer::new(MAX_HEAD + 1024).with_budget(budget),
             // An answer may have neither length nor chunks: an orderly end of the connection makes
             // it whole, a reset does not.
-            parser: Parser::responses().open_ended().on(budget),
+            parser: Parser::responses()
+                .allow_close_delimited()
+                .with_budget(budget),
             deadline: Deadline::new(),
             registration: Registration::default(),
         }
@@ -147,15 +149,17 @@
         let written = if self.phase == Phase::Sending {
             self.outbox.write_to(&self.socket)
         } else {
-            Write::Done
+            WriteOutcome::Done
         };
         if self.phase == Phase::Sending && self.outbox.is_empty() {
             self.phase = Phase::Waiting;
         }
         // A backend that turns a request away may answer and close before it has read all of it.
         match self.read() {
-            Progress::Going if written == Write::Broken => Progress::Failed(Outcome::ConnectFailed),
-            Progress::Going if written == Write::Later => Progress::Later,
+            Progress::Going if written == WriteOutcome::Broken => {
+                Progress::Failed(Outcome::ConnectFailed)
+            }
+            Progress::Going if written == WriteOutcome::RetryLater => Progress::Later,
             other => other,
         }
     }
@@ -164,23 +168,25 @@
         loop {
             let ended = match self.inbox.read_from(&self.socket) {
                 // Bytes that nobody asked for.
-                Read::Some if self.phase == Phase::Idle => return Progress::Stale(Reuse::Doubled),
-                Read::Some => false,
-                Read::Dry | Read::Full => return Progress::Going,
-                Read::Later => return Progress::Later,
-                Read::End if self.phase == Phase::Idle => return self.gone(),
-                Read::End => true,
-                Read::Broken => return self.gone(),
+                ReadOutcome::Data if self.phase == Phase::Idle => {
+                    return Progress::Stale(Reuse::Doubled);
+                }
+                ReadOutcome::Data => false,
+                ReadOutcome::WouldBlock | ReadOutcome::BufferFull => return Progress::Going,
+                ReadOutcome::RetryLater => return Progress::Later,
+                ReadOutcome::EndOfStream if self.phase == Phase::Idle => return self.gone(),
+                ReadOutcome::EndOfStream => true,
+                ReadOutcome::Broken => return self.gone(),
             };
             let used = match self.parser.feed(self.inbox.bytes()) {
                 Ok(used) => used,
                 Err(_) => return Progress::Failed(self.broken(Outcome::Reset)),
             };
             self.inbox.consume(used);
-            if ended && !self.parser.end() {
+            if ended && !self.parser.end_of_input() {
                 return self.gone();
             }
-            if let Some((head, body)) = self.parser.message() {
+            if let Some((head, body)) = self.parser.take_message() {
                 let whole = self.phase == Phase::Waiting;
                 // It can't be the answer to what is not sent yet, whoever's it is.
                 if !whole && outcome(&head) == Outcome::Success {
@@ -188,13 +194,13 @@
                 }
                 // What comes behind an answer would be taken for the next one.
                 let behind = if ended {
-                    Read::End
+                    ReadOutcome::EndOfStream
                 } else {
                     self.inbox.read_from(&self.socket)
                 };
                 let reuse = match behind {
                     _ if !self.inbox.is_empty() => Reuse::Doubled,
-                    Read::Dry if head.keep_alive && whole => Reuse::Yes,
+                    ReadOutcome::WouldBlock if head.keep_alive && whole => Reuse::Yes,
                     _ => Reuse::No,
                 };
                 return Progress::Answered(head, body, reuse);
@@ -229,7 +235,7 @@
             status: 408 | 425 | 429,
         } => Outcome::Error,
         Start::Response { status: 400..=499 } => Outcome::BadRequest,
-        Start::Response { status: 503 | 504 } if head.one("x-turned-away") == Ok(Some("1")) => {
+        Start::Response { status: 503 | 504 } if head.unique("x-turned-away") == Ok(Some("1")) => {
             Outcome::Overloaded
         }
         _ => Outcome::Error,
--- a/crates/node/src/fetch_tests.rs
+++ b/crates/node/src/fetch_tests.rs
@@ -13,7 +13,7 @@
         SocketFlags::NONBLOCK,
     );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
-    let mut fetch = Fetch::new(near, BackendId(1), &Budget::default());
+    let mut fetch = Fetch::new(near, BackendId(1), &BufferBudget::default());
     fetch.phase = Phase::Sending;
     assert!(fetch.outbox.push(b"GET / HTTP/1.1\r\n\r\n"));
     assert!(matches!(fetch.go_on(true), Progress::Going));
@@ -134,7 +134,7 @@
     let (mut fetch, mut far) = waiting();
     fetch.phase = Phase::Sending;
     sockopt::set_socket_send_buffer_size(&fetch.socket, 4096).unwrap();
-    assert!(fetch.outbox.push(&[b'x'; MOST_BODY]));
+    assert!(fetch.outbox.push(&[b'x'; MAX_BODY]));
     far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         .unwrap();
     assert!(matches!(
--- a/crates/node/src/http1.rs
+++ b/crates/node/src/http1.rs
@@ -1,13 +1,13 @@
 //! HTTP/1.1 as bytes: a parser that is fed what has come, and a writer. No sockets, no clock.
 //! Strict where a lenient reader would let two parties see two different messages.
 
-use crate::ring_buffer::{Body, Budget};
+use crate::ring_buffer::{Body, BufferBudget};
 
 /// Longest head, and longest bodies that a request and an answer may have. Answers have been seen
 /// that are several times as long as the 64 KiB of the protocol.
-pub const MOST_HEAD: usize = 16 * 1024;
-pub const MOST_BODY: usize = 64 * 1024;
-pub const MOST_ANSWER: usize = 2 * 1024 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_ANSWER: usize = 2 * 1024 * 1024;
 /// Interim answers before one answer.
 const MOST_INTERIM: u32 = 16;
 const MOST_HEADERS: usize = 100;
@@ -16,13 +16,13 @@
 
 /// Why a message can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+pub enum ParseError {
     Malformed,
     HeadTooLarge,
     BodyTooLarge,
-    Version,
+    UnsupportedVersion,
     /// The budget for what is buffered is spent.
-    NoRoom,
+    BufferBudgetSpent,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 impl Head {
     /// The value of a header that stands there once; twice is `Err`.
-    pub fn one(&self, name: &str) -> Result<Option<&str>, Bad> {
+    pub fn unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
         let mut found = self
             .headers
             .iter()
@@ -51,7 +51,7 @@
             .map(|h| h.1.as_str());
         let first = found.next();
         if found.next().is_some() {
-            Err(Bad::Malformed)
+            Err(ParseError::Malformed)
         } else {
             Ok(first)
         }
@@ -65,12 +65,12 @@
     }
 
     /// The client waits for leave to send its body.
-    pub fn expects_leave(&self) -> bool {
+    pub fn expects_continue(&self) -> bool {
         self.lists("expect", "100-continue")
     }
 
     /// The headers that concern both ends, not one connection.
-    pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &str)> {
+    pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &str)> {
         const HOP: [&str; 10] = [
             "connection",
             "keep-alive",
@@ -121,7 +121,7 @@
         let state = State::Head { scanned: 0 };
         Parser {
             requests: true,
-            most_body: MOST_BODY,
+            most_body: MAX_BODY,
             open_ended: false,
             interim: 0,
             state,
@@ -133,7 +133,7 @@
     pub fn responses() -> Parser {
         Parser {
             requests: false,
-            most_body: MOST_ANSWER,
+            most_body: MAX_ANSWER,
             ..Parser::requests()
         }
     }
@@ -144,7 +144,7 @@
 
     /// Takes an answer that ends with its connection too. A cut can't be told from its end, so this
     /// is only for what shows by itself whether it is whole.
-    pub fn open_ended(self) -> Parser {
+    pub fn allow_close_delimited(self) -> Parser {
         Parser {
             open_ended: true,
             ..self
@@ -152,15 +152,15 @@
     }
 
     /// Bodies are counted on a budget.
-    pub fn on(self, budget: &Budget) -> Parser {
+    pub fn with_budget(self, budget: &BufferBudget) -> Parser {
         Parser {
-            body: Body::on(budget),
+            body: Body::with_budget(budget),
             ..self
         }
     }
 
     /// Takes what it can of `input`; tells how much, and stops at the end of a message.
-    pub fn feed(&mut self, input: &[u8]) -> Result<usize, Bad> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<usize, ParseError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
@@ -175,16 +175,16 @@
                     }
                     let from = scanned.min(rest.len()).saturating_sub(3);
                     let Some(end) = find(&rest[from..], b"\r\n\r\n").map(|at| from + at + 4) else {
-                        if rest.len() > MOST_HEAD {
-                            return Err(Bad::HeadTooLarge);
+                        if rest.len() > MAX_HEAD {
+                            return Err(ParseError::HeadTooLarge);
                         }
                         self.state = State::Head {
                             scanned: rest.len(),
                         };
                         return Ok(used);
                     };
-                    if end > MOST_HEAD {
-                        return Err(Bad::HeadTooLarge);
+                    if end > MAX_HEAD {
+                        return Err(ParseError::HeadTooLarge);
                     }
                     let head = parse_head(&rest[..end - 2], self.requests)?;
                     used += end;
@@ -192,7 +192,7 @@
                     if matches!(head.start, Start::Response { status: 100..=199 }) {
                         self.interim += 1;
                         if self.interim > MOST_INTERIM {
-                            return Err(Bad::Malformed);
+                            return Err(ParseError::Malformed);
                         }
                         self.state = State::Head { scanned: 0 };
                         continue;
@@ -230,18 +230,18 @@
                         return Ok(used);
                     }
                     if !rest.starts_with(b"\r\n") {
-                        return Err(Bad::Malformed);
+                        return Err(ParseError::Malformed);
                     }
                     used += 2;
                     self.state = State::ChunkSize;
                 }
                 State::Trailer(read) => {
-                    let Some(line) = line(rest, MOST_HEAD)? else {
+                    let Some(line) = line(rest, MAX_HEAD)? else {
                         return Ok(used);
                     };
                     used += line.len() + 2;
-                    if read + line.len() > MOST_HEAD {
-                        return Err(Bad::HeadTooLarge);
+                    if read + line.len() > MAX_HEAD {
+                        return Err(ParseError::HeadTooLarge);
                     }
                     self.state = if line.is_empty() {
                         State::Done
@@ -257,39 +257,39 @@
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(), Bad> {
+    fn take(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
         if self.body.len() + bytes.len() > self.most_body {
-            return Err(Bad::BodyTooLarge);
+            return Err(ParseError::BodyTooLarge);
         }
         if self.body.extend(bytes) {
             Ok(())
         } else {
-            Err(Bad::NoRoom)
+            Err(ParseError::BufferBudgetSpent)
         }
     }
 
     /// How the body is framed. Both length and chunks, lengths that differ, or codings other than
     /// chunks are refused: they are how requests are smuggled past a proxy.
-    fn framing(&self, head: &Head) -> Result<State, Bad> {
-        let length = head.one("content-length")?;
-        match (head.one("transfer-encoding")?, length) {
-            (Some(_), Some(_)) => Err(Bad::Malformed),
+    fn framing(&self, head: &Head) -> Result<State, ParseError> {
+        let length = head.unique("content-length")?;
+        match (head.unique("transfer-encoding")?, length) {
+            (Some(_), Some(_)) => Err(ParseError::Malformed),
             (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(State::ChunkSize),
-            (Some(_), None) => Err(Bad::Malformed),
+            (Some(_), None) => Err(ParseError::Malformed),
             (None, Some(length)) => {
                 if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-                    return Err(Bad::Malformed);
+                    return Err(ParseError::Malformed);
                 }
                 match length.parse::<usize>() {
                     Ok(0) => Ok(State::Done),
                     Ok(size) if size <= self.most_body => Ok(State::Length(size)),
-                    _ => Err(Bad::BodyTooLarge),
+                    _ => Err(ParseError::BodyTooLarge),
                 }
             }
             (None, None) => match head.start {
                 Start::Request { .. } | Start::Response { status: 204 | 304 } => Ok(State::Done),
                 Start::Response { .. } if self.open_ended => Ok(State::UntilEnd),
-                Start::Response { .. } => Err(Bad::Malformed),
+                Start::Response { .. } => Err(ParseError::Malformed),
             },
         }
     }
@@ -300,7 +300,7 @@
     }
 
     /// Nothing of a message has come yet.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_at_start(&self) -> bool {
         matches!(self.state, State::Head { scanned: 0 })
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// The other side has ended its sending: tells whether that completes the message.
-    pub fn end(&mut self) -> bool {
+    pub fn end_of_input(&mut self) -> bool {
         if matches!(self.state, State::UntilEnd) {
             self.state = State::Done;
         }
@@ -318,7 +318,7 @@
     }
 
     /// Hands out a whole message and starts on the next.
-    pub fn message(&mut self) -> Option<(Head, Body)> {
+    pub fn take_message(&mut self) -> Option<(Head, Body)> {
         let head = if self.is_done() {
             self.head.take()
         } else {
@@ -336,25 +336,25 @@
 }
 
 /// A line without its end; `None` while its end has not come.
-fn line(input: &[u8], most: usize) -> Result<Option<&[u8]>, Bad> {
+fn line(input: &[u8], most: usize) -> Result<Option<&[u8]>, ParseError> {
     match find(input, b"\r\n") {
         Some(end) if end <= most => Ok(Some(&input[..end])),
         None if input.len() <= most => Ok(None),
-        _ => Err(Bad::Malformed),
+        _ => Err(ParseError::Malformed),
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, Bad> {
+fn chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let digits = line
         .split(|b| *b == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii_end();
     if digits.is_empty() || digits.len() > 8 || !digits.iter().all(u8::is_ascii_hexdigit) {
-        return Err(Bad::Malformed);
+        return Err(ParseError::Malformed);
     }
-    let text = std::str::from_utf8(digits).map_err(|_| Bad::Malformed)?;
-    usize::from_str_radix(text, 16).map_err(|_| Bad::Malformed)
+    let text = std::str::from_utf8(digits).map_err(|_| ParseError::Malformed)?;
+    usize::from_str_radix(text, 16).map_err(|_| ParseError::Malformed)
 }
 
 fn is_token(text: &str) -> bool {
@@ -364,8 +364,8 @@
             .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
 
-fn parse_head(bytes: &[u8], request: bool) -> Result<Head, Bad> {
-    let text = std::str::from_utf8(bytes).map_err(|_| Bad::Malformed)?;
+fn parse_head(bytes: &[u8], request: bool) -> Result<Head, ParseError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| ParseError::Malformed)?;
     // Neither a lone CR or LF nor another control character may pass: others may take it for a
     // line's end.
     let mut lines = text.split_terminator("\r\n");
@@ -373,7 +373,7 @@
         .clone()
         .any(|line| line.bytes().any(|b| b.is_ascii_control() && b != b'\t'))
     {
-        return Err(Bad::Malformed);
+        return Err(ParseError::Malformed);
     }
     let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
     let mut part = || parts.next().unwrap_or_default();
@@ -381,7 +381,7 @@
     let (start, version) = if request {
         let sound = is_token(first) && second.starts_with('/') && !third.contains(' ');
         if !sound {
-            return Err(Bad::Malformed);
+            return Err(ParseError::Malformed);
         }
         (
             Start::Request {
@@ -396,14 +396,14 @@
             .parse()
             .ok()
             .filter(|_| digits)
-            .ok_or(Bad::Malformed)?;
+            .ok_or(ParseError::Malformed)?;
         (Start::Response { status }, first)
     };
     let modern = match version {
         "HTTP/1.1" => true,
         "HTTP/1.0" => false,
-        other if other.starts_with("HTTP/") => return Err(Bad::Version),
-        _ => return Err(Bad::Malformed),
+        other if other.starts_with("HTTP/") => return Err(ParseError::UnsupportedVersion),
+        _ => return Err(ParseError::Malformed),
     };
     let mut headers = Vec::new();
     for line in lines {
@@ -411,9 +411,9 @@
         let (name, value) = line
             .split_once(':')
             .filter(|(name, _)| is_token(name))
-            .ok_or(Bad::Malformed)?;
+            .ok_or(ParseError::Malformed)?;
         if headers.len() == MOST_HEADERS {
-            return Err(Bad::HeadTooLarge);
+            return Err(ParseError::HeadTooLarge);
         }
         headers.push((
             name.to_ascii_lowercase(),
@@ -430,8 +430,8 @@
     } else if head.lists("connection", "keep-alive") {
         head.keep_alive = true;
     }
-    if request && modern && head.one("host")?.is_none() {
-        return Err(Bad::Malformed);
+    if request && modern && head.unique("host")?.is_none() {
+        return Err(ParseError::Malformed);
     }
     Ok(head)
 }
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 /// Feeds byte by byte, as the worst of networks would, then in one piece: both must agree.
-fn read(mut parser: impl FnMut() -> Parser, input: &str) -> Result<Option<(Head, String)>, Bad> {
+fn read(
+    mut parser: impl FnMut() -> Parser,
+    input: &str,
+) -> Result<Option<(Head, String)>, ParseError> {
     let run = |mut parser: Parser, step: usize| {
         let (mut held, mut fed) = (Vec::new(), 0);
         while fed < input.len() && !parser.is_done() {
@@ -14,11 +17,11 @@
             held.drain(..used);
         }
         Ok(parser
-            .message()
+            .take_message()
             .map(|(head, body)| (head, String::from_utf8(body.to_vec()).unwrap())))
     };
     let (slow, fast) = (run(parser(), 1), run(parser(), input.len()));
-    let plain = |found: &Result<Option<(Head, String)>, Bad>| match found {
+    let plain = |found: &Result<Option<(Head, String)>, ParseError>| match found {
         Ok(message) => Ok(message.as_ref().map(|m| m.1.clone())),
         Err(bad) => Err(*bad),
     };
@@ -26,7 +29,7 @@
     fast
 }
 
-fn request(input: &str) -> Result<Option<(Head, String)>, Bad> {
+fn request(input: &str) -> Result<Option<(Head, String)>, ParseError> {
     read(Parser::requests, input)
 }
 
@@ -45,7 +48,7 @@
         }
     );
     assert_eq!(
-        (head.one("x-txn"), head.keep_alive, body.as_str()),
+        (head.unique("x-txn"), head.keep_alive, body.as_str()),
         (Ok(Some("b")), true, "abc")
     );
     let chunked = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\
@@ -54,10 +57,10 @@
     let (head, body) = read(Parser::responses, chunked).unwrap().unwrap();
     assert_eq!((head.keep_alive, body.as_str()), (false, "abcde"));
     let plain = b"HTTP/1.0 200 OK\r\n\r\nabc";
-    assert_eq!(Parser::responses().feed(plain), Err(Bad::Malformed));
-    let mut until_end = Parser::responses().open_ended();
+    assert_eq!(Parser::responses().feed(plain), Err(ParseError::Malformed));
+    let mut until_end = Parser::responses().allow_close_delimited();
     until_end.feed(plain).unwrap();
-    assert!(!until_end.is_done() && until_end.end());
+    assert!(!until_end.is_done() && until_end.end_of_input());
     assert!(request("GET / HTTP/1.1\r\nHost: a\r\n").unwrap().is_none());
 }
 
@@ -66,36 +69,45 @@
     for (headers, bad) in [
         (
             "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
-            Bad::Malformed,
+            ParseError::Malformed,
         ),
-        ("Content-Length: 3\r\nContent-Length: 4\r\n", Bad::Malformed),
-        ("Content-Length: +3\r\n", Bad::Malformed),
-        ("Content-Length: 3, 3\r\n", Bad::Malformed),
-        ("Transfer-Encoding: gzip, chunked\r\n", Bad::Malformed),
-        ("Transfer-Encoding : chunked\r\n", Bad::Malformed),
-        ("A: b\r\n c\r\n", Bad::Malformed),
-        ("A: b\nC: d\r\n", Bad::Malformed),
-        ("Host: b\r\n", Bad::Malformed),
-        ("Content-Length: 65537\r\n", Bad::BodyTooLarge),
+        (
+            "Content-Length: 3\r\nContent-Length: 4\r\n",
+            ParseError::Malformed,
+        ),
+        ("Content-Length: +3\r\n", ParseError::Malformed),
+        ("Content-Length: 3, 3\r\n", ParseError::Malformed),
+        (
+            "Transfer-Encoding: gzip, chunked\r\n",
+            ParseError::Malformed,
+        ),
+        ("Transfer-Encoding : chunked\r\n", ParseError::Malformed),
+        ("A: b\r\n c\r\n", ParseError::Malformed),
+        ("A: b\nC: d\r\n", ParseError::Malformed),
+        ("Host: b\r\n", ParseError::Malformed),
+        ("Content-Length: 65537\r\n", ParseError::BodyTooLarge),
         (
             "Content-Length: 99999999999999999999999\r\n",
-            Bad::BodyTooLarge,
+            ParseError::BodyTooLarge,
+        ),
+        (
+            &format!("A: {}\r\n", "x".repeat(MAX_HEAD)),
+            ParseError::HeadTooLarge,
         ),
         (
-            &format!("A: {}\r\n", "x".repeat(MOST_HEAD)),
-            Bad::HeadTooLarge,
+            &"A: b\r\n".repeat(MOST_HEADERS + 1),
+            ParseError::HeadTooLarge,
         ),
-        (&"A: b\r\n".repeat(MOST_HEADERS + 1), Bad::HeadTooLarge),
     ] {
         let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
         assert_eq!(found.err(), Some(bad), "{headers:.60}");
     }
     for (first, bad) in [
-        ("GET /api HTTP/2.0", Bad::Version),
-        ("GET /api", Bad::Malformed),
-        ("GET  /api HTTP/1.1", Bad::Malformed),
-        ("GET api HTTP/1.1", Bad::Malformed),
-        ("G(T /api HTTP/1.1", Bad::Malformed),
+        ("GET /api HTTP/2.0", ParseError::UnsupportedVersion),
+        ("GET /api", ParseError::Malformed),
+        ("GET  /api HTTP/1.1", ParseError::Malformed),
+        ("GET api HTTP/1.1", ParseError::Malformed),
+        ("G(T /api HTTP/1.1", ParseError::Malformed),
     ] {
         assert_eq!(
             request(&format!("{first}\r\nHost: a\r\n\r\n")).err(),
@@ -107,7 +119,7 @@
     for body in ["x\r\n", "-1\r\n", "FFFFFFFFF\r\n", "1\r\nabc"] {
         assert_eq!(
             request(&format!("{chunks}{body}")).err(),
-            Some(Bad::Malformed),
+            Some(ParseError::Malformed),
             "{body}"
         );
     }
@@ -117,7 +129,7 @@
     )
     .repeat(1)
         + &("8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n").repeat(2);
-    assert_eq!(request(&flood).err(), Some(Bad::BodyTooLarge));
+    assert_eq!(request(&flood).err(), Some(ParseError::BodyTooLarge));
 }
 
 #[test]
@@ -128,7 +140,7 @@
     .unwrap()
     .unwrap();
     assert_eq!(
-        head.end_to_end().collect::<Vec<_>>(),
+        head.end_to_end_headers().collect::<Vec<_>>(),
         [("host", "a"), ("x-txn", "t")]
     );
     assert_eq!(
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -56,7 +56,7 @@
 /// nobody reads must not hold up the loop, and one whose reader has gone must not end the node.
 fn write(line: &str) {
     let stderr = std::io::stderr();
-    let has_room = || net::is_now(&stderr, PollFlags::OUT).unwrap_or(false);
+    let has_room = || net::is_ready(&stderr, PollFlags::OUT).unwrap_or(false);
     let dropped = DROPPED.load(Ordering::Relaxed);
     if dropped > 0 && has_room() {
         write_now(&format!("kitefork: log-dropped lines={dropped}\n"));
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -44,7 +44,7 @@
     };
     let config = match config::load(|name| std::env::var(name).ok()) {
         Ok(config) => config,
-        Err(why) => return fault(2, why),
+        Err(why) => return fault(2, why.to_string()),
     };
     match node::Node::start(config, signals).and_then(node::Node::run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -17,7 +17,7 @@
 const FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
 /// Clients that the kernel lets wait to be accepted.
-pub const QUEUE: i32 = 1024;
+pub const ACCEPT_BACKLOG: i32 = 1024;
 
 fn stream(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let family = if address.is_ipv4() {
@@ -33,7 +33,7 @@
     // A node that starts again must not wait for the old one's connections to fade.
     sockopt::set_socket_reuseaddr(&socket, true)?;
     bind(&socket, &address)?;
-    listen(&socket, QUEUE)?;
+    listen(&socket, ACCEPT_BACKLOG)?;
     Ok(socket)
 }
 
@@ -44,7 +44,7 @@
 const START_PAUSE: Duration = Duration::from_millis(10);
 
 /// Calls again while the machine lacks something for a moment. Only for the start: it waits.
-pub fn patiently<T>(mut call: impl FnMut() -> Result<T, Errno>) -> Result<T, Errno> {
+pub fn retry_at_start<T>(mut call: impl FnMut() -> Result<T, Errno>) -> Result<T, Errno> {
     for _ in 1..START_TRIES {
         match call() {
             Err(error) if errno::of_connect(error) == ErrorClass::RetryLater => {}
@@ -65,8 +65,8 @@
 
 /// Whether the other side has ended its sending or reset the connection, whatever still lies
 /// unread. Where that can't be told for a moment: no.
-pub fn has_left(socket: &OwnedFd) -> bool {
-    is_now(socket, PollFlags::RDHUP).unwrap_or(false)
+pub fn has_peer_closed(socket: &OwnedFd) -> bool {
+    is_ready(socket, PollFlags::RDHUP).unwrap_or(false)
 }
 
 /// What lies in a connection that nobody has read.
@@ -100,11 +100,11 @@
 
 /// Whether a client waits to be accepted.
 pub fn has_client(listener: &OwnedFd) -> Result<bool, Errno> {
-    is_now(listener, PollFlags::IN)
+    is_ready(listener, PollFlags::IN)
 }
 
 /// Whether any of these, an error or an end is to be seen on a descriptor, without waiting for it.
-pub fn is_now(socket: impl AsFd, wanted: PollFlags) -> Result<bool, Errno> {
+pub fn is_ready(socket: impl AsFd, wanted: PollFlags) -> Result<bool, Errno> {
     let mut look = [PollFd::new(&socket, wanted)];
     let none = Timespec {
         tv_sec: 0,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -25,7 +25,7 @@
 use crate::log::{Log, Trace};
 use crate::net;
 use crate::request_table::{Command, RequestTable};
-use crate::ring_buffer::Budget;
+use crate::ring_buffer::BufferBudget;
 use crate::rules::{Denial, Violation};
 use crate::signals::Signal;
 use crate::slab::Slab;
@@ -136,7 +136,7 @@
     /// SIGKILL is due: the process ends whatever is open.
     quit: bool,
     /// For all that sessions and fetches hold in buffers.
-    budget: Budget,
+    budget: BufferBudget,
     /// For all that sessions and fetches hold in descriptors.
     ledger: DescriptorBudget,
     /// A look at how many sessions have asked hangs on the wheel.
@@ -188,18 +188,18 @@
         let trace = Trace::new(config.trace, clock.unix_zero);
         reqs.trace = trace;
         let wrong = |what: &'static str| move |e: Errno| format!("{what}: {e}");
-        let listener = net::patiently(|| net::listener(config.listen))
+        let listener = net::retry_at_start(|| net::listener(config.listen))
             .map_err(|e| format!("listen on {}: {e}", config.listen))?;
         let listens: std::net::SocketAddr = rustix::net::getsockname(&listener)
             .and_then(TryInto::try_into)
             .map_err(wrong("getsockname"))?;
-        let epoll = net::patiently(|| epoll::create(epoll::CreateFlags::CLOEXEC))
+        let epoll = net::retry_at_start(|| epoll::create(epoll::CreateFlags::CLOEXEC))
             .map_err(wrong("epoll"))?;
         let add = || epoll::add(&epoll, &listener, token(LISTENER, 0), EventFlags::IN);
-        net::patiently(add).map_err(wrong("epoll"))?;
+        net::retry_at_start(add).map_err(wrong("epoll"))?;
         for (signal, number) in signals.iter().zip([TERMINATE, RELOAD]) {
             let add = || epoll::add(&epoll, &signal.wakes, token(SIGNAL, number), EventFlags::IN);
-            net::patiently(add).map_err(wrong("epoll"))?;
+            net::retry_at_start(add).map_err(wrong("epoll"))?;
         }
         let mut node = Node {
             wheel: TimerWheel::new(tick, now),
@@ -221,7 +221,7 @@
             signals,
             ends: None,
             quit: false,
-            budget: Budget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
+            budget: BufferBudget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
             ledger,
             trimming: false,
             sessions: Slab::new(most_sessions),
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -181,7 +181,8 @@
             .owner(req)
             .and_then(|owner| self.sessions.get(owner));
         session.is_none_or(|session| {
-            session.left || (self.turn_has_lasted(now, LONG_TURN) && net::has_left(&session.socket))
+            session.left
+                || (self.turn_has_lasted(now, LONG_TURN) && net::has_peer_closed(&session.socket))
         })
     }
 
@@ -216,7 +217,7 @@
     fn has_unread_news(&self) -> bool {
         self.calls
             .iter()
-            .any(|(_, call)| net::is_now(&call.socket, PollFlags::IN).unwrap_or(true))
+            .any(|(_, call)| net::is_ready(&call.socket, PollFlags::IN).unwrap_or(true))
     }
 
     /// Ends an attempt of which nothing has been written, and which must not be.
@@ -431,7 +432,7 @@
             Job::Request { req, attempt } => {
                 let owner = self.reqs.ended(self.now, req, attempt, outcome);
                 if let (Some(owner), Some((head, body))) = (owner, answer) {
-                    let headers: Vec<(&str, &str)> = head.end_to_end().collect();
+                    let headers: Vec<(&str, &str)> = head.end_to_end_headers().collect();
                     let http1::Start::Response { status } = head.start else {
                         return;
                     };
--- a/crates/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -7,11 +7,11 @@
 use super::{BOTH, CALL, Due, MIN_RETRY, Node, READ, token};
 use crate::clock::{MS, SECOND};
 use crate::config;
-use crate::discovery::{self, Call, Freshness, News, Update};
+use crate::discovery::{self, Call, CallEnd, Freshness, News, Update};
 use crate::errno::{self, ErrorClass};
 use crate::fetch::{self, Fetch};
 use crate::net;
-use crate::ring_buffer::Write;
+use crate::ring_buffer::WriteOutcome;
 
 /// A call that this machine could not start for a moment is made after this.
 const CALL_RETRY: Nanos = 20 * MS;
@@ -193,7 +193,7 @@
         };
         if flags.intersects(EventFlags::OUT) && !call.outbox.is_empty() {
             // A connection that did not come up shows when it is read.
-            if call.outbox.write_to(&call.socket) == Write::Later {
+            if call.outbox.write_to(&call.socket) == WriteOutcome::RetryLater {
                 return self.retry_call(number);
             }
             if call.outbox.is_empty() {
@@ -250,7 +250,7 @@
             .deadline
             .is_due(self.now, &mut self.wheel, Due::Call(number))
         {
-            let over = Some("silent for too long".to_string());
+            let over = Some(CallEnd::Silent);
             self.take_news(
                 number,
                 News {
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -13,7 +13,7 @@
 use crate::errno::{self, ErrorClass};
 use crate::net;
 use crate::request_table::{LocalReply, OpenError, RequestSpec};
-use crate::ring_buffer::Write;
+use crate::ring_buffer::WriteOutcome;
 use crate::rules::{self, ClosePermit, Denial, Violation};
 
 /// Answers to clients that have ended their sending behind their request.
@@ -26,7 +26,7 @@
     /// Takes every client that waits: what the kernel has accepted counts as ours. In one turn no
     /// more than its queue holds: a flood that never ends must not hold the loop.
     pub(super) fn accept(&mut self) {
-        for _ in 0..=net::QUEUE {
+        for _ in 0..=net::ACCEPT_BACKLOG {
             let Some(listener) = self.listener.as_ref().filter(|_| self.accepting) else {
                 return;
             };
@@ -311,7 +311,7 @@
         let Some(session) = self.sessions.get_mut(number) else {
             return;
         };
-        if session.flush(self.now) == Write::Broken {
+        if session.flush(self.now) == WriteOutcome::Broken {
             return self.drop_session(number, CloseReason::Broken);
         }
         match session.read(self.now, self.looked) {
@@ -503,7 +503,7 @@
             return;
         };
         let written = session.flush(self.now);
-        if written == Write::Broken {
+        if written == WriteOutcome::Broken {
             return self.drop_session(number, CloseReason::Broken);
         }
         if session.left && session.outbox.is_empty() && session.req.is_none() {
@@ -523,7 +523,7 @@
             (false, false) => BOTH,
             (false, true) => EventFlags::OUT | EventFlags::RDHUP,
         };
-        if written == Write::Later {
+        if written == WriteOutcome::RetryLater {
             return self.retry_session(number);
         }
         if let Err(error) = session.watch(&self.epoll, token(SESSION, number), wanted, self.now) {
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -16,18 +16,18 @@
 /// down while it is spent. Guards against memory that grows with connections times the worst that
 /// each can hold.
 #[derive(Clone)]
-pub struct Budget(Rc<Cell<isize>>);
+pub struct BufferBudget(Rc<Cell<isize>>);
 
-impl Default for Budget {
+impl Default for BufferBudget {
     /// As good as none.
-    fn default() -> Budget {
-        Budget::new(usize::MAX)
+    fn default() -> BufferBudget {
+        BufferBudget::new(usize::MAX)
     }
 }
 
-impl Budget {
-    pub fn new(bytes: usize) -> Budget {
-        Budget(Rc::new(Cell::new(
+impl BufferBudget {
+    pub fn new(bytes: usize) -> BufferBudget {
+        BufferBudget(Rc::new(Cell::new(
             bytes.min(isize::MAX as usize / 2) as isize
         )))
     }
@@ -45,11 +45,11 @@
 #[derive(Default)]
 pub struct Body {
     bytes: Vec<u8>,
-    budget: Budget,
+    budget: BufferBudget,
 }
 
 impl Body {
-    pub fn on(budget: &Budget) -> Body {
+    pub fn with_budget(budget: &BufferBudget) -> Body {
         Body {
             bytes: Vec::new(),
             budget: budget.clone(),
@@ -97,7 +97,7 @@
 }
 
 pub struct RingBuffer {
-    budget: Budget,
+    budget: BufferBudget,
     store: Vec<u8>,
     head: usize,
     len: usize,
@@ -106,35 +106,38 @@
 
 /// What reading a socket came to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Read {
-    Some,
+pub enum ReadOutcome {
+    /// Bytes have come.
+    Data,
     /// Nothing there now.
-    Dry,
+    WouldBlock,
     /// The ring is at its cap.
-    Full,
+    BufferFull,
     /// The machine lacks something for a moment.
-    Later,
+    RetryLater,
     /// The other side has ended its sending.
-    End,
+    EndOfStream,
+    /// The connection has broken.
     Broken,
 }
 
 /// What writing to a socket came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteOutcome {
     /// All is written.
     Done,
     /// The socket takes no more now.
     Blocked,
     /// The machine lacks something for a moment.
-    Later,
+    RetryLater,
+    /// The connection has broken.
     Broken,
 }
 
 impl RingBuffer {
     pub fn new(cap: usize) -> RingBuffer {
         RingBuffer {
-            budget: Budget::default(),
+            budget: BufferBudget::default(),
             store: Vec::new(),
             head: 0,
             len: 0,
@@ -144,7 +147,7 @@
 
     /// Counted on a budget from here on. It is never turned down: what it holds is at most what has
     /// come in, or is made of it.
-    pub fn on(mut self, budget: &Budget) -> RingBuffer {
+    pub fn with_budget(mut self, budget: &BufferBudget) -> RingBuffer {
         self.budget = budget.clone();
         self
     }
@@ -218,11 +221,11 @@
     }
 
     /// One read from a socket.
-    pub fn read_from(&mut self, socket: impl AsFd) -> Read {
+    pub fn read_from(&mut self, socket: impl AsFd) -> ReadOutcome {
         if self.len == self.store.len()
             && !self.grow((self.len.max(START)).min(self.cap - self.len).max(1))
         {
-            return Read::Full;
+            return ReadOutcome::BufferFull;
         }
         let size = self.store.len();
         let start = (self.head + self.len) % size;
@@ -230,36 +233,36 @@
         loop {
             return match rustix::net::recv(&socket, &mut self.store[start..end], RecvFlags::empty())
             {
-                Ok((0, _)) => Read::End,
+                Ok((0, _)) => ReadOutcome::EndOfStream,
                 Ok((count, _)) => {
                     self.len += count;
-                    Read::Some
+                    ReadOutcome::Data
                 }
                 Err(error) => match errno::of_transfer(error) {
                     ErrorClass::RetryNow => continue,
-                    ErrorClass::WouldBlock => Read::Dry,
-                    ErrorClass::RetryLater => Read::Later,
-                    _ => Read::Broken,
+                    ErrorClass::WouldBlock => ReadOutcome::WouldBlock,
+                    ErrorClass::RetryLater => ReadOutcome::RetryLater,
+                    _ => ReadOutcome::Broken,
                 },
             };
         }
     }
 
     /// Writes as much as the socket takes.
-    pub fn write_to(&mut self, socket: impl AsFd) -> Write {
+    pub fn write_to(&mut self, socket: impl AsFd) -> WriteOutcome {
         while self.len > 0 {
             let end = (self.head + self.len).min(self.store.len());
             match rustix::net::send(&socket, &self.store[self.head..end], SendFlags::NOSIGNAL) {
                 Ok(count) => self.consume(count),
                 Err(error) => match errno::of_transfer(error) {
                     ErrorClass::RetryNow => {}
-                    ErrorClass::WouldBlock => return Write::Blocked,
-                    ErrorClass::RetryLater => return Write::Later,
-                    _ => return Write::Broken,
+                    ErrorClass::WouldBlock => return WriteOutcome::Blocked,
+                    ErrorClass::RetryLater => return WriteOutcome::RetryLater,
+                    _ => return WriteOutcome::Broken,
                 },
             }
         }
-        Write::Done
+        WriteOutcome::Done
     }
 }
 
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -4,8 +4,11 @@
 
 #[test]
 fn what_is_held_is_counted_and_given_back() {
-    let budget = Budget::new(5000);
-    let (mut ring, mut body) = (RingBuffer::new(9000).on(&budget), Body::on(&budget));
+    let budget = BufferBudget::new(5000);
+    let (mut ring, mut body) = (
+        RingBuffer::new(9000).with_budget(&budget),
+        Body::with_budget(&budget),
+    );
     assert!(ring.push(&[0; 4000]) && body.extend(&[0; 1000]));
     assert!(budget.is_spent() && !body.extend(&[0]));
     ring.consume(4000);
@@ -35,24 +38,24 @@
     far.set_nonblocking(true).unwrap();
     let mut ring = RingBuffer::new(10);
     assert!(ring.push(b"0123456789"));
-    assert_eq!(ring.write_to(&near), Write::Done);
+    assert_eq!(ring.write_to(&near), WriteOutcome::Done);
     let mut into = RingBuffer::new(4);
     assert_eq!(
         (into.read_from(&far), into.bytes()),
-        (Read::Some, &b"0123"[..])
+        (ReadOutcome::Data, &b"0123"[..])
     );
-    assert_eq!(into.read_from(&far), Read::Full);
+    assert_eq!(into.read_from(&far), ReadOutcome::BufferFull);
     into.consume(2);
     assert_eq!(
         (into.read_from(&far), into.bytes()),
-        (Read::Some, &b"2345"[..])
+        (ReadOutcome::Data, &b"2345"[..])
     );
     into.consume(4);
     drop(near);
     assert_eq!(
         (into.read_from(&far), into.bytes()),
-        (Read::Some, &b"6789"[..])
+        (ReadOutcome::Data, &b"6789"[..])
     );
     into.consume(4);
-    assert_eq!(into.read_from(&far), Read::End);
+    assert_eq!(into.read_from(&far), ReadOutcome::EndOfStream);
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod json;
 
-use json::{Fault, Place};
+use json::{ConfigError, JsonValue};
 use kitefork_balancer::{
     Class, DeduplicationScope, Idempotency, Limits, Nanos, Rules, Settings, Tenant, ZoneId,
 };
@@ -41,9 +41,9 @@
 ];
 
 /// Reads the settings object.
-pub fn read(root: &Place) -> Result<Deployment, Fault> {
-    let grades = root.get("grades")?.list()?;
-    let tenants = root.find("tenants").map_or(Ok(Vec::new()), |t| t.list())?;
+pub fn read(root: &JsonValue) -> Result<Deployment, ConfigError> {
+    let grades = root.get("grades")?.array()?;
+    let tenants = root.find("tenants").map_or(Ok(Vec::new()), |t| t.array())?;
     let (limits, rules) = (root.get("limits")?, root.get("rules")?);
     let within = |key: &str, inner: &str| root.find(key).and_then(|place| place.find(inner));
     let settings = Settings {
@@ -52,19 +52,19 @@
             .iter()
             .map(|t| {
                 Ok(Tenant {
-                    quota_per_second: t.or("quotaPerS", 0.0, Place::number)?,
+                    quota_per_second: t.get_or("quotaPerS", 0.0, JsonValue::number)?,
                 })
             })
-            .collect::<Result<_, Fault>>()?,
-        zone: ZoneId(root.or("zone", 0, Place::narrow)?),
-        proxy_index: root.or("me", 0, Place::narrow)?,
-        proxy_count: root.or("siblings", 1, Place::narrow)?,
+            .collect::<Result<_, ConfigError>>()?,
+        zone: ZoneId(root.get_or("zone", 0, JsonValue::small_integer)?),
+        proxy_index: root.get_or("me", 0, JsonValue::small_integer)?,
+        proxy_count: root.get_or("siblings", 1, JsonValue::small_integer)?,
         poll_endpoints: word(
             &root.get("membershipMode")?,
             &[("automatic", false), ("subscribe", true)],
         )?,
-        tick: root.get("tickNs")?.whole()?,
-        over_quota_weight: root.or("overShareWorth", 1.0, Place::number)?,
+        tick: root.get("tickNs")?.integer()?,
+        over_quota_weight: root.get_or("overShareWorth", 1.0, JsonValue::number)?,
         weight_per_unit_of_work: root.find("worthBy").map_or(Ok(false), |place| {
             word(&place, &[("request", false), ("work", true)])
         })?,
@@ -72,27 +72,27 @@
             .map_or(Ok(0.0), |place| place.number())?,
         tail_weight: within("goal", "tail").map_or(Ok(0.0), |place| place.number())?,
         limits: Limits {
-            max_attempts: limits.get("maxAttempts")?.narrow()?,
-            can_cancel: limits.or("cancel", false, Place::flag)?,
-            health_checks: limits.or("probes", false, Place::flag)?,
+            max_attempts: limits.get("maxAttempts")?.small_integer()?,
+            can_cancel: limits.get_or("cancel", false, JsonValue::boolean)?,
+            health_checks: limits.get_or("probes", false, JsonValue::boolean)?,
             // `retryAfter` only says whether the drill's clients are handed the advice. A refusal
             // over HTTP may always carry it, and without it a refused client is back at once, into
             // the same crowd.
-            max_retry_after: limits.or("maxRetryAfterNs", 0, Place::whole)?,
+            max_retry_after: limits.get_or("maxRetryAfterNs", 0, JsonValue::integer)?,
             never_attempted_fraction: 1.0,
         },
         rules: Rules {
-            answer_slack: rules.or("answerSlackNs", 0, Place::whole)?,
-            drain_grace: rules.get("drainGraceNs")?.whole()?,
+            answer_slack: rules.get_or("answerSlackNs", 0, JsonValue::integer)?,
+            drain_grace: rules.get("drainGraceNs")?.integer()?,
             drain_close_within: rules
                 .find("drainCloseNs")
-                .map(|place| place.whole())
+                .map(|place| place.integer())
                 .transpose()?,
             slow_start_initial_capacity: rules.get("coldFrom")?.number()?,
-            slow_start_duration: rules.get("coldNs")?.whole()?,
+            slow_start_duration: rules.get("coldNs")?.integer()?,
             overload_multiple: rules.get("tipMultiple")?.number()?,
-            overload_duration: rules.get("fallNs")?.whole()?,
-            poll_interval: rules.or("askWithinNs", 10_000_000_000, Place::whole)?,
+            overload_duration: rules.get("fallNs")?.integer()?,
+            poll_interval: rules.get_or("askWithinNs", 10_000_000_000, JsonValue::integer)?,
         },
     };
     settings.check().map_err(|wrong| {
@@ -100,7 +100,7 @@
             .iter()
             .find(|(own, _)| *own == wrong.key)
             .map_or(wrong.key, |(_, name)| name);
-        root.bad_at(name, wrong.reason)
+        root.invalid_at(name, wrong.reason)
     })?;
     Ok(Deployment {
         settings,
@@ -108,13 +108,13 @@
         tenants: names(&tenants)?,
         zones: texts(root, "azs")?,
         kinds: texts(root, "kinds")?,
-        idle_limit: limits.or("connIdleNs", 10_000_000_000, Place::whole)?,
-        connect_timeout: limits.or("connectTimeoutNs", 250_000_000, Place::whole)?,
-        most_held: limits.or("mostHeld", 20_000, Place::narrow)?,
+        idle_limit: limits.get_or("connIdleNs", 10_000_000_000, JsonValue::integer)?,
+        connect_timeout: limits.get_or("connectTimeoutNs", 250_000_000, JsonValue::integer)?,
+        most_held: limits.get_or("mostHeld", 20_000, JsonValue::small_integer)?,
     })
 }
 
-fn class(grade: &Place) -> Result<Class, Fault> {
+fn class(grade: &JsonValue) -> Result<Class, ConfigError> {
     let scopes = [
         ("all", DeduplicationScope::Global),
         ("zone", DeduplicationScope::Zone),
@@ -124,7 +124,7 @@
         scope: grade
             .find("keyScope")
             .map_or(Ok(DeduplicationScope::Cell), |place| word(&place, &scopes))?,
-        window: grade.or("windowNs", 0, Place::whole)?,
+        window: grade.get_or("windowNs", 0, JsonValue::integer)?,
     };
     let effects = [
         ("repeatable", Idempotency::Idempotent),
@@ -132,40 +132,40 @@
         ("once", Idempotency::NotIdempotent),
     ];
     Ok(Class {
-        latency_objective: grade.get("goalTimeNs")?.whole()?,
-        latency_objective_per_unit_of_work: grade.or("aimStretch", 0.0, Place::number)?,
-        client_timeout: grade.get("giveUpNs")?.whole()?,
+        latency_objective: grade.get("goalTimeNs")?.integer()?,
+        latency_objective_per_unit_of_work: grade.get_or("aimStretch", 0.0, JsonValue::number)?,
+        client_timeout: grade.get("giveUpNs")?.integer()?,
         priority_weight: grade.get("importance")?.number()?,
-        late_priority_weight: grade.or("lateValue", 0.0, Place::number)?,
+        late_priority_weight: grade.get_or("lateValue", 0.0, JsonValue::number)?,
         idempotency: word(&grade.get("effect")?, &effects)?,
-        streamed: grade.or("streamed", false, Place::flag)?,
+        streamed: grade.get_or("streamed", false, JsonValue::boolean)?,
     })
 }
 
 /// The meaning of one of a few words.
-fn word<T: Copy>(place: &Place, words: &[(&str, T)]) -> Result<T, Fault> {
-    let found = place.text()?;
+fn word<T: Copy>(place: &JsonValue, words: &[(&str, T)]) -> Result<T, ConfigError> {
+    let found = place.string()?;
     let known = words.iter().find(|(name, _)| *name == found);
     known
         .map(|(_, meaning)| *meaning)
-        .ok_or_else(|| place.bad(&format!("unknown word `{found}`")))
+        .ok_or_else(|| place.invalid(format!("unknown word `{found}`")))
 }
 
-fn names(places: &[Place]) -> Result<Vec<String>, Fault> {
+fn names(places: &[JsonValue]) -> Result<Vec<String>, ConfigError> {
     places
         .iter()
-        .map(|place| Ok(place.or("name", "", Place::text)?.to_string()))
+        .map(|place| Ok(place.get_or("name", "", JsonValue::string)?.to_string()))
         .collect()
 }
 
-fn texts(root: &Place, key: &str) -> Result<Vec<String>, Fault> {
+fn texts(root: &JsonValue, key: &str) -> Result<Vec<String>, ConfigError> {
     let Some(place) = root.find(key) else {
         return Ok(Vec::new());
     };
     place
-        .list()?
+        .array()?
         .iter()
-        .map(|entry| Ok(entry.text()?.to_string()))
+        .map(|entry| Ok(entry.string()?.to_string()))
         .collect()
 }
 
--- a/crates/settings/src/lib_tests.rs
+++ b/crates/settings/src/lib_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `lib`.
 
 use super::*;
-use json::Tree;
+use json::Document;
 
 const SETTINGS: &str = r#"{"siblings": 2, "me": 1, "zone": 1, "membershipMode": "subscribe", "novel": [],
     "grades": [{"effect": "by_key", "keyScope": "zone", "windowNs": 7, "goalTimeNs": 5,
@@ -9,8 +9,8 @@
     "tickNs": 3, "limits": {"maxAttempts": 4, "maxRetryAfterNs": 8},
     "rules": {"coldFrom": 0.5, "coldNs": 1, "drainGraceNs": 1, "fallNs": 1, "tipMultiple": 2}}"#;
 
-fn parse(text: &str) -> Result<Deployment, Fault> {
-    read(&Tree::parse(text.as_bytes())?.root())
+fn parse(text: &str) -> Result<Deployment, ConfigError> {
+    read(&Document::parse(text.as_bytes())?.root())
 }
 
 #[test]
@@ -49,6 +49,6 @@
     ];
     for (old, new, wanted) in cases {
         let fault = parse(&SETTINGS.replace(old, new)).err().unwrap();
-        assert!(fault.contains(wanted), "{fault}");
+        assert!(fault.to_string().contains(wanted), "{fault}");
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -10,7 +10,7 @@
 
 use frame::{FrameError, HEADER, Header, Lists, Message, Reply};
 use kitefork_balancer::Balancer;
-use kitefork_settings::json::Tree;
+use kitefork_settings::json::Document;
 use thiserror::Error;
 
 #[derive(Debug, Error)]
@@ -60,7 +60,7 @@
 }
 
 fn start(settings: &[u8], seed: u64, now: u64) -> Result<Balancer, String> {
-    let parsed = Tree::parse(settings).and_then(|tree| kitefork_settings::read(&tree.root()));
+    let parsed = Document::parse(settings).and_then(|tree| kitefork_settings::read(&tree.root()));
     let settings = parsed.map_err(|e| format!("settings: {e}"))?.settings;
     Balancer::new(settings, seed, now).map_err(|e| e.to_string())
 }
