--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -121,7 +121,7 @@
     if sockets < LEAST_SOCKETS {
         return Err(root.invalid_at(
             "limits.sockets",
-            &format!("must be {LEAST_SOCKETS} or more"),
+            format!("must be {LEAST_SOCKETS} or more"),
         ));
     }
     Ok(Config {
