--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -14,7 +14,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use kitefork_ground::{Agenda, Sum};
+use crate::statistics::DecayedSum;
+use crate::timer_queue::TimerQueue;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -110,10 +111,10 @@
     open: BTreeMap<RequestId, Open>,
     classes: Vec<ClassStats>,
     /// Completions of each kind of machine, latencies over the mean of their class.
-    kinds: BTreeMap<KindId, Sum>,
+    kinds: BTreeMap<KindId, DecayedSum>,
     /// Tokens of each tenant's quota.
     quota: Vec<f64>,
-    agenda: Agenda<Task>,
+    agenda: TimerQueue<Task>,
     started: Nanos,
     refreshed: Nanos,
     /// What draws look at, as of the last split, and draws that found nothing there.
@@ -134,7 +135,7 @@
     room: f64,
     /// Completions and their latencies, of all backends together in the window of lambda; the
     /// attempts that the pace from these has saved up; and when a timer for those that wait is due.
-    recent: Sum,
+    recent: DecayedSum,
     saved: f64,
     wake: Nanos,
     /// Discounted requests taken up, and all that came, in the window of lambda.
@@ -162,9 +163,9 @@
                 .iter()
                 .map(|c| c.latency_objective as f64 / SECOND)
         };
-        let mut agenda = Agenda::default();
+        let mut agenda = TimerQueue::default();
         if settings.poll_endpoints {
-            agenda.add(now, Task::Ask);
+            agenda.schedule(now, Task::Ask);
         }
         Ok(Balancer {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -187,7 +188,7 @@
             failed_open: false,
             out: 0.0,
             room: 0.0,
-            recent: Sum::default(),
+            recent: DecayedSum::default(),
             saved: 1.0,
             wake: 0,
             arrivals: 0.0,
@@ -228,11 +229,11 @@
                 self.on_outcome(now, (request, attempt), latency, outcome, finished, actions);
             }
             Event::ClientDisconnected { request } => self.close(request, actions),
-            Event::Timer { timer } => self.agenda.fired(timer.0),
+            Event::Timer { timer } => self.agenda.fired(timer),
             Event::HealthCheckEnded { .. } | Event::GossipReceived { .. } => {}
         }
         self.serve_waiting(now, actions);
-        while let Some(task) = self.agenda.due(now) {
+        while let Some(task) = self.agenda.pop_due(now) {
             match task {
                 Task::Ask => actions.push(Action::WatchEndpoints(true)),
                 Task::Look(id) => self.look(now, id, actions),
@@ -240,10 +241,10 @@
                 Task::Close(id) => actions.push(Action::CloseIdleConnections { backend: id }),
             }
         }
-        if let Some((at, timer)) = self.agenda.arm() {
+        if let Some(armed) = self.agenda.arm() {
             actions.push(Action::SetTimer {
-                at,
-                timer: TimerId(timer),
+                at: armed.at,
+                timer: armed.timer,
             });
         }
     }
--- a/crates/balancer/src/balance/admission.rs
+++ b/crates/balancer/src/balance/admission.rs
@@ -38,10 +38,10 @@
         if age < window {
             return SECOND / self.settings.tick as f64;
         }
-        let latency = self.recent.spent / self.recent.done.max(1e-9);
+        let latency = self.recent.sum / self.recent.count.max(1e-9);
         let slack = PACE_AIM * self.shortest_aim / latency.max(1e-9);
         let least = (self.asked / PACE_MOST).max(1.0);
-        (self.recent.done * slack.min(PACE_MOST)).max(least) / window
+        (self.recent.count * slack.min(PACE_MOST)).max(least) / window
     }
 
     /// Whether a backend holds less from this node than it is seen to keep up with. Guards against
@@ -73,15 +73,15 @@
         }
         let scale =
             self.shortest_aim * SECOND / self.settings.classes[class].latency_objective as f64;
-        let base = if zone.seen < SAMPLES {
-            self.classes[class].all.base
+        let base = if zone.count < SAMPLES {
+            self.classes[class].all.lowest
         } else {
-            zone.base
+            zone.lowest
         };
         let ratio = spent / base.max(1e-9);
         match outcome {
             Outcome::Success => self.recent.add(1.0, spent * scale),
-            Outcome::Overloaded | Outcome::Timeout => self.recent.spent += self.shortest_aim,
+            Outcome::Overloaded | Outcome::Timeout => self.recent.sum += self.shortest_aim,
             // It has used no capacity: another may go out for it.
             _ => self.saved += 1.0,
         }
@@ -95,7 +95,11 @@
         let share = HELD / self.proxy_count;
         // Behind as many of the longest work as it lets a backend hold, the tightest class is still
         // in time.
-        let longest = self.classes.iter().map(|c| c.all.base).fold(1e-9, f64::max);
+        let longest = self
+            .classes
+            .iter()
+            .map(|c| c.all.lowest)
+            .fold(1e-9, f64::max);
         let fits = HELD.min(self.shortest_aim / longest - 1.0).max(1.0) / self.proxy_count;
         let most = (fits + fits.sqrt()).round();
         let mean = self.classes[class].all.mean;
@@ -124,7 +128,7 @@
         let class = usize::from(request.class.0);
         let settings = &self.settings.classes[class];
         let mut value = self.value(class);
-        let seen = |c: &usize| self.classes[*c].all.seen > 0.0;
+        let seen = |c: &usize| self.classes[*c].all.count > 0.0;
         let most = (0..self.classes.len())
             .filter(seen)
             .map(|c| self.value(c))
@@ -162,7 +166,7 @@
         let work = if self.settings.weight_per_unit_of_work {
             1.0
         } else {
-            self.classes[class].all.base.max(1e-3)
+            self.classes[class].all.lowest.max(1e-3)
         };
         self.settings.classes[class].priority_weight / work
     }
@@ -223,7 +227,7 @@
         {
             let wait = (needs - self.saved) / self.pace(now);
             self.wake = now + (wait * SECOND) as Nanos + self.settings.tick;
-            self.agenda.add(self.wake, Task::Wake);
+            self.agenda.schedule(self.wake, Task::Wake);
         }
     }
 }
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -36,7 +36,7 @@
         };
         self.open.insert(id, open);
         self.waiting.insert((rank, id));
-        self.agenda.add(self.give_up(id), Task::Look(id));
+        self.agenda.schedule(self.give_up(id), Task::Look(id));
     }
 
     /// When a request that still waits can't be answered in time any more.
@@ -58,7 +58,7 @@
         } else {
             end
         };
-        let usual = (self.classes[class].all.base * SECOND) as Nanos;
+        let usual = (self.classes[class].all.lowest * SECOND) as Nanos;
         end.saturating_sub(
             usual.min(self.settings.classes[class].latency_objective / 2) + self.settings.tick,
         )
@@ -103,7 +103,7 @@
             abandon_at: until,
         });
         self.agenda
-            .add(now.saturating_add(self.overdue(id)), Task::Look(id));
+            .schedule(now.saturating_add(self.overdue(id)), Task::Look(id));
         true
     }
 
@@ -145,7 +145,7 @@
             } else {
                 now.saturating_add(span / OVERDUE as u64)
             };
-            self.agenda.add(again, Task::Look(id));
+            self.agenda.schedule(again, Task::Look(id));
         } else {
             self.retry_tokens -= 1.0;
             actions.push(Action::CancelAttempt {
@@ -163,7 +163,7 @@
         if open.out() == 0 {
             // What is usual may have changed since this moment was set.
             match self.give_up(id) {
-                later if later > now => self.agenda.add(later, Task::Look(id)),
+                later if later > now => self.agenda.schedule(later, Task::Look(id)),
                 _ => self.conclude(id, actions),
             }
             return;
@@ -219,7 +219,7 @@
                 let pool = self.kinds.entry(server.entry.kind).or_default();
                 let keep = 1.0 - 1.0 / SAMPLES;
                 let mean = self.classes[class].all.mean;
-                pool.keep(keep);
+                pool.decay(keep);
                 pool.add(1.0, if mean > 0.0 { spent / mean } else { 1.0 });
                 if server.done > 0.5 * MEMORY {
                     server.ejections = 0;
@@ -264,7 +264,7 @@
             if now < give_up && more && (free || self.retry_tokens >= 1.0) {
                 self.retry_tokens -= if free { 0.0 } else { 1.0 };
                 self.waiting.insert((open.rank, id));
-                self.agenda.add(give_up, Task::Look(id));
+                self.agenda.schedule(give_up, Task::Look(id));
             } else {
                 self.conclude(id, actions);
             }
--- a/crates/balancer/src/balance/estimator.rs
+++ b/crates/balancer/src/balance/estimator.rs
@@ -30,7 +30,7 @@
         }
         let keep = (-step / self.lambda_window()).exp();
         (self.arrivals, self.asked) = (self.arrivals * keep, self.asked * keep);
-        self.recent.keep(keep);
+        self.recent.decay(keep);
         let pace = self.pace(now);
         self.saved = (self.saved + pace * step).min((pace * self.shortest_aim).max(2.0 + RESERVE));
         for (tokens, tenant) in self.quota.iter_mut().zip(&self.settings.tenants) {
@@ -40,7 +40,7 @@
         for class in &mut self.classes {
             // The best of times is forgotten slowly, should the work itself grow.
             for kept in class.zones.values_mut().chain([&mut class.all]) {
-                kept.forget(step / (100.0 * self.longest_aim));
+                kept.raise_lowest(step / (100.0 * self.longest_aim));
             }
         }
         self.refreshed = now;
--- a/crates/balancer/src/balance/membership.rs
+++ b/crates/balancer/src/balance/membership.rs
@@ -107,7 +107,7 @@
         if let Some(within) = self.settings.rules.drain_close_within {
             actions.push(Action::CloseIdleConnections { backend: id });
             self.agenda
-                .add(now.saturating_add(within / 2), Task::Close(id));
+                .schedule(now.saturating_add(within / 2), Task::Close(id));
         }
     }
 
@@ -125,7 +125,7 @@
         let wait = ((wait as f64 * (0.5 + unit(&mut self.rng))) as Nanos)
             .saturating_add(self.settings.tick);
         self.ask_failures = self.ask_failures.saturating_add(1);
-        self.agenda.add(now.saturating_add(wait), Task::Ask);
+        self.agenda.schedule(now.saturating_add(wait), Task::Ask);
         if self.ask_failures == 1 {
             actions.push(Action::Log(LogEvent::DiscoveryUnreachable));
         }
--- a/crates/balancer/src/balance/split.rs
+++ b/crates/balancer/src/balance/split.rs
@@ -29,7 +29,7 @@
             .iter()
             .map(|id| self.warmth(now, &self.servers[id]))
             .sum();
-        self.per_backend = self.per_second(now, self.recent.done) / warm.max(1e-9);
+        self.per_backend = self.per_second(now, self.recent.count) / warm.max(1e-9);
         self.room = 0.0;
         let mut total = (0.0, 0.0, 0.0, 0.0);
         let mut rates = Vec::with_capacity(self.servers.len());
@@ -202,11 +202,11 @@
         } else {
             0.0
         };
-        let leaning = |pool: &Sum| pool.lean(POOL_PRIOR);
+        let leaning = |pool: &DecayedSum| pool.prior_weighted_mean(POOL_PRIOR);
         let kind = |s: &Server| self.kinds.get(&s.entry.kind).map_or(1.0, leaning);
-        let mut cells: BTreeMap<CellId, Sum> = BTreeMap::new();
-        let mut zones: BTreeMap<ZoneId, Sum> = BTreeMap::new();
-        let mut ages = [Sum::default(), Sum::default()];
+        let mut cells: BTreeMap<CellId, DecayedSum> = BTreeMap::new();
+        let mut zones: BTreeMap<ZoneId, DecayedSum> = BTreeMap::new();
+        let mut ages = [DecayedSum::default(), DecayedSum::default()];
         let cold = |s: &Server| self.warmth(self.refreshed, s) < 1.0;
         for server in self.ready() {
             let usual = (mean * kind(server)).max(1e-9);
@@ -236,14 +236,14 @@
                 usual,
             )
         };
-        let (mut home, mut away) = (Sum::default(), Sum::default());
+        let (mut home, mut away) = (DecayedSum::default(), DecayedSum::default());
         for (zone, pool) in &zones {
             let side = if *zone == self.settings.zone {
                 &mut home
             } else {
                 &mut away
             };
-            side.add(pool.done, pool.spent);
+            side.add(pool.count, pool.sum);
         }
         (
             self.servers.values().map(of).collect(),
--- a/crates/balancer/src/balance_tests.rs
+++ b/crates/balancer/src/balance_tests.rs
@@ -3,7 +3,7 @@
 use super::split::shares;
 use super::{Balancer, SAMPLES};
 use crate::interface::*;
-use kitefork_ground::Sum;
+use crate::statistics::DecayedSum;
 
 const MS: Nanos = 1_000_000;
 /// A node of three hundred, of whose backends each gets little.
@@ -102,9 +102,9 @@
     let pace = balancer.pace(2_000 * MS);
     assert!((4.0..8.0).contains(&pace), "{pace} of 30 a second");
     // Once they answer fast, what a window completes at that pace brings back all that comes.
-    balancer.recent = Sum {
-        done: pace * 0.6,
-        spent: pace * 0.6 * 0.035,
+    balancer.recent = DecayedSum {
+        count: pace * 0.6,
+        sum: pace * 0.6 * 0.035,
     };
     assert!(
         balancer.pace(2_000 * MS) > 25.0,
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -52,7 +52,7 @@
         &self.support
     }
 
-    /// Sum of the exploration weights; the probability of an exploration where it is under 1.
+    /// DecayedSum of the exploration weights; the probability of an exploration where it is under 1.
     pub(crate) fn explore_total(&self) -> f64 {
         self.explorers.last().map_or(0.0, |last| last.upto)
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -44,6 +44,8 @@
 mod ids;
 mod settings;
 mod state;
+mod statistics;
+mod timer_queue;
 
 pub use action::{Action, LogEvent};
 pub use balance::Balancer;
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use kitefork_ground::{Mean, Often};
+use crate::statistics::{FractionHistogram, MovingMean};
 
 use crate::interface::*;
 
@@ -83,9 +83,9 @@
 #[derive(Clone, Default)]
 pub(crate) struct ClassStats {
     /// Patience of its requests, in parts of the deadline.
-    pub(crate) patience: Often,
+    pub(crate) patience: FractionHistogram,
     /// Latencies, in seconds.
-    pub(crate) all: Mean,
+    pub(crate) all: MovingMean,
     /// Those of each zone's backends.
-    pub(crate) zones: BTreeMap<ZoneId, Mean>,
+    pub(crate) zones: BTreeMap<ZoneId, MovingMean>,
 }
--- /dev/null
+++ b/crates/balancer/src/statistics.rs
@@ -0,0 +1,96 @@
+//! Running statistics: a moving mean, a decayed sum, and a histogram. Equal calls give equal results.
+
+/// A mean over about the last `window` values, and the lowest that it was since the window was
+/// first full.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct MovingMean {
+    /// The moving mean.
+    pub(crate) mean: f64,
+    /// How many values are in it, up to the window.
+    pub(crate) count: f64,
+    /// The mean at its lowest.
+    pub(crate) lowest: f64,
+}
+
+impl MovingMean {
+    /// Takes in a value.
+    pub(crate) fn add(&mut self, value: f64, window: f64) {
+        self.count = (self.count + 1.0).min(window);
+        self.mean += (value - self.mean) / self.count;
+        self.lowest = if self.count < window {
+            self.mean
+        } else {
+            self.lowest.min(self.mean)
+        };
+    }
+
+    /// Lets the lowest mean rise by `fraction` of itself, up to the mean: it is forgotten slowly.
+    pub(crate) fn raise_lowest(&mut self, fraction: f64) {
+        self.lowest = (self.lowest * (1.0 + fraction)).min(self.mean);
+    }
+}
+
+/// A sum whose terms lose weight with time, and the likewise decayed number of terms.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct DecayedSum {
+    /// Decayed number of terms.
+    pub(crate) count: f64,
+    /// Their decayed sum.
+    pub(crate) sum: f64,
+}
+
+impl DecayedSum {
+    /// Adds `count` terms that sum up to `sum`.
+    pub(crate) fn add(&mut self, count: f64, sum: f64) {
+        self.count += count;
+        self.sum += sum;
+    }
+
+    /// Keeps this fraction of the weight of each term.
+    pub(crate) fn decay(&mut self, keep: f64) {
+        self.count *= keep;
+        self.sum *= keep;
+    }
+
+    /// The mean, drawn to 1 with the weight of `prior` terms.
+    pub(crate) fn prior_weighted_mean(&self, prior: f64) -> f64 {
+        (self.sum + prior) / (self.count + prior)
+    }
+}
+
+/// A histogram of fractions in 32 steps, whose counts decay with each new value.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FractionHistogram {
+    steps: [f64; FractionHistogram::STEPS + 1],
+}
+
+impl Default for FractionHistogram {
+    fn default() -> Self {
+        FractionHistogram {
+            steps: [0.0; FractionHistogram::STEPS + 1],
+        }
+    }
+}
+
+impl FractionHistogram {
+    const STEPS: usize = 32;
+    /// Values that it remembers.
+    const MEMORY: f64 = 256.0;
+
+    /// Takes in a fraction from 0 to 1. Returns whether it is in the most frequent step or beside
+    /// it.
+    pub(crate) fn add(&mut self, fraction: f64) -> bool {
+        self.steps
+            .iter_mut()
+            .for_each(|n| *n *= 1.0 - 1.0 / FractionHistogram::MEMORY);
+        let at = (fraction.clamp(0.0, 1.0) * FractionHistogram::STEPS as f64) as usize;
+        self.steps[at] += 1.0;
+        let most =
+            (0..=FractionHistogram::STEPS).max_by(|a, b| self.steps[*a].total_cmp(&self.steps[*b]));
+        most.is_some_and(|most| most.abs_diff(at) <= 1)
+    }
+}
+
+#[cfg(test)]
+#[path = "statistics_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/statistics_tests.rs
@@ -0,0 +1,52 @@
+//! Unit tests of the running statistics.
+
+use super::*;
+
+#[test]
+fn the_lowest_mean_stands_until_it_is_forgotten() {
+    let mut mean = MovingMean::default();
+    [1.0, 3.0, 2.0, 5.0].iter().for_each(|v| mean.add(*v, 2.0));
+    assert_eq!(
+        mean,
+        MovingMean {
+            mean: 3.5,
+            count: 2.0,
+            lowest: 1.0
+        }
+    );
+    mean.raise_lowest(0.5);
+    assert_eq!(mean.lowest, 1.5);
+    mean.raise_lowest(9.0);
+    assert_eq!(mean.lowest, 3.5);
+}
+
+#[test]
+fn the_most_frequent_fraction_is_recognised_and_changes_with_the_values() {
+    let mut histogram = FractionHistogram::default();
+    assert!(histogram.add(0.51));
+    for n in 0..100 {
+        assert!(histogram.add(0.51));
+        assert!(!histogram.add(if n % 2 == 0 { 0.2 } else { 0.9 }));
+    }
+    assert!(histogram.add(0.5) && histogram.add(0.54) && !histogram.add(f64::NAN));
+    for _ in 0..600 {
+        histogram.add(7.0);
+    }
+    assert!(histogram.add(1.0) && !histogram.add(0.51));
+}
+
+#[test]
+fn a_sum_without_terms_has_the_mean_of_its_prior() {
+    let mut sum = DecayedSum::default();
+    assert_eq!(sum.prior_weighted_mean(2.0), 1.0);
+    sum.add(2.0, 6.0);
+    assert_eq!(sum.prior_weighted_mean(2.0), 2.0);
+    sum.decay(0.5);
+    assert_eq!(
+        sum,
+        DecayedSum {
+            count: 1.0,
+            sum: 3.0
+        }
+    );
+}
--- /dev/null
+++ b/crates/balancer/src/timer_queue_tests.rs
@@ -0,0 +1,36 @@
+//! Unit tests of the timer queue.
+
+use super::*;
+
+fn armed(at: Nanos, timer: u32) -> Option<ArmedTimer> {
+    Some(ArmedTimer {
+        at,
+        timer: TimerId(timer),
+    })
+}
+
+#[test]
+fn tasks_come_by_time_then_order_and_once() {
+    let mut queue = TimerQueue::default();
+    for (at, task) in [(5, 'b'), (5, 'a'), (3, 'c'), (5, 'b')] {
+        queue.schedule(at, task);
+    }
+    assert_eq!(queue.pop_due(2), None);
+    let all: Vec<_> = std::iter::from_fn(|| queue.pop_due(5)).collect();
+    assert_eq!(all, ['c', 'a', 'b']);
+}
+
+#[test]
+fn one_timer_is_waited_for_and_an_old_one_changes_nothing() {
+    let mut queue = TimerQueue::default();
+    assert_eq!(queue.arm(), None);
+    queue.schedule(9, 'x');
+    assert_eq!(queue.arm(), armed(9, 1));
+    assert_eq!(queue.arm(), None);
+    queue.schedule(4, 'y');
+    assert_eq!(queue.arm(), armed(4, 2));
+    queue.fired(TimerId(1));
+    assert_eq!(queue.arm(), None);
+    queue.fired(TimerId(2));
+    assert_eq!(queue.arm(), armed(4, 3));
+}
