--- /dev/null
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -0,0 +1,455 @@
+//! The life of a request: queued, attempted, retried, and given its final answer.
+
+use crate::action::{Action, LogEvent};
+use crate::concurrency_limiter::LoadSample;
+use crate::event::{Outcome, Request};
+use crate::ids::{BackendId, Nanos, RequestId};
+use crate::legality;
+use crate::pick::{CandidateDraws, FullScanDraws, Picker, uniform};
+use crate::request_table::{Attempt, PendingRequest};
+use crate::retry_policy::{OVERDUE_MULTIPLE, overdue_after};
+use crate::settings::{Class, Idempotency};
+use crate::timescale::{SECOND, nanos, seconds};
+
+use super::{Balancer, Task};
+
+/// An attempt that has ended, as the caller tells it.
+pub(super) struct EndedAttempt {
+    pub(super) request: RequestId,
+    pub(super) attempt: u8,
+    pub(super) latency: Nanos,
+    pub(super) outcome: Outcome,
+    /// Whether the request has its final answer.
+    pub(super) finished: bool,
+}
+
+impl Balancer {
+    /// Queues a request. One of an unknown class fails; one that is pending already is ignored.
+    pub(super) fn on_request(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let Some(class) = self.settings.classes.get(usize::from(request.class.0)) else {
+            actions.push(Action::Fail { request: id });
+            return;
+        };
+        if self.requests.contains(id) {
+            return;
+        }
+        let span = objective_span(class, &request);
+        let class_timeout = class.client_timeout;
+        let statistics = &mut self.classes[usize::from(request.class.0)];
+        let elapsed = statistics.elapsed(request.client_timeout, class_timeout);
+        let is_late = elapsed >= span;
+        let left = if is_late { span } else { span - elapsed };
+        let deadline = now.saturating_add(request.client_timeout);
+        let queue = &mut self.admission.queue;
+        let (position, admission_cost) =
+            queue.place(&request, is_late, &self.settings, &self.classes);
+        queue.insert(position, id);
+        self.admission.rate.on_received();
+        self.requests.insert(PendingRequest {
+            request,
+            deadline,
+            objective_at: now.saturating_add(left).min(deadline),
+            attempts: Vec::new(),
+            finished: false,
+            streaming: false,
+            position,
+            admission_cost,
+        });
+        self.timers
+            .schedule(self.latest_start(id), Task::ReviewRequest(id));
+    }
+
+    /// The answer of a request has begun to be streamed.
+    pub(super) fn on_first_byte(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.get_mut(id) {
+            pending.streaming = true;
+        }
+    }
+
+    fn pending(&self, id: RequestId) -> &PendingRequest {
+        self.requests.get(id).expect("the request is pending")
+    }
+
+    /// Until when a request that waits can still be answered in time.
+    fn latest_start(&self, id: RequestId) -> Nanos {
+        let pending = self.pending(id);
+        let class = &self.settings.classes[pending.class()];
+        // Where the tail counts, a rejection within the objective is no miss and a late answer is
+        // one.
+        let late_counts = class.late_priority_weight > 0.0 && self.settings.tail_weight == 0.0;
+        let mut end = if late_counts {
+            pending.deadline
+        } else {
+            pending.objective_at
+        };
+        if pending.never_written() {
+            // A rejection of what was never written to a backend costs nothing up to a part of the
+            // client's timeout.
+            let fraction = 1.0 - self.settings.limits.never_attempted_fraction;
+            let kept = (pending.request.client_timeout as f64 * fraction) as Nanos;
+            end = end.min(pending.deadline - kept);
+        }
+        let usual = nanos(self.classes[pending.class()].unloaded_latency());
+        end.saturating_sub(usual.min(class.latency_objective / 2) + self.settings.tick)
+    }
+
+    /// Sends an attempt if some backend is legal and has capacity; else the request waits. Returns
+    /// whether it was sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(backend) = self.pick_backend(now, id) else {
+            return false;
+        };
+        let attempt = self.count_sent(now, backend);
+        let pending = self
+            .requests
+            .get_mut(id)
+            .expect("queued requests are pending");
+        pending.attempts.push(attempt);
+        self.admission.queue.remove(pending.position, id);
+        if pending.attempts.len() == 1 {
+            self.estimation.estimator.on_first_attempt();
+            self.retries.on_first_attempt();
+        }
+        // An answer without weight is not waited for.
+        let class = &self.settings.classes[pending.class()];
+        let late_counts = class.late_priority_weight > 0.0;
+        let abandon_at = if late_counts {
+            pending.deadline
+        } else {
+            pending.objective_at
+        };
+        actions.push(Action::StartAttempt {
+            request: id,
+            backend,
+            abandon_at,
+        });
+        let overdue_at = now.saturating_add(self.overdue_after(id));
+        self.timers.schedule(overdue_at, Task::ReviewRequest(id));
+        true
+    }
+
+    /// Picks a backend for a request, among those not attempted yet first.
+    fn pick_backend(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
+        let pending = self.requests.get(id).expect("queued requests are pending");
+        if self.is_full(pending.admission_cost) {
+            return None;
+        }
+        let picker = Picker {
+            now,
+            settings: &self.settings,
+            endpoints: &self.endpoints,
+            outliers: &self.outliers,
+            slow_start: &self.slow_start,
+            pending,
+            limit_is_below_one: self.limiter.is_below_one(),
+            longest_objective: nanos(self.timescale.longest_objective),
+        };
+        let draws = CandidateDraws::new(&mut self.random);
+        let picked = picker.among_candidates(self.estimation.split.candidates(), &draws);
+        if picked.is_some() {
+            return picked;
+        }
+        let draws = FullScanDraws::new(&mut self.random);
+        let picked = picker.among_all(&draws);
+        self.estimation.split.count_full_scan();
+        picked
+    }
+
+    /// Counts an attempt that is sent to a backend.
+    fn count_sent(&mut self, now: Nanos, backend: BackendId) -> Attempt {
+        let record = self
+            .endpoints
+            .get_mut(backend)
+            .expect("picked from the list");
+        record.load.on_sent(now);
+        record.slow_start.spend();
+        let (zone, cell) = (record.endpoint().zone, record.endpoint().cell);
+        self.limiter.on_sent();
+        self.admission.rate.on_sent();
+        Attempt {
+            backend,
+            sent_at: now,
+            zone,
+            cell,
+            outcome: None,
+        }
+    }
+
+    /// How long an attempt of a request may take before it counts as lost.
+    fn overdue_after(&self, id: RequestId) -> Nanos {
+        let pending = self.pending(id);
+        let class = pending.class();
+        overdue_after(
+            self.classes[class].mean_latency(),
+            pending.request.work_hint,
+            self.settings.classes[class].latency_objective,
+        )
+    }
+
+    /// Looks again at a request that waits, or whose attempt takes long.
+    pub(super) fn review(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let is_open = |pending: &&PendingRequest| !pending.finished && !pending.streaming;
+        let Some(pending) = self.requests.get(id).filter(is_open) else {
+            return;
+        };
+        if pending.in_flight() > 0 {
+            self.cancel_overdue(now, id, actions);
+            return;
+        }
+        // What is usual may have changed since this review was scheduled.
+        match self.latest_start(id) {
+            later if later > now => self.timers.schedule(later, Task::ReviewRequest(id)),
+            _ => self.finish(id, actions),
+        }
+    }
+
+    /// Cancels an attempt that counts as lost, if another one may be sent in time. Connections that
+    /// fall silent would cost a request all its time and hold capacity for as long. Work is done
+    /// twice where a backend is only slow; the retry budget bounds that.
+    fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let pending = self.pending(id);
+        let Some((index, last)) = pending.attempts.iter().enumerate().next_back() else {
+            return;
+        };
+        let may_retry = self.settings.limits.can_cancel
+            && legality::may_repeat_somewhere(now, &self.settings, pending)
+            && legality::has_attempts_left(&self.settings, pending);
+        if !may_retry || now >= self.latest_start(id) {
+            return;
+        }
+        let span = self.overdue_after(id);
+        let overdue_at = last.sent_at.saturating_add(span);
+        if now < overdue_at {
+            self.timers.schedule(overdue_at, Task::ReviewRequest(id));
+        } else if !self.retries.has_token() {
+            let again = now.saturating_add(span / OVERDUE_MULTIPLE as u64);
+            self.timers.schedule(again, Task::ReviewRequest(id));
+        } else {
+            self.retries.spend();
+            actions.push(Action::CancelAttempt {
+                request: id,
+                attempt: index as u8,
+            });
+        }
+    }
+
+    /// An attempt has ended: counts it for its backend, then retries or finishes the request.
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Nanos,
+        ended: &EndedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.requests.get_mut(ended.request) else {
+            return;
+        };
+        let attempt = pending.attempts.get_mut(usize::from(ended.attempt));
+        let Some(attempt) = attempt.filter(|attempt| attempt.outcome.is_none()) else {
+            return;
+        };
+        attempt.outcome = Some(ended.outcome);
+        let (backend, sent_at) = (attempt.backend, attempt.sent_at);
+        let class = pending.class();
+        // Cancelled by this balancer as lost: the backend has failed it, as by a timeout.
+        let is_lost = ended.outcome == Outcome::Cancelled && !ended.finished && !pending.finished;
+        self.limiter.on_ended();
+        self.count_ended(now, backend, sent_at, class, ended);
+        if !self.endpoints.is_ready(backend) {
+            self.close_idle_connections(now, backend, actions);
+        }
+        if matches!(ended.outcome, Outcome::Success | Outcome::Timeout) {
+            self.classes[class].add_latency(seconds(ended.latency));
+        }
+        self.adjust_limit(backend, class, seconds(ended.latency), ended.outcome);
+        if is_failure(ended.outcome) || is_lost {
+            self.on_failure(now, backend, actions);
+        }
+        self.retry_or_finish(now, ended, is_lost, actions);
+    }
+
+    /// Counts the end of an attempt for its backend.
+    fn count_ended(
+        &mut self,
+        now: Nanos,
+        backend: BackendId,
+        sent_at: Nanos,
+        class: usize,
+        ended: &EndedAttempt,
+    ) {
+        let Some(record) = self.endpoints.get_mut(backend) else {
+            return;
+        };
+        let latency = seconds(ended.latency);
+        let had_completions = record.service.has_completions();
+        record.load.on_ended(sent_at);
+        record
+            .service
+            .on_ended(ended.outcome, latency, self.timescale.shortest_objective);
+        if ended.outcome != Outcome::Success {
+            return;
+        }
+        if !had_completions {
+            record.weights.restart_exploration(now);
+        }
+        record.failures.on_completion();
+        if record.service.is_established() {
+            record.failures.reset_backoff();
+        }
+        let mean_latency = self.classes[class].mean_latency();
+        let kind = record.endpoint().kind;
+        self.estimation
+            .estimator
+            .on_completion(kind, latency, mean_latency);
+    }
+
+    /// Moves the concurrency limit of a backend, and the admission rate, by the end of an attempt
+    /// there. `latency` is in seconds.
+    pub(super) fn adjust_limit(
+        &mut self,
+        backend: BackendId,
+        class: usize,
+        latency: f64,
+        outcome: Outcome,
+    ) {
+        let Some(record) = self.endpoints.get_mut(backend) else {
+            return;
+        };
+        let statistics = &mut self.classes[class];
+        let latency_ratio = statistics.latency_ratio(record.endpoint().zone, latency, outcome);
+        let objective = self.settings.classes[class].latency_objective as f64;
+        let scale = self.timescale.shortest_objective * SECOND / objective;
+        self.admission.rate.on_ended(outcome, latency * scale);
+        let sample = LoadSample {
+            outcome,
+            latency_ratio,
+            ratio_to_mean: latency / self.classes[class].mean_latency().max(1e-9),
+            at: self.refreshed_at,
+        };
+        let unloaded = self.classes.iter().map(|class| class.unloaded_latency());
+        let longest_unloaded = unloaded.fold(1e-9, f64::max);
+        self.limiter
+            .adjust(&mut record.load, &sample, longest_unloaded);
+    }
+
+    /// Counts a failure of a backend and ejects it if that makes it an outlier.
+    fn on_failure(&mut self, now: Nanos, backend: BackendId, actions: &mut Vec<Action>) {
+        let random = uniform(&mut self.random);
+        let ejection = self
+            .outliers
+            .on_failure(now, backend, &mut self.endpoints, random);
+        let Some(ejection) = ejection else { return };
+        if let Some(record) = self.endpoints.get_mut(backend) {
+            record.service.reset();
+            record.load.reset_limit(self.limiter.initial_limit());
+            record.weights.restart_exploration(ejection.until);
+        }
+        let seconds = ejection.seconds;
+        actions.push(Action::Log(LogEvent::BackendEjected { backend, seconds }));
+        self.estimation.split.mark_stale();
+    }
+
+    /// Goes on with a request of which an attempt has ended. `was_lost`: the attempt was cancelled
+    /// as lost, and its retry is paid for already.
+    fn retry_or_finish(
+        &mut self,
+        now: Nanos,
+        ended: &EndedAttempt,
+        was_lost: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = ended.request;
+        let pending = self.pending(id);
+        if ended.finished || pending.finished {
+            self.close(id, actions);
+        } else if pending.streaming {
+            // The stream broke off: only a failure can follow.
+            self.finish(id, actions);
+        } else if pending.in_flight() == 0 {
+            // A failed connection costs no capacity and needs no token.
+            let is_free = was_lost || ended.outcome == Outcome::ConnectFailed;
+            let is_paid = is_free || self.retries.has_token();
+            let latest_start = self.latest_start(id);
+            if now < latest_start && self.may_retry(pending, ended.outcome) && is_paid {
+                let position = pending.position;
+                if !is_free {
+                    self.retries.spend();
+                }
+                self.admission.queue.insert(position, id);
+                self.timers.schedule(latest_start, Task::ReviewRequest(id));
+            } else {
+                self.finish(id, actions);
+            }
+        }
+    }
+
+    /// Whether another attempt may follow this outcome. What may have been executed and must not be
+    /// twice is over, and so is a request that is itself at fault.
+    fn may_retry(&self, pending: &PendingRequest, outcome: Outcome) -> bool {
+        let idempotency = self.settings.classes[pending.class()].idempotency;
+        let is_over = idempotency == Idempotency::NotIdempotent && pending.may_have_executed();
+        !is_over
+            && outcome != Outcome::BadRequest
+            && legality::has_attempts_left(&self.settings, pending)
+    }
+
+    /// Gives the final answer: a rejection where that is true, else a failure.
+    fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let is_open = |pending: &&PendingRequest| !pending.finished;
+        let Some(pending) = self.requests.get(id).filter(is_open) else {
+            return;
+        };
+        if legality::may_reject(&self.settings, pending) {
+            let retry_after = self.settings.limits.max_retry_after;
+            actions.push(Action::Reject {
+                request: id,
+                retry_after,
+            });
+        } else {
+            actions.push(Action::Fail { request: id });
+        }
+        self.close(id, actions);
+    }
+
+    /// The request is over: cancels what is in flight, and forgets it when nothing is.
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get_mut(id) else {
+            return;
+        };
+        let is_first = !std::mem::replace(&mut pending.finished, true);
+        self.admission.queue.remove(pending.position, id);
+        if pending.in_flight() == 0 {
+            self.requests.remove(id);
+        } else if is_first && self.settings.limits.can_cancel {
+            for (index, attempt) in pending.attempts.iter().enumerate() {
+                if attempt.outcome.is_none() {
+                    actions.push(Action::CancelAttempt {
+                        request: id,
+                        attempt: index as u8,
+                    });
+                }
+            }
+        }
+    }
+}
+
+/// Time within which an answer to a request has its full weight: the latency objective of its class
+/// and what its own work adds.
+fn objective_span(class: &Class, request: &Request) -> Nanos {
+    let per_unit = class.latency_objective_per_unit_of_work.max(0.0);
+    let added = per_unit * request.work_hint.unwrap_or(0) as f64;
+    class.latency_objective.saturating_add(added as Nanos)
+}
+
+/// Whether an outcome counts as a failure of the backend.
+fn is_failure(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::Timeout
+    )
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/weights.rs
@@ -0,0 +1,181 @@
+//! Renewal of the weights: from the estimates of each backend to the optimal split, the budget of
+//! slow start and the limit of all backends together.
+
+use std::collections::BTreeSet;
+
+use crate::concurrency_limiter::{OVERLOAD_RATIO, Pressure};
+use crate::endpoint_list::EndpointRecord;
+use crate::estimator::service_rate;
+use crate::ids::{BackendId, Nanos};
+use crate::optimal_split::SplitInputs;
+use crate::pooled_latency::{PoolingContext, PriorLatencies, PriorLatency, prior_latencies};
+use crate::timescale::seconds;
+
+use super::Balancer;
+
+impl Balancer {
+    /// Decays what was counted of backends and renews all that follows from it.
+    pub(super) fn renew_weights(&mut self, now: Nanos) {
+        self.estimation.subset.renew(&mut self.endpoints);
+        let step = self.estimation.split.seconds_since_renewal(now);
+        self.decay_backends(now, step);
+        let priors = self.prior_latencies(now);
+        self.outliers.renew(now, &self.endpoints);
+        let members = self.subset_members(now);
+        self.renew_slow_start(now, step, &members);
+        self.renew_total_limit(now);
+        let inputs = SplitInputs {
+            arrivals: self.fleet_arrivals(now),
+            service_rates: self.service_rates(now, &priors, &members),
+            capacity_fractions: self.capacity_fractions(now),
+            members: members.len(),
+            pooled_kinds: self
+                .is_starved(now)
+                .then(|| self.estimation.estimator.kinds().len()),
+            home_to_away: priors.home_to_away,
+        };
+        self.estimation
+            .split
+            .renew(now, &mut self.endpoints, &inputs);
+    }
+
+    fn decay_backends(&mut self, now: Nanos, step: f64) {
+        let memory = self
+            .estimation
+            .estimator
+            .completion_memory(now, self.endpoints.len());
+        let keep = (-step / memory).exp();
+        for record in self.endpoints.iter_mut() {
+            record.service.decay(keep);
+            record.failures.decay(keep);
+        }
+    }
+
+    fn prior_latencies(&self, now: Nanos) -> PriorLatencies {
+        let context = PoolingContext {
+            kinds: self.estimation.estimator.kinds(),
+            zone: self.settings.zone,
+            shortest_objective: self.timescale.shortest_objective,
+            now_seconds: seconds(now),
+        };
+        prior_latencies(&self.endpoints, &context, |record| {
+            self.slow_start
+                .capacity_fraction(self.refreshed_at, record.endpoint())
+                < 1.0
+        })
+    }
+
+    /// The backends of this proxy's subset that are not ejected.
+    pub(super) fn subset_members(&self, now: Nanos) -> BTreeSet<BackendId> {
+        let knowable = self.estimation.estimator.knowable_backends(now);
+        self.estimation
+            .subset
+            .members(&self.endpoints, knowable, |record| {
+                !self.outliers.is_ejected(now, &record.failures)
+            })
+    }
+
+    /// Whether the list calls a backend ready and it is not ejected.
+    fn is_usable(&self, now: Nanos, record: &EndpointRecord) -> bool {
+        record.is_ready() && !self.outliers.is_ejected(now, &record.failures)
+    }
+
+    fn is_starved(&self, now: Nanos) -> bool {
+        self.estimation
+            .estimator
+            .is_starved(now, self.endpoints.len())
+    }
+
+    /// Arrivals in a slot at all proxies together, if each has as many as this one.
+    fn fleet_arrivals(&self, now: Nanos) -> f64 {
+        self.estimation.estimator.arrival_rate(now) * self.proxy_count() * self.slot_seconds()
+    }
+
+    /// Service rate of each backend in a slot; 0 for those that are not split among.
+    fn service_rates(
+        &self,
+        now: Nanos,
+        priors: &PriorLatencies,
+        members: &BTreeSet<BackendId>,
+    ) -> Vec<f64> {
+        let is_starved = self.is_starved(now);
+        let rate = |(record, prior): (&EndpointRecord, &PriorLatency)| {
+            let waited = record.load.waited(seconds(now));
+            let latency = record.service.estimated_latency(waited, prior.expected);
+            let is_known = record.service.has_completions() || is_starved && prior.expected > 0.0;
+            let is_member = members.contains(&record.id()) && !self.needs_rest(latency, prior);
+            let is_split_among = self.is_usable(now, record) && is_known && is_member;
+            if is_split_among {
+                service_rate(latency, self.slot_seconds())
+            } else {
+                0.0
+            }
+        };
+        self.endpoints
+            .iter()
+            .zip(&priors.of_backends)
+            .map(rate)
+            .collect()
+    }
+
+    /// Whether a backend is overloaded so clearly that it needs rest, which a smaller share is not.
+    /// It is back in the set as its samples age. Slow but sound ones rest too, so this holds only
+    /// where the other backends of the subset are shared by many proxies.
+    fn needs_rest(&self, latency: f64, prior: &PriorLatency) -> bool {
+        self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.of_kind
+    }
+
+    /// Capacity fraction of each usable backend; 0 for the others.
+    fn capacity_fractions(&self, now: Nanos) -> Vec<f64> {
+        let fraction = |record: &EndpointRecord| {
+            if self.is_usable(now, record) {
+                self.slow_start.capacity_fraction(now, record.endpoint())
+            } else {
+                0.0
+            }
+        };
+        self.endpoints.iter().map(fraction).collect()
+    }
+
+    /// Saves up attempts at backends in slow start over `step` seconds.
+    fn renew_slow_start(&mut self, now: Nanos, step: f64, members: &BTreeSet<BackendId>) {
+        let fractions = members
+            .iter()
+            .filter_map(|id| self.endpoints.get(*id))
+            .map(|record| self.slow_start.capacity_fraction(now, record.endpoint()))
+            .sum();
+        self.slow_start
+            .set_completions(self.admission.rate.completions_per_second(now), fractions);
+        for record in self.endpoints.iter_mut() {
+            let fraction = self.slow_start.capacity_fraction(now, record.endpoint());
+            self.slow_start
+                .save_up(&mut record.slow_start, fraction, step);
+        }
+    }
+
+    /// Sums up the limits of the usable backends, and how far they are under pressure.
+    fn renew_total_limit(&mut self, now: Nanos) {
+        let mut limit = 0.0;
+        let mut pressure = Pressure::default();
+        for record in self
+            .endpoints
+            .iter()
+            .filter(|record| self.is_usable(now, record))
+        {
+            limit += record.load.concurrency_limit();
+            if record.service.has_completions() {
+                pressure.add(&record.load, &record.service, now);
+            }
+        }
+        self.limiter.set_total(limit, pressure.value());
+    }
+
+    fn proxy_count(&self) -> f64 {
+        f64::from(self.settings.proxy_count.max(1))
+    }
+
+    /// Length of a slot in seconds: service rates count completions in one.
+    fn slot_seconds(&self) -> f64 {
+        seconds(self.settings.tick)
+    }
+}
--- a/crates/balancer/src/balance_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -1,9 +1,11 @@
-//! Tests of the split against shares worked out by hand.
+//! Tests of the decisions that look at the state behind them.
 
-use super::split::shares;
-use super::{Balancer, SAMPLES};
-use crate::interface::*;
-use crate::statistics::DecayedSum;
+use super::Balancer;
+use crate::action::Action;
+use crate::class_statistics::LATENCY_SAMPLES;
+use crate::event::{Endpoint, EndpointState, Event, Outcome, Request, UpdateKind};
+use crate::ids::{BackendId, CellId, KindId, Nanos, RequestId, ZoneId};
+use crate::settings::{Class, Settings};
 
 const MS: Nanos = 1_000_000;
 /// A node of three hundred, of whose backends each gets little.
@@ -31,26 +33,6 @@
     })
 }
 
-fn near(found: &[f64], wanted: &[f64]) {
-    assert!(
-        found.iter().zip(wanted).all(|(a, b)| (a - b).abs() < 1e-9),
-        "{found:?} {wanted:?}"
-    );
-}
-
-#[test]
-fn shares_by_hand() {
-    near(&shares(0.2, &[0.45, 0.55]), &[0.25, 0.75]);
-    // Only the fastest is worth its share; the slowest leave one by one.
-    near(&shares(0.01, &[0.5, 0.1, 0.0, 0.2]), &[1.0, 0.0, 0.0, 0.0]);
-    // At and over the summed rates: proportional, which is the limit from below.
-    near(&shares(0.9, &[0.2, 0.4]), &[1.0 / 3.0, 2.0 / 3.0]);
-    near(&shares(0.6 - 1e-12, &[0.2, 0.4]), &[1.0 / 3.0, 2.0 / 3.0]);
-    near(&shares(0.5, &[]), &[]);
-    let sum: f64 = shares(0.7, &[0.3, 0.2, 0.5, 0.05]).iter().sum();
-    near(&[sum], &[1.0]);
-}
-
 #[test]
 fn a_long_way_to_a_zone_is_no_crowd_there() {
     let class = Class {
@@ -79,13 +61,18 @@
         endpoints: vec![backend(0), backend(1)],
     };
     balancer.handle(1, list, &mut Vec::new());
-    for _ in 0..2 * SAMPLES as usize {
+    for _ in 0..2 * LATENCY_SAMPLES as usize {
         for (id, spent) in [(0, 0.002), (1, 0.012)] {
-            balancer.classes[0].all.add(spent, SAMPLES);
-            balancer.adjust_room(BackendId(id), 0, spent, Outcome::Success);
+            balancer.classes[0].add_latency(spent);
+            balancer.adjust_limit(BackendId(id), 0, spent, Outcome::Success);
         }
     }
-    assert!(balancer.servers.values().all(|server| server.ratio < 1.1));
+    assert!(
+        balancer
+            .endpoints
+            .iter()
+            .all(|record| record.load.latency_ratio() < 1.1)
+    );
 }
 
 #[test]
@@ -99,17 +86,14 @@
             &mut Vec::new(),
         );
     }
-    let pace = balancer.pace(2_000 * MS);
+    let pace = balancer.admission.rate.per_second(2_000 * MS);
     assert!((4.0..8.0).contains(&pace), "{pace} of 30 a second");
     // Once they answer fast, what a window completes at that pace brings back all that comes.
-    balancer.recent = DecayedSum {
-        count: pace * 0.6,
-        sum: pace * 0.6 * 0.035,
-    };
+    balancer.admission.rate.set_completions(pace * 0.6, 0.035);
     assert!(
-        balancer.pace(2_000 * MS) > 25.0,
+        balancer.admission.rate.per_second(2_000 * MS) > 25.0,
         "{}",
-        balancer.pace(2_000 * MS)
+        balancer.admission.rate.per_second(2_000 * MS)
     );
 }
 
@@ -181,10 +165,10 @@
             }
         }
         let sizes = [
-            balancer.servers.len(),
-            balancer.open.len(),
-            balancer.agenda.len(),
-            balancer.kinds.len(),
+            balancer.endpoints.len(),
+            balancer.requests.len(),
+            balancer.timers.len(),
+            balancer.estimation.estimator.kinds().len(),
         ];
         most = std::array::from_fn(|place| most[place].max(sizes[place]));
     }
@@ -219,8 +203,8 @@
         balancer.handle(1, list, &mut Vec::new());
         // Sixty a second for twenty seconds: in ten aims fifteen backends get twelve completions
         // each.
-        balancer.sends = 1_200.0;
-        let known = balancer.members(20_000_000_000);
+        balancer.estimation.estimator.set_first_attempts(1_200.0);
+        let known = balancer.subset_members(20_000_000_000);
         let home = known.iter().filter(|id| zone(id.0) == ZoneId(0)).count();
         assert_eq!((home, known.len() - home), (15, abroad));
     }
@@ -248,7 +232,7 @@
             endpoints: (0..60).map(backend).collect(),
         };
         node.handle(1, list, &mut Vec::new());
-        node.members(2)
+        node.subset_members(2)
             .into_iter()
             .for_each(|id| *known.entry(id).or_insert(0) += 1);
     }
@@ -316,6 +300,6 @@
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
     }
-    let borne = balancer.per_backend * 3.0;
+    let borne = balancer.slow_start.completion_rate() * 3.0;
     assert!((20.0..30.0).contains(&borne), "{borne} a second");
 }
--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -1,32 +1,37 @@
-//! Tests of the running sums.
+//! Unit tests of the running sums.
 
 use super::*;
-use crate::interface::Endpoint;
+use crate::concurrency_limiter::BackendLoad;
+use crate::event::Endpoint;
+use crate::optimal_split::PickWeights;
+use crate::slow_start::SlowStartTokens;
 
-fn server(id: u32, share: f64, explore: f64) -> Server {
-    Server {
-        entry: Endpoint {
-            id: BackendId(id),
-            ..Endpoint::default()
-        },
-        share,
-        explore,
-        ..Server::default()
-    }
+fn record(id: u32, share: f64, exploration: f64) -> EndpointRecord {
+    let endpoint = Endpoint {
+        id: BackendId(id),
+        ..Endpoint::default()
+    };
+    let weights = PickWeights::with(share, exploration);
+    EndpointRecord::new(
+        endpoint,
+        BackendLoad::default(),
+        SlowStartTokens::default(),
+        weights,
+    )
 }
 
 #[test]
-fn an_explorer_is_found_in_proportion_to_its_weight() {
-    let servers = [
-        server(1, 0.0, 0.1),
-        server(2, 0.5, 0.0),
-        server(3, 0.5, 0.3),
+fn an_explored_backend_is_found_in_proportion_to_its_weight() {
+    let records = [
+        record(1, 0.0, 0.1),
+        record(2, 0.5, 0.0),
+        record(3, 0.5, 0.3),
     ];
-    let candidates = Candidates::of(servers.iter());
+    let candidates = Candidates::of(records.iter());
     assert_eq!(candidates.support(), [BackendId(2), BackendId(3)]);
-    assert!((candidates.explore_total() - 0.4).abs() < 1e-12);
+    assert!((candidates.exploration_sum() - 0.4).abs() < 1e-12);
     let count = |id| {
-        let at = |n: u32| candidates.explorer(f64::from(n) / 1000.0);
+        let at = |n: u32| candidates.explored_at(f64::from(n) / 1000.0);
         (0..1000).filter(|n| at(*n) == Some(BackendId(id))).count()
     };
     assert_eq!((count(1), count(2), count(3)), (250, 0, 750));
@@ -36,9 +41,9 @@
 fn nothing_is_found_where_nothing_has_weight() {
     let candidates = Candidates::of(std::iter::empty());
     assert_eq!(
-        (candidates.explore_total(), candidates.explorer(0.5)),
+        (candidates.exploration_sum(), candidates.explored_at(0.5)),
         (0.0, None)
     );
-    let candidates = Candidates::of([server(1, 1.0, 0.2)].iter());
-    assert_eq!(candidates.explorer(1.0), Some(BackendId(1)));
+    let candidates = Candidates::of([record(1, 1.0, 0.2)].iter());
+    assert_eq!(candidates.explored_at(1.0), Some(BackendId(1)));
 }
--- /dev/null
+++ b/crates/balancer/src/endpoint_list.rs
@@ -0,0 +1,207 @@
+//! The endpoint list as this proxy knows it, with what is known of each backend on it.
+//!
+//! Each record is made of parts whose fields are private to the module that decides on them. A
+//! backend that is removed stays until its last attempt has ended.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::concurrency_limiter::BackendLoad;
+use crate::estimator::ServiceTimes;
+use crate::event::{Endpoint, EndpointState, UpdateKind};
+use crate::ids::BackendId;
+use crate::optimal_split::PickWeights;
+use crate::outlier_detector::FailureHistory;
+use crate::slow_start::SlowStartTokens;
+use crate::subset::SubsetPosition;
+
+/// A backend: its entry in the list and what each decision knows of it.
+#[derive(Clone, Default)]
+pub(crate) struct EndpointRecord {
+    endpoint: Endpoint,
+    pub(crate) service: ServiceTimes,
+    pub(crate) load: BackendLoad,
+    pub(crate) failures: FailureHistory,
+    pub(crate) slow_start: SlowStartTokens,
+    pub(crate) position: SubsetPosition,
+    pub(crate) weights: PickWeights,
+}
+
+impl EndpointRecord {
+    /// A backend of which nothing is known but its entry.
+    pub(crate) fn new(
+        endpoint: Endpoint,
+        load: BackendLoad,
+        slow_start: SlowStartTokens,
+        weights: PickWeights,
+    ) -> EndpointRecord {
+        EndpointRecord {
+            endpoint,
+            load,
+            slow_start,
+            weights,
+            ..EndpointRecord::default()
+        }
+    }
+
+    /// Its entry in the list.
+    pub(crate) fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
+    }
+
+    /// Which backend it is.
+    pub(crate) fn id(&self) -> BackendId {
+        self.endpoint.id
+    }
+
+    /// Whether the list says that it takes requests.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.endpoint.state == EndpointState::Ready
+    }
+
+    fn is_removed(&self) -> bool {
+        self.endpoint.state == EndpointState::Removed
+    }
+
+    /// Takes what the list says of it now. Of a new process nothing is known.
+    fn update(&mut self, fresh: EndpointRecord) {
+        let is_new_process = fresh.endpoint.started_at > self.endpoint.started_at;
+        if is_new_process {
+            let load = self.load.restarted(fresh.load.concurrency_limit());
+            *self = EndpointRecord { load, ..fresh };
+        } else {
+            self.endpoint = fresh.endpoint;
+        }
+    }
+}
+
+/// All backends that this proxy knows.
+#[derive(Default)]
+pub(crate) struct EndpointList {
+    records: BTreeMap<BackendId, EndpointRecord>,
+    /// Removed backends that have attempts in flight.
+    lingering: BTreeSet<BackendId>,
+}
+
+impl EndpointList {
+    /// What is known of a backend.
+    pub(crate) fn get(&self, id: BackendId) -> Option<&EndpointRecord> {
+        self.records.get(&id)
+    }
+
+    /// What is known of a backend, to be changed.
+    pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
+        self.records.get_mut(&id)
+    }
+
+    /// All backends, by id.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.records.values()
+    }
+
+    /// All backends, by id, to be changed.
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointRecord> {
+        self.records.values_mut()
+    }
+
+    /// The backends that the list calls ready, by id.
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.iter().filter(|record| record.is_ready())
+    }
+
+    /// Whether a backend is known and ready.
+    pub(crate) fn is_ready(&self, id: BackendId) -> bool {
+        self.get(id).is_some_and(EndpointRecord::is_ready)
+    }
+
+    /// How many backends are known.
+    pub(crate) fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// Applies an update. `fresh` makes the record of a backend of which nothing is known but its
+    /// entry; it is called once for each entry, in their order.
+    ///
+    /// Returns the backends that have left the ready state by it. A full list that names such a
+    /// backend, draining, returns it twice.
+    pub(crate) fn apply(
+        &mut self,
+        kind: UpdateKind,
+        endpoints: Vec<Endpoint>,
+        mut fresh: impl FnMut(Endpoint) -> EndpointRecord,
+    ) -> Vec<BackendId> {
+        let listed = endpoints.iter().map(|endpoint| endpoint.id);
+        let named: Vec<BackendId> = match kind {
+            UpdateKind::Delta => listed.collect(),
+            UpdateKind::Full | UpdateKind::Cached => {
+                self.records.keys().copied().chain(listed).collect()
+            }
+        };
+        let before: Vec<Option<EndpointState>> = named.iter().map(|id| self.state(*id)).collect();
+        if kind != UpdateKind::Delta {
+            self.remove_unlisted(&endpoints);
+        }
+        for endpoint in endpoints {
+            self.insert_or_update(fresh(endpoint));
+        }
+        let left = self.no_longer_ready(&named, &before);
+        self.forget_removed(&named);
+        left
+    }
+
+    /// Those of `named` whose state has changed from `before` to another one than ready.
+    fn no_longer_ready(
+        &self,
+        named: &[BackendId],
+        before: &[Option<EndpointState>],
+    ) -> Vec<BackendId> {
+        let mut left = Vec::new();
+        for (id, before) in named.iter().zip(before) {
+            let after = self.state(*id);
+            if after != *before && after.is_some_and(|state| state != EndpointState::Ready) {
+                left.push(*id);
+            }
+        }
+        left
+    }
+
+    fn state(&self, id: BackendId) -> Option<EndpointState> {
+        self.get(id).map(|record| record.endpoint.state)
+    }
+
+    fn remove_unlisted(&mut self, listed: &[Endpoint]) {
+        let listed: BTreeSet<BackendId> = listed.iter().map(|endpoint| endpoint.id).collect();
+        for record in self
+            .records
+            .values_mut()
+            .filter(|record| !listed.contains(&record.id()))
+        {
+            record.endpoint.state = EndpointState::Removed;
+        }
+    }
+
+    fn insert_or_update(&mut self, fresh: EndpointRecord) {
+        match self.records.get_mut(&fresh.id()) {
+            Some(record) => record.update(fresh),
+            None => {
+                self.records.insert(fresh.id(), fresh);
+            }
+        }
+    }
+
+    /// Forgets removed backends that have nothing in flight: of these and of those that had when
+    /// they were removed.
+    fn forget_removed(&mut self, named: &[BackendId]) {
+        self.lingering.extend(named);
+        let records = &mut self.records;
+        self.lingering.retain(|id| {
+            let Some(record) = records.get(id).filter(|record| record.is_removed()) else {
+                return false;
+            };
+            let is_over = record.load.in_flight() <= 0.0;
+            if is_over {
+                records.remove(id);
+            }
+            !is_over
+        });
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -34,31 +34,52 @@
 //! );
 //! # Ok::<(), kitefork_balancer::SettingsError>(())
 //! ```
+//!
+//! Each decision is a module with private state; `balancer` wires them:
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `estimator`, `pooled_latency` | how fast each backend is, how much arrives |
+//! | `optimal_split`, `candidates`, `pick` | with what weight a backend is picked, and which one is |
+//! | `subset` | which backends this proxy gets to know and uses first |
+//! | `slow_start` | what a backend may be sent while it warms up |
+//! | `outlier_detector` | which backends are ejected |
+//! | `concurrency_limiter` | how many attempts may be in flight |
+//! | `admission_queue`, `admission_rate` | which request is next, and when it is admitted |
+//! | `retry_policy` | whether a retry is paid for, when an attempt is overdue |
+//! | `legality` | whether an attempt or a rejection keeps the protocol rules |
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod action;
-mod balance;
+mod admission_queue;
+mod admission_rate;
+mod balancer;
 mod candidates;
+mod class_statistics;
+mod concurrency_limiter;
+mod endpoint_list;
+mod estimator;
 mod event;
 mod ids;
+mod legality;
+mod optimal_split;
+mod outlier_detector;
+mod pick;
+mod pooled_latency;
+mod request_table;
+mod retry_policy;
 mod settings;
-mod state;
+mod slow_start;
 mod statistics;
+mod subset;
 mod timer_queue;
+mod timescale;
 
 pub use action::{Action, LogEvent};
-pub use balance::Balancer;
+pub use balancer::Balancer;
 pub use event::{Endpoint, EndpointState, Event, Outcome, Request, UpdateKind};
 pub use ids::{BackendId, CellId, ClassId, KindId, Nanos, RequestId, TenantId, TimerId, ZoneId};
 pub use settings::{
     Class, DeduplicationScope, Idempotency, Limits, Rules, Settings, SettingsError, Tenant,
 };
-
-/// All types of the interface, for the modules of the decisions.
-mod interface {
-    pub(crate) use crate::action::*;
-    pub(crate) use crate::event::*;
-    pub(crate) use crate::ids::*;
-    pub(crate) use crate::settings::*;
-}
--- /dev/null
+++ b/crates/balancer/src/optimal_split_tests.rs
@@ -0,0 +1,29 @@
+//! Tests of the split against shares worked out by hand.
+
+use super::optimal_split;
+
+fn assert_near(found: &[f64], wanted: &[f64]) {
+    assert!(
+        found.iter().zip(wanted).all(|(a, b)| (a - b).abs() < 1e-9),
+        "{found:?} {wanted:?}"
+    );
+}
+
+#[test]
+fn shares_by_hand() {
+    assert_near(&optimal_split(0.2, &[0.45, 0.55]), &[0.25, 0.75]);
+    // Only the fastest gets a share; the slowest leave one by one.
+    assert_near(
+        &optimal_split(0.01, &[0.5, 0.1, 0.0, 0.2]),
+        &[1.0, 0.0, 0.0, 0.0],
+    );
+    // At and over the summed rates: proportional, which is the limit from below.
+    assert_near(&optimal_split(0.9, &[0.2, 0.4]), &[1.0 / 3.0, 2.0 / 3.0]);
+    assert_near(
+        &optimal_split(0.6 - 1e-12, &[0.2, 0.4]),
+        &[1.0 / 3.0, 2.0 / 3.0],
+    );
+    assert_near(&optimal_split(0.5, &[]), &[]);
+    let sum: f64 = optimal_split(0.7, &[0.3, 0.2, 0.5, 0.05]).iter().sum();
+    assert_near(&[sum], &[1.0]);
+}
--- /dev/null
+++ b/crates/balancer/src/pooled_latency.rs
@@ -0,0 +1,153 @@
+//! Prior latencies: what a backend with few completions is taken to need, pooled over those that
+//! share a label with it.
+//!
+//! The prior is the fleet's mean latency, times what is pooled for the backend's kind of machine,
+//! its cell, its zone, and for being in slow start. It helps proxies that see little of each
+//! backend, and it tells of what strikes all backends of one label at once, such as a silent rack
+//! or a zone that is cut off. A sound backend among bad ones gets little by it.
+
+use std::collections::BTreeMap;
+
+use crate::endpoint_list::{EndpointList, EndpointRecord};
+use crate::ids::{CellId, KindId, ZoneId};
+use crate::statistics::DecayedSum;
+
+/// Weight of the prior 1 of a pool, in completions.
+const POOL_PRIOR: f64 = 2.0;
+
+/// Prior latencies of one backend, in seconds.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PriorLatency {
+    /// By all its labels.
+    pub(crate) expected: f64,
+    /// By its kind of machine alone: what it needs without a fault.
+    pub(crate) of_kind: f64,
+}
+
+/// Prior latencies of all backends.
+pub(crate) struct PriorLatencies {
+    /// In the order of the endpoint list.
+    pub(crate) of_backends: Vec<PriorLatency>,
+    /// Latencies in this proxy's zone as a multiple of those in other zones.
+    pub(crate) home_to_away: f64,
+}
+
+/// What pooling looks at beside the endpoint list.
+pub(crate) struct PoolingContext<'a> {
+    /// Latencies of each kind of machine, as multiples of the mean.
+    pub(crate) kinds: &'a BTreeMap<KindId, DecayedSum>,
+    /// Zone of this proxy.
+    pub(crate) zone: ZoneId,
+    /// Shortest latency objective, in seconds: what a failure counts.
+    pub(crate) shortest_objective: f64,
+    /// Now, in seconds.
+    pub(crate) now_seconds: f64,
+}
+
+/// Latencies as multiples of what is usual, pooled by label.
+#[derive(Default)]
+struct Pools {
+    cells: BTreeMap<CellId, DecayedSum>,
+    zones: BTreeMap<ZoneId, DecayedSum>,
+    warm: DecayedSum,
+    slow_start: DecayedSum,
+}
+
+/// Works out the prior latencies. `in_slow_start` tells which backends are in slow start.
+pub(crate) fn prior_latencies(
+    endpoints: &EndpointList,
+    context: &PoolingContext,
+    in_slow_start: impl Fn(&EndpointRecord) -> bool,
+) -> PriorLatencies {
+    let mean = fleet_mean(endpoints);
+    let of_kind = |record: &EndpointRecord| mean * kind_factor(record, context);
+    let mut pools = Pools::default();
+    for record in endpoints.ready() {
+        let usual = of_kind(record).max(1e-9);
+        pools.add(record, usual, in_slow_start(record), context);
+    }
+    let prior = |record: &EndpointRecord| {
+        let of_kind = of_kind(record);
+        let age = if in_slow_start(record) {
+            pools.slow_start_factor()
+        } else {
+            1.0
+        };
+        let cell = pooled(pools.cells.get(&record.endpoint().cell));
+        let zone = pooled(pools.zones.get(&record.endpoint().zone));
+        PriorLatency {
+            expected: of_kind * cell * age * zone,
+            of_kind,
+        }
+    };
+    PriorLatencies {
+        of_backends: endpoints.iter().map(prior).collect(),
+        home_to_away: pools.home_to_away(context.zone),
+    }
+}
+
+impl Pools {
+    fn add(
+        &mut self,
+        record: &EndpointRecord,
+        usual: f64,
+        in_slow_start: bool,
+        context: &PoolingContext,
+    ) {
+        let (service, load) = (&record.service, &record.load);
+        // Only what attempts in flight have waited beyond the usual speaks against them; a failure
+        // counts as a latency objective.
+        let waited = (load.waited(context.now_seconds) - load.in_flight() * usual).max(0.0);
+        let failed = record.failures.failures() * context.shortest_objective;
+        let ratio_sum = (service.latency_sum() + waited + failed) / usual;
+        let age = if in_slow_start {
+            &mut self.slow_start
+        } else {
+            &mut self.warm
+        };
+        age.add(service.completions(), ratio_sum);
+        let cell = self.cells.entry(record.endpoint().cell).or_default();
+        cell.add(service.completions(), ratio_sum);
+        let zone = self.zones.entry(record.endpoint().zone).or_default();
+        zone.add(service.completions(), ratio_sum);
+    }
+
+    fn slow_start_factor(&self) -> f64 {
+        pooled(Some(&self.slow_start)) / pooled(Some(&self.warm))
+    }
+
+    fn home_to_away(&self, home_zone: ZoneId) -> f64 {
+        let (mut home, mut away) = (DecayedSum::default(), DecayedSum::default());
+        for (zone, pool) in &self.zones {
+            let side = if *zone == home_zone {
+                &mut home
+            } else {
+                &mut away
+            };
+            side.add(pool.count, pool.sum);
+        }
+        pooled(Some(&home)) / pooled(Some(&away))
+    }
+}
+
+/// Mean latency of the ready backends, in seconds; 0 before the first completion.
+fn fleet_mean(endpoints: &EndpointList) -> f64 {
+    let mut all = DecayedSum::default();
+    for record in endpoints.ready() {
+        all.add(record.service.completions(), record.service.latency_sum());
+    }
+    if all.count > 0.0 {
+        all.sum / all.count
+    } else {
+        0.0
+    }
+}
+
+fn kind_factor(record: &EndpointRecord, context: &PoolingContext) -> f64 {
+    pooled(context.kinds.get(&record.endpoint().kind))
+}
+
+/// The mean of a pool, drawn to 1; 1 where there is none.
+fn pooled(pool: Option<&DecayedSum>) -> f64 {
+    pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR))
+}
--- /dev/null
+++ b/crates/balancer/src/subset.rs
@@ -0,0 +1,163 @@
+//! Subsetting: which backends this proxy gets to know, and which it uses first.
+//!
+//! All proxies order the backends of a zone alike, by the hash of their names, and each starts at a
+//! place of its own. Nothing is exchanged; together they cover the fleet evenly. Of each zone a
+//! proxy knows the first backends in its order, as many as get the completions that an estimate
+//! wants, and it uses its own stretch of its own zone first, so that proxies which don't know what
+//! the others have in flight don't crowd one backend beside an idle one.
+//!
+//! Where crossing zones costs, little goes to other zones: all of them together have as many
+//! backends in the subset as the proxy's own. If the few of one proxy fail together, picks go to
+//! all others. It never decides whether an attempt is legal.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::endpoint_list::{EndpointList, EndpointRecord};
+use crate::ids::{BackendId, ZoneId};
+use crate::settings::Settings;
+
+/// Least backends of a zone that a proxy knows: as many as it takes failures to make an outlier.
+const LEAST_MEMBERS: f64 = crate::outlier_detector::OUTLIER_FAILURES;
+
+/// Place of one backend in this proxy's order of its zone.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct SubsetPosition {
+    /// From 0 to 1: the first are known and used first.
+    place: f64,
+    /// Whether it is of the stretch of the home zone that this proxy uses first.
+    is_own: bool,
+}
+
+impl SubsetPosition {
+    /// Whether it is of the stretch of the home zone that this proxy uses first.
+    pub(crate) fn is_own(&self) -> bool {
+        self.is_own
+    }
+}
+
+/// The subset of one proxy.
+pub(crate) struct Subset {
+    zone: ZoneId,
+    proxy_index: u32,
+    proxy_count: f64,
+    crossing_costs: bool,
+    /// Whether the endpoint list has changed since positions were worked out.
+    is_stale: bool,
+}
+
+impl Subset {
+    /// Positions are worked out at the first [`renew`](Subset::renew) after a change of the list.
+    pub(crate) fn new(settings: &Settings, proxy_count: f64) -> Subset {
+        Subset {
+            zone: settings.zone,
+            proxy_index: settings.proxy_index,
+            proxy_count,
+            crossing_costs: settings.cross_zone_cost > 0.0,
+            is_stale: false,
+        }
+    }
+
+    /// The endpoint list has changed.
+    pub(crate) fn mark_stale(&mut self) {
+        self.is_stale = true;
+    }
+
+    /// Works out the position of each backend anew if the list has changed.
+    pub(crate) fn renew(&mut self, endpoints: &mut EndpointList) {
+        if !std::mem::take(&mut self.is_stale) {
+            return;
+        }
+        let hashes = sorted_hashes(endpoints);
+        let proxies_of_zone = (self.proxy_count / hashes.len().max(1) as f64).max(1.0);
+        let start = f64::from(self.proxy_index) * step(hashes.len(), proxies_of_zone);
+        for record in endpoints.iter_mut() {
+            let Some(zone) = hashes.get(&record.endpoint().zone) else {
+                continue;
+            };
+            let rank = zone.partition_point(|hash| *hash < record.endpoint().hash) as f64;
+            let place = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
+            let is_home = record.endpoint().zone == self.zone;
+            record.position = SubsetPosition {
+                place,
+                is_own: is_home && place < 1.0 / proxies_of_zone,
+            };
+        }
+    }
+
+    /// The backends of the subset among the usable ones: the first of each zone, `knowable` in the
+    /// home zone. All of them where `knowable` is more.
+    pub(crate) fn members(
+        &self,
+        endpoints: &EndpointList,
+        knowable: f64,
+        is_usable: impl Fn(&EndpointRecord) -> bool,
+    ) -> BTreeSet<BackendId> {
+        let mut order: Vec<Candidate> = endpoints
+            .ready()
+            .filter(|record| is_usable(record))
+            .map(Candidate::new)
+            .collect();
+        order.sort_by(|a, b| a.zone.cmp(&b.zone).then(a.place.total_cmp(&b.place)));
+        let zones: Vec<_> = order.chunk_by(|a, b| a.zone == b.zone).collect();
+        let most = |zone: ZoneId| self.most_members(zone, knowable, zones.len());
+        zones
+            .iter()
+            .flat_map(|zone| zone.iter().take(most(zone[0].zone)))
+            .map(|candidate| candidate.id)
+            .collect()
+    }
+
+    fn most_members(&self, zone: ZoneId, knowable: f64, zone_count: usize) -> usize {
+        let other_zones = if self.crossing_costs {
+            zone_count as f64 - 1.0
+        } else {
+            1.0
+        };
+        let sharing = if zone == self.zone {
+            1.0
+        } else {
+            other_zones.max(1.0)
+        };
+        (knowable / sharing).max(LEAST_MEMBERS).ceil() as usize
+    }
+}
+
+/// A backend that can be in the subset.
+struct Candidate {
+    zone: ZoneId,
+    place: f64,
+    id: BackendId,
+}
+
+impl Candidate {
+    fn new(record: &EndpointRecord) -> Candidate {
+        Candidate {
+            zone: record.endpoint().zone,
+            place: record.position.place,
+            id: record.id(),
+        }
+    }
+}
+
+/// Hashes of the ready backends of each zone, in order.
+fn sorted_hashes(endpoints: &EndpointList) -> BTreeMap<ZoneId, Vec<u64>> {
+    let mut hashes: BTreeMap<ZoneId, Vec<u64>> = BTreeMap::new();
+    for record in endpoints.ready() {
+        hashes
+            .entry(record.endpoint().zone)
+            .or_default()
+            .push(record.endpoint().hash);
+    }
+    hashes.values_mut().for_each(|zone| zone.sort_unstable());
+    hashes
+}
+
+/// Distance of the starts of two proxies with successive indices. Where only some of the proxies
+/// are of this zone, multiples of the golden ratio lie evenly whichever they are.
+fn step(zone_count: usize, proxies_of_zone: f64) -> f64 {
+    if zone_count > 1 {
+        std::f64::consts::GOLDEN_RATIO
+    } else {
+        1.0 / proxies_of_zone
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/timescale.rs
@@ -0,0 +1,63 @@
+//! Times that several decisions derive from the settings, worked out once.
+
+use crate::ids::Nanos;
+use crate::settings::Settings;
+
+/// Nanoseconds of a second.
+pub(crate) const SECOND: f64 = 1e9;
+
+/// A time or span in seconds.
+pub(crate) fn seconds(nanos: Nanos) -> f64 {
+    nanos as f64 / SECOND
+}
+
+/// A span in nanoseconds; fractions of one are cut off.
+pub(crate) fn nanos(seconds: f64) -> Nanos {
+    (seconds * SECOND) as Nanos
+}
+
+/// When the balancer started, and the span of its latency objectives.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Timescale {
+    /// When the balancer started.
+    pub(crate) started_at: Nanos,
+    /// Shortest latency objective of a class, in seconds.
+    pub(crate) shortest_objective: f64,
+    /// Longest latency objective of a class, in seconds.
+    pub(crate) longest_objective: f64,
+}
+
+impl Timescale {
+    /// Works them out. Without classes both objectives are 1 s.
+    pub(crate) fn new(settings: &Settings, now: Nanos) -> Timescale {
+        let objectives = || {
+            settings
+                .classes
+                .iter()
+                .map(|class| seconds(class.latency_objective))
+        };
+        Timescale {
+            started_at: now,
+            shortest_objective: objectives().reduce(f64::min).unwrap_or(1.0),
+            longest_objective: objectives().reduce(f64::max).unwrap_or(1.0),
+        }
+    }
+
+    /// Seconds since the start.
+    pub(crate) fn age(&self, now: Nanos) -> f64 {
+        seconds(now.saturating_sub(self.started_at))
+    }
+
+    /// Time constant, in seconds, with which arrivals and completions of the whole fleet decay.
+    pub(crate) fn arrival_window(&self) -> f64 {
+        2.0 * self.longest_objective
+    }
+
+    /// The rate a second of events whose count decays with the arrival window. Soon after the
+    /// start the window is not full, which this corrects for.
+    pub(crate) fn per_second(&self, now: Nanos, decayed_count: f64) -> f64 {
+        let window = self.arrival_window();
+        let full = window * (1.0 - (-self.age(now) / window).exp());
+        decayed_count / full.max(self.shortest_objective)
+    }
+}
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -243,7 +243,7 @@
 
     /// Draws of the decisions that had to walk the whole list of backends.
     pub fn full_walks(&self) -> u64 {
-        self.balancer.full_walks()
+        self.balancer.full_scans()
     }
 
     /// The client session that waits for it.
