--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -5,6 +5,7 @@
 
 mod attempts;
 mod discovery;
+mod requests;
 mod weights;
 
 use rand_core::SeedableRng;
@@ -28,6 +29,7 @@
 use crate::subset::Subset;
 use crate::timer_queue::TimerQueue;
 use crate::timescale::{Timescale, seconds};
+use attempts::EndedAttempt;
 use discovery::PollBackoff;
 
 /// Queued requests in a row that find no backend before the others wait for the next event.
@@ -97,7 +99,7 @@
         if settings.poll_endpoints {
             timers.schedule(now, Task::PollEndpoints);
         }
-        let crossing_costs = settings.cross_zone_cost > 0.0;
+        let cross_zone_costs = settings.cross_zone_cost > 0.0;
         Ok(Balancer {
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             timers,
@@ -109,7 +111,12 @@
             estimation: Estimation {
                 estimator: Estimator::new(timescale),
                 subset: Subset::new(&settings, proxy_count),
-                split: OptimalSplit::new(settings.zone, crossing_costs, settings.tick, &timescale),
+                split: OptimalSplit::new(
+                    settings.zone,
+                    cross_zone_costs,
+                    settings.tick,
+                    &timescale,
+                ),
             },
             limiter: ConcurrencyLimiter::new(proxy_count, timescale.shortest_objective),
             outliers: OutlierDetector::new(&timescale),
@@ -127,6 +134,18 @@
     /// Takes one event that happened at `now` and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.decay(now);
+        self.dispatch(now, event, actions);
+        self.admit_queued(now, actions);
+        self.run_due_tasks(now, actions);
+        if let Some(armed) = self.timers.arm() {
+            actions.push(Action::SetTimer {
+                at: armed.at,
+                timer: armed.timer,
+            });
+        }
+    }
+
+    fn dispatch(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointUpdate { kind, endpoints } => {
                 self.on_endpoint_update(now, kind, endpoints, actions);
@@ -142,7 +161,7 @@
                 finished,
                 ..
             } => {
-                let ended = attempts::EndedAttempt {
+                let ended = EndedAttempt {
                     request,
                     attempt,
                     latency,
@@ -155,23 +174,20 @@
             Event::Timer { timer } => self.timers.fired(timer),
             Event::HealthCheckEnded { .. } | Event::GossipReceived { .. } => {}
         }
-        self.admit_queued(now, actions);
+    }
+
+    fn run_due_tasks(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(task) = self.timers.pop_due(now) {
             match task {
                 Task::PollEndpoints => actions.push(Action::WatchEndpoints(true)),
                 Task::ReviewRequest(id) => self.review(now, id, actions),
+                // The timer alone was wanted: each event admits queued requests.
                 Task::AdmitQueued => {}
                 Task::CloseIdleConnections(backend) => {
                     actions.push(Action::CloseIdleConnections { backend });
                 }
             }
         }
-        if let Some(armed) = self.timers.arm() {
-            actions.push(Action::SetTimer {
-                at: armed.at,
-                timer: armed.timer,
-            });
-        }
     }
 
     /// Picks that had to look at the whole endpoint list so far: their cost grows with it.
--- /dev/null
+++ b/crates/balancer/src/balancer/requests.rs
@@ -0,0 +1,197 @@
+//! The life of a request: queued, reviewed, retried, and given its final answer.
+
+use crate::action::Action;
+use crate::event::{Outcome, Request};
+use crate::ids::{Nanos, RequestId};
+use crate::legality;
+use crate::request_table::PendingRequest;
+use crate::settings::{Class, Idempotency};
+use crate::timescale::nanos;
+
+use super::attempts::EndedAttempt;
+use super::{Balancer, Task};
+
+impl Balancer {
+    /// Queues a request. One of an unknown class fails; one that is pending already is ignored.
+    pub(super) fn on_request(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let Some(class) = self.settings.classes.get(usize::from(request.class.0)) else {
+            actions.push(Action::Fail { request: id });
+            return;
+        };
+        if self.requests.contains(id) {
+            return;
+        }
+        let span = objective_span(class, &request);
+        let class_timeout = class.client_timeout;
+        let statistics = &mut self.classes[usize::from(request.class.0)];
+        let elapsed = statistics.elapsed(request.client_timeout, class_timeout);
+        let is_late = elapsed >= span;
+        let left = if is_late { span } else { span - elapsed };
+        let deadline = now.saturating_add(request.client_timeout);
+        let queue = &mut self.admission.queue;
+        let (position, admission_cost) =
+            queue.place(&request, is_late, &self.settings, &self.classes);
+        queue.insert(position, id);
+        self.admission.rate.on_received();
+        self.requests.insert(PendingRequest {
+            request,
+            deadline,
+            objective_at: now.saturating_add(left).min(deadline),
+            attempts: Vec::new(),
+            finished: false,
+            streaming: false,
+            position,
+            admission_cost,
+        });
+        self.timers
+            .schedule(self.latest_start(id), Task::ReviewRequest(id));
+    }
+
+    /// The answer of a request has begun to be streamed.
+    pub(super) fn on_first_byte(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.get_mut(id) {
+            pending.streaming = true;
+        }
+    }
+
+    /// A request that is known to be pending.
+    ///
+    /// # Panics
+    ///
+    /// If it is not: a fault of this program.
+    pub(super) fn pending(&self, id: RequestId) -> &PendingRequest {
+        self.requests.get(id).expect("the request is pending")
+    }
+
+    /// Until when a request that waits can still be answered in time.
+    pub(super) fn latest_start(&self, id: RequestId) -> Nanos {
+        let pending = self.pending(id);
+        let class = &self.settings.classes[pending.class()];
+        // Where the tail counts, a rejection within the objective is no miss and a late answer is
+        // one.
+        let late_counts = class.late_priority_weight > 0.0 && self.settings.tail_weight == 0.0;
+        let mut end = if late_counts {
+            pending.deadline
+        } else {
+            pending.objective_at
+        };
+        if pending.never_written() {
+            // A rejection of what was never written to a backend costs nothing up to a part of the
+            // client's timeout.
+            let fraction = 1.0 - self.settings.limits.never_attempted_fraction;
+            let kept = (pending.request.client_timeout as f64 * fraction) as Nanos;
+            end = end.min(pending.deadline - kept);
+        }
+        let usual = nanos(self.classes[pending.class()].unloaded_latency());
+        end.saturating_sub(usual.min(class.latency_objective / 2) + self.settings.tick)
+    }
+
+    /// Looks again at a request that waits, or whose attempt takes long.
+    pub(super) fn review(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let is_open = |pending: &&PendingRequest| !pending.finished && !pending.streaming;
+        let Some(pending) = self.requests.get(id).filter(is_open) else {
+            return;
+        };
+        if pending.in_flight() > 0 {
+            self.cancel_overdue(now, id, actions);
+            return;
+        }
+        // What is usual may have changed since this review was scheduled.
+        match self.latest_start(id) {
+            later if later > now => self.timers.schedule(later, Task::ReviewRequest(id)),
+            _ => self.finish(id, actions),
+        }
+    }
+
+    /// Goes on with a request of which an attempt has ended. `was_lost`: the attempt was cancelled
+    /// as lost, and its retry is paid for already.
+    pub(super) fn retry_or_finish(
+        &mut self,
+        now: Nanos,
+        ended: &EndedAttempt,
+        was_lost: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = ended.request;
+        let pending = self.pending(id);
+        if ended.finished || pending.finished {
+            self.close(id, actions);
+        } else if pending.streaming {
+            // The stream broke off: only a failure can follow.
+            self.finish(id, actions);
+        } else if pending.in_flight() == 0 {
+            // A failed connection costs no capacity and needs no token.
+            let is_free = was_lost || ended.outcome == Outcome::ConnectFailed;
+            let is_paid = is_free || self.retries.has_token();
+            let latest_start = self.latest_start(id);
+            if now < latest_start && self.may_retry(pending, ended.outcome) && is_paid {
+                let position = pending.position;
+                if !is_free {
+                    self.retries.spend();
+                }
+                self.admission.queue.insert(position, id);
+                self.timers.schedule(latest_start, Task::ReviewRequest(id));
+            } else {
+                self.finish(id, actions);
+            }
+        }
+    }
+
+    /// Whether another attempt may follow this outcome. What may have been executed and must not be
+    /// twice is over, and so is a request that is itself at fault.
+    fn may_retry(&self, pending: &PendingRequest, outcome: Outcome) -> bool {
+        let idempotency = self.settings.classes[pending.class()].idempotency;
+        let is_over = idempotency == Idempotency::NotIdempotent && pending.may_have_executed();
+        !is_over
+            && outcome != Outcome::BadRequest
+            && legality::has_attempts_left(&self.settings, pending)
+    }
+
+    /// Gives the final answer: a rejection where that is true, else a failure.
+    fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let is_open = |pending: &&PendingRequest| !pending.finished;
+        let Some(pending) = self.requests.get(id).filter(is_open) else {
+            return;
+        };
+        if legality::may_reject(&self.settings, pending) {
+            let retry_after = self.settings.limits.max_retry_after;
+            actions.push(Action::Reject {
+                request: id,
+                retry_after,
+            });
+        } else {
+            actions.push(Action::Fail { request: id });
+        }
+        self.close(id, actions);
+    }
+
+    /// The request is over: cancels what is in flight, and forgets it when nothing is.
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get_mut(id) else {
+            return;
+        };
+        let is_first = !std::mem::replace(&mut pending.finished, true);
+        self.admission.queue.remove(pending.position, id);
+        if pending.in_flight() == 0 {
+            self.requests.remove(id);
+        } else if is_first && self.settings.limits.can_cancel {
+            for (index, attempt) in pending.attempts.iter().enumerate() {
+                if attempt.outcome.is_none() {
+                    actions.push(Action::CancelAttempt {
+                        request: id,
+                        attempt: index as u8,
+                    });
+                }
+            }
+        }
+    }
+}
+
+/// Time within which an answer to a request has its full weight: the latency objective of its class
+/// and what its own work adds.
+fn objective_span(class: &Class, request: &Request) -> Nanos {
+    let per_unit = class.latency_objective_per_unit_of_work.max(0.0);
+    let added = per_unit * request.work_hint.unwrap_or(0) as f64;
+    class.latency_objective.saturating_add(added as Nanos)
+}
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -32,6 +32,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u16);
 
-/// A timer that the balancer has asked for.
+/// A timer of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u32);
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -96,7 +96,7 @@
 /// The split of one proxy.
 pub(crate) struct OptimalSplit {
     zone: ZoneId,
-    crossing_costs: bool,
+    cross_zone_costs: bool,
     tick: Nanos,
     shortest_objective: f64,
     renewed_at: Nanos,
@@ -108,16 +108,16 @@
 }
 
 impl OptimalSplit {
-    /// Without weights until the first renewal. `crossing_costs`: attempts to other zones cost.
+    /// Without weights until the first renewal. `cross_zone_costs`: attempts to other zones cost.
     pub(crate) fn new(
         zone: ZoneId,
-        crossing_costs: bool,
+        cross_zone_costs: bool,
         tick: Nanos,
         timescale: &Timescale,
     ) -> OptimalSplit {
         OptimalSplit {
             zone,
-            crossing_costs,
+            cross_zone_costs,
             tick,
             shortest_objective: timescale.shortest_objective,
             renewed_at: timescale.started_at,
@@ -204,7 +204,7 @@
         now.saturating_sub(since) as f64 / self.tick as f64 + E
     }
 
-    /// Fraction of their shares that backends of other zones get: where crossing costs, by how far
+    /// Fraction of their shares that backends of other zones get: where attempts to them cost, by how far
     /// the home zone is from its tolerance.
     fn spillover(&self, endpoints: &EndpointList, inputs: &SplitInputs) -> f64 {
         let (mut ratio_sum, mut count) = (0.0, 0.0);
@@ -214,7 +214,7 @@
                 count += 1.0;
             }
         }
-        if count == 0.0 || !self.crossing_costs {
+        if count == 0.0 || !self.cross_zone_costs {
             return 1.0;
         }
         let ratio = inputs.home_to_away.min(ratio_sum / count);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -179,50 +179,48 @@
     fn checks(&self) -> [Check; 7] {
         let (classes, rules) = (&self.classes, &self.rules);
         let capacity = rules.slow_start_initial_capacity;
+        let has_times = |class: &Class| class.latency_objective > 0 && class.client_timeout > 0;
+        let has_weight = |class: &Class| is_finite_and_not_negative(class.priority_weight);
         [
-            Check {
-                holds: self.tick > 0,
-                key: "tick",
-                reason: "must be above 0",
-            },
-            Check {
-                holds: classes
-                    .iter()
-                    .all(|c| c.latency_objective > 0 && c.client_timeout > 0),
-                key: "classes",
-                reason: "latency objective and client timeout must be above 0",
-            },
-            Check {
-                holds: classes
-                    .iter()
-                    .all(|c| c.priority_weight.is_finite() && c.priority_weight >= 0.0),
-                key: "classes",
-                reason: "priority weight must be 0 or more",
-            },
-            Check {
-                holds: capacity > 0.0 && capacity <= 1.0,
-                key: "rules.slow_start_initial_capacity",
-                reason: "must be above 0, at most 1",
-            },
-            Check {
-                holds: self.tail_weight >= 0.0 && self.tail_weight.is_finite(),
-                key: "tail_weight",
-                reason: "must be 0 or more",
-            },
-            Check {
-                holds: rules.drain_close_within != Some(0),
-                key: "rules.drain_close_within",
-                reason: "must be above 0",
-            },
-            Check {
-                holds: rules.overload_duration > 0 && rules.overload_multiple > 0.0,
-                key: "rules.overload_duration",
-                reason: "duration and multiple must be above 0",
-            },
+            Check::new(self.tick > 0, "tick", "must be above 0"),
+            Check::new(
+                classes.iter().all(has_times),
+                "classes",
+                "latency objective and client timeout must be above 0",
+            ),
+            Check::new(
+                classes.iter().all(has_weight),
+                "classes",
+                "priority weight must be 0 or more",
+            ),
+            Check::new(
+                capacity > 0.0 && capacity <= 1.0,
+                "rules.slow_start_initial_capacity",
+                "must be above 0, at most 1",
+            ),
+            Check::new(
+                is_finite_and_not_negative(self.tail_weight),
+                "tail_weight",
+                "must be 0 or more",
+            ),
+            Check::new(
+                rules.drain_close_within != Some(0),
+                "rules.drain_close_within",
+                "must be above 0",
+            ),
+            Check::new(
+                rules.overload_duration > 0 && rules.overload_multiple > 0.0,
+                "rules.overload_duration",
+                "duration and multiple must be above 0",
+            ),
         ]
     }
 }
 
+fn is_finite_and_not_negative(figure: f64) -> bool {
+    figure.is_finite() && figure >= 0.0
+}
+
 /// One condition on the settings.
 struct Check {
     holds: bool,
@@ -230,6 +228,12 @@
     reason: &'static str,
 }
 
+impl Check {
+    fn new(holds: bool, key: &'static str, reason: &'static str) -> Check {
+        Check { holds, key, reason }
+    }
+}
+
 /// A setting that makes no sense.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("setting `{key}`: {reason}")]
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -40,7 +40,7 @@
     zone: ZoneId,
     proxy_index: u32,
     proxy_count: f64,
-    crossing_costs: bool,
+    cross_zone_costs: bool,
     /// Whether the endpoint list has changed since positions were worked out.
     is_stale: bool,
 }
@@ -52,7 +52,7 @@
             zone: settings.zone,
             proxy_index: settings.proxy_index,
             proxy_count,
-            crossing_costs: settings.cross_zone_cost > 0.0,
+            cross_zone_costs: settings.cross_zone_cost > 0.0,
             is_stale: false,
         }
     }
@@ -108,7 +108,7 @@
     }
 
     fn most_members(&self, zone: ZoneId, knowable: f64, zone_count: usize) -> usize {
-        let other_zones = if self.crossing_costs {
+        let other_zones = if self.cross_zone_costs {
             zone_count as f64 - 1.0
         } else {
             1.0
