--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -24,7 +24,7 @@
 const IGNORED_WEIGHT_BITS: u32 = 50;
 
 /// Place in the queue: weight, then age.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     inverted_weight: u64,
     inverted_sequence: u64,
@@ -168,3 +168,7 @@
     };
     settings.classes[class].priority_weight / work
 }
+
+#[cfg(test)]
+#[path = "admission_queue_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -0,0 +1,116 @@
+//! Unit tests of the order of the admission queue.
+
+use super::*;
+use crate::settings::{Class, Idempotency, Tenant};
+use crate::test_support::{MS, request, settings};
+
+/// A class of weight 1 and one of weight 10; a tenant without quota and one with plenty.
+fn two_classes() -> Settings {
+    let mut settings = settings(Idempotency::Idempotent);
+    let weighty = Class {
+        priority_weight: 10.0,
+        ..settings.classes[0].clone()
+    };
+    settings.classes.push(weighty);
+    settings.classes[0].late_priority_weight = 0.1;
+    settings.tenants = vec![
+        Tenant {
+            quota_per_second: 0.0,
+        },
+        Tenant {
+            quota_per_second: 1e6,
+        },
+    ];
+    settings.over_quota_weight = 0.01;
+    settings
+}
+
+struct Fixture {
+    settings: Settings,
+    classes: Vec<ClassStatistics>,
+    queue: AdmissionQueue,
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let mut classes = vec![ClassStatistics::default(); 2];
+        classes.iter_mut().for_each(|class| class.add_latency(0.05));
+        let mut queue = AdmissionQueue::new(2, 1.0);
+        let settings = two_classes();
+        queue.refill_quotas(&settings, 1.0);
+        Fixture {
+            settings,
+            classes,
+            queue,
+        }
+    }
+
+    fn add(&mut self, request: &Request, is_late: bool) -> AdmissionCost {
+        let (position, cost) = self
+            .queue
+            .place(request, is_late, &self.settings, &self.classes);
+        self.queue.insert(position, request.id);
+        cost
+    }
+
+    fn order(&self) -> Vec<u32> {
+        let first = self.queue.first_from(QueueEntry::FIRST);
+        let next = |entry: &QueueEntry| self.queue.first_from(entry.successor());
+        std::iter::successors(first, next)
+            .map(|entry| entry.request.0)
+            .collect()
+    }
+}
+
+fn of_tenant(id: u32, class: u16, tenant: u16) -> Request {
+    Request {
+        tenant: TenantId(tenant),
+        ..request(id, class)
+    }
+}
+
+#[test]
+fn the_weightiest_come_first_and_among_equals_the_newest() {
+    let mut fixture = Fixture::new();
+    for (id, class) in [(1, 0), (2, 1), (3, 0), (4, 1)] {
+        fixture.add(&of_tenant(id, class, 1), false);
+    }
+    assert_eq!(fixture.order(), [4, 2, 3, 1]);
+}
+
+#[test]
+fn tenants_over_their_quota_and_late_retries_come_behind() {
+    let mut fixture = Fixture::new();
+    fixture.add(&of_tenant(1, 0, 0), false);
+    fixture.add(&of_tenant(2, 0, 1), true);
+    fixture.add(
+        &Request {
+            client_retry: true,
+            ..of_tenant(3, 0, 1)
+        },
+        false,
+    );
+    fixture.add(&of_tenant(4, 0, 1), false);
+    // The first of tenant 0 uses the one request that the quota's least size holds.
+    assert_eq!(fixture.order(), [4, 3, 2, 1]);
+}
+
+#[test]
+fn only_the_weightiest_draw_on_the_reserve() {
+    let mut fixture = Fixture::new();
+    assert!(fixture.add(&of_tenant(1, 0, 1), false).leaves_reserve());
+    assert!(!fixture.add(&of_tenant(2, 1, 1), false).leaves_reserve());
+}
+
+#[test]
+fn what_is_removed_waits_no_more() {
+    let mut fixture = Fixture::new();
+    let request = of_tenant(1, 0, 1);
+    let (position, _) = fixture
+        .queue
+        .place(&request, false, &fixture.settings, &fixture.classes);
+    fixture.queue.insert(position, request.id);
+    assert!(!fixture.queue.is_empty());
+    fixture.queue.remove(position, request.id);
+    assert!(fixture.queue.is_empty() && request.client_timeout == 1_000 * MS);
+}
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -149,3 +149,7 @@
         };
     }
 }
+
+#[cfg(test)]
+#[path = "admission_rate_tests.rs"]
+mod tests;
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -273,3 +273,7 @@
             * (1.0 + self.waited / f64::max(self.latency_sum, 1e-3))
     }
 }
+
+#[cfg(test)]
+#[path = "concurrency_limiter_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -0,0 +1,117 @@
+//! Unit tests of the concurrency limits.
+
+use super::*;
+
+fn sample(outcome: Outcome, latency_ratio: f64) -> LoadSample {
+    LoadSample {
+        outcome,
+        latency_ratio,
+        ratio_to_mean: latency_ratio,
+        at: 7,
+    }
+}
+
+/// The limit of a backend with so many attempts in flight, after many samples of one kind.
+fn adjusted(limiter: &ConcurrencyLimiter, in_flight: usize, sample: &LoadSample) -> f64 {
+    let mut load = BackendLoad::new(limiter.initial_limit());
+    (0..in_flight).for_each(|_| load.on_sent(0));
+    (0..200).for_each(|_| limiter.adjust(&mut load, sample, 0.01));
+    load.concurrency_limit()
+}
+
+#[test]
+fn a_limit_in_use_grows_with_fast_answers_up_to_this_proxys_share() {
+    let limiter = ConcurrencyLimiter::new(1.0, 0.3);
+    assert_eq!(limiter.initial_limit(), 1.0);
+    // All proxies let a backend hold four; one alone may use four and the root of that.
+    assert_eq!(adjusted(&limiter, 6, &sample(Outcome::Success, 1.0)), 6.0);
+    // What is not used says nothing of more.
+    let unused = adjusted(&limiter, 0, &sample(Outcome::Success, 1.0));
+    assert!((2.0..2.1).contains(&unused), "{unused}");
+}
+
+#[test]
+fn a_limit_leaves_the_tightest_class_in_time_behind_the_longest_work() {
+    let limiter = ConcurrencyLimiter::new(1.0, 0.3);
+    let mut load = BackendLoad::new(1.0);
+    (0..6).for_each(|_| load.on_sent(0));
+    // Behind one attempt of 0.15 s another is still in time, behind two it is not.
+    (0..200).for_each(|_| limiter.adjust(&mut load, &sample(Outcome::Success, 1.0), 0.15));
+    assert_eq!(load.concurrency_limit(), 2.0);
+}
+
+#[test]
+fn a_limit_shrinks_with_slow_answers_timeouts_and_rejections_but_keeps_a_part() {
+    let limiter = ConcurrencyLimiter::new(2.0, 0.3);
+    for (outcome, ratio) in [
+        (Outcome::Success, 4.0),
+        (Outcome::Timeout, 0.1),
+        (Outcome::Overloaded, 0.1),
+    ] {
+        let found = adjusted(&limiter, 2, &sample(outcome, ratio));
+        assert_eq!(found, 0.5, "{outcome:?}");
+    }
+    assert_eq!(adjusted(&limiter, 2, &sample(Outcome::Reset, 9.0)), 1.0);
+}
+
+#[test]
+fn one_attempt_may_always_be_in_flight_at_a_backend() {
+    let mut load = BackendLoad::new(0.2);
+    assert!(load.has_capacity() && load.is_idle());
+    load.on_sent(5);
+    assert!(!load.has_capacity());
+    load.on_ended(5);
+    assert!(load.has_capacity() && load.waited(100.0) == 0.0);
+}
+
+#[test]
+fn a_new_process_is_given_the_attempts_in_flight_of_the_old_one_and_nothing_else() {
+    let limiter = ConcurrencyLimiter::new(1.0, 0.3);
+    let mut load = BackendLoad::new(1.0);
+    load.on_sent(2_000_000_000);
+    limiter.adjust(&mut load, &sample(Outcome::Timeout, 9.0), 0.01);
+    let restarted = load.restarted(1.0);
+    assert_eq!((restarted.in_flight(), restarted.waited(3.0)), (1.0, 1.0));
+    assert_eq!(
+        (restarted.latency_ratio(), restarted.concurrency_limit()),
+        (1.0, 1.0)
+    );
+}
+
+#[test]
+fn limits_are_below_one_from_eleven_proxies_on() {
+    for (proxies, below) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
+        assert_eq!(
+            ConcurrencyLimiter::new(proxies, 0.3).is_below_one(),
+            below,
+            "{proxies}"
+        );
+    }
+}
+
+#[test]
+fn pressure_cuts_the_total_but_leaves_one_attempt() {
+    let mut limiter = ConcurrencyLimiter::new(1.0, 0.3);
+    limiter.set_total(8.0, 1.0);
+    (0..7).for_each(|_| limiter.on_sent());
+    assert!(!limiter.is_full());
+    limiter.set_total(8.0, 2.0 * OVERLOAD_RATIO);
+    assert!(limiter.is_full());
+    (0..7).for_each(|_| limiter.on_ended());
+    limiter.set_total(8.0, 100.0);
+    assert!(!limiter.is_full());
+}
+
+#[test]
+fn silence_counts_as_pressure_up_to_a_multiple_of_what_answers_took() {
+    let mut service = ServiceTimes::default();
+    service.on_ended(Outcome::Success, 0.1, 0.0);
+    let mut load = BackendLoad::new(1.0);
+    let mut calm = Pressure::default();
+    calm.add(&load, &service, 0);
+    assert_eq!(calm.value(), 1.0);
+    load.on_sent(0);
+    let mut silent = Pressure::default();
+    silent.add(&load, &service, 3_600_000_000_000);
+    assert!((silent.value() - 4.0).abs() < 1e-9);
+}
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -205,3 +205,7 @@
         });
     }
 }
+
+#[cfg(test)]
+#[path = "endpoint_list_tests.rs"]
+mod tests;
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -190,3 +190,7 @@
         self.first_attempts = first_attempts;
     }
 }
+
+#[cfg(test)]
+#[path = "estimator_tests.rs"]
+mod tests;
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -85,3 +85,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "legality_tests.rs"]
+mod tests;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -73,6 +73,8 @@
 mod slow_start;
 mod statistics;
 mod subset;
+#[cfg(test)]
+mod test_support;
 mod timer_queue;
 mod timescale;
 
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -185,3 +185,7 @@
         .filter(|record| record.failures.is_ejected(now))
         .count() as f64
 }
+
+#[cfg(test)]
+#[path = "outlier_detector_tests.rs"]
+mod tests;
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -151,3 +151,7 @@
 fn pooled(pool: Option<&DecayedSum>) -> f64 {
     pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR))
 }
+
+#[cfg(test)]
+#[path = "pooled_latency_tests.rs"]
+mod tests;
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -58,3 +58,7 @@
     let least = OVERDUE_LEAST_FRACTION * latency_objective as f64;
     (OVERDUE_MULTIPLE * expected).max(least) as Nanos
 }
+
+#[cfg(test)]
+#[path = "retry_policy_tests.rs"]
+mod tests;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -99,3 +99,7 @@
         tokens.0 = (tokens.0 + rate * step).min(most);
     }
 }
+
+#[cfg(test)]
+#[path = "slow_start_tests.rs"]
+mod tests;
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -161,3 +161,7 @@
         1.0 / proxies_of_zone
     }
 }
+
+#[cfg(test)]
+#[path = "subset_tests.rs"]
+mod tests;
--- a/crates/balancer/src/timescale.rs
+++ b/crates/balancer/src/timescale.rs
@@ -61,3 +61,7 @@
         decayed_count / full.max(self.shortest_objective)
     }
 }
+
+#[cfg(test)]
+#[path = "timescale_tests.rs"]
+mod tests;
