--- /dev/null
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -0,0 +1,50 @@
+//! What a backend in slow start is sent.
+
+use kitefork_balancer::*;
+
+use crate::support::*;
+
+#[test]
+fn many_nodes_together_send_a_cold_backend_a_part_of_its_share() {
+    let nodes = 200;
+    let mut sent = 0;
+    for seed in 0..nodes {
+        let settings = Settings {
+            proxy_count: nodes as u32,
+            ..settings()
+        };
+        let cold = Endpoint {
+            started_at: Some(START - 1),
+            ..backend(1)
+        };
+        let backends = std::iter::once(cold).chain((2..=20).map(backend)).collect();
+        let mut feed = Feed::seeded(settings, backends, seed);
+        sent += feed
+            .trickle(10, |_| 20 * MS)
+            .get(&BackendId(1))
+            .copied()
+            .unwrap_or(0);
+    }
+    // An even share would be 100; a fifth of the capacity is there.
+    assert!(sent < 60, "{sent} sends to a cold backend");
+}
+
+#[test]
+fn a_cold_backend_gets_a_part_and_a_warm_one_its_share() {
+    let mut feed = Feed::new(settings(), vec![backend(1), backend(2), backend(3)]);
+    feed.serve(300, |_| 10 * MS);
+    let restarted = Endpoint {
+        started_at: Some(feed.now),
+        ..backend(1)
+    };
+    feed.give(Event::EndpointUpdate {
+        kind: UpdateKind::Delta,
+        endpoints: vec![restarted],
+    });
+    let cold = feed.serve(200, |_| 10 * MS);
+    assert!(cold.get(&BackendId(1)).is_none_or(|n| *n < 40), "{cold:?}");
+    feed.wait(10_000 * MS);
+    feed.serve(400, |_| 10 * MS);
+    let warm = feed.serve(600, |_| 10 * MS);
+    assert!(warm[&BackendId(1)] > 100, "{warm:?}");
+}
--- /dev/null
+++ b/crates/balancer/tests/balancer/support.rs
@@ -0,0 +1,229 @@
+//! A balancer that is fed events, with the attempts that it has in flight.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use kitefork_balancer::*;
+
+pub const MS: Nanos = 1_000_000;
+
+pub const SECOND: Nanos = 1_000 * MS;
+
+pub const START: Nanos = 100_000 * MS;
+
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        latency_objective: 400 * MS,
+        client_timeout: 1000 * MS,
+        priority_weight: 1.0,
+        idempotency,
+        ..Class::default()
+    }
+}
+
+pub fn settings() -> Settings {
+    let keyed = |group| {
+        class(Idempotency::IdempotencyKey {
+            scope: group,
+            window: 500 * MS,
+        })
+    };
+    let mut settings = Settings {
+        classes: vec![
+            class(Idempotency::Idempotent),
+            keyed(DeduplicationScope::Global),
+            keyed(DeduplicationScope::Cell),
+            class(Idempotency::NotIdempotent),
+            Class {
+                priority_weight: 10.0,
+                ..class(Idempotency::Idempotent)
+            },
+        ],
+        ..Settings::default()
+    };
+    settings.rules.slow_start_initial_capacity = 0.2;
+    settings.rules.slow_start_duration = 10_000 * MS;
+    settings.rules.overload_multiple = 3.0;
+    settings.rules.overload_duration = 2_000 * MS;
+    settings
+}
+
+pub fn backend(id: u32) -> Endpoint {
+    Endpoint {
+        id: BackendId(id),
+        hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        zone: ZoneId(0),
+        cell: CellId((id % 2) as u16),
+        kind: KindId(0),
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_at: None,
+    }
+}
+
+pub fn request(id: u32, class: u16) -> Event {
+    let (id, class) = (RequestId(id), ClassId(class));
+    Event::Request(Request {
+        id,
+        class,
+        client_timeout: 800 * MS,
+        ..Request::default()
+    })
+}
+
+/// Feeds events and keeps what is out; timers fire when due.
+pub struct Feed {
+    pub balancer: Balancer,
+    pub now: Nanos,
+    pub timers: BTreeSet<(Nanos, TimerId)>,
+    /// Attempts sent for each request: backend, time, and whether it is still out.
+    pub sent: BTreeMap<RequestId, Vec<(BackendId, Nanos, bool)>>,
+    pub next: u32,
+}
+
+impl Feed {
+    pub fn new(settings: Settings, backends: Vec<Endpoint>) -> Feed {
+        Feed::seeded(settings, backends, 7)
+    }
+
+    pub fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Feed {
+        let balancer = Balancer::new(settings, seed, START).expect("sound settings");
+        let mut feed = Feed {
+            balancer,
+            now: START,
+            timers: BTreeSet::new(),
+            sent: BTreeMap::new(),
+            next: 0,
+        };
+        feed.give(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: backends,
+        });
+        feed
+    }
+
+    pub fn give(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in &actions {
+            match action {
+                Action::SetTimer { at, timer } => {
+                    self.timers.insert((*at, *timer));
+                }
+                Action::StartAttempt {
+                    request, backend, ..
+                } => {
+                    self.sent
+                        .entry(*request)
+                        .or_default()
+                        .push((*backend, self.now, true));
+                }
+                _ => {}
+            }
+        }
+        actions
+    }
+
+    /// Moves the clock, firing timers on the way.
+    pub fn wait(&mut self, span: Nanos) -> Vec<Action> {
+        let end = self.now + span;
+        let mut actions = Vec::new();
+        while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= end) {
+            self.timers.remove(&(at, timer));
+            self.now = self.now.max(at);
+            actions.extend(self.give(Event::Timer { timer }));
+        }
+        self.now = end;
+        actions
+    }
+
+    pub fn ask(&mut self, class: u16) -> (RequestId, Vec<Action>) {
+        self.next += 1;
+        (RequestId(self.next), self.give(request(self.next, class)))
+    }
+
+    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
+        let sent = self
+            .sent
+            .get_mut(&id)
+            .map(|attempts| &mut attempts[attempt])
+            .expect("sent");
+        sent.2 = false;
+        let latency = self.now - sent.1;
+        let finished = outcome == Outcome::Success;
+        self.give(Event::AttemptEnded {
+            request: id,
+            attempt: attempt as u8,
+            latency,
+            outcome,
+            finished,
+            load_report: vec![],
+        })
+    }
+
+    /// Serves requests one after the other, each after what its backend takes; counts by backend.
+    pub fn serve(
+        &mut self,
+        count: usize,
+        takes: impl Fn(BackendId) -> Nanos,
+    ) -> BTreeMap<BackendId, usize> {
+        let mut counts = BTreeMap::new();
+        for _ in 0..count {
+            let (id, _) = self.ask(0);
+            let to = self.sent[&id][0].0;
+            *counts.entry(to).or_default() += 1;
+            self.wait(takes(to));
+            self.end(id, 0, Outcome::Success);
+        }
+        counts
+    }
+}
+
+impl Feed {
+    /// Like `serve`, at a node with little traffic: a request may wait for room before it is sent.
+    pub fn trickle(
+        &mut self,
+        count: usize,
+        takes: impl Fn(BackendId) -> Nanos,
+    ) -> BTreeMap<BackendId, usize> {
+        let mut counts = BTreeMap::new();
+        for _ in 0..count {
+            let (id, _) = self.ask(0);
+            self.wait(300 * MS);
+            if let Some(attempt) = self.sent.get_mut(&id).and_then(|sent| sent.first_mut()) {
+                let (to, sent, out) = attempt;
+                *out = false;
+                *counts.entry(*to).or_default() += 1;
+                // It was over by then; told late, with the latency that it had.
+                let latency = takes(*to).min(self.now - *sent);
+                self.give(Event::AttemptEnded {
+                    request: id,
+                    attempt: 0,
+                    latency,
+                    outcome: Outcome::Success,
+                    finished: true,
+                    load_report: vec![],
+                });
+            }
+            self.wait(100 * MS);
+        }
+        counts
+    }
+}
+
+pub fn sends(actions: &[Action]) -> Vec<BackendId> {
+    actions
+        .iter()
+        .filter_map(|a| match a {
+            Action::StartAttempt { backend, .. } => Some(*backend),
+            _ => None,
+        })
+        .collect()
+}
+
+pub fn refused(actions: &[Action]) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+}
+
+pub fn failed(actions: &[Action]) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+}
