--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn nothing_is_held_back_before_the_first_arrival_window_is_over() {
+fn the_rate_has_no_limit_before_the_first_arrival_window_is_over() {
     let (rate, _) = started_long_ago();
     assert_eq!(rate.per_second(500 * MS), 1_000.0);
     assert!(rate.per_second(700 * MS) < 2.0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn tokens_are_saved_up_to_the_reserve_and_no_further_at_a_low_rate() {
+fn tokens_are_kept_up_to_the_reserve_and_no_further_at_a_low_rate() {
     let (mut rate, now) = started_long_ago();
     rate.refill(now, 1_000.0);
     assert!(rate.covers(AdmissionCost::LEAVES_RESERVE));
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -103,7 +103,7 @@
             let waited = record.load.waited(seconds(now));
             let latency = record.service.estimated_latency(waited, prior.expected);
             let is_known = record.service.has_completions() || is_starved && prior.expected > 0.0;
-            let is_member = members.contains(&record.id()) && !self.needs_rest(latency, prior);
+            let is_member = members.contains(&record.id()) && !self.is_overloaded(latency, prior);
             let is_split_among = self.is_usable(now, record) && is_known && is_member;
             if is_split_among {
                 service_rate(latency, self.slot_seconds())
@@ -121,7 +121,7 @@
     /// Whether a backend is overloaded so clearly that it needs rest, which a smaller share is not.
     /// It is back in the set as its samples age. Slow but sound ones rest too, so this holds only
     /// where the other backends of the subset are shared by many proxies.
-    fn needs_rest(&self, latency: f64, prior: &PriorLatency) -> bool {
+    fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.of_kind
     }
 
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -23,18 +23,18 @@
 }
 
 fn request(id: u32) -> Event {
-    let (id, patience) = (RequestId(id), 1_600 * MS);
+    let (id, client_timeout) = (RequestId(id), 1_600 * MS);
     Event::Request(Request {
         id,
         key: u64::from(id.0),
-        client_timeout: patience,
+        client_timeout,
         is_write: true,
         ..Request::default()
     })
 }
 
 #[test]
-fn a_long_way_to_a_zone_is_no_crowd_there() {
+fn a_long_way_to_a_zone_is_no_overload_there() {
     let class = Class {
         latency_objective: 300_000_000,
         client_timeout: 900_000_000,
@@ -62,9 +62,9 @@
     };
     balancer.handle(1, list, &mut Vec::new());
     for _ in 0..2 * LATENCY_SAMPLES as usize {
-        for (id, spent) in [(0, 0.002), (1, 0.012)] {
-            balancer.classes[0].add_latency(spent);
-            balancer.adjust_limit(BackendId(id), 0, spent, Outcome::Success);
+        for (id, latency) in [(0, 0.002), (1, 0.012)] {
+            balancer.classes[0].add_latency(latency);
+            balancer.adjust_limit(BackendId(id), 0, latency, Outcome::Success);
         }
     }
     assert!(
@@ -76,20 +76,20 @@
 }
 
 #[test]
-fn a_node_that_completes_little_still_starts_a_part_of_what_comes() {
+fn a_proxy_that_completes_little_still_starts_a_part_of_what_it_receives() {
     let mut balancer = Balancer::new(one_of_many(), 7, 0).unwrap();
     // Thirty a second, and no backend takes any.
-    for turn in 0..60 {
+    for round in 0..60 {
         balancer.handle(
-            (1 + Nanos::from(turn) * 33) * MS,
-            request(turn),
+            (1 + Nanos::from(round) * 33) * MS,
+            request(round),
             &mut Vec::new(),
         );
     }
-    let pace = balancer.admission.rate.per_second(2_000 * MS);
-    assert!((4.0..8.0).contains(&pace), "{pace} of 30 a second");
+    let rate = balancer.admission.rate.per_second(2_000 * MS);
+    assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
     // Once they answer fast, what a window completes at that pace brings back all that comes.
-    balancer.admission.rate.set_completions(pace * 0.6, 0.035);
+    balancer.admission.rate.set_completions(rate * 0.6, 0.035);
     assert!(
         balancer.admission.rate.per_second(2_000 * MS) > 25.0,
         "{}",
@@ -103,13 +103,13 @@
     settings.rules.drain_close_within = Some(2_000 * MS);
     let mut balancer = Balancer::new(settings, 7, 0).unwrap();
     let (mut now, mut actions, mut most) = (0, Vec::new(), [0; 4]);
-    for turn in 0..20_000 {
+    for round in 0..20_000 {
         now += 10 * MS;
-        if turn % 50 == 0 {
+        if round % 50 == 0 {
             // Ten new ones, each in a cell and of a kind of its own, and the ten before them are
             // gone.
             let (state, label) = (EndpointState::Ready, |id: u32| (id % 1_000) as u16);
-            let backends = (turn / 5..turn / 5 + 10).map(|id| {
+            let backends = (round / 5..round / 5 + 10).map(|id| {
                 let (id, cell, kind) = (BackendId(id), CellId(label(id)), KindId(label(id)));
                 Endpoint {
                     id,
@@ -128,7 +128,7 @@
                 &mut actions,
             );
         }
-        balancer.handle(now, request(turn), &mut actions);
+        balancer.handle(now, request(round), &mut actions);
         // Every seventh attempt is never heard of again until its client leaves.
         let sent: Vec<RequestId> = actions
             .drain(..)
@@ -149,7 +149,7 @@
             };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
-        if let Some(left) = turn.checked_sub(160) {
+        if let Some(left) = round.checked_sub(160) {
             for attempt in 0..5 {
                 let (latency, outcome, load) = (1_600 * MS, Outcome::Timeout, Vec::new());
                 let request = RequestId(left);
@@ -174,15 +174,15 @@
     }
     // Four seconds of attempts and of closes to come at the very most, and a kind for each name
     // there can be.
-    let [servers, open, agenda, kinds] = most;
+    let [endpoints, requests, timers, kinds] = most;
     assert!(
-        servers <= 60 && open <= 200 && agenda <= 2_000 && kinds <= 1_000,
+        endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
         "{most:?}"
     );
 }
 
 #[test]
-fn a_node_knows_as_many_backends_as_it_can_estimate_and_abroad_no_more_than_at_home() {
+fn a_proxy_knows_as_many_backends_as_it_can_estimate_and_no_more_of_other_zones_than_of_its_own() {
     for (price, abroad) in [(0.03, 4 * 4), (0.0, 4 * 15)] {
         let settings = Settings {
             cross_zone_cost: price,
@@ -201,8 +201,8 @@
             endpoints: backends.collect(),
         };
         balancer.handle(1, list, &mut Vec::new());
-        // Sixty a second for twenty seconds: in ten aims fifteen backends get twelve completions
-        // each.
+        // Sixty a second for twenty seconds: in ten objectives fifteen backends get twelve
+        // completions each.
         balancer.estimation.estimator.set_first_attempts(1_200.0);
         let known = balancer.subset_members(20_000_000_000);
         let home = known.iter().filter(|id| zone(id.0) == ZoneId(0)).count();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn what_three_hundred_nodes_know_covers_the_fleet_evenly() {
+fn the_subsets_of_three_hundred_proxies_cover_the_fleet_evenly() {
     let state = EndpointState::Ready;
     let marked = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let backend = |id| Endpoint {
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn what_is_turned_away_is_not_what_backends_bear() {
+fn attempts_that_are_rejected_do_not_count_as_capacity() {
     let class = Class {
         latency_objective: 300 * MS,
         client_timeout: 600 * MS,
@@ -275,14 +275,14 @@
     );
     // A hundred a second, of which they take one in four: rule 4 is judged by these.
     let mut actions = Vec::new();
-    for turn in 0..500 {
-        let now = Nanos::from(turn) * 10 * MS + 2;
-        balancer.handle(now, request(turn), &mut actions);
+    for round in 0..500 {
+        let now = Nanos::from(round) * 10 * MS + 2;
+        balancer.handle(now, request(round), &mut actions);
         for action in std::mem::take(&mut actions) {
             let Action::StartAttempt { request, .. } = action else {
                 continue;
             };
-            let outcome = if turn % 4 == 0 {
+            let outcome = if round % 4 == 0 {
                 Outcome::Success
             } else {
                 Outcome::Overloaded
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -6,7 +6,8 @@
 //! silence shows. A backend with few completions is drawn to a prior, the
 //! [pooled latency](crate::pooled_latency) of those like it.
 //!
-//! It never decides which backend is used; see [`OptimalSplit`](crate::optimal_split::OptimalSplit).
+//! It never decides which backend is used; see
+//! [`OptimalSplit`](crate::optimal_split::OptimalSplit).
 
 use std::collections::BTreeMap;
 
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,4 +1,5 @@
-//! What a balancer is notified of: requests of clients, the ends of attempts, changes of the endpoint list.
+//! What a balancer is notified of: requests of clients, the ends of attempts, changes of the
+//! endpoint list.
 
 use crate::ids::{BackendId, CellId, ClassId, KindId, Nanos, RequestId, TenantId, TimerId, ZoneId};
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -40,7 +40,8 @@
 //! | module | decides |
 //! | --- | --- |
 //! | `estimator`, `pooled_latency` | how fast each backend is, how much arrives |
-//! | `optimal_split`, `candidates`, `pick` | with what weight a backend is picked, and which one is |
+//! | `optimal_split`, `candidates` | with what weight a backend is picked |
+//! | `pick` | which backend an attempt goes to |
 //! | `subset` | which backends this proxy gets to know and uses first |
 //! | `slow_start` | what a backend may be sent while it warms up |
 //! | `outlier_detector` | which backends are ejected |
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -204,8 +204,8 @@
         now.saturating_sub(since) as f64 / self.tick as f64 + E
     }
 
-    /// Fraction of their shares that backends of other zones get: where attempts to them cost, by how far
-    /// the home zone is from its tolerance.
+    /// Fraction of their shares that backends of other zones get: where attempts to them cost, by
+    /// how far the home zone is from its tolerance.
     fn spillover(&self, endpoints: &EndpointList, inputs: &SplitInputs) -> f64 {
         let (mut ratio_sum, mut count) = (0.0, 0.0);
         for (record, rate) in endpoints.iter().zip(&inputs.service_rates) {
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_backend_that_fails_far_more_often_than_the_rest_is_ejected() {
+fn a_backend_with_far_more_failures_than_the_rest_is_ejected() {
     let (detector, mut list) = (detector(), endpoints(4));
     (1..4).for_each(|id| complete(&mut list, id, 10));
     assert_eq!(fail(&detector, 0, 0, &mut list), None);
--- a/crates/balancer/src/retry_policy_tests.rs
+++ b/crates/balancer/src/retry_policy_tests.rs
@@ -14,10 +14,10 @@
     retries.spend();
     assert!(!retries.has_token());
     (0..1_000).for_each(|_| retries.on_first_attempt());
-    let spent = std::iter::repeat_with(|| retries.has_token().then(|| retries.spend()))
+    let retries_spent = std::iter::repeat_with(|| retries.has_token().then(|| retries.spend()))
         .take_while(Option::is_some)
         .count();
-    assert_eq!(spent, 10);
+    assert_eq!(retries_spent, 10);
 }
 
 #[test]
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -20,7 +20,7 @@
 
 /// Attempts that can be saved up in any case: a proxy that picks the backend seldom would else lose
 /// a part of one at most picks.
-const LEAST_SAVED: f64 = 2.0;
+const MIN_SAVED_ATTEMPTS: f64 = 2.0;
 
 /// Attempts that slow start leaves to this proxy at one backend.
 #[derive(Clone, Copy, Default)]
@@ -95,7 +95,7 @@
         let rules = &self.rules;
         let completion_rate = self.completion_rate.max(self.least_completion_rate);
         let rate = SAFETY_MARGIN * rules.overload_multiple * capacity_fraction * completion_rate;
-        let most = (rate * rules.overload_duration as f64 / SECOND).max(LEAST_SAVED);
+        let most = (rate * rules.overload_duration as f64 / SECOND).max(MIN_SAVED_ATTEMPTS);
         tokens.0 = (tokens.0 + rate * step).min(most);
     }
 }
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_warm_backend_is_not_held_back_and_a_starting_one_needs_a_whole_token() {
+fn a_warm_backend_is_not_limited_and_a_starting_one_needs_a_whole_token() {
     let slow_start = slow_start(1.0);
     assert!(slow_start.allows(0, &record(endpoint(0))));
     let mut starting = record(started(0));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn two_attempts_are_saved_up_at_the_least() {
+fn tokens_for_two_attempts_are_kept_at_the_least() {
     let slow_start = slow_start(300.0);
     let mut tokens = SlowStartTokens::default();
     slow_start.save_up(&mut tokens, 0.2, 1_000.0);
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -1,4 +1,5 @@
-//! Running statistics: a moving mean, a decayed sum, and a histogram. Equal calls give equal results.
+//! Running statistics: a moving mean, a decayed sum, and a histogram. Equal calls give equal
+//! results.
 
 /// A mean over about the last `window` values, and the lowest that it was since the window was
 /// first full.
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -5,29 +5,29 @@
 use crate::support::*;
 
 #[test]
-fn a_few_silent_attempts_do_not_close_all_room() {
+fn a_few_silent_attempts_do_not_use_up_all_capacity() {
     let mut settings = settings();
     settings.limits.can_cancel = false;
-    let mut feed = Feed::new(settings, (1..=8).map(backend).collect());
-    feed.serve(400, |_| 2 * MS);
+    let mut harness = Harness::new(settings, (1..=8).map(backend).collect());
+    harness.serve(400, |_| 2 * MS);
     for _ in 0..4 {
-        feed.ask(0);
+        harness.submit(0);
     }
     let mut sent = 0;
     for _ in 0..100 {
-        feed.wait(4 * MS);
-        let (id, actions) = feed.ask(0);
+        harness.wait(4 * MS);
+        let (id, actions) = harness.submit(0);
         sent += sends(&actions).len();
-        if feed.sent.contains_key(&id) {
-            feed.end(id, 0, Outcome::Success);
+        if harness.sent.contains_key(&id) {
+            harness.end(id, 0, Outcome::Success);
         }
     }
     assert!(sent > 90, "{sent} of 100 are sent while four are silent");
 }
 
 #[test]
-fn two_nodes_let_a_backend_hold_no_more_than_the_tightest_class_bears() {
-    // Three of 25 ms are as long as the aim of 75 ms is; a node's share of what is less is one or
+fn two_proxies_let_a_backend_hold_no_more_than_the_tightest_class_bears() {
+    // Three of 25 ms are as long as the objective of 75 ms; a proxy's share of less is one or
     // two.
     let tight = Class {
         latency_objective: 75 * MS,
@@ -39,33 +39,33 @@
         ..settings()
     };
     settings.classes.push(tight);
-    let mut feed = Feed::new(settings, vec![backend(1)]);
+    let mut harness = Harness::new(settings, vec![backend(1)]);
     let mut most = 0;
     for _ in 0..400 {
-        let asked: Vec<_> = (0..6).map(|_| feed.ask(0).0).collect();
+        let submitted: Vec<_> = (0..6).map(|_| harness.submit(0).0).collect();
         loop {
-            let held = |id: &&RequestId| feed.sent.get(id).is_some_and(|sent| sent[0].2);
-            let out: Vec<_> = asked.iter().filter(held).copied().collect();
+            let in_flight = |id: &&RequestId| harness.sent.get(id).is_some_and(|sent| sent[0].2);
+            let out: Vec<_> = submitted.iter().filter(in_flight).copied().collect();
             if out.is_empty() {
                 break;
             }
             most = most.max(out.len());
-            feed.wait(25 * MS);
+            harness.wait(25 * MS);
             out.into_iter()
-                .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
+                .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
         }
     }
     assert_eq!(most, 2);
 }
 
 #[test]
-fn a_room_that_a_burst_has_closed_opens_again_and_no_one_waits_beside_an_idle_backend() {
+fn a_limit_that_a_burst_has_cut_grows_again_and_no_request_waits_beside_an_idle_backend() {
     for (work, tick) in [(MS / 20, MS / 1_000), (5 * MS, MS), (1_000 * MS, MS)] {
         for fleet in [2, 12, 50] {
-            let aim = (8 * work).max(20 * MS);
+            let objective = (8 * work).max(20 * MS);
             let whole = Class {
-                latency_objective: aim,
-                client_timeout: 3 * aim,
+                latency_objective: objective,
+                client_timeout: 3 * objective,
                 ..class(Idempotency::Idempotent)
             };
             let settings = Settings {
@@ -74,71 +74,74 @@
                 tick,
                 ..settings()
             };
-            let mut feed = Feed::new(settings, (1..=fleet).map(backend).collect());
-            let ask = |feed: &mut Feed| {
-                let id = RequestId(feed.next + 1);
-                feed.next = id.0;
-                feed.give(Event::Request(Request {
+            let mut harness = Harness::new(settings, (1..=fleet).map(backend).collect());
+            let submit = |harness: &mut Harness| {
+                let id = RequestId(harness.next + 1);
+                harness.next = id.0;
+                harness.handle(Event::Request(Request {
                     id,
-                    client_timeout: 3 * aim,
+                    client_timeout: 3 * objective,
                     ..Request::default()
                 }));
                 id
             };
-            let answer = |feed: &mut Feed, id, takes| {
-                feed.wait(takes);
-                feed.end(id, 0, Outcome::Success);
+            let answer = |harness: &mut Harness, id, takes| {
+                harness.wait(takes);
+                harness.end(id, 0, Outcome::Success);
             };
             for _ in 0..200 {
-                let id = ask(&mut feed);
-                answer(&mut feed, id, work);
+                let id = submit(&mut harness);
+                answer(&mut harness, id, work);
             }
-            // Six times the usual latency at every backend, until rooms are at their floor.
+            // Six times the usual latency at every backend, until limits are at their least.
             for _ in 0..30 {
                 for _ in 0..2 * fleet {
-                    ask(&mut feed);
+                    submit(&mut harness);
                 }
-                feed.wait(6 * work);
-                let out: Vec<_> = feed
+                harness.wait(6 * work);
+                let out: Vec<_> = harness
                     .sent
                     .iter()
                     .filter(|s| s.1[0].2)
                     .map(|s| *s.0)
                     .collect();
                 out.into_iter()
-                    .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
+                    .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
             }
-            feed.wait(3 * aim);
-            let out: Vec<_> = feed
+            harness.wait(3 * objective);
+            let out: Vec<_> = harness
                 .sent
                 .iter()
                 .filter(|s| s.1[0].2)
                 .map(|s| *s.0)
                 .collect();
             out.into_iter()
-                .for_each(|id| drop(feed.end(id, 0, Outcome::Success)));
+                .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
             // The burst is over: one is out at a time, and others idle. It is never held back.
-            for turn in 0..50 {
-                let id = ask(&mut feed);
+            for round in 0..50 {
+                let id = submit(&mut harness);
                 assert!(
-                    feed.sent.contains_key(&id),
-                    "{fleet} of {work} ns: held back at turn {turn}"
+                    harness.sent.contains_key(&id),
+                    "{fleet} of {work} ns: held back in round {round}"
                 );
-                answer(&mut feed, id, work);
+                answer(&mut harness, id, work);
             }
-            // Half as many as there are backends at once find room after ten answers of each and
-            // thirty aims.
+            // Half as many as there are backends at once find capacity after ten answers of each
+            // and thirty objectives.
             for _ in 0..10 * fleet {
-                let id = ask(&mut feed);
-                answer(&mut feed, id, work);
+                let id = submit(&mut harness);
+                answer(&mut harness, id, work);
             }
-            feed.wait(30 * aim);
-            let all: Vec<_> = (0..fleet / 2).map(|_| ask(&mut feed)).collect();
-            let held = all.iter().filter(|id| !feed.sent.contains_key(id)).count();
+            harness.wait(30 * objective);
+            let all: Vec<_> = (0..fleet / 2).map(|_| submit(&mut harness)).collect();
+            let in_flight = all
+                .iter()
+                .filter(|id| !harness.sent.contains_key(id))
+                .count();
             assert_eq!(
-                held,
+                in_flight,
                 0,
-                "{fleet} of {work} ns: {held} of {} wait",
+                "{fleet} of {work} ns: {in_flight} of {} wait",
                 all.len()
             );
         }
@@ -147,15 +150,15 @@
 
 #[test]
 fn a_silent_fleet_gets_no_more_until_it_answers() {
-    let mut feed = Feed::new(settings(), (1..=4).map(backend).collect());
-    feed.serve(200, |_| 10 * MS);
-    let silent: Vec<RequestId> = (0..4).map(|_| feed.ask(0).0).collect();
-    assert!(silent.iter().all(|id| feed.sent.contains_key(id)));
-    feed.wait(300 * MS);
-    let (held, actions) = feed.ask(0);
+    let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
+    harness.serve(200, |_| 10 * MS);
+    let silent: Vec<RequestId> = (0..4).map(|_| harness.submit(0).0).collect();
+    assert!(silent.iter().all(|id| harness.sent.contains_key(id)));
+    harness.wait(300 * MS);
+    let (in_flight, actions) = harness.submit(0);
     assert!(sends(&actions).is_empty());
     for id in silent {
-        feed.end(id, 0, Outcome::Success);
+        harness.end(id, 0, Outcome::Success);
     }
-    assert!(feed.sent.contains_key(&held));
+    assert!(harness.sent.contains_key(&in_flight));
 }
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u16),
+    Submit(u16),
     End(usize, Outcome),
     Leave(usize),
     Stray(u32, u8),
@@ -31,7 +31,7 @@
     ];
     let kind = prop_oneof![Just(UpdateKind::Delta), Just(UpdateKind::Full)];
     prop_oneof![
-        8 => (0u16..6).prop_map(Step::Ask),
+        8 => (0u16..6).prop_map(Step::Submit),
         8 => (any::<usize>(), outcome).prop_map(|(i, o)| Step::End(i, o)),
         1 => any::<usize>().prop_map(Step::Leave),
         1 => (any::<u32>(), any::<u8>()).prop_map(|(i, a)| Step::Stray(i, a)),
@@ -58,7 +58,8 @@
 }
 
 impl Watch {
-    /// A backend was told draining or had an outcome: from now on its connections are to be closed.
+    /// A backend was notified as draining or had an outcome: from now on its connections must
+    /// close.
     fn used(&mut self, now: Nanos, backend: BackendId) {
         if self.states.get(&backend) == Some(&EndpointState::Draining) {
             self.unclosed.insert(backend, now);
@@ -153,19 +154,19 @@
     watch
         .states
         .extend(backends.iter().map(|b| (b.id, b.state)));
-    let mut feed = Feed::new(settings.clone(), backends);
+    let mut harness = Harness::new(settings.clone(), backends);
     let mut log = Vec::new();
     for step in steps {
         let actions = match step {
-            Step::Ask(class) => {
-                let id = RequestId(feed.next + 1);
+            Step::Submit(class) => {
+                let id = RequestId(harness.next + 1);
                 watch
                     .open
-                    .insert(id, (*class, feed.now + 800 * MS, Vec::new()));
-                feed.ask(*class).1
+                    .insert(id, (*class, harness.now + 800 * MS, Vec::new()));
+                harness.submit(*class).1
             }
             Step::End(place, outcome) => {
-                let out: Vec<(RequestId, usize)> = feed
+                let out: Vec<(RequestId, usize)> = harness
                     .sent
                     .iter()
                     .flat_map(|(id, all)| (0..all.len()).filter(|i| all[*i].2).map(|i| (*id, i)))
@@ -181,8 +182,8 @@
                         }
                     }
                 }
-                watch.used(feed.now, feed.sent[&id][attempt].0);
-                feed.end(id, attempt, *outcome)
+                watch.used(harness.now, harness.sent[&id][attempt].0);
+                harness.end(id, attempt, *outcome)
             }
             Step::Leave(place) => {
                 let ids: Vec<RequestId> = watch.open.keys().copied().collect();
@@ -190,9 +191,9 @@
                     continue;
                 };
                 watch.open.remove(&id);
-                feed.give(Event::ClientDisconnected { request: id })
+                harness.handle(Event::ClientDisconnected { request: id })
             }
-            Step::Stray(id, attempt) => feed.give(Event::AttemptEnded {
+            Step::Stray(id, attempt) => harness.handle(Event::AttemptEnded {
                 request: RequestId(id | 1 << 31),
                 attempt: *attempt,
                 latency: MS,
@@ -203,12 +204,12 @@
             Step::Wait(span) => {
                 // One timer at a time, so that each send is checked at its own time; attempts that
                 // are out at the deadline time out there.
-                let end = feed.now + span;
-                while feed.now < end {
+                let end = harness.now + span;
+                while harness.now < end {
                     let late: Vec<(RequestId, usize)> = watch
                         .open
                         .iter()
-                        .filter(|(_, (_, deadline, _))| *deadline <= feed.now + MS)
+                        .filter(|(_, (_, deadline, _))| *deadline <= harness.now + MS)
                         .flat_map(|(id, (_, _, seen))| {
                             (0..seen.len())
                                 .filter(|i| seen[*i].outcome.is_none())
@@ -219,19 +220,19 @@
                         if let Some((_, _, seen)) = watch.open.get_mut(&id) {
                             seen[attempt].outcome = Some(Outcome::Timeout);
                         }
-                        watch.used(feed.now, feed.sent[&id][attempt].0);
-                        let actions = feed.end(id, attempt, Outcome::Timeout);
-                        watch.check(feed.now, &settings, &actions);
+                        watch.used(harness.now, harness.sent[&id][attempt].0);
+                        let actions = harness.end(id, attempt, Outcome::Timeout);
+                        watch.check(harness.now, &settings, &actions);
                         log.extend(actions);
                     }
-                    let actions = feed.wait(MS);
-                    watch.check(feed.now, &settings, &actions);
+                    let actions = harness.wait(MS);
+                    watch.check(harness.now, &settings, &actions);
                     log.extend(actions);
                     assert!(
                         watch
                             .open
                             .values()
-                            .all(|(_, deadline, _)| feed.now < *deadline + MS),
+                            .all(|(_, deadline, _)| harness.now < *deadline + MS),
                         "rule 1: no answer in time"
                     );
                 }
@@ -260,21 +261,21 @@
                 watch
                     .states
                     .extend(backends.iter().map(|b| (b.id, b.state)));
-                let told = backends.iter().filter(|b| {
+                let notified = backends.iter().filter(|b| {
                     b.state == EndpointState::Draining
                         && before.get(&b.id) != Some(&EndpointState::Draining)
                 });
-                for b in told {
-                    watch.used(feed.now, b.id);
+                for b in notified {
+                    watch.used(harness.now, b.id);
                 }
-                feed.give(Event::EndpointUpdate {
+                harness.handle(Event::EndpointUpdate {
                     kind: *kind,
                     endpoints: backends,
                 })
             }
-            Step::ListFailed => feed.give(Event::DiscoveryFailed),
+            Step::ListFailed => harness.handle(Event::DiscoveryFailed),
         };
-        watch.check(feed.now, &settings, &actions);
+        watch.check(harness.now, &settings, &actions);
         log.extend(actions);
     }
     log
@@ -298,7 +299,7 @@
 }
 
 #[test]
-fn an_unsafe_request_has_no_second_attempt_once_one_may_have_run() {
+fn a_request_that_is_not_idempotent_has_no_second_attempt_once_one_may_have_executed() {
     let config = Config {
         cases: 500,
         failure_persistence: None,
@@ -316,45 +317,45 @@
         1 => Just(Outcome::Cancelled),
         1 => Just(Outcome::Success),
     ];
-    let lives = prop::collection::vec(
+    let restarts = prop::collection::vec(
         (prop::collection::vec((outcome, 0u64..40), 6), any::<bool>()),
         1..12,
     );
     runner
-        .run(&lives, |lives| {
-            let mut feed = Feed::new(settings(), (1..=5).map(backend).collect());
-            feed.serve(10, |_| 10 * MS);
-            let ids: Vec<RequestId> = lives.iter().map(|_| feed.ask(3).0).collect();
+        .run(&restarts, |restarts| {
+            let mut harness = Harness::new(settings(), (1..=5).map(backend).collect());
+            harness.serve(10, |_| 10 * MS);
+            let ids: Vec<RequestId> = restarts.iter().map(|_| harness.submit(3).0).collect();
             let mut ran = BTreeMap::new();
             // The lives go on in turns, so that what one of them shows moves the others.
             for step in 0..6 {
-                for (id, (ends, leaves)) in ids.iter().zip(&lives) {
+                for (id, (ends, leaves)) in ids.iter().zip(&restarts) {
                     let (outcome, wait) = ends[step];
-                    feed.wait(wait * MS);
-                    let Some(sent) = feed.sent.get(id).map(Vec::len) else {
+                    harness.wait(wait * MS);
+                    let Some(sent) = harness.sent.get(id).map(Vec::len) else {
                         continue;
                     };
-                    if feed.sent[id][sent - 1].2 {
+                    if harness.sent[id][sent - 1].2 {
                         if *leaves && step == 2 {
-                            feed.give(Event::ClientDisconnected { request: *id });
+                            harness.handle(Event::ClientDisconnected { request: *id });
                         }
                         if !outcome.not_executed() {
                             ran.insert(*id, sent);
                         }
-                        feed.end(*id, sent - 1, outcome);
+                        harness.end(*id, sent - 1, outcome);
                     }
                 }
             }
-            feed.wait(2_000 * MS);
+            harness.wait(2_000 * MS);
             for (id, sent) in &ran {
                 prop_assert_eq!(
-                    feed.sent[id].len(),
+                    harness.sent[id].len(),
                     *sent,
                     "{:?} again after it may have run",
                     id
                 );
             }
-            prop_assert!(feed.sent.values().all(|sent| sent.len() <= 3));
+            prop_assert!(harness.sent.values().all(|sent| sent.len() <= 3));
             Ok(())
         })
         .unwrap();
--- a/crates/balancer/tests/balancer/requests.rs
+++ b/crates/balancer/tests/balancer/requests.rs
@@ -6,37 +6,37 @@
 
 #[test]
 fn faster_backends_get_more() {
-    let mut feed = Feed::new(settings(), vec![backend(1), backend(2)]);
-    let counts = feed.serve(2000, |b| if b.0 == 1 { 20 * MS } else { 40 * MS });
+    let mut harness = Harness::new(settings(), vec![backend(1), backend(2)]);
+    let counts = harness.serve(2000, |b| if b.0 == 1 { 20 * MS } else { 40 * MS });
     assert!(counts[&BackendId(1)] > counts[&BackendId(2)], "{counts:?}");
 }
 
 #[test]
-fn a_request_without_backends_is_refused_before_its_deadline() {
-    let mut feed = Feed::new(settings(), vec![]);
-    let (_, now) = feed.ask(3);
-    assert!(!refused(&now));
-    assert!(refused(&feed.wait(800 * MS)));
+fn a_request_without_backends_is_rejected_before_its_deadline() {
+    let mut harness = Harness::new(settings(), vec![]);
+    let (_, now) = harness.submit(3);
+    assert!(!rejected(&now));
+    assert!(rejected(&harness.wait(800 * MS)));
 }
 
 #[test]
 fn a_timer_that_comes_early_does_not_silence_the_balancer() {
-    let mut feed = Feed::new(settings(), vec![]);
-    feed.ask(0);
-    let (at, timer) = feed.timers.pop_first().expect("armed");
-    feed.now = at - 1;
-    feed.give(Event::Timer { timer });
-    assert!(refused(&feed.wait(800 * MS)));
+    let mut harness = Harness::new(settings(), vec![]);
+    harness.submit(0);
+    let (at, timer) = harness.timers.pop_first().expect("armed");
+    harness.now = at - 1;
+    harness.handle(Event::Timer { timer });
+    assert!(rejected(&harness.wait(800 * MS)));
 }
 
 #[test]
-fn a_miss_that_counts_in_the_tail_is_refused_within_its_aim() {
+fn a_miss_that_counts_in_the_tail_is_rejected_within_its_latency_objective() {
     let mut settings = settings();
     settings.classes[0].late_priority_weight = 0.5;
     let answer = |settings: Settings| {
-        let mut feed = Feed::new(settings, vec![]);
-        feed.ask(0);
-        refused(&feed.wait(400 * MS))
+        let mut harness = Harness::new(settings, vec![]);
+        harness.submit(0);
+        rejected(&harness.wait(400 * MS))
     };
     assert!(!answer(settings.clone()));
     assert!(answer(Settings {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn senseless_settings_are_named() {
+fn settings_that_make_no_sense_are_named() {
     let named = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn many_nodes_together_send_a_cold_backend_a_part_of_its_share() {
+fn many_proxies_together_send_a_backend_in_slow_start_a_part_of_its_share() {
     let nodes = 200;
     let mut sent = 0;
     for seed in 0..nodes {
@@ -18,8 +18,8 @@
             ..backend(1)
         };
         let backends = std::iter::once(cold).chain((2..=20).map(backend)).collect();
-        let mut feed = Feed::seeded(settings, backends, seed);
-        sent += feed
+        let mut harness = Harness::seeded(settings, backends, seed);
+        sent += harness
             .trickle(10, |_| 20 * MS)
             .get(&BackendId(1))
             .copied()
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn a_cold_backend_gets_a_part_and_a_warm_one_its_share() {
-    let mut feed = Feed::new(settings(), vec![backend(1), backend(2), backend(3)]);
-    feed.serve(300, |_| 10 * MS);
+fn a_backend_in_slow_start_gets_a_part_and_a_warm_one_its_share() {
+    let mut harness = Harness::new(settings(), vec![backend(1), backend(2), backend(3)]);
+    harness.serve(300, |_| 10 * MS);
     let restarted = Endpoint {
-        started_at: Some(feed.now),
+        started_at: Some(harness.now),
         ..backend(1)
     };
-    feed.give(Event::EndpointUpdate {
+    harness.handle(Event::EndpointUpdate {
         kind: UpdateKind::Delta,
         endpoints: vec![restarted],
     });
-    let cold = feed.serve(200, |_| 10 * MS);
+    let cold = harness.serve(200, |_| 10 * MS);
     assert!(cold.get(&BackendId(1)).is_none_or(|n| *n < 40), "{cold:?}");
-    feed.wait(10_000 * MS);
-    feed.serve(400, |_| 10 * MS);
-    let warm = feed.serve(600, |_| 10 * MS);
+    harness.wait(10_000 * MS);
+    harness.serve(400, |_| 10 * MS);
+    let warm = harness.serve(600, |_| 10 * MS);
     assert!(warm[&BackendId(1)] > 100, "{warm:?}");
 }
--- a/crates/balancer/tests/balancer/split.rs
+++ b/crates/balancer/tests/balancer/split.rs
@@ -7,12 +7,12 @@
 use crate::support::*;
 
 #[test]
-fn a_kind_that_is_slow_gets_less_from_a_node_that_hardly_knows_its_backends() {
+fn a_kind_of_machine_that_is_slow_gets_less_from_a_proxy_that_hardly_knows_its_backends() {
     let kind = |id: u32| Endpoint {
         kind: KindId((id % 2) as u16),
         ..backend(id)
     };
-    let mut feed = Feed::new(
+    let mut harness = Harness::new(
         Settings {
             proxy_count: 200,
             ..settings()
@@ -26,7 +26,7 @@
             60 * MS
         }
     };
-    let counts = feed.trickle(300, takes);
+    let counts = harness.trickle(300, takes);
     let fast: usize = counts
         .iter()
         .filter(|(b, _)| b.0.is_multiple_of(2))
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn nodes_start_with_parts_that_share_no_backend_and_leave_none_out() {
+fn proxies_start_with_stretches_that_share_no_backend_and_leave_none_out() {
     for (nodes, fleet) in [(2, 12), (2, 7), (3, 19)] {
         let mut met = BTreeSet::new();
         let mut parts = 0;
@@ -49,10 +49,11 @@
                 proxy_count: nodes,
                 ..settings()
             };
-            let mut feed = Feed::seeded(settings, list, 7 + u64::from(me));
-            feed.serve(4_000, |_| 10 * MS);
-            let counts = feed.serve(2_000, |_| 10 * MS);
-            // What explores goes anywhere; the rest to the node's own part, each idle in its turn.
+            let mut harness = Harness::seeded(settings, list, 7 + u64::from(me));
+            harness.serve(4_000, |_| 10 * MS);
+            let counts = harness.serve(2_000, |_| 10 * MS);
+            // What explores goes anywhere; the rest to the proxy's own stretch, one idle backend
+            // each.
             let part: Vec<BackendId> = counts.iter().filter(|c| *c.1 > 40).map(|c| *c.0).collect();
             parts += part.len();
             met.extend(part);
--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -70,8 +70,8 @@
     })
 }
 
-/// Feeds events and keeps what is out; timers fire when due.
-pub struct Feed {
+/// Feeds events to a balancer and keeps its attempts in flight; timers fire when due.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Nanos,
     pub timers: BTreeSet<(Nanos, TimerId)>,
@@ -80,28 +80,28 @@
     pub next: u32,
 }
 
-impl Feed {
-    pub fn new(settings: Settings, backends: Vec<Endpoint>) -> Feed {
-        Feed::seeded(settings, backends, 7)
+impl Harness {
+    pub fn new(settings: Settings, backends: Vec<Endpoint>) -> Harness {
+        Harness::seeded(settings, backends, 7)
     }
 
-    pub fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Feed {
+    pub fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
         let balancer = Balancer::new(settings, seed, START).expect("sound settings");
-        let mut feed = Feed {
+        let mut harness = Harness {
             balancer,
             now: START,
             timers: BTreeSet::new(),
             sent: BTreeMap::new(),
             next: 0,
         };
-        feed.give(Event::EndpointUpdate {
+        harness.handle(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
             endpoints: backends,
         });
-        feed
+        harness
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -130,15 +130,15 @@
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= end) {
             self.timers.remove(&(at, timer));
             self.now = self.now.max(at);
-            actions.extend(self.give(Event::Timer { timer }));
+            actions.extend(self.handle(Event::Timer { timer }));
         }
         self.now = end;
         actions
     }
 
-    pub fn ask(&mut self, class: u16) -> (RequestId, Vec<Action>) {
+    pub fn submit(&mut self, class: u16) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        (RequestId(self.next), self.give(request(self.next, class)))
+        (RequestId(self.next), self.handle(request(self.next, class)))
     }
 
     pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
@@ -150,7 +150,7 @@
         sent.2 = false;
         let latency = self.now - sent.1;
         let finished = outcome == Outcome::Success;
-        self.give(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request: id,
             attempt: attempt as u8,
             latency,
@@ -168,7 +168,7 @@
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
-            let (id, _) = self.ask(0);
+            let (id, _) = self.submit(0);
             let to = self.sent[&id][0].0;
             *counts.entry(to).or_default() += 1;
             self.wait(takes(to));
@@ -178,8 +178,9 @@
     }
 }
 
-impl Feed {
-    /// Like `serve`, at a node with little traffic: a request may wait for room before it is sent.
+impl Harness {
+    /// Like `serve`, at a proxy with little traffic: a request may wait for capacity before it is
+    /// sent.
     pub fn trickle(
         &mut self,
         count: usize,
@@ -187,15 +188,15 @@
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
-            let (id, _) = self.ask(0);
+            let (id, _) = self.submit(0);
             self.wait(300 * MS);
             if let Some(attempt) = self.sent.get_mut(&id).and_then(|sent| sent.first_mut()) {
                 let (to, sent, out) = attempt;
                 *out = false;
                 *counts.entry(*to).or_default() += 1;
-                // It was over by then; told late, with the latency that it had.
+                // It had ended by then; reported late, with the latency that it had.
                 let latency = takes(*to).min(self.now - *sent);
-                self.give(Event::AttemptEnded {
+                self.handle(Event::AttemptEnded {
                     request: id,
                     attempt: 0,
                     latency,
@@ -220,7 +221,7 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -28,23 +28,23 @@
     backends: u32,
     proxy_count: u32,
     poll_endpoints: bool,
-    /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that must
-    /// close at drains.
+    /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that
+    /// must close at drains.
     wide: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Arrival,
-    ListNews,
-    ListAnswer,
+    ListChange,
+    PollAnswer,
     Timer(TimerId),
     AttemptEnds { request: RequestId, attempt: u8 },
     ClientLeaves(RequestId),
 }
 
 #[derive(Default)]
-struct OpenRequest {
+struct PendingRequest {
     attempts: Vec<AttemptState>,
     /// It has its final answer, or its client has left.
     finished: bool,
@@ -53,7 +53,7 @@
 struct AttemptState {
     sent: Nanos,
     outcome: Outcome,
-    out: bool,
+    in_flight: bool,
 }
 
 /// The 64-bit FNV-1a hash, which is the same on every machine and with every compiler.
@@ -78,9 +78,9 @@
     balancer: Balancer,
     rng: Xoshiro256PlusPlus,
     now: Nanos,
-    agenda: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
+    timeline: BinaryHeap<Reverse<(Nanos, u64, Scheduled)>>,
     scheduled: u64,
-    requests: BTreeMap<RequestId, OpenRequest>,
+    requests: BTreeMap<RequestId, PendingRequest>,
     next_request: u32,
     list: Vec<Endpoint>,
     /// Backends that fail most of what they get.
@@ -159,7 +159,7 @@
             balancer: Balancer::new(settings(setup), seed, START).unwrap(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: START,
-            agenda: BinaryHeap::new(),
+            timeline: BinaryHeap::new(),
             scheduled: 0,
             requests: BTreeMap::new(),
             next_request: 0,
@@ -169,9 +169,9 @@
             counts: BTreeMap::new(),
             hash: Fnv1a::default(),
         };
-        recorder.tell(UpdateKind::Full, recorder.list.clone());
-        recorder.schedule(START, Due::Arrival);
-        recorder.schedule(START + SECOND, Due::ListNews);
+        recorder.update_endpoints(UpdateKind::Full, recorder.list.clone());
+        recorder.schedule(START, Scheduled::Arrival);
+        recorder.schedule(START + SECOND, Scheduled::ListChange);
         recorder
     }
 
@@ -183,23 +183,26 @@
         (-(1.0 - self.unit()).ln() * mean) as Nanos
     }
 
-    fn schedule(&mut self, at: Nanos, due: Due) {
+    fn schedule(&mut self, at: Nanos, scheduled_event: Scheduled) {
         self.scheduled += 1;
-        self.agenda.push(Reverse((at, self.scheduled, due)));
+        self.timeline
+            .push(Reverse((at, self.scheduled, scheduled_event)));
     }
 
-    /// Plays the whole stream; gives the hash of all actions, and how many there were of each number.
+    /// Plays the whole stream; gives the hash of all actions, and how many there were of each
+    /// number.
     fn play(mut self) -> (u64, BTreeMap<u64, usize>) {
         while self.events < EVENTS {
-            let Reverse((at, _, due)) = self.agenda.pop().expect("arrivals never end");
+            let Reverse((at, _, scheduled_event)) =
+                self.timeline.pop().expect("arrivals never end");
             self.now = self.now.max(at);
-            match due {
-                Due::Arrival => self.arrive(),
-                Due::ListNews => self.change_list(),
-                Due::ListAnswer => self.tell(UpdateKind::Full, self.list.clone()),
-                Due::Timer(timer) => self.feed(Event::Timer { timer }),
-                Due::AttemptEnds { request, attempt } => self.end_attempt(request, attempt),
-                Due::ClientLeaves(request) => self.leave(request),
+            match scheduled_event {
+                Scheduled::Arrival => self.arrive(),
+                Scheduled::ListChange => self.change_list(),
+                Scheduled::PollAnswer => self.update_endpoints(UpdateKind::Full, self.list.clone()),
+                Scheduled::Timer(timer) => self.feed(Event::Timer { timer }),
+                Scheduled::AttemptEnds { request, attempt } => self.end_attempt(request, attempt),
+                Scheduled::ClientLeaves(request) => self.leave(request),
             }
         }
         (self.hash.0, self.counts)
@@ -213,17 +216,20 @@
         };
         let rate = RATE_PER_BACKEND * f64::from(self.setup.backends) * surge;
         let gap = self.exponential(SECOND as f64 / rate);
-        self.schedule(self.now + gap, Due::Arrival);
+        self.schedule(self.now + gap, Scheduled::Arrival);
         self.next_request += 1;
         let id = RequestId(self.next_request);
         let class = (self.unit() * 3.0) as u16;
-        let patience = if class == 2 { 700 * MS } else { 1_200 * MS };
-        self.requests.insert(id, OpenRequest::default());
-        self.schedule(self.now + patience + 20 * MS, Due::ClientLeaves(id));
+        let client_timeout = if class == 2 { 700 * MS } else { 1_200 * MS };
+        self.requests.insert(id, PendingRequest::default());
+        self.schedule(
+            self.now + client_timeout + 20 * MS,
+            Scheduled::ClientLeaves(id),
+        );
         let mut request = Request {
             id,
             class: ClassId(class),
-            client_timeout: patience,
+            client_timeout,
             client_retry: self.unit() < 0.05,
             is_write: class > 0,
             ..Request::default()
@@ -235,17 +241,17 @@
         self.feed(Event::Request(request));
     }
 
-    /// A backend drains, goes, comes back cold, or begins to fail.
+    /// A backend drains, is removed, comes back in slow start, or begins to fail.
     fn change_list(&mut self) {
-        self.schedule(self.now + SECOND / 2, Due::ListNews);
+        self.schedule(self.now + SECOND / 2, Scheduled::ListChange);
         let place = (self.unit() * f64::from(self.setup.backends)) as usize;
         let id = place as u32;
-        let (now, state, dice) = (self.now, self.list[place].state, self.unit());
+        let (now, state, draw) = (self.now, self.list[place].state, self.unit());
         let entry = match state {
-            EndpointState::Ready if dice < 0.3 => {
+            EndpointState::Ready if draw < 0.3 => {
                 backend(self.setup, id, EndpointState::Draining, None)
             }
-            EndpointState::Ready if dice < 0.5 => {
+            EndpointState::Ready if draw < 0.5 => {
                 backend(self.setup, id, EndpointState::Ready, Some(now))
             }
             EndpointState::Ready => {
@@ -257,13 +263,13 @@
         };
         self.list[place] = entry.clone();
         match self.unit() {
-            dice if dice < 0.2 => self.feed(Event::DiscoveryFailed),
-            dice if dice < 0.4 => self.tell(UpdateKind::Full, self.list.clone()),
-            _ => self.tell(UpdateKind::Delta, vec![entry]),
+            draw if draw < 0.2 => self.feed(Event::DiscoveryFailed),
+            draw if draw < 0.4 => self.update_endpoints(UpdateKind::Full, self.list.clone()),
+            _ => self.update_endpoints(UpdateKind::Delta, vec![entry]),
         }
     }
 
-    fn tell(&mut self, kind: UpdateKind, backends: Vec<Endpoint>) {
+    fn update_endpoints(&mut self, kind: UpdateKind, backends: Vec<Endpoint>) {
         self.feed(Event::EndpointUpdate {
             kind,
             endpoints: backends,
@@ -275,7 +281,7 @@
             return;
         };
         let state = &mut request.attempts[usize::from(attempt)];
-        if !std::mem::replace(&mut state.out, false) {
+        if !std::mem::replace(&mut state.in_flight, false) {
             return;
         }
         let (outcome, latency) = (state.outcome, self.now - state.sent);
@@ -345,12 +351,12 @@
                     .and_then(|open| open.attempts.get_mut(attempt as usize))
                 {
                     state.outcome = Outcome::Cancelled;
-                    self.schedule(self.now, Due::AttemptEnds { request, attempt });
+                    self.schedule(self.now, Scheduled::AttemptEnds { request, attempt });
                 }
             }
-            Action::SetTimer { at, timer } => self.schedule(at, Due::Timer(timer)),
+            Action::SetTimer { at, timer } => self.schedule(at, Scheduled::Timer(timer)),
             Action::WatchEndpoints(_) | Action::PollEndpoints => {
-                self.schedule(self.now + 5 * MS, Due::ListAnswer)
+                self.schedule(self.now + 5 * MS, Scheduled::PollAnswer)
             }
             Action::CheckHealth { .. }
             | Action::CloseIdleConnections { .. }
@@ -386,9 +392,12 @@
         open.attempts.push(AttemptState {
             sent: self.now,
             outcome,
-            out: true,
+            in_flight: true,
         });
-        self.schedule(self.now + latency, Due::AttemptEnds { request, attempt });
+        self.schedule(
+            self.now + latency,
+            Scheduled::AttemptEnds { request, attempt },
+        );
     }
 }
 
@@ -431,16 +440,16 @@
 }
 
 /// Numbers of actions in the recording. They never change, whatever the actions are called.
-const SEND: u64 = 1;
-const REFUSE: u64 = 2;
+const START_ATTEMPT: u64 = 1;
+const REJECT: u64 = 2;
 const FAIL: u64 = 3;
-const CANCEL: u64 = 4;
+const CANCEL_ATTEMPT: u64 = 4;
 const SET_TIMER: u64 = 5;
-const PROBE: u64 = 6;
-const CLOSE_IDLE: u64 = 7;
-const TELL: u64 = 8;
-const SUBSCRIBE: u64 = 9;
-const FETCH_LIST: u64 = 10;
+const CHECK_HEALTH: u64 = 6;
+const CLOSE_IDLE_CONNECTIONS: u64 = 7;
+const GOSSIP: u64 = 8;
+const WATCH_ENDPOINTS: u64 = 9;
+const POLL_ENDPOINTS: u64 = 10;
 const LOG: u64 = 11;
 
 /// An action as its number and the numbers in its fields; of a log line only that there is one.
@@ -451,26 +460,26 @@
             backend,
             abandon_at: until,
         } => {
-            vec![SEND, request.0.into(), backend.0.into(), *until]
+            vec![START_ATTEMPT, request.0.into(), backend.0.into(), *until]
         }
         Action::Reject {
             request,
             retry_after,
-        } => vec![REFUSE, request.0.into(), *retry_after],
+        } => vec![REJECT, request.0.into(), *retry_after],
         Action::Fail { request } => vec![FAIL, request.0.into()],
         Action::CancelAttempt { request, attempt } => {
-            vec![CANCEL, request.0.into(), (*attempt).into()]
+            vec![CANCEL_ATTEMPT, request.0.into(), (*attempt).into()]
         }
         Action::SetTimer { at, timer } => vec![SET_TIMER, *at, timer.0.into()],
-        Action::CheckHealth { backend } => vec![PROBE, backend.0.into()],
-        Action::CloseIdleConnections { backend } => vec![CLOSE_IDLE, backend.0.into()],
+        Action::CheckHealth { backend } => vec![CHECK_HEALTH, backend.0.into()],
+        Action::CloseIdleConnections { backend } => vec![CLOSE_IDLE_CONNECTIONS, backend.0.into()],
         Action::Gossip { to, bytes } => {
             let to = to.map_or(u64::MAX, u64::from);
             let bytes = bytes.iter().copied().map(u64::from);
-            [TELL, to].into_iter().chain(bytes).collect()
+            [GOSSIP, to].into_iter().chain(bytes).collect()
         }
-        Action::WatchEndpoints(on) => vec![SUBSCRIBE, (*on).into()],
-        Action::PollEndpoints => vec![FETCH_LIST],
+        Action::WatchEndpoints(on) => vec![WATCH_ENDPOINTS, (*on).into()],
+        Action::PollEndpoints => vec![POLL_ENDPOINTS],
         Action::Log(_) => vec![LOG],
     }
 }
@@ -488,10 +497,10 @@
     }
     // A stream in which something is never decided says nothing of it.
     for (number, least) in [
-        (SEND, 30_000),
-        (REFUSE, 500),
+        (START_ATTEMPT, 30_000),
+        (REJECT, 500),
         (FAIL, 500),
-        (CANCEL, 500),
+        (CANCEL_ATTEMPT, 500),
         (SET_TIMER, 1_000),
         (LOG, 100),
     ] {
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -1,24 +1,24 @@
-//! Long lists: what a decision costs does not follow their length, and the draws stay what they
+//! Long lists: what a decision costs does not follow their length, and the picks stay what they
 //! are.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
 use kitefork_balancer::*;
-use world::*;
+use simulation::*;
 
 /// Nodes of the fleet of which one is played.
-const SIBLINGS: u32 = 300;
+const PROXIES: u32 = 300;
 /// Requests a second of the node.
 const RATE: f64 = 40.0;
 
-fn one_of_many(backends: &[Endpoint], seed: u64) -> World {
+fn one_of_many(backends: &[Endpoint], seed: u64) -> Simulation {
     let settings = Settings {
-        proxy_count: SIBLINGS,
+        proxy_count: PROXIES,
         ..settings(1)
     };
-    World::of(settings, vec![WORK], 1, backends, seed)
+    Simulation::of(settings, vec![WORK], 1, backends, seed)
 }
 
 /// Processor time of this thread, by the kernel's scheduler: what else runs on the machine does not
@@ -35,19 +35,19 @@
 /// What 10 s of traffic with a change of the list each second cost, once the node has its list.
 fn cost(count: u32) -> Duration {
     let backends: Vec<Endpoint> = (0..count).map(backend).collect();
-    let mut world = one_of_many(&backends, 1);
-    world.run(2 * SECOND, RATE);
+    let mut simulation = one_of_many(&backends, 1);
+    simulation.run(2 * SECOND, RATE);
     let before = thread_time();
     for second in 0..10 {
-        world.run(SECOND, RATE);
+        simulation.run(SECOND, RATE);
         let state = EndpointState::Draining;
         let leaving = Endpoint {
             state,
             ..backends[second * 7].clone()
         };
-        world.tell(UpdateKind::Delta, &[leaving]);
+        simulation.update_endpoints(UpdateKind::Delta, &[leaving]);
     }
-    assert!(world.in_time(START) > 0.9);
+    assert!(simulation.in_time(START) > 0.9);
     thread_time() - before
 }
 
@@ -81,11 +81,11 @@
             proxy_count,
             ..settings(1)
         };
-        let mut world = World::of(settings, vec![WORK], 1, &list, seed * 1_000 + 1);
-        world.health = by_group;
-        world.run(20 * SECOND, rate);
-        for fate in world.fates.values() {
-            if let Some((_, id, _)) = fate.attempts.first() {
+        let mut simulation = Simulation::of(settings, vec![WORK], 1, &list, seed * 1_000 + 1);
+        simulation.health = by_group;
+        simulation.run(20 * SECOND, rate);
+        for record in simulation.records.values() {
+            if let Some((_, id, _)) = record.attempts.first() {
                 sent[id.0 as usize % 4] += 1;
             }
         }
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn draws_are_spread_as_by_the_full_walk() {
-    // Measured on the code that walked the whole list for each draw: means of 48 plays, standard
+fn picks_are_spread_as_by_the_full_scan() {
+    // Measured on the code that walked the whole list for each pick: means of 48 plays, standard
     // errors up to 0.013.
     for (proxy_count, backends, rate, wanted) in [
         (2, 10, 60.0, [0.773, 0.101, 0.109, 0.017]),
--- a/crates/balancer/tests/world/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic world of backends that work first come, first served, for tests of what many
-//! nodes do together; no sockets and no wall clock.
+//! A deterministic simulation of backends that work first come, first served, for tests of what
+//! many proxies do together; no sockets and no wall clock.
 
 // Each test program uses a part of it.
 #![allow(dead_code)]
@@ -15,20 +15,20 @@
 pub const SECOND: Nanos = 1_000 * MS;
 pub const START: Nanos = 3_600 * SECOND;
 /// Fleet sizes that each scenario is played with: the same code and figures serve all of them.
-pub const NODES: [usize; 4] = [2, 10, 100, 300];
+pub const PROXY_COUNTS: [usize; 4] = [2, 10, 100, 300];
 /// Mean work of a request on a backend at full strength.
 pub const WORK: Nanos = 40 * MS;
-/// Attempts that a backend holds before it turns others away.
+/// Attempts that a backend holds before it rejects others.
 pub const QUEUE: Nanos = 15;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Coming {
+pub enum Scheduled {
     Arrival,
     Timer {
         node: usize,
         timer: TimerId,
     },
-    End {
+    AttemptEnds {
         node: usize,
         request: u32,
         attempt: usize,
@@ -39,15 +39,15 @@
 /// How a backend is doing.
 #[derive(Clone, Copy)]
 pub enum Health {
-    /// Its strength, 1 when warm.
+    /// Its capacity as a fraction, 1 when warm.
     Works(f64),
-    /// It turns all away at once, as one that is leaving does.
+    /// It rejects all at once, as one that drains does.
     Leaving,
     /// It takes all and answers none.
     Swallows,
 }
 
-pub const ENDS: [Outcome; 4] = [
+pub const OUTCOMES: [Outcome; 4] = [
     Outcome::Success,
     Outcome::Overloaded,
     Outcome::Timeout,
@@ -55,49 +55,49 @@
 ];
 
 /// What became of a request, its node, and each of its attempts: when, where, and whether it is
-/// still out.
+/// still in flight.
 #[derive(Clone)]
-pub struct Fate {
+pub struct RequestRecord {
     pub node: usize,
     pub class: usize,
-    pub asked: Nanos,
+    pub received_at: Nanos,
     pub served: Option<Nanos>,
     pub attempts: Vec<(Nanos, BackendId, bool)>,
 }
 
-impl Fate {
+impl RequestRecord {
     /// It was not started at once.
-    pub fn held(&self) -> bool {
+    pub fn waited(&self) -> bool {
         self.attempts
             .first()
-            .is_none_or(|first| first.0 > self.asked)
+            .is_none_or(|first| first.0 > self.received_at)
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub nodes: Vec<Balancer>,
     pub settings: Settings,
     /// Mean work of each class, and the share of the last class.
     pub work: Vec<Nanos>,
     pub last_share: f64,
     /// Backlog of which a backend's time above is counted: since when, until when, and the longest.
-    pub deep: Nanos,
-    pub above: BTreeMap<BackendId, (Nanos, Nanos)>,
-    pub longest: Nanos,
-    /// Reqs that were not started at once though some backend had nothing to do.
+    pub backlog_mark: Nanos,
+    pub above_mark: BTreeMap<BackendId, (Nanos, Nanos)>,
+    pub longest_above_mark: Nanos,
+    /// Requests that were not started at once though some backend had nothing to do.
     pub beside_idle: usize,
-    /// A node that is down.
-    pub down: Option<usize>,
+    /// A proxy that is stopped.
+    pub stopped: Option<usize>,
     /// For each backend: when it has worked off what it holds.
     pub free_at: BTreeMap<BackendId, Nanos>,
     pub health: fn(BackendId, Nanos) -> Health,
     pub now: Nanos,
-    pub coming: BinaryHeap<Reverse<(Nanos, u64, Coming)>>,
-    pub turn: u64,
+    pub schedule: BinaryHeap<Reverse<(Nanos, u64, Scheduled)>>,
+    pub sequence: u64,
     pub rng: Xoshiro256PlusPlus,
     /// The first node gets this many times the mean more than the others.
-    pub busier: u64,
-    pub fates: BTreeMap<u32, Fate>,
+    pub extra_load: u64,
+    pub records: BTreeMap<u32, RequestRecord>,
 }
 
 pub fn settings(nodes: usize) -> Settings {
@@ -105,9 +105,9 @@
         scope: DeduplicationScope::Cell,
         window: 3 * SECOND,
     };
-    let (aim, deadline) = (300 * MS, 1_670 * MS);
+    let (objective, deadline) = (300 * MS, 1_670 * MS);
     let class = Class {
-        latency_objective: aim,
+        latency_objective: objective,
         client_timeout: deadline,
         priority_weight: 1.0,
         late_priority_weight: 0.3,
@@ -148,13 +148,13 @@
     }
 }
 
-impl World {
-    pub fn new(nodes: usize, backends: &[Endpoint]) -> World {
-        World::seeded(nodes, backends, 1)
+impl Simulation {
+    pub fn new(nodes: usize, backends: &[Endpoint]) -> Simulation {
+        Simulation::seeded(nodes, backends, 1)
     }
 
-    pub fn seeded(nodes: usize, backends: &[Endpoint], seed: u64) -> World {
-        World::of(settings(nodes), vec![WORK], nodes, backends, seed)
+    pub fn seeded(nodes: usize, backends: &[Endpoint], seed: u64) -> Simulation {
+        Simulation::of(settings(nodes), vec![WORK], nodes, backends, seed)
     }
 
     pub fn of(
@@ -163,7 +163,7 @@
         nodes: usize,
         backends: &[Endpoint],
         seed: u64,
-    ) -> World {
+    ) -> Simulation {
         let zone = |node: usize| ZoneId((node % 2) as u16);
         let balancer = |node| {
             let settings = Settings {
@@ -173,33 +173,33 @@
             };
             Balancer::new(settings, seed + node as u64, START).expect("sound settings")
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             nodes: (0..nodes).map(balancer).collect(),
             settings: settings.clone(),
             work,
             last_share: 0.0,
-            deep: Nanos::MAX,
-            above: BTreeMap::new(),
-            longest: 0,
+            backlog_mark: Nanos::MAX,
+            above_mark: BTreeMap::new(),
+            longest_above_mark: 0,
             beside_idle: 0,
-            down: None,
+            stopped: None,
             free_at: backends.iter().map(|b| (b.id, START)).collect(),
             health: |_, _| Health::Works(1.0),
             now: START,
-            coming: BinaryHeap::new(),
-            turn: 0,
+            schedule: BinaryHeap::new(),
+            sequence: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(20_261_201),
-            busier: 0,
-            fates: BTreeMap::new(),
+            extra_load: 0,
+            records: BTreeMap::new(),
         };
-        world.tell(UpdateKind::Cached, backends);
-        world
+        simulation.update_endpoints(UpdateKind::Cached, backends);
+        simulation
     }
 
     /// Tells every node.
-    pub fn tell(&mut self, kind: UpdateKind, backends: &[Endpoint]) {
+    pub fn update_endpoints(&mut self, kind: UpdateKind, backends: &[Endpoint]) {
         for node in 0..self.nodes.len() {
-            self.give(
+            self.handle(
                 node,
                 Event::EndpointUpdate {
                     kind,
@@ -217,17 +217,19 @@
         (-mean * (1.0 - self.unit()).ln()) as Nanos
     }
 
-    pub fn plan(&mut self, at: Nanos, what: Coming) {
-        self.turn += 1;
-        self.coming.push(Reverse((at, self.turn, what)));
+    pub fn schedule_at(&mut self, at: Nanos, what: Scheduled) {
+        self.sequence += 1;
+        self.schedule.push(Reverse((at, self.sequence, what)));
     }
 
-    pub fn give(&mut self, node: usize, event: Event) {
+    pub fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { at, timer } => self.plan(at, Coming::Timer { node, timer }),
+                Action::SetTimer { at, timer } => {
+                    self.schedule_at(at, Scheduled::Timer { node, timer })
+                }
                 Action::StartAttempt {
                     request,
                     backend,
@@ -235,9 +237,9 @@
                 } => self.send(node, request.0, backend, until),
                 Action::CancelAttempt { request, attempt } => {
                     let attempt = usize::from(attempt);
-                    self.plan(
+                    self.schedule_at(
                         self.now,
-                        Coming::End {
+                        Scheduled::AttemptEnds {
                             node,
                             request: request.0,
                             attempt,
@@ -251,28 +253,28 @@
     }
 
     pub fn send(&mut self, node: usize, request: u32, backend: BackendId, until: Nanos) {
-        let class = self.fates[&request].class;
+        let class = self.records[&request].class;
         let work = self.exponential(self.work[class] as f64);
         let queue = QUEUE * self.work.iter().max().expect("a class");
         let now = self.now;
-        let fate = self.fates.get_mut(&request).expect("asked");
-        let attempt = fate.attempts.len();
-        fate.attempts.push((now, backend, true));
+        let record = self.records.get_mut(&request).expect("asked");
+        let attempt = record.attempts.len();
+        record.attempts.push((now, backend, true));
         let free_at = self.free_at.get_mut(&backend).expect("listed");
         let (at, outcome) = match (self.health)(backend, now) {
             Health::Works(strength) if *free_at <= now + queue => {
                 *free_at = (*free_at).max(now) + (work as f64 / strength) as Nanos;
-                if *free_at > now.saturating_add(self.deep) {
+                if *free_at > now.saturating_add(self.backlog_mark) {
                     // It falls under the mark when it has worked off what is above.
                     let (since, end) = self
-                        .above
+                        .above_mark
                         .get(&backend)
                         .copied()
                         .filter(|a| a.1 >= now)
                         .unwrap_or((now, 0));
-                    let end = end.max(*free_at - self.deep);
-                    self.above.insert(backend, (since, end));
-                    self.longest = self.longest.max(end - since);
+                    let end = end.max(*free_at - self.backlog_mark);
+                    self.above_mark.insert(backend, (since, end));
+                    self.longest_above_mark = self.longest_above_mark.max(end - since);
                 }
                 if *free_at < until {
                     (*free_at, 0)
@@ -283,9 +285,9 @@
             Health::Swallows => (until, 2),
             _ => (now + MS, 1),
         };
-        self.plan(
+        self.schedule_at(
             at,
-            Coming::End {
+            Scheduled::AttemptEnds {
                 node,
                 request,
                 attempt,
@@ -296,16 +298,16 @@
 
     pub fn end(&mut self, node: usize, request: u32, attempt: usize, outcome: Outcome) {
         let now = self.now;
-        let fate = self.fates.get_mut(&request).expect("asked");
-        let (sent, _, out) = &mut fate.attempts[attempt];
+        let record = self.records.get_mut(&request).expect("asked");
+        let (sent, _, out) = &mut record.attempts[attempt];
         if !std::mem::replace(out, false) {
             return;
         }
         let latency = now - *sent;
         let finished = outcome == Outcome::Success;
-        fate.served = finished.then_some(now);
+        record.served = finished.then_some(now);
         let (request, attempt, load) = (RequestId(request), attempt as u8, Vec::new());
-        self.give(
+        self.handle(
             node,
             Event::AttemptEnded {
                 request,
@@ -323,71 +325,71 @@
         let end = self.now + span;
         let gap = SECOND as f64 / rate;
         let first = self.now + self.exponential(gap);
-        self.plan(first, Coming::Arrival);
+        self.schedule_at(first, Scheduled::Arrival);
         while let Some(Reverse((at, ..))) =
-            self.coming.peek().copied().filter(|next| next.0.0 <= end)
+            self.schedule.peek().copied().filter(|next| next.0.0 <= end)
         {
-            let Some(Reverse((.., what))) = self.coming.pop() else {
+            let Some(Reverse((.., what))) = self.schedule.pop() else {
                 return;
             };
             self.now = self.now.max(at);
             match what {
-                Coming::Arrival => {
+                Scheduled::Arrival => {
                     let next = self.now + self.exponential(gap);
                     if next < end {
-                        self.plan(next, Coming::Arrival);
+                        self.schedule_at(next, Scheduled::Arrival);
                     }
-                    self.ask();
+                    self.submit_one();
                 }
-                Coming::Timer { node, timer } => self.give(node, Event::Timer { timer }),
-                Coming::End {
+                Scheduled::Timer { node, timer } => self.handle(node, Event::Timer { timer }),
+                Scheduled::AttemptEnds {
                     node,
                     request,
                     attempt,
                     outcome,
                 } => {
-                    self.end(node, request, attempt, ENDS[usize::from(outcome)]);
+                    self.end(node, request, attempt, OUTCOMES[usize::from(outcome)]);
                 }
             }
         }
         self.now = end;
     }
 
-    pub fn ask(&mut self) {
-        let ticket = self.rng.next_u64() % (self.nodes.len() as u64 + self.busier);
-        let node = ticket.saturating_sub(self.busier) as usize;
+    pub fn submit_one(&mut self) {
+        let ticket = self.rng.next_u64() % (self.nodes.len() as u64 + self.extra_load);
+        let node = ticket.saturating_sub(self.extra_load) as usize;
         // The front has clients of a node that is down go to the next one.
-        let node = if self.down == Some(node) {
+        let node = if self.stopped == Some(node) {
             (node + 1) % self.nodes.len()
         } else {
             node
         };
         let last = self.last_share > 0.0 && self.unit() < self.last_share;
         let class = if last { self.work.len() - 1 } else { 0 };
-        let id = self.fates.len() as u32;
+        let id = self.records.len() as u32;
         let deadline = self.settings.classes[class].client_timeout;
-        self.fates.insert(
+        self.records.insert(
             id,
-            Fate {
+            RequestRecord {
                 node,
                 class,
-                asked: self.now,
+                received_at: self.now,
                 served: None,
                 attempts: Vec::new(),
             },
         );
-        let (class, patience) = (ClassId(class as u16), deadline / 167 * 160);
+        let (class, client_timeout) = (ClassId(class as u16), deadline / 167 * 160);
         let request = Request {
             id: RequestId(id),
             class,
-            client_timeout: patience,
+            client_timeout,
             is_write: true,
             ..Request::default()
         };
-        self.give(node, Event::Request(request));
+        self.handle(node, Event::Request(request));
         let idle = |at: &Nanos| *at <= self.now;
         self.beside_idle +=
-            usize::from(self.fates[&id].attempts.is_empty() && self.free_at.values().any(idle));
+            usize::from(self.records[&id].attempts.is_empty() && self.free_at.values().any(idle));
     }
 
     /// A node starts anew, with nothing but this list.
@@ -398,7 +400,7 @@
         };
         self.nodes[node] =
             Balancer::new(settings, 77 + node as u64, self.now).expect("sound settings");
-        self.give(
+        self.handle(
             node,
             Event::EndpointUpdate {
                 kind: UpdateKind::Cached,
@@ -408,14 +410,22 @@
     }
 
     /// Those asked from `from` on.
-    pub fn asked(&self, from: Nanos) -> impl Iterator<Item = &Fate> {
-        self.fates.values().filter(move |fate| fate.asked >= from)
+    pub fn received_since(&self, from: Nanos) -> impl Iterator<Item = &RequestRecord> {
+        self.records
+            .values()
+            .filter(move |record| record.received_at >= from)
     }
 
-    /// Share of those asked from `from` on that were served within the aim.
+    /// Fraction of those received from `from` on that were served within the objective.
     pub fn in_time(&self, from: Nanos) -> f64 {
-        let aim = |fate: &Fate| self.settings.classes[fate.class].latency_objective;
-        let timely = |fate: &&Fate| fate.served.is_some_and(|at| at <= fate.asked + aim(fate));
-        self.asked(from).filter(timely).count() as f64 / self.asked(from).count() as f64
+        let objective =
+            |record: &RequestRecord| self.settings.classes[record.class].latency_objective;
+        let timely = |record: &&RequestRecord| {
+            record
+                .served
+                .is_some_and(|at| at <= record.received_at + objective(record))
+        };
+        self.received_since(from).filter(timely).count() as f64
+            / self.received_since(from).count() as f64
     }
 }
