--- /dev/null
+++ b/tools/check_pages.py
@@ -0,0 +1,242 @@
+#!/usr/bin/env python3
+"""Checks that the pages and the code agree. Prints one line for each finding; exit code 1 if there is any.
+
+Checked are README.md, CHANGELOG.md and every page below docs/:
+
+- a relative link points to a file that exists, and its anchor to a heading of that page;
+- a code reference `path/file.rs` is a file of the tree, from the root; a bare `file.rs` is the name of at least one file;
+- a code reference `path/file.rs:name` names a function, type, constant or module that is defined in that file;
+  in `path/file.rs:Type::name` both are;
+- `make` commands of the README are targets of the Makefile, and `make build` and `make test` are among them;
+- no page holds a path of somebody's machine;
+- a page that a comment in the code names exists.
+
+Usage: tools/check_pages.py [--root FOLDER]
+       tools/check_pages.py --names       also lists names in `backticks` that the code does not have
+       tools/check_pages.py --self-test   plants faults in a temporary folder and shows that each is found
+"""
+
+import argparse
+import re
+import subprocess
+import sys
+import unittest
+from dataclasses import dataclass
+from pathlib import Path
+
+REQUIRED_COMMANDS = ("build", "test")
+
+# The text of a link may begin on the line before, so only the end of a link is looked for.
+LINK = re.compile(r"\]\(([^()\s]+)\)")
+URL = re.compile(r"[a-z][a-z0-9+.-]*:", re.IGNORECASE)
+HEADING = re.compile(r"#{1,6} +(.*?)(?: +#+)?$")
+FENCE = re.compile(r"\s*(```|~~~)")
+CODE_SPAN = re.compile(r"`([^`]+)`")
+CODE_REFERENCE = re.compile(r"(?<![\w./*-])((?:[\w.-]+/)*[\w-]+\.rs)(?::([A-Za-z_]\w*(?:::\w+)*))?(?![\w*])")
+MAKE_COMMAND = re.compile(r"\bmake ([a-z][a-z0-9-]*)")
+MAKE_TARGET = re.compile(r"^([A-Za-z0-9_-]+)\s*:(?!=)", re.MULTILINE)
+MACHINE_PATH = re.compile(r"(?<![\w.)>-])/(?:work|home|root|tmp|Users|mnt|opt|srv|var)/[\w.-]+")
+PAGE_IN_CODE = re.compile(r"\bdocs/[\w./-]+\.md\b")
+IDENTIFIER = re.compile(r"(?:[A-Za-z]\w*::)?[a-z]+(?:_[a-z0-9]+)+(\.\.\.|_\.\.\.)?$")
+DEFINITION = r"\b(?:fn|struct|enum|union|trait|type|const|static|mod|macro_rules!)\s+{name}\b"
+VARIANT = r"^\s*{name}\s*(?:[,({{=]|$)"
+
+
+@dataclass(frozen=True)
+class Finding:
+    """What is wrong at one line of a page."""
+
+    page: str
+    line: int
+    text: str
+
+    def __str__(self):
+        return f"{self.page}:{self.line}: {self.text}"
+
+
+class Tree:
+    """The files of a checkout, by their paths from its root."""
+
+    def __init__(self, root):
+        self.root = Path(root).resolve()
+        self.files = self._tracked_files() or self._files_on_disk()
+        self.names = {Path(file).name for file in self.files}
+        self._texts = {}
+
+    def _tracked_files(self):
+        command = ["git", "-C", str(self.root), "ls-files", "-z", "--cached", "--others", "--exclude-standard"]
+        listing = subprocess.run(command, capture_output=True, text=True, check=False)
+        if listing.returncode != 0:
+            return set()
+        return {file for file in listing.stdout.split("\0") if file and (self.root / file).is_file()}
+
+    def _files_on_disk(self):
+        return {str(path.relative_to(self.root)) for path in self.root.rglob("*") if path.is_file()}
+
+    def text(self, file):
+        """The text of a file, or an empty one if it does not exist."""
+        if file not in self._texts:
+            path = self.root / file
+            self._texts[file] = path.read_text(encoding="utf-8") if path.is_file() else ""
+        return self._texts[file]
+
+    def pages(self):
+        """The pages that are checked."""
+        return sorted(file for file in self.files if file.endswith(".md") and is_checked(file))
+
+
+def is_checked(file):
+    """Whether a Markdown file is one of the pages that are checked."""
+    return file in ("README.md", "CHANGELOG.md") or file.startswith("docs/")
+
+
+def prose_lines(text):
+    """Numbered lines of a page outside of fenced blocks."""
+    fenced = False
+    for number, line in enumerate(text.splitlines(), 1):
+        if FENCE.match(line):
+            fenced = not fenced
+        elif not fenced:
+            yield number, line
+
+
+def anchors(text):
+    """The anchors that the headings of a page make, as common renderers derive them."""
+    found = {}
+    for _, line in prose_lines(text):
+        heading = HEADING.match(line)
+        if heading is None:
+            continue
+        plain = re.sub(r"[`*]|\[([^\]]*)\]\([^)]*\)", lambda match: match.group(1) or "", heading.group(1))
+        slug = re.sub(r"[^\w\- ]", "", plain.lower()).strip().replace(" ", "-")
+        found[slug] = found.get(slug, 0) + 1
+    return {f"{slug}-{n}" if n else slug for slug, count in found.items() for n in range(count)}
+
+
+def check_links(tree, page):
+    """Relative links point to files of the tree, anchors to headings."""
+    for number, line in prose_lines(tree.text(page)):
+        for link in LINK.findall(CODE_SPAN.sub("code", line)):
+            if URL.match(link):
+                continue
+            path, _, anchor = link.partition("#")
+            target = (tree.root / page).parent / path if path else tree.root / page
+            if not target.exists():
+                yield Finding(page, number, f"link to {link}: there is no such file")
+            elif anchor and target.suffix == ".md":
+                if anchor not in anchors(target.read_text(encoding="utf-8")):
+                    yield Finding(page, number, f"link to {link}: the page has no such heading")
+
+
+def defines(text, name):
+    """Whether a Rust source defines a name; `Type::name` stands for both."""
+    parts = name.split("::")
+    for place, part in enumerate(parts):
+        found = re.search(DEFINITION.format(name=re.escape(part)), text)
+        is_variant = place > 0 and re.search(VARIANT.format(name=re.escape(part)), text, re.MULTILINE)
+        is_implemented = place < len(parts) - 1 and re.search(rf"\bimpl\b.*\b{re.escape(part)}\b", text)
+        if not (found or is_variant or is_implemented):
+            return False
+    return True
+
+
+def check_code_references(tree, page):
+    """Files of code that a page names exist and define what it says they define."""
+    for number, line in prose_lines(tree.text(page)):
+        for span in CODE_SPAN.findall(line):
+            for file, name in CODE_REFERENCE.findall(span):
+                known = file in tree.files if "/" in file else file in tree.names
+                if not known:
+                    yield Finding(page, number, f"`{file}`: the tree has no such file")
+                elif name and "/" not in file:
+                    yield Finding(page, number, f"`{file}:{name}`: give the file's whole path")
+                elif name and not defines(tree.text(file), name):
+                    yield Finding(page, number, f"`{file}:{name}`: the file defines no such name")
+
+
+def check_commands(tree):
+    """The README's `make` commands are targets, the two main ones among them."""
+    targets = set(MAKE_TARGET.findall(tree.text("Makefile")))
+    named = set()
+    for number, line in enumerate(tree.text("README.md").splitlines(), 1):
+        for command in MAKE_COMMAND.findall(line):
+            named.add(command)
+            if command not in targets:
+                yield Finding("README.md", number, f"`make {command}`: the Makefile has no such target")
+    for command in REQUIRED_COMMANDS:
+        if command not in named:
+            yield Finding("README.md", 1, f"`make {command}` is not named")
+
+
+def check_machine_paths(tree, page):
+    """No page holds a path of somebody's machine."""
+    for number, line in enumerate(tree.text(page).splitlines(), 1):
+        for path in MACHINE_PATH.findall(line):
+            yield Finding(page, number, f"{path} is a path of one machine")
+
+
+def check_pages_named_in_code(tree):
+    """Pages that comments in the code name exist."""
+    for file in sorted(file for file in tree.files if file.endswith(".rs")):
+        for number, line in enumerate(tree.text(file).splitlines(), 1):
+            for page in PAGE_IN_CODE.findall(line):
+                if page not in tree.files:
+                    yield Finding(file, number, f"{page}: there is no such page")
+
+
+def check_names(tree):
+    """Names in backticks that look like functions or tests, and that no file of code, settings or tools holds."""
+    kinds = (".rs", ".toml", ".json", ".py", ".sh")
+    code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(kinds))
+    for page in (page for page in tree.pages() if page.startswith("docs/")):
+        for number, line in prose_lines(tree.text(page)):
+            for span in CODE_SPAN.findall(line):
+                name = IDENTIFIER.match(span)
+                if name is None:
+                    continue
+                start = span.rstrip(".").split("::")[-1]
+                end = "" if name.group(1) else r"\b"
+                if not re.search(rf"\b{re.escape(start)}{end}", code):
+                    yield Finding(page, number, f"`{span}`: the code has no such name")
+
+
+def check(root):
+    """All findings in a checkout."""
+    tree = Tree(root)
+    findings = []
+    for page in tree.pages():
+        findings.extend(check_links(tree, page))
+        findings.extend(check_code_references(tree, page))
+        findings.extend(check_machine_paths(tree, page))
+    findings.extend(check_commands(tree))
+    findings.extend(check_pages_named_in_code(tree))
+    return findings
+
+
+def self_test():
+    """Runs the tests beside this program; tells whether they pass."""
+    sys.dont_write_bytecode = True
+    sys.path.insert(0, str(Path(__file__).parent))
+    suite = unittest.defaultTestLoader.loadTestsFromName("check_pages_tests")
+    return unittest.TextTestRunner(verbosity=2).run(suite).wasSuccessful()
+
+
+def main():
+    """Checks the checkout that this program lies in, or another; gives the exit code."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--root", default=Path(__file__).resolve().parent.parent)
+    parser.add_argument("--names", action="store_true")
+    parser.add_argument("--self-test", action="store_true")
+    arguments = parser.parse_args()
+    if arguments.self_test:
+        return 0 if self_test() else 1
+    findings = check(arguments.root)
+    if arguments.names:
+        findings.extend(check_names(Tree(arguments.root)))
+    for finding in findings:
+        print(finding)
+    return 1 if findings else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
