--- a/Makefile
+++ b/Makefile
@@ -9,9 +9,13 @@
 test:
 	tools/run_tests.sh
 
+# Formatting, clippy and rustdoc without warnings, and pages that name only what exists.
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --document-private-items
+	tools/check_pages.py --self-test
+	tools/check_pages.py
 
 run: build
 	BALANCER_CONFIG=$(CONFIG) exec target/release/kitefork
@@ -31,7 +35,7 @@
 scale: testbed
 	target/release/kitefork-testbed scale
 
-# Seeds of overlapping troubles over 24 processes, a quarter of a minute each.
+# Seeds of overlapping faults over 24 processes, a quarter of a minute each.
 SEEDS ?= 20
 soak: testbed
 	cargo build --release --locked -p kitefork-fault-shim
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -34,7 +34,9 @@
 impl Fixture {
     fn new() -> Fixture {
         let mut classes = vec![ClassStatistics::default(); 2];
-        classes.iter_mut().for_each(|class| class.add_latency(0.05));
+        for class in &mut classes {
+            class.add_latency(0.05);
+        }
         let mut queue = AdmissionQueue::new(2, 1.0);
         let settings = two_classes();
         queue.refill_quotas(&settings, 1.0);
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -244,7 +244,10 @@
             ratio_to_mean: latency / self.classes[class].mean_latency().max(1e-9),
             at: self.refreshed_at,
         };
-        let unloaded = self.classes.iter().map(|class| class.unloaded_latency());
+        let unloaded = self
+            .classes
+            .iter()
+            .map(super::super::class_statistics::ClassStatistics::unloaded_latency);
         let longest_unloaded = unloaded.fold(1e-9, f64::max);
         self.limiter
             .adjust(&mut record.load, &sample, longest_unloaded);
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -5,7 +5,9 @@
 #[test]
 fn the_lowest_mean_stands_until_it_is_forgotten() {
     let mut mean = MovingMean::default();
-    [1.0, 3.0, 2.0, 5.0].iter().for_each(|v| mean.add(*v, 2.0));
+    for value in [1.0, 3.0, 2.0, 5.0] {
+        mean.add(value, 2.0);
+    }
     assert_eq!(
         mean,
         MovingMean {
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -148,7 +148,9 @@
             .or_default()
             .push(record.endpoint().hash);
     }
-    hashes.values_mut().for_each(|zone| zone.sort_unstable());
+    for zone in hashes.values_mut() {
+        zone.sort_unstable();
+    }
     hashes
 }
 
--- a/crates/balancer/src/timer_queue_tests.rs
+++ b/crates/balancer/src/timer_queue_tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn armed(at: Nanos, timer: u32) -> Option<ArmedTimer> {
-    Some(ArmedTimer {
+fn armed(at: Nanos, timer: u32) -> ArmedTimer {
+    ArmedTimer {
         at,
         timer: TimerId(timer),
-    })
+    }
 }
 
 #[test]
@@ -25,12 +25,12 @@
     let mut queue = TimerQueue::default();
     assert_eq!(queue.arm(), None);
     queue.schedule(9, 'x');
-    assert_eq!(queue.arm(), armed(9, 1));
+    assert_eq!(queue.arm(), Some(armed(9, 1)));
     assert_eq!(queue.arm(), None);
     queue.schedule(4, 'y');
-    assert_eq!(queue.arm(), armed(4, 2));
+    assert_eq!(queue.arm(), Some(armed(4, 2)));
     queue.fired(TimerId(1));
     assert_eq!(queue.arm(), None);
     queue.fired(TimerId(2));
-    assert_eq!(queue.arm(), armed(4, 3));
+    assert_eq!(queue.arm(), Some(armed(4, 3)));
 }
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -51,8 +51,9 @@
             }
             most = most.max(out.len());
             harness.wait(25 * MS);
-            out.into_iter()
-                .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
+            for id in out {
+                harness.end(id, 0, Outcome::Success);
+            }
         }
     }
     assert_eq!(most, 2);
@@ -105,8 +106,9 @@
                     .filter(|s| s.1[0].2)
                     .map(|s| *s.0)
                     .collect();
-                out.into_iter()
-                    .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
+                for id in out {
+                    harness.end(id, 0, Outcome::Success);
+                }
             }
             harness.wait(3 * objective);
             let out: Vec<_> = harness
@@ -115,8 +117,9 @@
                 .filter(|s| s.1[0].2)
                 .map(|s| *s.0)
                 .collect();
-            out.into_iter()
-                .for_each(|id| drop(harness.end(id, 0, Outcome::Success)));
+            for id in out {
+                harness.end(id, 0, Outcome::Success);
+            }
             // The burst is over: one is out at a time, and others idle. It is never held back.
             for round in 0..50 {
                 let id = submit(&mut harness);
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -143,142 +143,191 @@
     }
 }
 
-fn play(steps: &[Step]) -> Vec<Action> {
-    let mut settings = Settings {
-        poll_endpoints: true,
-        ..settings()
-    };
-    settings.rules.drain_close_within = Some(20 * MS);
-    let backends: Vec<Endpoint> = (1..=4).map(backend).collect();
-    let mut watch = Watch::default();
-    watch
-        .states
-        .extend(backends.iter().map(|b| (b.id, b.state)));
-    let mut harness = Harness::new(settings.clone(), backends);
-    let mut log = Vec::new();
-    for step in steps {
-        let actions = match step {
-            Step::Submit(class) => {
-                let id = RequestId(harness.next + 1);
-                watch
-                    .open
-                    .insert(id, (*class, harness.now + 800 * MS, Vec::new()));
-                harness.submit(*class).1
-            }
-            Step::End(place, outcome) => {
-                let out: Vec<(RequestId, usize)> = harness
-                    .sent
-                    .iter()
-                    .flat_map(|(id, all)| (0..all.len()).filter(|i| all[*i].2).map(|i| (*id, i)))
-                    .collect();
-                let Some((id, attempt)) = out.get(place % out.len().max(1)).copied() else {
-                    continue;
-                };
-                match outcome {
-                    Outcome::Success => drop(watch.open.remove(&id)),
-                    _ => {
-                        if let Some((_, _, seen)) = watch.open.get_mut(&id) {
-                            seen[attempt].outcome = Some(*outcome);
-                        }
-                    }
-                }
-                watch.used(harness.now, harness.sent[&id][attempt].0);
-                harness.end(id, attempt, *outcome)
-            }
-            Step::Leave(place) => {
-                let ids: Vec<RequestId> = watch.open.keys().copied().collect();
-                let Some(id) = ids.get(place % ids.len().max(1)).copied() else {
-                    continue;
-                };
-                watch.open.remove(&id);
-                harness.handle(Event::ClientDisconnected { request: id })
+/// A balancer that plays steps, each judged by the rules.
+struct Player {
+    settings: Settings,
+    watch: Watch,
+    harness: Harness,
+    log: Vec<Action>,
+}
+
+impl Player {
+    fn new() -> Player {
+        let mut settings = Settings {
+            poll_endpoints: true,
+            ..settings()
+        };
+        settings.rules.drain_close_within = Some(20 * MS);
+        let backends: Vec<Endpoint> = (1..=4).map(backend).collect();
+        let mut watch = Watch::default();
+        watch
+            .states
+            .extend(backends.iter().map(|b| (b.id, b.state)));
+        let harness = Harness::new(settings.clone(), backends);
+        Player {
+            settings,
+            watch,
+            harness,
+            log: Vec::new(),
+        }
+    }
+
+    fn play(&mut self, step: &Step) {
+        match step {
+            Step::Submit(class) => self.submit(*class),
+            Step::End(place, outcome) => self.end_one(*place, *outcome),
+            Step::Leave(place) => self.leave(*place),
+            Step::Stray(id, attempt) => self.end_unknown(RequestId(id | 1 << 31), *attempt),
+            Step::Wait(span) => self.wait(*span),
+            Step::List(kind, entries) => self.update_endpoints(*kind, entries),
+            Step::ListFailed => {
+                let actions = self.harness.handle(Event::DiscoveryFailed);
+                self.check(actions);
             }
-            Step::Stray(id, attempt) => harness.handle(Event::AttemptEnded {
-                request: RequestId(id | 1 << 31),
-                attempt: *attempt,
-                latency: MS,
-                outcome: Outcome::Success,
-                finished: true,
-                load_report: vec![],
-            }),
-            Step::Wait(span) => {
-                // One timer at a time, so that each send is checked at its own time; attempts that
-                // are out at the deadline time out there.
-                let end = harness.now + span;
-                while harness.now < end {
-                    let late: Vec<(RequestId, usize)> = watch
-                        .open
-                        .iter()
-                        .filter(|(_, (_, deadline, _))| *deadline <= harness.now + MS)
-                        .flat_map(|(id, (_, _, seen))| {
-                            (0..seen.len())
-                                .filter(|i| seen[*i].outcome.is_none())
-                                .map(|i| (*id, i))
-                        })
-                        .collect();
-                    for (id, attempt) in late {
-                        if let Some((_, _, seen)) = watch.open.get_mut(&id) {
-                            seen[attempt].outcome = Some(Outcome::Timeout);
-                        }
-                        watch.used(harness.now, harness.sent[&id][attempt].0);
-                        let actions = harness.end(id, attempt, Outcome::Timeout);
-                        watch.check(harness.now, &settings, &actions);
-                        log.extend(actions);
-                    }
-                    let actions = harness.wait(MS);
-                    watch.check(harness.now, &settings, &actions);
-                    log.extend(actions);
-                    assert!(
-                        watch
-                            .open
-                            .values()
-                            .all(|(_, deadline, _)| harness.now < *deadline + MS),
-                        "rule 1: no answer in time"
-                    );
-                }
-                continue;
+        }
+    }
+
+    fn check(&mut self, actions: Vec<Action>) {
+        self.watch.check(self.harness.now, &self.settings, &actions);
+        self.log.extend(actions);
+    }
+
+    fn submit(&mut self, class: u16) {
+        let id = RequestId(self.harness.next + 1);
+        let deadline = self.harness.now + 800 * MS;
+        self.watch.open.insert(id, (class, deadline, Vec::new()));
+        let (_, actions) = self.harness.submit(class);
+        self.check(actions);
+    }
+
+    /// Ends one of the attempts in flight, if there is any.
+    fn end_one(&mut self, place: usize, outcome: Outcome) {
+        let in_flight: Vec<(RequestId, usize)> = self
+            .harness
+            .sent
+            .iter()
+            .flat_map(|(id, all)| (0..all.len()).filter(|i| all[*i].2).map(|i| (*id, i)))
+            .collect();
+        let Some((id, attempt)) = in_flight.get(place % in_flight.len().max(1)).copied() else {
+            return;
+        };
+        if outcome == Outcome::Success {
+            self.watch.open.remove(&id);
+        }
+        self.end(id, attempt, outcome);
+    }
+
+    fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        if let Some((_, _, seen)) = self.watch.open.get_mut(&id) {
+            seen[attempt].outcome = Some(outcome);
+        }
+        self.watch
+            .used(self.harness.now, self.harness.sent[&id][attempt].0);
+        let actions = self.harness.end(id, attempt, outcome);
+        self.check(actions);
+    }
+
+    /// A client disconnects, if any has an open request.
+    fn leave(&mut self, place: usize) {
+        let ids: Vec<RequestId> = self.watch.open.keys().copied().collect();
+        let Some(id) = ids.get(place % ids.len().max(1)).copied() else {
+            return;
+        };
+        self.watch.open.remove(&id);
+        let actions = self
+            .harness
+            .handle(Event::ClientDisconnected { request: id });
+        self.check(actions);
+    }
+
+    fn end_unknown(&mut self, request: RequestId, attempt: u8) {
+        let actions = self.harness.handle(Event::AttemptEnded {
+            request,
+            attempt,
+            latency: MS,
+            outcome: Outcome::Success,
+            finished: true,
+            load_report: vec![],
+        });
+        self.check(actions);
+    }
+
+    /// One timer at a time, so that each send is checked at its own time; attempts that are in
+    /// flight at the deadline time out there.
+    fn wait(&mut self, span: Nanos) {
+        let end = self.harness.now + span;
+        while self.harness.now < end {
+            for (id, attempt) in self.attempts_at_their_deadline() {
+                self.end(id, attempt, Outcome::Timeout);
             }
-            Step::List(kind, entries) => {
-                let backends: Vec<Endpoint> = entries
-                    .iter()
-                    .map(|(id, state, age)| Endpoint {
-                        state: [
-                            EndpointState::Ready,
-                            EndpointState::Draining,
-                            EndpointState::Removed,
-                        ][usize::from(*state)],
-                        started_at: (*age > 0).then(|| START + u64::from(*age)),
-                        ..backend(*id)
-                    })
-                    .collect();
-                let before = watch.states.clone();
-                if *kind == UpdateKind::Full {
-                    watch
-                        .states
-                        .values_mut()
-                        .for_each(|s| *s = EndpointState::Removed);
-                }
-                watch
-                    .states
-                    .extend(backends.iter().map(|b| (b.id, b.state)));
-                let notified = backends.iter().filter(|b| {
-                    b.state == EndpointState::Draining
-                        && before.get(&b.id) != Some(&EndpointState::Draining)
-                });
-                for b in notified {
-                    watch.used(harness.now, b.id);
-                }
-                harness.handle(Event::EndpointUpdate {
-                    kind: *kind,
-                    endpoints: backends,
-                })
+            let actions = self.harness.wait(MS);
+            self.check(actions);
+            let now = self.harness.now;
+            let mut open = self.watch.open.values();
+            assert!(
+                open.all(|(_, deadline, _)| now < *deadline + MS),
+                "rule 1: no answer in time"
+            );
+        }
+    }
+
+    fn attempts_at_their_deadline(&self) -> Vec<(RequestId, usize)> {
+        let due = self.harness.now + MS;
+        let late = self
+            .watch
+            .open
+            .iter()
+            .filter(|(_, (_, deadline, _))| *deadline <= due);
+        late.flat_map(|(id, (_, _, seen))| {
+            let in_flight = (0..seen.len()).filter(|i| seen[*i].outcome.is_none());
+            in_flight.map(|i| (*id, i))
+        })
+        .collect()
+    }
+
+    fn update_endpoints(&mut self, kind: UpdateKind, entries: &[(u32, u8, u16)]) {
+        let states = [
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ];
+        let endpoints: Vec<Endpoint> = entries
+            .iter()
+            .map(|(id, state, age)| Endpoint {
+                state: states[usize::from(*state)],
+                started_at: (*age > 0).then(|| START + u64::from(*age)),
+                ..backend(*id)
+            })
+            .collect();
+        let before = self.watch.states.clone();
+        if kind == UpdateKind::Full {
+            for state in self.watch.states.values_mut() {
+                *state = EndpointState::Removed;
             }
-            Step::ListFailed => harness.handle(Event::DiscoveryFailed),
-        };
-        watch.check(harness.now, &settings, &actions);
-        log.extend(actions);
+        }
+        self.watch
+            .states
+            .extend(endpoints.iter().map(|e| (e.id, e.state)));
+        let was_draining = |id| before.get(&id) == Some(&EndpointState::Draining);
+        let notified = endpoints
+            .iter()
+            .filter(|e| e.state == EndpointState::Draining);
+        for endpoint in notified.filter(|e| !was_draining(e.id)) {
+            self.watch.used(self.harness.now, endpoint.id);
+        }
+        let actions = self
+            .harness
+            .handle(Event::EndpointUpdate { kind, endpoints });
+        self.check(actions);
+    }
+}
+
+fn play(steps: &[Step]) -> Vec<Action> {
+    let mut player = Player::new();
+    for step in steps {
+        player.play(step);
     }
-    log
+    player.log
 }
 
 #[test]
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -320,7 +320,7 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.record(&action);
-            self.execute(action);
+            self.execute(&action);
         }
     }
 
@@ -334,8 +334,8 @@
         *self.counts.entry(fields[0]).or_default() += 1;
     }
 
-    fn execute(&mut self, action: Action) {
-        match action {
+    fn execute(&mut self, action: &Action) {
+        match *action {
             Action::StartAttempt {
                 request, backend, ..
             } => self.send(request, backend),
@@ -356,7 +356,7 @@
             }
             Action::SetTimer { at, timer } => self.schedule(at, Scheduled::Timer(timer)),
             Action::WatchEndpoints(_) | Action::PollEndpoints => {
-                self.schedule(self.now + 5 * MS, Scheduled::PollAnswer)
+                self.schedule(self.now + 5 * MS, Scheduled::PollAnswer);
             }
             Action::CheckHealth { .. }
             | Action::CloseIdleConnections { .. }
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -48,7 +48,7 @@
         simulation.update_endpoints(UpdateKind::Delta, &[leaving]);
     }
     assert!(simulation.in_time(START) > 0.9);
-    thread_time() - before
+    thread_time().checked_sub(before).unwrap()
 }
 
 #[test]
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -173,9 +173,10 @@
             };
             Balancer::new(settings, seed + node as u64, START).expect("sound settings")
         };
+        let proxies = (0..nodes).map(balancer).collect();
         let mut simulation = Simulation {
-            nodes: (0..nodes).map(balancer).collect(),
-            settings: settings.clone(),
+            nodes: proxies,
+            settings,
             work,
             last_share: 0.0,
             backlog_mark: Nanos::MAX,
@@ -228,7 +229,7 @@
         for action in actions {
             match action {
                 Action::SetTimer { at, timer } => {
-                    self.schedule_at(at, Scheduled::Timer { node, timer })
+                    self.schedule_at(at, Scheduled::Timer { node, timer });
                 }
                 Action::StartAttempt {
                     request,
