--- a/crates/node/tests/crossings/mod.rs
+++ b/crates/node/tests/crossings/mod.rs
@@ -1,6 +1,6 @@
 //! Crossings: two things that meet in one turn of the node's loop. Each is forced: the node is
 //! stopped, what is to cross is put on the sockets in the order that hurts, and the node goes on.
-//! The list of all of them is docs/design/crossings.md.
+//! The list of all of them is docs/design/races.md.
 
 mod end;
 mod held_up;
--- a/crates/node/tests/terms/mod.rs
+++ b/crates/node/tests/terms/mod.rs
@@ -1,4 +1,4 @@
-//! The terms of `docs/design/terms.md`, each forced on real sockets.
+//! The terms of `docs/design/protocol-rules.md`, each forced on real sockets.
 
 mod clock;
 mod deadline;
