--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -74,16 +74,8 @@
 
 /// Whether a request may be rejected, which tells the client that a retry is harmless.
 pub(crate) fn may_reject(settings: &Settings, pending: &PendingRequest) -> bool {
-    match settings.classes[pending.class()].idempotency {
-        Idempotency::Idempotent
-        | Idempotency::IdempotencyKey {
-            scope: DeduplicationScope::Global,
-            ..
-        } => true,
-        Idempotency::NotIdempotent | Idempotency::IdempotencyKey { .. } => {
-            !pending.may_have_executed()
-        }
-    }
+    let idempotency = settings.classes[pending.class()].idempotency;
+    idempotency.allows_rejection(pending.may_have_executed())
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -33,6 +33,22 @@
     NotIdempotent,
 }
 
+impl Idempotency {
+    /// Whether a retry by the client is harmless, so that the request may be rejected:
+    /// `may_have_executed` tells whether any attempt was, or may still be, executed. The client may
+    /// reach any backend, so a key helps only where all of them share the keys they have seen.
+    pub fn allows_rejection(self, may_have_executed: bool) -> bool {
+        match self {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: DeduplicationScope::Global,
+                ..
+            } => true,
+            Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => !may_have_executed,
+        }
+    }
+}
+
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
