--- a/crates/node/src/arrival.rs
+++ b/crates/node/src/arrival.rs
@@ -22,7 +22,7 @@
 
 /// A gap between two looks up to this long is the loop's own: it waits no longer, and what comes
 /// wakes it. It is within the slack of the time told to backends.
-const UNNOTICED: Nanos = 80 * MS;
+const MAX_POLL_GAP: Nanos = 80 * MS;
 
 impl Arrival {
     /// Of a connection that was accepted at `now`, and at `queued` at the earliest had come to be.
@@ -42,14 +42,14 @@
 
     /// When bytes that are read at `now` can have come; `looked` is when the loop last saw all
     /// sockets without an event.
-    pub fn of_bytes_read_at(&self, now: Nanos, looked: Nanos) -> Nanos {
-        let seen_by_loop = !self.unread && looked >= self.watched;
+    pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
+        let seen_by_loop = !self.unread && previous_poll_at >= self.watched;
         let empty = if seen_by_loop {
-            self.emptied.max(looked)
+            self.emptied.max(previous_poll_at)
         } else {
             self.emptied
         };
-        if now.saturating_sub(empty) > UNNOTICED {
+        if now.saturating_sub(empty) > MAX_POLL_GAP {
             empty
         } else {
             now
--- a/crates/node/src/arrival_tests.rs
+++ b/crates/node/src/arrival_tests.rs
@@ -13,37 +13,37 @@
 }
 
 #[test]
-fn bytes_that_wake_a_loop_that_looks_often_have_just_come() {
-    let looked = READ - UNNOTICED;
+fn bytes_that_wake_a_loop_that_polls_often_have_just_arrived() {
+    let previous_poll_at = READ - MAX_POLL_GAP;
     assert_eq!(
-        arrival(READ - 5_000 * MS, READ - 9_000 * MS).of_bytes_read_at(READ, looked),
+        arrival(READ - 5_000 * MS, READ - 9_000 * MS).earliest_arrival(READ, previous_poll_at),
         READ
     );
     assert_eq!(
-        arrival(READ - 10 * MS, READ - 9_000 * MS).of_bytes_read_at(READ, 0),
+        arrival(READ - 10 * MS, READ - 9_000 * MS).earliest_arrival(READ, 0),
         READ
     );
 }
 
 #[test]
-fn bytes_that_lay_through_a_stall_count_from_the_look_before_it() {
-    let looked = READ - 800 * MS;
+fn bytes_that_lay_through_a_stall_count_from_the_poll_before_it() {
+    let previous_poll_at = READ - 800 * MS;
     assert_eq!(
-        arrival(READ - 5_000 * MS, READ - 9_000 * MS).of_bytes_read_at(READ, looked),
-        looked
+        arrival(READ - 5_000 * MS, READ - 9_000 * MS).earliest_arrival(READ, previous_poll_at),
+        previous_poll_at
     );
 }
 
 #[test]
-fn a_look_says_nothing_of_a_socket_that_was_not_watched_or_not_read_empty() {
-    let (emptied, looked) = (READ - 700 * MS, READ - 10 * MS);
+fn a_poll_says_nothing_of_a_socket_that_was_not_watched_or_not_read_empty() {
+    let (emptied, previous_poll_at) = (READ - 700 * MS, READ - 10 * MS);
     assert_eq!(
-        arrival(emptied, READ - 5 * MS).of_bytes_read_at(READ, looked),
+        arrival(emptied, READ - 5 * MS).earliest_arrival(READ, previous_poll_at),
         emptied
     );
     let unread = Arrival {
         unread: true,
         ..arrival(emptied, 0)
     };
-    assert_eq!(unread.of_bytes_read_at(READ, looked), emptied);
+    assert_eq!(unread.earliest_arrival(READ, previous_poll_at), emptied);
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -19,34 +19,34 @@
 /// A session that has never asked, or whose head is not whole, ends after this time: it may be one
 /// of hundreds that will never say more. For a first message it counts from the connection's start
 /// ...
-const HEAD: Nanos = 2_500 * MS;
+const HEAD_TIMEOUT: Nanos = 2_500 * MS;
 /// ... one whose body does not go on after this; a slow but honest one does ...
-const PAUSE: Nanos = 2 * SECOND;
+const BODY_PAUSE_TIMEOUT: Nanos = 2 * SECOND;
 /// ... one that is done with a req and asks nothing more after this ...
-const IDLE: Nanos = 10 * SECOND;
+const IDLE_TIMEOUT: Nanos = 10 * SECOND;
 /// ... one that is not through with a body, or does not read its answer, after this ...
-const STALL: Nanos = 10 * SECOND;
+const STALL_TIMEOUT: Nanos = 10 * SECOND;
 /// ... and one whose last answer is written after this.
-const LINGER: Nanos = SECOND;
+const LINGER_TIMEOUT: Nanos = SECOND;
 /// Where descriptors are short, a client that has not asked, or not again, by then is among the
 /// first to go ...
-const FIRST: Nanos = 50 * MS;
+const FIRST_MESSAGE_GRACE: Nanos = 50 * MS;
 /// Where many are held, it is looked this often whether some that can go are due.
-pub const TRIM: Nanos = FIRST / 5;
+pub const TRIM_INTERVAL: Nanos = FIRST_MESSAGE_GRACE / 5;
 /// ... and one that has come back keeps its connection for this long before it is among those to
 /// go.
-const KEPT: Nanos = 2 * SECOND;
+const RETURNING_CLIENT_GRACE: Nanos = 2 * SECOND;
 /// Up to this class of `spare`, a session is hardly missed: its client has not come back, or not
 /// lately.
 pub const HARDLY_MISSED: u8 = 2;
 /// Pieces that are read and thrown away at most before a session closes.
-const MOST_PARTING: usize = 16;
+const MAX_DISCARDED_READS: usize = 16;
 /// Paths that clients may ask for.
-const API: &str = "/api";
-const HEALTH: &str = "/_health";
+const API_PATH: &str = "/api";
+const HEALTH_PATH: &str = "/_health";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ConnectionState {
     /// Messages come and go.
     Open,
     /// What is written goes out, then the connection ends.
@@ -56,67 +56,72 @@
     Lingering,
 }
 
-pub struct Session {
+pub struct ClientConnection {
     pub socket: OwnedFd,
     pub outbox: RingBuffer,
     inbox: RingBuffer,
     parser: Parser,
-    pub phase: Phase,
+    pub state: ConnectionState,
     /// The req that it waits for.
-    pub req: Option<u32>,
+    pub request: Option<u32>,
     /// The current message lets the connection live on.
     keep_alive: bool,
     /// When the first byte of the current message came.
-    began: Option<Nanos>,
-    leave_given: bool,
+    message_started_at: Option<Nanos>,
+    continue_sent: bool,
     /// Its client has ended its sending, or the connection has broken. One that closes has gone,
     /// and a half-close looks the same from here.
-    pub left: bool,
+    pub peer_closed: bool,
     /// When it came to its present state: every time limit on a client counts from here, so that a
     /// client which sends or reads a byte now and then does not stay for ever.
     since: Nanos,
     /// When the last byte came.
-    heard: Nanos,
+    last_byte_at: Nanos,
     /// How many whole messages it has had.
-    asked: u32,
+    message_count: u32,
     arrival: Arrival,
     pub deadline: Deadline,
     pub registration: Registration,
 }
 
 /// What reading a session came to.
-pub enum Intake {
+pub enum ReadEvent {
     /// Nothing whole yet.
-    Wait,
+    Incomplete,
     /// The machine lacks something for a moment: read again a little later.
-    Later,
+    RetryLater,
     /// A whole message, and when its first byte can have come at the earliest.
     Message(Head, Body, Nanos),
-    Bad(ParseError),
+    Invalid(ParseError),
     /// The client has ended its sending.
-    Ended,
+    EndOfStream,
     /// The connection has broken.
     Broken,
 }
 
-impl Session {
+impl ClientConnection {
     /// A connection that was accepted at `now`, and at `queued` at the earliest had come to be.
-    pub fn new(socket: OwnedFd, now: Nanos, queued: Nanos, budget: &BufferBudget) -> Session {
-        Session {
+    pub fn new(
+        socket: OwnedFd,
+        now: Nanos,
+        queued: Nanos,
+        budget: &BufferBudget,
+    ) -> ClientConnection {
+        ClientConnection {
             socket,
             // An answer, its head, and a word of leave before it.
             outbox: RingBuffer::new(MAX_ANSWER + 2 * MAX_HEAD).with_budget(budget),
             inbox: RingBuffer::new(MAX_HEAD + 1024).with_budget(budget),
             parser: Parser::requests().with_budget(budget),
-            phase: Phase::Open,
-            req: None,
+            state: ConnectionState::Open,
+            request: None,
             keep_alive: true,
-            began: None,
-            leave_given: false,
-            left: false,
+            message_started_at: None,
+            continue_sent: false,
+            peer_closed: false,
             since: now,
-            heard: now,
-            asked: 0,
+            last_byte_at: now,
+            message_count: 0,
             arrival: Arrival::new(now, queued),
             deadline: Deadline::new(),
             registration: Registration::default(),
@@ -125,21 +130,23 @@
 
     /// When it has taken too long over its present state.
     pub fn time_limit(&self) -> Nanos {
-        let span = match self.phase {
-            Phase::Lingering => LINGER,
-            Phase::Open if self.req.is_some() => return Deadline::NEVER,
-            Phase::Open if self.is_idle() => {
-                if self.asked > 0 {
-                    IDLE
+        let span = match self.state {
+            ConnectionState::Lingering => LINGER_TIMEOUT,
+            ConnectionState::Open if self.request.is_some() => return Deadline::NEVER,
+            ConnectionState::Open if self.is_idle() => {
+                if self.message_count > 0 {
+                    IDLE_TIMEOUT
                 } else {
-                    HEAD
+                    HEAD_TIMEOUT
                 }
             }
-            Phase::Open if self.outbox.is_empty() && self.parser.head.is_none() => HEAD,
-            Phase::Open if self.outbox.is_empty() => {
-                return (self.since + STALL).min(self.heard + PAUSE);
+            ConnectionState::Open if self.outbox.is_empty() && self.parser.head.is_none() => {
+                HEAD_TIMEOUT
+            }
+            ConnectionState::Open if self.outbox.is_empty() => {
+                return (self.since + STALL_TIMEOUT).min(self.last_byte_at + BODY_PAUSE_TIMEOUT);
             }
-            Phase::Open | Phase::Closing => STALL,
+            ConnectionState::Open | ConnectionState::Closing => STALL_TIMEOUT,
         };
         self.since.saturating_add(span)
     }
@@ -151,18 +158,18 @@
     /// those that have come back are of use. By age alone, a flood of the former would push the
     /// latter out.
     pub fn eviction_rank(&self, now: Nanos) -> Option<(u8, Nanos)> {
-        let free = self.req.is_none() && self.outbox.is_empty();
+        let free = self.request.is_none() && self.outbox.is_empty();
         let age = now.saturating_sub(self.since);
-        let class = match self.phase {
-            Phase::Open if self.is_idle() => match self.asked {
-                1 if age > FIRST => 0,
-                0 if age > FIRST => 1,
-                2.. if age > KEPT => 2,
+        let class = match self.state {
+            ConnectionState::Open if self.is_idle() => match self.message_count {
+                1 if age > FIRST_MESSAGE_GRACE => 0,
+                0 if age > FIRST_MESSAGE_GRACE => 1,
+                2.. if age > RETURNING_CLIENT_GRACE => 2,
                 0 | 1 => 4,
                 _ => 5,
             },
-            Phase::Lingering => 3,
-            Phase::Open | Phase::Closing => 6,
+            ConnectionState::Lingering => 3,
+            ConnectionState::Open | ConnectionState::Closing => 6,
         };
         free.then_some((class, self.since))
     }
@@ -170,27 +177,29 @@
     /// Writes what it can.
     pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
         let written = self.outbox.write_to(&self.socket);
-        if self.phase == Phase::Closing && self.outbox.is_empty() {
+        if self.state == ConnectionState::Closing && self.outbox.is_empty() {
             let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
-            (self.phase, self.since) = (Phase::Lingering, now);
+            (self.state, self.since) = (ConnectionState::Lingering, now);
         }
         written
     }
 
     /// It has had a whole message.
-    pub fn has_asked(&self) -> bool {
-        self.asked > 0
+    pub fn has_sent_message(&self) -> bool {
+        self.message_count > 0
     }
 
     /// It stands between two messages.
     pub fn is_idle(&self) -> bool {
-        let still = self.inbox.is_empty() && self.outbox.is_empty() && self.began.is_none();
-        self.phase == Phase::Open && self.req.is_none() && still
+        let still =
+            self.inbox.is_empty() && self.outbox.is_empty() && self.message_started_at.is_none();
+        self.state == ConnectionState::Open && self.request.is_none() && still
     }
 
     /// Its last message is answered, and the next has come behind it.
     pub fn has_next(&self) -> bool {
-        let free = self.phase == Phase::Open && self.req.is_none() && self.outbox.is_empty();
+        let free =
+            self.state == ConnectionState::Open && self.request.is_none() && self.outbox.is_empty();
         free && self.parser.is_at_start() && !self.inbox.is_empty()
     }
 
@@ -202,63 +211,63 @@
     /// Reads what has come, up to a whole message. While a req is under way or an answer is not
     /// written, what comes waits in the ring. `looked` is when the loop last saw all sockets
     /// without an event.
-    pub fn read(&mut self, now: Nanos, looked: Nanos) -> Intake {
-        let came = self.arrival.of_bytes_read_at(now, looked);
+    pub fn read(&mut self, now: Nanos, previous_poll_at: Nanos) -> ReadEvent {
+        let arrived_at = self.arrival.earliest_arrival(now, previous_poll_at);
         let mut fresh = false;
         loop {
-            if self.phase == Phase::Open
-                && self.req.is_none()
+            if self.state == ConnectionState::Open
+                && self.request.is_none()
                 && self.outbox.is_empty()
-                && let Some(intake) = self.parse(now)
+                && let Some(event) = self.parse(now)
             {
-                if matches!(intake, Intake::Message(..)) {
+                if matches!(event, ReadEvent::Message(..)) {
                     // What lies behind a message that has only now become whole came with its end.
                     if fresh {
-                        self.arrival.oldest = came;
+                        self.arrival.oldest = arrived_at;
                     }
-                    self.look_behind(now, came);
+                    self.check_end_of_stream(now, arrived_at);
                 }
-                return intake;
+                return event;
             }
             let was_empty = self.inbox.is_empty();
             match self.inbox.read_from(&self.socket) {
                 // One piece a round: a client that never stops must not hold the loop.
-                ReadOutcome::Data if self.phase != Phase::Open => {
+                ReadOutcome::Data if self.state != ConnectionState::Open => {
                     let count = self.inbox.len();
                     self.inbox.consume(count);
-                    return Intake::Wait;
+                    return ReadEvent::Incomplete;
                 }
                 ReadOutcome::Data => {
-                    self.heard = now;
+                    self.last_byte_at = now;
                     fresh = true;
                     if was_empty {
-                        self.arrival.oldest = came;
+                        self.arrival.oldest = arrived_at;
                     }
                 }
                 ReadOutcome::WouldBlock => {
                     self.arrival.emptied(now);
-                    return Intake::Wait;
+                    return ReadEvent::Incomplete;
                 }
                 ReadOutcome::BufferFull => {
                     self.arrival.unread = true;
-                    return Intake::Wait;
+                    return ReadEvent::Incomplete;
                 }
                 ReadOutcome::RetryLater => {
                     self.arrival.unread = true;
-                    return Intake::Later;
+                    return ReadEvent::RetryLater;
                 }
-                ReadOutcome::EndOfStream => return Intake::Ended,
-                ReadOutcome::Broken => return Intake::Broken,
+                ReadOutcome::EndOfStream => return ReadEvent::EndOfStream,
+                ReadOutcome::Broken => return ReadEvent::Broken,
             }
         }
     }
 
     /// Looks whether the client has left behind its message, as it may have while that waited in
     /// the accept queue, in a buffer or through a stall.
-    fn look_behind(&mut self, now: Nanos, came: Nanos) {
-        self.left |= loop {
+    fn check_end_of_stream(&mut self, now: Nanos, arrived_at: Nanos) {
+        self.peer_closed |= loop {
             if self.inbox.is_empty() {
-                self.arrival.oldest = came;
+                self.arrival.oldest = arrived_at;
             }
             match self.inbox.read_from(&self.socket) {
                 ReadOutcome::Data => {}
@@ -277,7 +286,7 @@
 
     /// What decides whether it may be closed for a reason of the node's own.
     pub fn close_facts(&self) -> CloseFacts {
-        let answer_owed = self.req.is_some() || !self.outbox.is_empty();
+        let answer_owed = self.request.is_some() || !self.outbox.is_empty();
         CloseFacts {
             answer_owed,
             unread: self.may_have_unread() || self.has_next(),
@@ -286,7 +295,7 @@
 
     /// Bytes may have come, maybe of a request, that nobody has read.
     pub fn may_have_unread(&self) -> bool {
-        self.phase == Phase::Open
+        self.state == ConnectionState::Open
             && matches!(net::unread(&self.socket), Unread::Bytes | Unread::Unknown)
     }
 
@@ -295,11 +304,11 @@
     /// in this very moment has met a close, and its client asks again elsewhere; read before the
     /// end it would look taken.
     pub fn close_gracefully(&mut self) {
-        if self.asked == 0 && self.phase == Phase::Open {
+        if self.message_count == 0 && self.state == ConnectionState::Open {
             return;
         }
         let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
-        for _ in 0..MOST_PARTING {
+        for _ in 0..MAX_DISCARDED_READS {
             let count = self.inbox.len();
             self.inbox.consume(count);
             if self.inbox.read_from(&self.socket) != ReadOutcome::Data {
@@ -328,21 +337,25 @@
         Ok(())
     }
 
-    fn parse(&mut self, now: Nanos) -> Option<Intake> {
+    fn parse(&mut self, now: Nanos) -> Option<ReadEvent> {
         if self.inbox.is_empty() {
             return None;
         }
-        if self.began.is_none() {
-            self.began = Some(self.arrival.oldest);
-            self.since = if self.asked > 0 { now } else { self.since };
+        if self.message_started_at.is_none() {
+            self.message_started_at = Some(self.arrival.oldest);
+            self.since = if self.message_count > 0 {
+                now
+            } else {
+                self.since
+            };
         }
         let used = match self.parser.feed(self.inbox.bytes()) {
             Ok(used) => used,
-            Err(bad) => return Some(Intake::Bad(bad)),
+            Err(bad) => return Some(ReadEvent::Invalid(bad)),
         };
         self.inbox.consume(used);
         if self.parser.awaits_body()
-            && !self.leave_given
+            && !self.continue_sent
             && self
                 .parser
                 .head
@@ -350,18 +363,19 @@
                 .is_some_and(Head::expects_continue)
         {
             // Small, and before any answer: it always fits.
-            self.leave_given = self.outbox.push(b"HTTP/1.1 100 Continue\r\n\r\n");
+            self.continue_sent = self.outbox.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         if self.parser.is_at_start() && self.inbox.is_empty() {
-            self.began = None;
+            self.message_started_at = None;
         }
         let (head, body) = self.parser.take_message()?;
-        (self.keep_alive, self.asked) = (head.keep_alive, self.asked.saturating_add(1));
-        self.leave_given = false;
-        Some(Intake::Message(
+        (self.keep_alive, self.message_count) =
+            (head.keep_alive, self.message_count.saturating_add(1));
+        self.continue_sent = false;
+        Some(ReadEvent::Message(
             head,
             body,
-            self.began.take().unwrap_or(now),
+            self.message_started_at.take().unwrap_or(now),
         ))
     }
 
@@ -374,7 +388,7 @@
         body: &[u8],
         end: bool,
     ) {
-        (self.req, self.since) = (None, now);
+        (self.request, self.since) = (None, now);
         let end = end || !self.keep_alive;
         let last = end.then_some(("connection", "close"));
         let first = format!("HTTP/1.1 {status} {}", phrase(status));
@@ -382,7 +396,7 @@
         // An answer that doesn't fit can't be told from none: the connection ends without a whole
         // one.
         if !self.outbox.push(&bytes) || end {
-            self.phase = Phase::Closing;
+            self.state = ConnectionState::Closing;
         }
     }
 }
@@ -431,12 +445,12 @@
 }
 
 /// A req on its way to a backend, as this protocol carries it.
-pub struct Call {
+pub struct ForwardedRequest {
     head: Head,
     body: Body,
 }
 
-impl Call {
+impl ForwardedRequest {
     /// What the client's own repeats of it share, for the trace.
     pub fn key(&self) -> &str {
         self.head
@@ -447,11 +461,11 @@
     }
 
     /// The bytes for a backend that has `left_ms` milliseconds to answer.
-    pub fn bytes(&self, left_ms: u64) -> Vec<u8> {
+    pub fn bytes(&self, timeout_ms: u64) -> Vec<u8> {
         let Start::Request { method, target } = &self.head.start else {
             return Vec::new();
         };
-        let left = left_ms.to_string();
+        let timeout = timeout_ms.to_string();
         let headers = self
             .head
             .end_to_end_headers()
@@ -462,10 +476,10 @@
             .unique("host")
             .is_ok_and(|host| host.is_none())
             .then_some(("host", "kitefork"));
-        let headers = host
-            .into_iter()
-            .chain(headers)
-            .chain([("x-remaining-ms", left.as_str()), ("via", "1.1 kitefork")]);
+        let headers = host.into_iter().chain(headers).chain([
+            ("x-remaining-ms", timeout.as_str()),
+            ("via", "1.1 kitefork"),
+        ]);
         let body = (method != "GET" || !self.body.is_empty()).then_some(&*self.body);
         http1::write(&format!("{method} {target} HTTP/1.1"), headers, body)
     }
@@ -474,7 +488,7 @@
 /// What a message asks for.
 pub enum Route {
     Health,
-    Request(RequestSpec, Call),
+    Request(RequestSpec, ForwardedRequest),
     /// It is answered with this status, and why.
     Wrong(u16, &'static str),
 }
@@ -482,14 +496,14 @@
 /// Reads what a message asks for. What is wrong with it is found here, before the decisions or a
 /// backend come to see it.
 pub fn route(head: Head, body: Body, deployment: &Deployment, waited: Nanos) -> Route {
-    match ask(&head, deployment, waited) {
-        Ok(Some(ask)) => Route::Request(ask, Call { head, body }),
+    match spec(&head, deployment, waited) {
+        Ok(Some(spec)) => Route::Request(spec, ForwardedRequest { head, body }),
         Ok(None) => Route::Health,
         Err((status, why)) => Route::Wrong(status, why),
     }
 }
 
-fn ask(
+fn spec(
     head: &Head,
     deployment: &Deployment,
     waited: Nanos,
@@ -498,14 +512,14 @@
         return Err((400, "not a request"));
     };
     let path = target.split('?').next().unwrap_or_default();
-    if path == HEALTH {
+    if path == HEALTH_PATH {
         return if method == "GET" {
             Ok(None)
         } else {
             Err((405, "GET"))
         };
     }
-    if path != API {
+    if path != API_PATH {
         return Err((404, "no such path"));
     }
     if !matches!(method.as_str(), "GET" | "POST") {
--- a/crates/node/src/client_tests.rs
+++ b/crates/node/src/client_tests.rs
@@ -17,15 +17,15 @@
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn a_req_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
-    let Route::Request(ask, call) = routed(GOOD) else {
+fn a_request_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
+    let Route::Request(spec, request) = routed(GOOD) else {
         panic!("not a req")
     };
     assert_eq!(
-        (ask.class, ask.tenant, ask.client_timeout, ask.work_hint),
+        (spec.class, spec.tenant, spec.client_timeout, spec.work_hint),
         (0, 0, 450 * MS, Some(1_500_000))
     );
-    let bytes = String::from_utf8(call.bytes(449)).unwrap();
+    let bytes = String::from_utf8(request.bytes(449)).unwrap();
     assert!(
         bytes.starts_with("POST /api?a=b HTTP/1.1\r\nhost: h\r\nx-txn: 1f\r\n"),
         "{bytes}"
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_by_its_status() {
+fn an_invalid_request_is_answered_by_its_status() {
     for (old, new, wanted) in [
         ("/api", "/apis", 404),
         ("POST", "PUT", 405),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_session_that_parts_tells_its_end_before_it_throws_a_late_request_away() {
+fn a_connection_that_closes_shows_its_end_before_it_discards_a_late_request() {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
     use std::io::{Read as _, Write as _};
     let (family, kind, flags) = (
@@ -76,21 +76,21 @@
     );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
     let mut far = std::os::unix::net::UnixStream::from(far);
-    let mut session = Session::new(near, 0, 0, &BufferBudget::default());
+    let mut connection = ClientConnection::new(near, 0, 0, &BufferBudget::default());
     far.write_all(GOOD.as_bytes()).unwrap();
-    assert!(matches!(session.read(0, 0), Intake::Message(..)));
-    session.answer(0, 200, &[], b"hi", false);
-    assert!(session.flush(0) == WriteOutcome::Done && far.read(&mut [0; 256]).unwrap() > 0);
+    assert!(matches!(connection.read(0, 0), ReadEvent::Message(..)));
+    connection.answer(0, 200, &[], b"hi", false);
+    assert!(connection.flush(0) == WriteOutcome::Done && far.read(&mut [0; 256]).unwrap() > 0);
     far.write_all(GOOD.as_bytes()).unwrap();
-    session.close_gracefully();
+    connection.close_gracefully();
     assert_eq!(far.read(&mut [0; 256]).unwrap(), 0);
-    assert!(!session.may_have_unread());
+    assert!(!connection.may_have_unread());
 }
 
 #[test]
-fn advice_is_whole_seconds_and_only_refusals_carry_it() {
-    let refused = |retry_after| status_and_advice(LocalReply::Rejected { retry_after });
-    assert_eq!(refused(1_200 * MS), (503, Some("2".into())));
-    assert_eq!(refused(0), (503, None));
+fn retry_after_is_whole_seconds_and_only_rejections_carry_it() {
+    let rejected = |retry_after| status_and_advice(LocalReply::Rejected { retry_after });
+    assert_eq!(rejected(1_200 * MS), (503, Some("2".into())));
+    assert_eq!(rejected(0), (503, None));
     assert_eq!(status_and_advice(LocalReply::TimedOut), (504, None));
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -4,7 +4,7 @@
 
 use kitefork_balancer::Nanos;
 
-use crate::start_time::Heard;
+use crate::start_time::StartObservation;
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
@@ -39,11 +39,11 @@
     }
 
     /// What is known at this moment for dating the starts of backends.
-    pub fn heard(&self, now: Nanos, confirmed: Option<Nanos>) -> Heard {
+    pub fn observe(&self, now: Nanos, confirmed: Option<Nanos>) -> StartObservation {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or(Duration::ZERO);
-        Heard {
+        StartObservation {
             now,
             wall_now_ms: wall.as_millis() as u64,
             wall_at_zero: self.unix_zero,
--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -7,21 +7,21 @@
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    Session,
-    Fetch,
+    Client,
+    Upstream,
 }
 
 /// Descriptors that are neither: the standard three, epoll, the listener, the signals' pairs and
 /// their copies (6), calls to discovery (4), one for a file that is read, and some to spare.
-pub const REST: usize = 20;
+pub const OTHER_DESCRIPTORS: usize = 20;
 /// Part of the connections that are kept for each side: a session waits for each fetch, but most
 /// sessions wait for none.
-const SESSIONS: (usize, usize) = (1, 2);
-const FETCHES: (usize, usize) = (1, 4);
+const CLIENT_RESERVE: (usize, usize) = (1, 2);
+const UPSTREAM_RESERVE: (usize, usize) = (1, 4);
 /// Clients of a node hold at most a third of its descriptors for requests (the platform's word; a
 /// front's pool has such a bound elsewhere). Once they do, the next request finds no connection and
 /// none of them is missed here, so idle ones go before that: they hold a quarter at most.
-const ASKED: usize = 4;
+const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
 #[derive(Debug, Clone, Copy)]
 pub struct DescriptorBudget {
@@ -34,20 +34,20 @@
     pub fn new(limit: usize) -> DescriptorBudget {
         DescriptorBudget {
             limit,
-            connections: limit.saturating_sub(REST).max(4),
+            connections: limit.saturating_sub(OTHER_DESCRIPTORS).max(4),
         }
     }
 
     fn reserve(&self, purpose: Purpose) -> usize {
         let (part, of) = match purpose {
-            Purpose::Session => SESSIONS,
-            Purpose::Fetch => FETCHES,
+            Purpose::Client => CLIENT_RESERVE,
+            Purpose::Upstream => UPSTREAM_RESERVE,
         };
         self.connections * part / of
     }
 
     /// Most that `purpose` can ever hold.
-    pub fn most(&self, purpose: Purpose) -> usize {
+    pub fn max(&self, purpose: Purpose) -> usize {
         self.connections - self.reserve(purpose.other())
     }
 
@@ -63,16 +63,16 @@
     }
 
     /// How many sessions that have asked may be held before idle ones close.
-    pub fn most_active_sessions(&self) -> usize {
-        self.limit / ASKED
+    pub fn max_active_clients(&self) -> usize {
+        self.limit / ACTIVE_CLIENTS_DIVISOR
     }
 }
 
 impl Purpose {
     fn other(self) -> Purpose {
         match self {
-            Purpose::Session => Purpose::Fetch,
-            Purpose::Fetch => Purpose::Session,
+            Purpose::Client => Purpose::Upstream,
+            Purpose::Upstream => Purpose::Client,
         }
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -16,36 +16,36 @@
 use crate::http1::{self, ParseError, Parser, Start};
 use crate::net::Registration;
 use crate::ring_buffer::{ReadOutcome, RingBuffer};
-use crate::start_time::{Heard, StartTimes};
+use crate::start_time::{StartObservation, StartTimes};
 use crate::timer_wheel::Deadline;
 
 /// A watch says something every 2 s, a call is answered or turned down within 3 s: a connection
 /// silent for longer is cut off, and TCP would not tell. Short enough that what was missed is asked
 /// for again before the 6 s are over after which it counts as told.
-const SILENCE: Nanos = 4_200 * MS;
+const SILENCE_TIMEOUT: Nanos = 4_200 * MS;
 /// A watch that has spoken before is cut off sooner: it says something every 2 s, and what is asked
 /// for anew may at first be turned down, which takes up to 3 s more.
-const QUIET: Nanos = 3_200 * MS;
+const WATCH_SILENCE_TIMEOUT: Nanos = 3_200 * MS;
 /// An object or a list is whole within this time, or its sender only trickles: such a one is as
 /// good as silent, and what it withholds counts as told 6 s after it was due.
-const WHOLE: Nanos = SILENCE;
+const OBJECT_TIMEOUT: Nanos = SILENCE_TIMEOUT;
 /// Pieces of a call's bytes that are taken in one turn: the longest list. Guards against a sender
 /// without end, which would hold the loop.
-const MOST_PIECES: usize = MOST_LIST / 2048;
+const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
 /// A connection to discovery that is not up by then is cut off too; asking anew finds the way back
 /// sooner than TCP's own repeats.
-pub const CONNECT: Nanos = 1_000 * MS;
+pub const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
 /// A backend that is gone is remembered for this long: lists that are behind may name it once more,
 /// and what is known of it should then still count. No fetch to it is out for as long.
-const REMEMBERED: Nanos = 60 * SECOND;
+const REMOVED_ENDPOINT_RETENTION: Nanos = 60 * SECOND;
 /// More names of zones or kinds than this are not told apart.
-const MOST_NAMES: usize = 1_000;
+const MAX_NAMES: usize = 1_000;
 /// Longest line or list that is read.
-const MOST_LIST: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// What discovery says of one backend.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct ListedEndpoint {
     uid: String,
     endpoint: Option<SocketAddr>,
     zone: String,
@@ -56,31 +56,37 @@
     boot_ms: u64,
 }
 
+/// The name by which `config` has it.
+pub use EndpointUpdate as Update;
+
 /// One object of discovery: changes, or the whole list.
 #[derive(Debug, Clone, Default)]
-pub struct Update {
+pub struct EndpointUpdate {
     pub rev: u64,
     pub all: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListedEndpoint>,
 }
 
-impl Update {
-    pub fn parse(text: &[u8]) -> Result<Update, ConfigError> {
-        Update::read(&Document::parse(text)?.root())
+impl EndpointUpdate {
+    pub fn parse(text: &[u8]) -> Result<EndpointUpdate, ConfigError> {
+        EndpointUpdate::read(&Document::parse(text)?.root())
     }
 
-    pub fn read(root: &JsonValue) -> Result<Update, ConfigError> {
+    pub fn read(root: &JsonValue) -> Result<EndpointUpdate, ConfigError> {
         let entries = root.get("targets")?.array()?;
-        Ok(Update {
+        Ok(EndpointUpdate {
             rev: root.get("rev")?.integer()?,
             all: root.get("all")?.boolean()?,
-            entries: entries.iter().map(Entry::read).collect::<Result<_, _>>()?,
+            entries: entries
+                .iter()
+                .map(ListedEndpoint::read)
+                .collect::<Result<_, _>>()?,
         })
     }
 }
 
-impl Entry {
-    fn read(place: &JsonValue) -> Result<Entry, ConfigError> {
+impl ListedEndpoint {
+    fn read(place: &JsonValue) -> Result<ListedEndpoint, ConfigError> {
         let word = place.get("state")?;
         let state = match word.string()? {
             "Ready" => EndpointState::Ready,
@@ -95,7 +101,7 @@
         if endpoint.is_none() && state == EndpointState::Ready {
             return Err(place.invalid("a ready backend needs an `endpoint`"));
         }
-        Ok(Entry {
+        Ok(ListedEndpoint {
             uid: place.get("uid")?.string()?.to_string(),
             endpoint,
             zone: place.get_or("az", "", JsonValue::string)?.to_string(),
@@ -119,18 +125,18 @@
 }
 
 /// The backends as last told.
-pub struct Fleet {
+pub struct EndpointList {
     /// Numbers that the decisions know backends by. A uid keeps its number until it is forgotten;
     /// no number is given twice.
     ids: HashMap<String, BackendId>,
     next: u32,
     zones: Vec<String>,
     kinds: Vec<String>,
-    members: HashMap<BackendId, Member>,
+    endpoints: HashMap<BackendId, KnownEndpoint>,
     start_times: StartTimes,
 }
 
-struct Member {
+struct KnownEndpoint {
     endpoint: Option<SocketAddr>,
     state: EndpointState,
     /// Its last start that was told.
@@ -138,34 +144,34 @@
     /// The same on the node's clock; `None`: long ago.
     started: Option<Nanos>,
     /// When a list last said something new of it.
-    told: Nanos,
+    last_update_at: Nanos,
 }
 
-impl Fleet {
-    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Fleet {
+impl EndpointList {
+    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> EndpointList {
         let start_times = StartTimes::default();
-        Fleet {
+        EndpointList {
             ids: HashMap::new(),
             next: 0,
             zones,
             kinds,
-            members: HashMap::new(),
+            endpoints: HashMap::new(),
             start_times,
         }
     }
 
     /// Where a backend listens, if it may be sent to.
     pub fn endpoint(&self, id: BackendId) -> Option<SocketAddr> {
-        self.members
+        self.endpoints
             .get(&id)
             .filter(|m| m.state == EndpointState::Ready)?
             .endpoint
     }
 
     pub fn has_ready(&self) -> bool {
-        self.members
+        self.endpoints
             .values()
-            .any(|member| member.state == EndpointState::Ready)
+            .any(|known| known.state == EndpointState::Ready)
     }
 
     /// Takes an update; gives the event for the decisions and the backends to which connections
@@ -174,11 +180,11 @@
     /// with a newer one, or a newer start.
     pub fn apply(
         &mut self,
-        heard: &Heard,
-        update: &Update,
+        observation: &StartObservation,
+        update: &EndpointUpdate,
         age: Freshness,
     ) -> (Event, Vec<BackendId>) {
-        let now = heard.now;
+        let now = observation.now;
         let mut ends = Vec::new();
         // All of them before any is dated: the youngest one tells most of the clocks.
         for entry in &update.entries {
@@ -187,7 +193,7 @@
         let mut backends: Vec<Endpoint> = update
             .entries
             .iter()
-            .map(|entry| self.backend(heard, entry, age))
+            .map(|entry| self.backend(observation, entry, age))
             .collect();
         for (entry, backend) in update
             .entries
@@ -195,40 +201,40 @@
             .zip(&mut backends)
             .filter(|_| age == Freshness::Older)
         {
-            let left = self
-                .members
+            let removed = self
+                .endpoints
                 .get(&backend.id)
-                .filter(|member| entry.boot_ms <= member.boot_ms);
-            if let Some(left) = left.filter(|member| member.state != EndpointState::Ready) {
-                backend.state = left.state;
+                .filter(|known| entry.boot_ms <= known.boot_ms);
+            if let Some(removed) = removed.filter(|known| known.state != EndpointState::Ready) {
+                backend.state = removed.state;
             }
         }
         if update.all {
             let listed: HashSet<BackendId> = backends.iter().map(|b| b.id).collect();
-            for (id, member) in self.members.iter_mut().filter(|m| !listed.contains(m.0)) {
-                if member.state != EndpointState::Removed {
+            for (id, known) in self.endpoints.iter_mut().filter(|m| !listed.contains(m.0)) {
+                if known.state != EndpointState::Removed {
                     ends.push(*id);
-                    (member.state, member.told) = (EndpointState::Removed, now);
+                    (known.state, known.last_update_at) = (EndpointState::Removed, now);
                 }
             }
         }
         for (entry, backend) in update.entries.iter().zip(&backends) {
             let (endpoint, state) = (entry.endpoint, backend.state);
-            let before = self.members.get(&backend.id);
+            let before = self.endpoints.get(&backend.id);
             let moved = before.is_some_and(|before| before.endpoint != endpoint);
             let boot_ms = match before {
                 Some(before) if !is_new_start(before, entry, age) => before.boot_ms,
                 _ => entry.boot_ms,
             };
             let started = backend.started_at;
-            self.members.insert(
+            self.endpoints.insert(
                 backend.id,
-                Member {
+                KnownEndpoint {
                     endpoint,
                     state,
                     boot_ms,
                     started,
-                    told: now,
+                    last_update_at: now,
                 },
             );
             if moved || backend.state != EndpointState::Ready {
@@ -236,10 +242,11 @@
             }
         }
         // Uids are new for ever on a day of releases.
-        self.members.retain(|_, m| {
-            m.state != EndpointState::Removed || now < m.told.saturating_add(REMEMBERED)
+        self.endpoints.retain(|_, m| {
+            m.state != EndpointState::Removed
+                || now < m.last_update_at.saturating_add(REMOVED_ENDPOINT_RETENTION)
         });
-        self.ids.retain(|_, id| self.members.contains_key(id));
+        self.ids.retain(|_, id| self.endpoints.contains_key(id));
         let kind = match (age, update.all) {
             (Freshness::Cached, _) => UpdateKind::Cached,
             (_, true) => UpdateKind::Full,
@@ -257,13 +264,13 @@
     /// The entries of an update that was taken, with the numbers of their backends, for the trace.
     pub fn lines<'a>(
         &'a self,
-        update: &'a Update,
+        update: &'a EndpointUpdate,
         now: Nanos,
     ) -> impl Iterator<Item = String> + 'a {
         update.entries.iter().filter_map(move |entry| {
             let (id, at) = (self.ids.get(&entry.uid)?, entry.endpoint.map_or("-".into(), |e| e.to_string()));
-            let Entry { uid, zone, kind, cell, state, boot_ms, .. } = entry;
-            let started = self.members.get(id).and_then(|member| member.started);
+            let ListedEndpoint { uid, zone, kind, cell, state, boot_ms, .. } = entry;
+            let started = self.endpoints.get(id).and_then(|known| known.started);
             let age_ms = started.map_or(-1, |at| (now as i64 - at as i64) / MS as i64);
             Some(format!(
                 "b={} uid={uid} at={at} az={zone} model={kind} cell={cell} state={state:?} boot_ms={boot_ms} \
@@ -273,7 +280,12 @@
         })
     }
 
-    fn backend(&mut self, heard: &Heard, entry: &Entry, age: Freshness) -> Endpoint {
+    fn backend(
+        &mut self,
+        observation: &StartObservation,
+        entry: &ListedEndpoint,
+        age: Freshness,
+    ) -> Endpoint {
         let id = *self
             .ids
             .entry(entry.uid.clone())
@@ -281,12 +293,12 @@
         self.next += u32::from(id.0 == self.next);
         // A start is dated once: clocks that are stepped later don't make it another.
         let known = self
-            .members
+            .endpoints
             .get(&id)
-            .filter(|member| !is_new_start(member, entry, age));
+            .filter(|known| !is_new_start(known, entry, age));
         let started = match known {
-            Some(member) => member.started,
-            None => self.start_times.started_at(entry.boot_ms, heard),
+            Some(known) => known.started,
+            None => self.start_times.started_at(entry.boot_ms, observation),
         };
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(entry.uid.as_bytes());
@@ -306,7 +318,7 @@
 /// Whether a list tells of another start than the one that is known. Where the wall clock was set
 /// back, a new start looks earlier than the old one; a list that is behind may still tell of an old
 /// one.
-fn is_new_start(known: &Member, entry: &Entry, age: Freshness) -> bool {
+fn is_new_start(known: &KnownEndpoint, entry: &ListedEndpoint, age: Freshness) -> bool {
     match age {
         Freshness::Older => entry.boot_ms > known.boot_ms,
         Freshness::Cached | Freshness::Current => {
@@ -320,7 +332,7 @@
 fn place(names: &mut Vec<String>, name: &str) -> u16 {
     let found = names.iter().position(|known| known == name);
     found.unwrap_or_else(|| {
-        if names.len() < MOST_NAMES {
+        if names.len() < MAX_NAMES {
             names.push(name.to_string());
         }
         names.len() - 1
@@ -330,14 +342,14 @@
 /// Finds the ends of a watch's objects: the ends of lines outside of any bracket, as lists may come
 /// indented.
 #[derive(Default)]
-struct Scan {
+struct ObjectScanner {
     seen: usize,
     depth: usize,
     quoted: bool,
     escaped: bool,
 }
 
-impl Scan {
+impl ObjectScanner {
     /// Goes on over what has come; where the first object ends, if it has.
     fn end(&mut self, bytes: &[u8]) -> Option<usize> {
         for byte in &bytes[self.seen..] {
@@ -358,14 +370,14 @@
 }
 
 /// One call to discovery: a watch, or the whole list once.
-pub struct Call {
+pub struct DiscoveryCall {
     pub socket: OwnedFd,
     pub watch: bool,
     pub outbox: RingBuffer,
     inbox: RingBuffer,
     parser: Parser,
-    scan: Scan,
-    pub heard: Nanos,
+    scanner: ObjectScanner,
+    pub last_byte_at: Nanos,
     pub made: Nanos,
     /// When it was made, or had its last whole object or empty line.
     whole: Nanos,
@@ -408,8 +420,8 @@
 
 /// What a call has brought.
 #[derive(Debug, Default)]
-pub struct News {
-    pub updates: Vec<Update>,
+pub struct CallProgress {
+    pub updates: Vec<EndpointUpdate>,
     /// A whole object has come, or an empty line.
     pub spoke: bool,
     /// The call is over, and why.
@@ -420,8 +432,14 @@
     pub later: bool,
 }
 
-impl Call {
-    pub fn new(socket: OwnedFd, watch: bool, after: u64, host: SocketAddr, now: Nanos) -> Call {
+impl DiscoveryCall {
+    pub fn new(
+        socket: OwnedFd,
+        watch: bool,
+        after: u64,
+        host: SocketAddr,
+        now: Nanos,
+    ) -> DiscoveryCall {
         let query = if watch {
             format!("?watch=1&after={after}")
         } else {
@@ -436,16 +454,16 @@
         ));
         debug_assert!(sent, "a call fits its ring");
         let parser = Parser::responses()
-            .with_most_body(MOST_LIST)
+            .with_most_body(MAX_LIST_BYTES)
             .allow_close_delimited();
-        Call {
+        DiscoveryCall {
             socket,
             watch,
             outbox,
             inbox: RingBuffer::new(64 * 1024),
             parser,
-            scan: Scan::default(),
-            heard: now,
+            scanner: ObjectScanner::default(),
+            last_byte_at: now,
             made: now,
             whole: now,
             spoke: false,
@@ -456,46 +474,50 @@
 
     /// When it counts as silent.
     pub fn time_limit(&self) -> Nanos {
-        let silence = if self.spoke { QUIET } else { SILENCE };
-        (self.heard + silence).min(self.whole + WHOLE)
+        let silence = if self.spoke {
+            WATCH_SILENCE_TIMEOUT
+        } else {
+            SILENCE_TIMEOUT
+        };
+        (self.last_byte_at + silence).min(self.whole + OBJECT_TIMEOUT)
     }
 
     /// Reads what has come.
-    pub fn read(&mut self, now: Nanos) -> News {
-        let mut news = News::default();
-        for _ in 0..MOST_PIECES {
-            if news.over.is_some() {
+    pub fn read(&mut self, now: Nanos) -> CallProgress {
+        let mut progress = CallProgress::default();
+        for _ in 0..MAX_READS_PER_ITERATION {
+            if progress.over.is_some() {
                 break;
             }
             match self.inbox.read_from(&self.socket) {
                 ReadOutcome::Data => {
-                    self.heard = now;
-                    if let Err(fault) = self.take(&mut news) {
-                        news.over = Some(fault);
+                    self.last_byte_at = now;
+                    if let Err(fault) = self.take(&mut progress) {
+                        progress.over = Some(fault);
                     }
                 }
                 ReadOutcome::WouldBlock => break,
                 ReadOutcome::RetryLater => {
-                    news.later = true;
+                    progress.later = true;
                     break;
                 }
                 ReadOutcome::EndOfStream | ReadOutcome::Broken
                     if self.parser.end_of_input() && !self.watch =>
                 {
-                    if let Err(fault) = self.whole(&mut news) {
-                        news.over = Some(fault);
+                    if let Err(fault) = self.whole(&mut progress) {
+                        progress.over = Some(fault);
                     }
                 }
                 ReadOutcome::EndOfStream | ReadOutcome::Broken => {
-                    news.over = Some(CallEnd::Disconnected)
+                    progress.over = Some(CallEnd::Disconnected)
                 }
-                ReadOutcome::BufferFull => news.over = Some(CallEnd::EndlessHead),
+                ReadOutcome::BufferFull => progress.over = Some(CallEnd::EndlessHead),
             }
         }
-        news
+        progress
     }
 
-    fn take(&mut self, news: &mut News) -> Result<(), CallEnd> {
+    fn take(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         let bytes = self.inbox.bytes();
         let used = self.parser.feed(bytes).map_err(CallEnd::Malformed)?;
         self.inbox.consume(used);
@@ -505,29 +527,29 @@
             Some(start) => return Err(CallEnd::Refused(start.clone())),
         }
         if self.watch {
-            while let Some(end) = self.scan.end(&self.parser.body) {
+            while let Some(end) = self.scanner.end(&self.parser.body) {
                 let line = self.parser.body.split_front(end);
-                (self.whole, self.spoke, news.spoke) = (self.heard, true, true);
+                (self.whole, self.spoke, progress.spoke) = (self.last_byte_at, true, true);
                 // An empty line only says that discovery is there.
                 if !line.trim_ascii().is_empty() {
-                    news.updates.push(Update::parse(&line)?);
+                    progress.updates.push(EndpointUpdate::parse(&line)?);
                 }
             }
         }
         if self.parser.is_done() {
-            self.whole(news)
+            self.whole(progress)
         } else {
             Ok(())
         }
     }
 
-    fn whole(&mut self, news: &mut News) -> Result<(), CallEnd> {
+    fn whole(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         if self.watch {
             return Err(CallEnd::WatchEnded);
         }
         let (_, body) = self.parser.take_message().ok_or(CallEnd::NoBody)?;
-        news.updates.push(Update::parse(&body)?);
-        (news.over, news.well, news.spoke) = (Some(CallEnd::Complete), true, true);
+        progress.updates.push(EndpointUpdate::parse(&body)?);
+        (progress.over, progress.well, progress.spoke) = (Some(CallEnd::Complete), true, true);
         Ok(())
     }
 }
--- a/crates/node/src/discovery_tests.rs
+++ b/crates/node/src/discovery_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn update(all: bool, entries: &[(&str, u16, &str)]) -> Update {
+fn update(all: bool, entries: &[(&str, u16, &str)]) -> EndpointUpdate {
     let entries: Vec<String> = entries
         .iter()
         .map(|(uid, port, state)| {
@@ -13,11 +13,11 @@
         r#"{{"rev":1,"all":{all},"targets":[{}]}}"#,
         entries.join(",")
     );
-    Update::parse(text.as_bytes()).unwrap()
+    EndpointUpdate::parse(text.as_bytes()).unwrap()
 }
 
-fn at(now: Nanos) -> Heard {
-    Heard {
+fn at(now: Nanos) -> StartObservation {
+    StartObservation {
         now,
         wall_now_ms: 0,
         wall_at_zero: 0,
@@ -38,8 +38,8 @@
 
 #[test]
 fn a_uid_keeps_its_number_and_connections_end_where_a_backend_leaves_or_moves() {
-    let mut fleet = Fleet::new(vec![], vec![]);
-    let (event, ends) = fleet.apply(
+    let mut endpoint_list = EndpointList::new(vec![], vec![]);
+    let (event, ends) = endpoint_list.apply(
         &at(0),
         &update(
             true,
@@ -48,7 +48,7 @@
         Freshness::Cached,
     );
     assert_eq!((ids(event), ends), (vec![0, 1, 2], vec![]));
-    let (event, ends) = fleet.apply(
+    let (event, ends) = endpoint_list.apply(
         &at(0),
         &update(false, &[("b", 9, "Ready"), ("c", 3, "Terminating")]),
         Freshness::Current,
@@ -57,21 +57,21 @@
         (ids(event), ends),
         (vec![1, 2], vec![BackendId(1), BackendId(2)])
     );
-    assert_eq!(fleet.endpoint(BackendId(1)).unwrap().port(), 9);
-    assert_eq!(fleet.endpoint(BackendId(2)), None);
-    let (_, ends) = fleet.apply(
+    assert_eq!(endpoint_list.endpoint(BackendId(1)).unwrap().port(), 9);
+    assert_eq!(endpoint_list.endpoint(BackendId(2)), None);
+    let (_, ends) = endpoint_list.apply(
         &at(0),
         &update(true, &[("b", 9, "Ready")]),
         Freshness::Current,
     );
-    assert!(ends.contains(&BackendId(0)) && fleet.has_ready());
+    assert!(ends.contains(&BackendId(0)) && endpoint_list.has_ready());
 }
 
 #[test]
 fn a_uid_has_the_same_mark_at_every_node_whatever_its_number() {
     let marks = |entries: &[(&str, u16, &str)]| {
-        let mut fleet = Fleet::new(vec![], vec![]);
-        let (event, _) = fleet.apply(&at(0), &update(true, entries), Freshness::Cached);
+        let mut endpoint_list = EndpointList::new(vec![], vec![]);
+        let (event, _) = endpoint_list.apply(&at(0), &update(true, entries), Freshness::Cached);
         let Event::EndpointUpdate {
             endpoints: backends,
             ..
@@ -93,23 +93,26 @@
 
 #[test]
 fn a_day_of_new_uids_is_forgotten_again_and_no_number_is_given_twice() {
-    let mut fleet = Fleet::new(vec![], vec![]);
+    let mut endpoint_list = EndpointList::new(vec![], vec![]);
     let mut numbers = Vec::new();
     for turn in 0..1000 {
         let uid = format!("s-{turn}");
-        let (event, _) = fleet.apply(
+        let (event, _) = endpoint_list.apply(
             &at(turn * SECOND),
             &update(true, &[(&uid, 1, "Ready")]),
             Freshness::Current,
         );
         numbers.extend(ids(event));
-        assert!(fleet.members.len() <= 62 && fleet.ids.len() == fleet.members.len());
+        assert!(
+            endpoint_list.endpoints.len() <= 62
+                && endpoint_list.ids.len() == endpoint_list.endpoints.len()
+        );
     }
     numbers.dedup();
     assert!(numbers.is_sorted() && numbers.len() == 1000);
     // One that comes back soon is the same, one that comes back late is new.
     let mut again = |uid| {
-        ids(fleet
+        ids(endpoint_list
             .apply(
                 &at(1000 * SECOND),
                 &update(true, &[(uid, 1, "Ready")]),
@@ -130,6 +133,6 @@
         r#"{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}"#,
         r#"{"rev":1,"all":true,"targets":[{"uid":"a","pod_group":70000,"state":"Gone"}]}"#,
     ] {
-        assert!(Update::parse(text.as_bytes()).is_err(), "{text}");
+        assert!(EndpointUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
 }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -14,28 +14,28 @@
 use crate::timer_wheel::Deadline;
 
 /// Once some backend has said more than it was asked, for so long ...
-const WARY: Nanos = 60 * SECOND;
+const SUSPICION_PERIOD: Nanos = 60 * SECOND;
 /// ... a connection carries no other request for this long after an answer. Guards against a second
 /// answer that comes some milliseconds late: it would be taken for the next request's. Not always,
 /// as it costs connections.
-const REST: Nanos = 10 * MS;
+const REUSE_DELAY: Nanos = 10 * MS;
 
 /// What a fetch is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Job {
-    Request { req: u32, attempt: u8 },
-    Probe { backend: BackendId, sent: Nanos },
+pub enum UpstreamAttempt {
+    Request { request: u32, attempt: u8 },
+    HealthCheck { backend: BackendId, sent: Nanos },
 }
 
-impl Job {
+impl UpstreamAttempt {
     /// It is an attempt of this request.
     pub fn is_attempt_of(self, request: u32) -> bool {
-        matches!(self, Job::Request { req, .. } if req == request)
+        matches!(self, UpstreamAttempt::Request { request: owner, .. } if owner == request)
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum UpstreamState {
     /// The connection is not up.
     Connecting,
     /// Up, and nothing of the request is written: that takes a permit.
@@ -48,16 +48,16 @@
     Idle,
 }
 
-pub struct Fetch {
+pub struct UpstreamConnection {
     pub socket: OwnedFd,
     pub backend: BackendId,
-    pub phase: Phase,
-    pub job: Option<Job>,
+    pub state: UpstreamState,
+    pub job: Option<UpstreamAttempt>,
     /// When its attempt is given up; in the pool, when it is too old to be used again.
-    pub until: Nanos,
+    pub abandon_at: Nanos,
     pub write_by: Nanos,
     /// The attempt has waited for news of the list to be read.
-    pub waited_for_news: bool,
+    pub waited_for_discovery: bool,
     pub outbox: RingBuffer,
     inbox: RingBuffer,
     parser: Parser,
@@ -71,7 +71,7 @@
     Yes,
     No,
     /// More has come on it than was asked for.
-    Doubled,
+    UnexpectedBytes,
 }
 
 /// What has become of a fetch.
@@ -88,16 +88,16 @@
     Stale(Reuse),
 }
 
-impl Fetch {
-    pub fn new(socket: OwnedFd, backend: BackendId, budget: &BufferBudget) -> Fetch {
-        Fetch {
+impl UpstreamConnection {
+    pub fn new(socket: OwnedFd, backend: BackendId, budget: &BufferBudget) -> UpstreamConnection {
+        UpstreamConnection {
             socket,
             backend,
-            phase: Phase::Connecting,
+            state: UpstreamState::Connecting,
             job: None,
-            until: 0,
+            abandon_at: 0,
             write_by: Nanos::MAX,
-            waited_for_news: false,
+            waited_for_discovery: false,
             // A head as long as a client's, and what the node adds to it.
             outbox: RingBuffer::new(MAX_BODY + 2 * MAX_HEAD).with_budget(budget),
             inbox: RingBuffer::new(MAX_HEAD + 1024).with_budget(budget),
@@ -112,13 +112,14 @@
     }
 
     /// It carries an attempt of this request that is not written whole, and so never ran.
-    pub fn is_unwritten_of(&self, req: u32) -> bool {
-        self.job.is_some_and(|job| job.is_attempt_of(req)) && self.phase != Phase::Waiting
+    pub fn is_unwritten_of(&self, request: u32) -> bool {
+        self.job.is_some_and(|job| job.is_attempt_of(request))
+            && self.state != UpstreamState::Waiting
     }
 
     /// How an attempt ends that is broken off now: what is not written whole never ran.
-    pub fn broken(&self, after: Outcome) -> Outcome {
-        if self.phase == Phase::Waiting {
+    pub fn outcome_if_closed(&self, after: Outcome) -> Outcome {
+        if self.state == UpstreamState::Waiting {
             after
         } else {
             Outcome::ConnectFailed
@@ -128,31 +129,31 @@
     /// Begins the request; `false` where it is too long for the outbox.
     #[must_use]
     pub fn begin(&mut self, bytes: &[u8]) -> bool {
-        self.phase = Phase::Sending;
+        self.state = UpstreamState::Sending;
         self.outbox.push(bytes)
     }
 
     /// Goes on after the socket has become ready, or a request has been put in the outbox.
-    pub fn go_on(&mut self, ready: bool) -> Progress {
-        if self.phase == Phase::Connecting {
+    pub fn advance(&mut self, ready: bool) -> Progress {
+        if self.state == UpstreamState::Connecting {
             if !ready {
                 return Progress::Going;
             }
             match sockopt::socket_error(&self.socket) {
-                Ok(Ok(())) => self.phase = Phase::Connected,
+                Ok(Ok(())) => self.state = UpstreamState::Connected,
                 _ => return Progress::Failed(Outcome::ConnectFailed),
             }
         }
-        if self.phase == Phase::Connected {
+        if self.state == UpstreamState::Connected {
             return Progress::Connected;
         }
-        let written = if self.phase == Phase::Sending {
+        let written = if self.state == UpstreamState::Sending {
             self.outbox.write_to(&self.socket)
         } else {
             WriteOutcome::Done
         };
-        if self.phase == Phase::Sending && self.outbox.is_empty() {
-            self.phase = Phase::Waiting;
+        if self.state == UpstreamState::Sending && self.outbox.is_empty() {
+            self.state = UpstreamState::Waiting;
         }
         // A backend that turns a request away may answer and close before it has read all of it.
         match self.read() {
@@ -168,28 +169,30 @@
         loop {
             let ended = match self.inbox.read_from(&self.socket) {
                 // Bytes that nobody asked for.
-                ReadOutcome::Data if self.phase == Phase::Idle => {
-                    return Progress::Stale(Reuse::Doubled);
+                ReadOutcome::Data if self.state == UpstreamState::Idle => {
+                    return Progress::Stale(Reuse::UnexpectedBytes);
                 }
                 ReadOutcome::Data => false,
                 ReadOutcome::WouldBlock | ReadOutcome::BufferFull => return Progress::Going,
                 ReadOutcome::RetryLater => return Progress::Later,
-                ReadOutcome::EndOfStream if self.phase == Phase::Idle => return self.gone(),
+                ReadOutcome::EndOfStream if self.state == UpstreamState::Idle => {
+                    return self.closed_by_peer();
+                }
                 ReadOutcome::EndOfStream => true,
-                ReadOutcome::Broken => return self.gone(),
+                ReadOutcome::Broken => return self.closed_by_peer(),
             };
             let used = match self.parser.feed(self.inbox.bytes()) {
                 Ok(used) => used,
-                Err(_) => return Progress::Failed(self.broken(Outcome::Reset)),
+                Err(_) => return Progress::Failed(self.outcome_if_closed(Outcome::Reset)),
             };
             self.inbox.consume(used);
             if ended && !self.parser.end_of_input() {
-                return self.gone();
+                return self.closed_by_peer();
             }
             if let Some((head, body)) = self.parser.take_message() {
-                let whole = self.phase == Phase::Waiting;
+                let is_sent = self.state == UpstreamState::Waiting;
                 // It can't be the answer to what is not sent yet, whoever's it is.
-                if !whole && outcome(&head) == Outcome::Success {
+                if !is_sent && outcome(&head) == Outcome::Success {
                     return Progress::Failed(Outcome::ConnectFailed);
                 }
                 // What comes behind an answer would be taken for the next one.
@@ -199,8 +202,8 @@
                     self.inbox.read_from(&self.socket)
                 };
                 let reuse = match behind {
-                    _ if !self.inbox.is_empty() => Reuse::Doubled,
-                    ReadOutcome::WouldBlock if head.keep_alive && whole => Reuse::Yes,
+                    _ if !self.inbox.is_empty() => Reuse::UnexpectedBytes,
+                    ReadOutcome::WouldBlock if head.keep_alive && is_sent => Reuse::Yes,
                     _ => Reuse::No,
                 };
                 return Progress::Answered(head, body, reuse);
@@ -208,19 +211,19 @@
         }
     }
 
-    fn gone(&self) -> Progress {
-        if self.phase == Phase::Idle {
+    fn closed_by_peer(&self) -> Progress {
+        if self.state == UpstreamState::Idle {
             Progress::Stale(Reuse::No)
         } else {
-            Progress::Failed(self.broken(Outcome::Reset))
+            Progress::Failed(self.outcome_if_closed(Outcome::Reset))
         }
     }
 
     /// Whether an idle connection is still good: neither an end nor stray bytes have come.
-    pub fn soundness(&self) -> Reuse {
+    pub fn check_reuse(&self) -> Reuse {
         match net::unread(&self.socket) {
             Unread::Nothing => Reuse::Yes,
-            Unread::Bytes => Reuse::Doubled,
+            Unread::Bytes => Reuse::UnexpectedBytes,
             Unread::End | Unread::Unknown => Reuse::No,
         }
     }
@@ -256,14 +259,18 @@
 
     /// What a connection has shown of its backend.
     pub fn note(&mut self, reuse: Reuse, now: Nanos) {
-        if reuse == Reuse::Doubled {
-            self.suspect_until = now.saturating_add(WARY);
+        if reuse == Reuse::UnexpectedBytes {
+            self.suspect_until = now.saturating_add(SUSPICION_PERIOD);
         }
     }
 
     /// The newest that may be used: the older ones get to age out.
     pub fn take(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
-        let rest = if now < self.suspect_until { REST } else { 0 };
+        let rest = if now < self.suspect_until {
+            REUSE_DELAY
+        } else {
+            0
+        };
         let idle = self.idle.get_mut(&backend)?;
         let place = idle
             .iter()
--- a/crates/node/src/fetch_tests.rs
+++ b/crates/node/src/fetch_tests.rs
@@ -6,25 +6,25 @@
 use std::os::unix::net::UnixStream;
 
 /// A fetch whose request is written, and the backend's end.
-fn waiting() -> (Fetch, UnixStream) {
+fn waiting() -> (UpstreamConnection, UnixStream) {
     let (family, kind, flags) = (
         AddressFamily::UNIX,
         SocketType::STREAM,
         SocketFlags::NONBLOCK,
     );
     let (near, far) = socketpair(family, kind, flags, None).unwrap();
-    let mut fetch = Fetch::new(near, BackendId(1), &BufferBudget::default());
-    fetch.phase = Phase::Sending;
-    assert!(fetch.outbox.push(b"GET / HTTP/1.1\r\n\r\n"));
-    assert!(matches!(fetch.go_on(true), Progress::Going));
-    (fetch, far.into())
+    let mut connection = UpstreamConnection::new(near, BackendId(1), &BufferBudget::default());
+    connection.state = UpstreamState::Sending;
+    assert!(connection.outbox.push(b"GET / HTTP/1.1\r\n\r\n"));
+    assert!(matches!(connection.advance(true), Progress::Going));
+    (connection, far.into())
 }
 
 fn end(bytes: &str, close: bool) -> Result<(Outcome, Reuse), Outcome> {
-    let (mut fetch, mut far) = waiting();
+    let (mut connection, mut far) = waiting();
     far.write_all(bytes.as_bytes()).unwrap();
     let far = (!close).then_some(far);
-    let found = match fetch.go_on(true) {
+    let found = match connection.advance(true) {
         Progress::Answered(head, _, reuse) => Ok((outcome(&head), reuse)),
         Progress::Failed(outcome) => Err(outcome),
         _ => panic!("not ended"),
@@ -46,7 +46,7 @@
     );
     assert_eq!(
         end(&format!("{ok}stray"), false),
-        Ok((Outcome::Success, Reuse::Doubled))
+        Ok((Outcome::Success, Reuse::UnexpectedBytes))
     );
     let away = "X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(
@@ -82,7 +82,7 @@
     );
     // Long answers pass; one with no length is whole at an orderly end, and not before.
     let long = "x".repeat(400_000);
-    let (mut fetch, mut far) = waiting();
+    let (mut connection, mut far) = waiting();
     far.set_nonblocking(false).unwrap();
     let sent = std::thread::spawn(move || {
         write!(
@@ -93,7 +93,7 @@
         far
     });
     let body = loop {
-        match fetch.go_on(true) {
+        match connection.advance(true) {
             Progress::Going => {}
             Progress::Answered(_, body, Reuse::Yes) => break body,
             _ => panic!("not answered"),
@@ -106,13 +106,13 @@
         end(&ok.replace("Content-Length: 2", "A: b"), true),
         Err(Outcome::Reset)
     );
-    let (mut fetch, mut far) = waiting();
+    let (mut connection, mut far) = waiting();
     far.write_all(ok.replace("Content-Length: 2", "A: b").as_bytes())
         .unwrap();
-    assert!(matches!(fetch.go_on(true), Progress::Going));
+    assert!(matches!(connection.advance(true), Progress::Going));
     assert!(far.read(&mut [0; 64]).unwrap() > 0);
     drop(far);
-    let Progress::Answered(head, body, reuse) = fetch.go_on(true) else {
+    let Progress::Answered(head, body, reuse) = connection.advance(true) else {
         panic!("not answered")
     };
     assert_eq!(
@@ -131,39 +131,45 @@
 
 #[test]
 fn an_answer_before_the_request_is_whole_is_not_its_answer() {
-    let (mut fetch, mut far) = waiting();
-    fetch.phase = Phase::Sending;
-    sockopt::set_socket_send_buffer_size(&fetch.socket, 4096).unwrap();
-    assert!(fetch.outbox.push(&[b'x'; MAX_BODY]));
+    let (mut connection, mut far) = waiting();
+    connection.state = UpstreamState::Sending;
+    sockopt::set_socket_send_buffer_size(&connection.socket, 4096).unwrap();
+    assert!(connection.outbox.push(&[b'x'; MAX_BODY]));
     far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         .unwrap();
     assert!(matches!(
-        fetch.go_on(true),
+        connection.advance(true),
         Progress::Failed(Outcome::ConnectFailed)
     ));
 }
 
 #[test]
-fn what_is_not_written_whole_never_ran() {
-    let (mut fetch, far) = waiting();
-    assert_eq!(fetch.broken(Outcome::Timeout), Outcome::Timeout);
-    fetch.phase = Phase::Sending;
-    assert_eq!(fetch.broken(Outcome::Timeout), Outcome::ConnectFailed);
+fn what_is_not_written_completely_was_not_executed() {
+    let (mut connection, far) = waiting();
+    assert_eq!(
+        connection.outcome_if_closed(Outcome::Timeout),
+        Outcome::Timeout
+    );
+    connection.state = UpstreamState::Sending;
+    assert_eq!(
+        connection.outcome_if_closed(Outcome::Timeout),
+        Outcome::ConnectFailed
+    );
     drop(far);
-    assert!(fetch.outbox.push(b"more"));
+    assert!(connection.outbox.push(b"more"));
     assert!(matches!(
-        fetch.go_on(true),
+        connection.advance(true),
         Progress::Failed(Outcome::ConnectFailed)
     ));
 }
 
 #[test]
-fn an_idle_connection_with_an_end_or_stray_bytes_is_not_sound() {
-    let (fetch, mut far) = waiting();
-    assert_eq!(fetch.soundness(), Reuse::Yes);
+fn an_idle_connection_with_an_end_or_stray_bytes_is_not_reused() {
+    let (connection, mut far) = waiting();
+    assert_eq!(connection.check_reuse(), Reuse::Yes);
     far.write_all(b"x").unwrap();
-    assert_eq!(fetch.soundness(), Reuse::Doubled);
-    let (fetch, far) = waiting();
+    assert_eq!(connection.check_reuse(), Reuse::UnexpectedBytes);
+    let (connection, far) = waiting();
     drop(far);
-    assert_eq!(fetch.soundness(), Reuse::No);
+    assert_eq!(connection.check_reuse(), Reuse::No);
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -15,13 +15,13 @@
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::io::Errno;
 
-use crate::client::{self, Session};
+use crate::client::{self, ClientConnection};
 use crate::clock::{Clock, MS, SECOND};
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::descriptor_budget::{DescriptorBudget, Purpose};
-use crate::discovery::{Call, Fleet, Freshness};
-use crate::fetch::{Fetch, Job, Pool};
+use crate::discovery::{DiscoveryCall, EndpointList, Freshness};
+use crate::fetch::{Pool, UpstreamAttempt, UpstreamConnection};
 use crate::log::{Log, Trace};
 use crate::net;
 use crate::request_table::{Command, RequestTable};
@@ -32,26 +32,26 @@
 use crate::timer_wheel::TimerWheel;
 
 /// A probe that has no answer by then has failed.
-const PROBE_PATIENCE: Nanos = 500 * MS;
+const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
 /// The loop looks at all sockets at least this often, so that it knows within this time since when
 /// a socket that now holds bytes can have held them.
-const LONGEST_WAIT: Nanos = 50 * MS;
+const MAX_POLL_WAIT: Nanos = 50 * MS;
 /// A gap between two looks that only a process that was stopped has.
-const STOPPED: Nanos = 250 * MS;
+const STALL_THRESHOLD: Nanos = 250 * MS;
 /// A loop that wakes so much later than it wanted to has been stopped meanwhile.
-const LATE: Nanos = 50 * MS;
+const MAX_WAKE_DELAY: Nanos = 50 * MS;
 /// Events of a wait that took longer than this may be old; looking again costs one system call.
-const FRESH: Nanos = 20 * MS;
+const MAX_EVENT_AGE: Nanos = 20 * MS;
 /// Looks that are made anew in one turn at most, for a process that is held up at each.
-const MOST_OLD_LOOKS: u32 = 4;
+const MAX_REPEATED_POLLS: u32 = 4;
 /// What the machine could not do for a moment is tried again after this.
 const MIN_RETRY: Nanos = 2 * MS;
 
 /// An attempt whose connection the machine could not start for a moment.
 struct PostponedDial {
     backend: BackendId,
-    job: Job,
-    until: Nanos,
+    job: UpstreamAttempt,
+    abandon_at: Nanos,
     write_by: Nanos,
     /// Then it has failed, through no fault of the backend.
     give_up: Nanos,
@@ -59,23 +59,23 @@
 
 /// What hangs on the wheel.
 #[derive(Clone, Copy)]
-enum Due {
-    Session(u32),
-    NextMessage(u32),
-    Request(u32),
-    Fetch(u32),
-    ResumeFetch(u32),
-    Redial,
-    Call(u32),
-    ResumeCall(u32),
-    Recall { watch: bool },
-    Timer(TimerId),
-    Accept,
-    TrimSessions,
+enum TimerEvent {
+    ClientDeadline(u32),
+    ResumeClient(u32),
+    DeadlineGuard(u32),
+    UpstreamDeadline(u32),
+    ResumeUpstream(u32),
+    RetryPostponedDials,
+    DiscoveryDeadline(u32),
+    ResumeDiscoveryCall(u32),
+    RetryDiscoveryCall { watch: bool },
+    BalancerTimer(TimerId),
+    ResumeAccepting,
+    TrimClients,
     StopAccepting,
-    EndDrain,
-    Quit,
-    Watch,
+    LastAnswers,
+    ForceClose,
+    OpenWatch,
     ServeStaleList,
 }
 
@@ -109,9 +109,9 @@
     clock: Clock,
     now: Nanos,
     /// When the look before this turn's found no event on the sockets that have one now.
-    looked: Nanos,
+    previous_poll_at: Nanos,
     /// When this turn's look was made; the next turn's sockets with an event were without one then.
-    last_look: Nanos,
+    last_poll_at: Nanos,
     /// When the accept queue was last read empty, and since when an event is given for a client
     /// that comes.
     queue_emptied: Nanos,
@@ -120,7 +120,7 @@
     /// After this the next accept is tried where the machine lacks something.
     accept_retry: Nanos,
     postponed: Vec<PostponedDial>,
-    wheel: TimerWheel<Due>,
+    wheel: TimerWheel<TimerEvent>,
     epoll: OwnedFd,
     log: Log,
     trace: Trace,
@@ -136,19 +136,19 @@
     /// SIGKILL is due: the process ends whatever is open.
     quit: bool,
     /// For all that sessions and fetches hold in buffers.
-    budget: BufferBudget,
+    buffer_budget: BufferBudget,
     /// For all that sessions and fetches hold in descriptors.
-    ledger: DescriptorBudget,
+    descriptor_budget: DescriptorBudget,
     /// A look at how many sessions have asked hangs on the wheel.
-    trimming: bool,
-    sessions: Slab<Session>,
+    trim_scheduled: bool,
+    clients: Slab<ClientConnection>,
     /// Sessions whose req has been answered: the answer is to be written, and the next message may
     /// be there.
     answered: VecDeque<u32>,
-    fetches: Slab<Fetch>,
+    upstreams: Slab<UpstreamConnection>,
     pool: Pool,
-    calls: Slab<Call>,
-    rev: u64,
+    calls: Slab<DiscoveryCall>,
+    revision: u64,
     /// When discovery last said something, be it that nothing has changed.
     confirmed: Option<Nanos>,
     /// The next call to discovery waits, for the decisions or, where lists are pushed, on the
@@ -158,8 +158,8 @@
     /// row failed.
     list_synced: bool,
     failed_calls: u32,
-    fleet: Fleet,
-    reqs: RequestTable<client::Call>,
+    endpoint_list: EndpointList,
+    requests: RequestTable<client::ForwardedRequest>,
 }
 
 impl Node {
@@ -179,14 +179,16 @@
         // Bodies are on the budget; what a connection holds beside them is a head at most, of which
         // these fit a third of the memory.
         let sockets = sockets.min(config.memory_mb.saturating_mul(16).max(64));
-        let ledger = DescriptorBudget::new(sockets);
-        let (most_sessions, most_fetches) =
-            (ledger.most(Purpose::Session), ledger.most(Purpose::Fetch));
-        let most_reqs = most_sessions.min(deployment.most_held).max(1);
-        let mut reqs =
-            RequestTable::new(settings, config.seed, most_reqs, now).map_err(|e| e.to_string())?;
+        let descriptor_budget = DescriptorBudget::new(sockets);
+        let (max_clients, max_upstreams) = (
+            descriptor_budget.max(Purpose::Client),
+            descriptor_budget.max(Purpose::Upstream),
+        );
+        let max_requests = max_clients.min(deployment.most_held).max(1);
+        let mut requests = RequestTable::new(settings, config.seed, max_requests, now)
+            .map_err(|e| e.to_string())?;
         let trace = Trace::new(config.trace, clock.unix_zero);
-        reqs.trace = trace;
+        requests.trace = trace;
         let wrong = |what: &'static str| move |e: Errno| format!("{what}: {e}");
         let listener = net::retry_at_start(|| net::listener(config.listen))
             .map_err(|e| format!("listen on {}: {e}", config.listen))?;
@@ -204,8 +206,8 @@
         let mut node = Node {
             wheel: TimerWheel::new(tick, now),
             now,
-            looked: now,
-            last_look: now,
+            previous_poll_at: now,
+            last_poll_at: now,
             queue_emptied: now,
             queue_watched: now,
             counters: Counters::default(),
@@ -221,21 +223,21 @@
             signals,
             ends: None,
             quit: false,
-            budget: BufferBudget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
-            ledger,
-            trimming: false,
-            sessions: Slab::new(most_sessions),
+            buffer_budget: BufferBudget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
+            descriptor_budget,
+            trim_scheduled: false,
+            clients: Slab::new(max_clients),
             answered: VecDeque::new(),
-            fetches: Slab::new(most_fetches),
+            upstreams: Slab::new(max_upstreams),
             pool: Pool::default(),
             calls: Slab::new(4),
-            rev: config.known.rev,
+            revision: config.known.rev,
             confirmed: None,
             backing_off: false,
             list_synced: deployment.settings.poll_endpoints,
             failed_calls: 0,
-            fleet: Fleet::new(deployment.zones.clone(), deployment.kinds.clone()),
-            reqs,
+            endpoint_list: EndpointList::new(deployment.zones.clone(), deployment.kinds.clone()),
+            requests,
             deployment,
         };
         node.log.line(
@@ -243,7 +245,7 @@
             "start",
             format_args!("name={} listen={} sockets={sockets}", config.name, listens),
         );
-        node.take_list(&config.known, Freshness::Cached);
+        node.apply_list(&config.known, Freshness::Cached);
         node.follow_pushes();
         node.flush_pending();
         Ok(node)
@@ -266,11 +268,11 @@
             }
             self.take_signals();
             for due in self.wheel.expire(self.now) {
-                self.on_due(due);
+                self.on_timer(due);
                 self.flush_pending();
             }
         }
-        let walks = self.reqs.full_walks();
+        let walks = self.requests.full_walks();
         self.log.line(
             self.now,
             "counts",
@@ -285,11 +287,15 @@
     /// drain still waits for the next one, as after a stall. For the same reason a look that is old
     /// by now is made anew.
     fn wait_for_events(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
-        self.looked = self.last_look;
-        let mut old_looks = 0;
+        self.previous_poll_at = self.last_poll_at;
+        let mut repeated_polls = 0;
         loop {
             let began = self.clock.read();
-            let longest = if old_looks == 0 { LONGEST_WAIT } else { 0 };
+            let longest = if repeated_polls == 0 {
+                MAX_POLL_WAIT
+            } else {
+                0
+            };
             let wake = self
                 .wheel
                 .next()
@@ -301,7 +307,7 @@
                 tv_nsec: (pause % SECOND) as i64,
             };
             events.clear();
-            events.reserve(self.sessions.len() + self.fetches.len() + self.calls.len() + 4);
+            events.reserve(self.clients.len() + self.upstreams.len() + self.calls.len() + 4);
             match epoll::wait(
                 &self.epoll,
                 rustix::buffer::spare_capacity(events),
@@ -315,17 +321,17 @@
             }
             self.now = self.clock.read();
             // A process that stood still in its wait may have looked before that.
-            let stood_still = self.now > wake.saturating_add(LATE);
-            self.last_look = if stood_still { began } else { self.now };
+            let stood_still = self.now > wake.saturating_add(MAX_WAKE_DELAY);
+            self.last_poll_at = if stood_still { began } else { self.now };
             // One that was held up between the wait and the clock may have events from before that:
             // others can have come since, which go before these.
-            let is_old = !events.is_empty() && self.now > began.saturating_add(FRESH);
-            if !(stood_still || is_old) || old_looks == MOST_OLD_LOOKS {
+            let is_old = !events.is_empty() && self.now > began.saturating_add(MAX_EVENT_AGE);
+            if !(stood_still || is_old) || repeated_polls == MAX_REPEATED_POLLS {
                 return Ok(());
             }
-            old_looks += 1;
+            repeated_polls += 1;
             if events.is_empty() {
-                self.looked = began;
+                self.previous_poll_at = began;
             }
         }
     }
@@ -347,7 +353,7 @@
         );
         // A process that was stopped can't act in time.
         debug_assert!(
-            self.now > self.looked.saturating_add(STOPPED),
+            self.now > self.previous_poll_at.saturating_add(STALL_THRESHOLD),
             "rule broken: {violation:?} {of}"
         );
     }
@@ -357,7 +363,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.quit || (self.is_draining() && self.listener.is_none() && self.sessions.len() == 0)
+        self.quit || (self.is_draining() && self.listener.is_none() && self.clients.len() == 0)
     }
 
     fn on_socket(&mut self, event: &epoll::Event) {
@@ -366,8 +372,8 @@
         match data >> 32 {
             LISTENER => self.accept(),
             SIGNAL => self.on_signal(number),
-            SESSION => self.session_ready(number, flags),
-            FETCH => self.go_on(number, true),
+            SESSION => self.client_ready(number, flags),
+            FETCH => self.advance(number, true),
             CALL => self.read_call(number, flags),
             _ => {}
         }
@@ -394,33 +400,38 @@
         self.flush_pending();
     }
 
-    fn on_due(&mut self, due: Due) {
+    fn on_timer(&mut self, due: TimerEvent) {
         match due {
-            Due::Session(number) => self.session_due(number),
-            Due::NextMessage(number) => self.read_session(number),
-            Due::Request(req) => {
-                if self.reqs.expire(self.now, req) {
-                    self.log
-                        .line(self.now, "deadline-guard", format_args!("request={req}"));
+            TimerEvent::ClientDeadline(number) => self.client_deadline_due(number),
+            TimerEvent::ResumeClient(number) => self.read_client(number),
+            TimerEvent::DeadlineGuard(request) => {
+                if self.requests.expire(self.now, request) {
+                    self.log.line(
+                        self.now,
+                        "deadline-guard",
+                        format_args!("request={request}"),
+                    );
                 }
             }
-            Due::Fetch(number) => self.fetch_due(number),
-            Due::ResumeFetch(number) => self.go_on(number, false),
-            Due::Redial => self.redial(),
-            Due::Call(number) => self.call_due(number),
-            Due::ResumeCall(number) => self.read_call(number, EventFlags::OUT),
-            Due::Recall { watch } => self.recall(watch),
-            Due::Timer(timer) => self.reqs.feed(self.now, Event::Timer { timer }),
-            Due::Accept => {
+            TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
+            TimerEvent::ResumeUpstream(number) => self.advance(number, false),
+            TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
+            TimerEvent::DiscoveryDeadline(number) => self.call_due(number),
+            TimerEvent::ResumeDiscoveryCall(number) => self.read_call(number, EventFlags::OUT),
+            TimerEvent::RetryDiscoveryCall { watch } => self.recall(watch),
+            TimerEvent::BalancerTimer(timer) => {
+                self.requests.feed(self.now, Event::Timer { timer })
+            }
+            TimerEvent::ResumeAccepting => {
                 self.set_accepting(true);
                 self.accept();
             }
-            Due::TrimSessions => self.trim_sessions(),
-            Due::StopAccepting => self.stop_accepting(),
-            Due::EndDrain => self.end_drain(),
-            Due::Quit => self.quit(),
-            Due::Watch => self.watch_pushes(),
-            Due::ServeStaleList => self.serve_stale_list(),
+            TimerEvent::TrimClients => self.trim_clients(),
+            TimerEvent::StopAccepting => self.stop_accepting(),
+            TimerEvent::LastAnswers => self.end_drain(),
+            TimerEvent::ForceClose => self.quit(),
+            TimerEvent::OpenWatch => self.watch_pushes(),
+            TimerEvent::ServeStaleList => self.serve_stale_list(),
         }
     }
 
@@ -431,59 +442,63 @@
             let Some(number) = self.answered.pop_front() else {
                 return;
             };
-            self.flush_session(number);
+            self.flush_client(number);
         }
     }
 
     /// Does what has been decided, in order. Doing it may lead to more.
     fn execute_commands(&mut self) {
-        while let Some(denial) = self.reqs.denials.pop() {
+        while let Some(denial) = self.requests.denials.pop() {
             self.count_denial(denial, format_args!("at=start"));
         }
-        while let Some(violation) = self.reqs.violations.pop() {
+        while let Some(violation) = self.requests.violations.pop() {
             self.violated(violation, format_args!("at=answer"));
         }
-        while let Some(command) = self.reqs.commands.pop_front() {
+        while let Some(command) = self.requests.commands.pop_front() {
             match command {
                 Command::StartAttempt {
-                    request: req,
+                    request,
                     attempt,
                     backend,
-                    abandon_at: until,
+                    abandon_at,
                     write_by,
                 } => {
-                    self.start_fetch(backend, Job::Request { req, attempt }, until, write_by);
+                    self.start_attempt(
+                        backend,
+                        UpstreamAttempt::Request { request, attempt },
+                        abandon_at,
+                        write_by,
+                    );
                 }
-                Command::CancelAttempt {
-                    request: req,
-                    attempt,
-                } => {
-                    let job = Some(Job::Request { req, attempt });
+                Command::CancelAttempt { request, attempt } => {
+                    let job = Some(UpstreamAttempt::Request { request, attempt });
                     let found = self
-                        .fetches
+                        .upstreams
                         .iter()
-                        .find(|(_, fetch)| fetch.job == job)
+                        .find(|(_, upstream)| upstream.job == job)
                         .map(|(number, _)| number);
                     if let Some(number) = found {
-                        self.end_fetch(number, Outcome::Cancelled);
+                        self.end_attempt(number, Outcome::Cancelled);
                     }
-                    self.drop_postponed(req);
+                    self.drop_postponed(request);
                 }
                 Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
                 Command::CloseIdleConnections(backend) => self.close_idle(backend),
                 Command::CheckHealth(backend) => {
-                    let until = self.now + PROBE_PATIENCE;
-                    self.start_fetch(
+                    let abandon_at = self.now + HEALTH_CHECK_TIMEOUT;
+                    self.start_attempt(
                         backend,
-                        Job::Probe {
+                        UpstreamAttempt::HealthCheck {
                             backend,
                             sent: self.now,
                         },
-                        until,
-                        until,
+                        abandon_at,
+                        abandon_at,
                     );
                 }
-                Command::SetTimer { at, timer } => self.wheel.schedule(at, Due::Timer(timer)),
+                Command::SetTimer { at, timer } => {
+                    self.wheel.schedule(at, TimerEvent::BalancerTimer(timer))
+                }
                 Command::WatchEndpoints(on) => self.watch(on),
                 Command::PollEndpoints => self.call(false),
                 Command::Log(line) => self.log.line(self.now, "decision", line),
--- a/crates/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -3,8 +3,8 @@
 use kitefork_balancer::Nanos;
 
 use super::sessions::ACCEPT_PAUSE;
-use super::{Due, MIN_RETRY, Node};
-use crate::client::Session;
+use super::{MIN_RETRY, Node, TimerEvent};
+use crate::client::ClientConnection;
 use crate::clock::{MS, SECOND};
 use crate::counters::CloseReason;
 use crate::rules::ClosePermit;
@@ -28,7 +28,7 @@
         self.log.line(
             self.now,
             "sigterm",
-            format_args!("connections={}", self.sessions.len()),
+            format_args!("connections={}", self.clients.len()),
         );
         let longest = self
             .deployment
@@ -42,10 +42,10 @@
         self.ends = Some(ends);
         self.wheel.schedule(
             (self.now + ACCEPT_ON).min(ends - LAST_TAKEN),
-            Due::StopAccepting,
+            TimerEvent::StopAccepting,
         );
-        self.wheel.schedule(ends, Due::EndDrain);
-        self.wheel.schedule(ends + FLUSH, Due::Quit);
+        self.wheel.schedule(ends, TimerEvent::LastAnswers);
+        self.wheel.schedule(ends + FLUSH, TimerEvent::ForceClose);
     }
 
     /// Takes whoever still waits, then nobody; sessions without a req end.
@@ -59,24 +59,28 @@
                 .line(self.now, "late-clients", "wait for a connection to end");
             return self
                 .wheel
-                .schedule(self.now + ACCEPT_PAUSE, Due::StopAccepting);
+                .schedule(self.now + ACCEPT_PAUSE, TimerEvent::StopAccepting);
         }
         self.listener = None;
-        if !self.close_idle_sessions() && !ending {
+        if !self.close_idle_clients() && !ending {
             // What could not be read for a moment is looked at again.
             self.wheel
-                .schedule(self.now + MIN_RETRY, Due::StopAccepting);
+                .schedule(self.now + MIN_RETRY, TimerEvent::StopAccepting);
         }
     }
 
     /// Closes the sessions on which nothing is under way; a request that has come while nobody
     /// looked is served, not cut off. Tells whether all that are idle have closed.
-    fn close_idle_sessions(&mut self) -> bool {
-        let numbers: Vec<u32> = self.sessions.iter().map(|(number, _)| number).collect();
+    fn close_idle_clients(&mut self) -> bool {
+        let numbers: Vec<u32> = self.clients.iter().map(|(number, _)| number).collect();
         let mut all_closed = true;
         for number in numbers {
-            self.read_session(number);
-            if self.sessions.get(number).is_some_and(Session::is_idle) {
+            self.read_client(number);
+            if self
+                .clients
+                .get(number)
+                .is_some_and(ClientConnection::is_idle)
+            {
                 all_closed &= self.close_if_allowed(number, CloseReason::Shutdown);
             }
         }
@@ -86,15 +90,15 @@
     /// SIGKILL is near: whatever waits gets its answer now, and what has come unread is refused.
     /// Sessions then end by themselves once their answer is written.
     pub(super) fn end_drain(&mut self) {
-        for req in self.reqs.unanswered() {
-            self.reqs.fail_on_shutdown(self.now, req);
+        for request in self.requests.unanswered() {
+            self.requests.fail_for_shutdown(self.now, request);
         }
         self.flush_pending();
         self.stop_accepting();
         self.log.line(
             self.now,
             "last-answers",
-            format_args!("connections={}", self.sessions.len()),
+            format_args!("connections={}", self.clients.len()),
         );
     }
 
@@ -102,9 +106,9 @@
     /// kernel still holds of an answer is lost with it.
     pub(super) fn quit(&mut self) {
         self.quit = true;
-        let numbers: Vec<u32> = self.sessions.iter().map(|(number, _)| number).collect();
+        let numbers: Vec<u32> = self.clients.iter().map(|(number, _)| number).collect();
         for number in numbers {
-            self.close_session(number, ClosePermit::nothing_owed(), CloseReason::Shutdown);
+            self.close_client(number, ClosePermit::nothing_owed(), CloseReason::Shutdown);
         }
     }
 }
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -5,12 +5,12 @@
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
-use super::{BOTH, Due, FETCH, MIN_RETRY, Node, PostponedDial, READ, token};
+use super::{BOTH, FETCH, MIN_RETRY, Node, PostponedDial, READ, TimerEvent, token};
 use crate::client::HARDLY_MISSED;
 use crate::clock::MS;
 use crate::descriptor_budget::Purpose;
 use crate::errno::{self, ErrorClass};
-use crate::fetch::{self, Fetch, Job, Progress, Reuse};
+use crate::fetch::{self, Progress, Reuse, UpstreamAttempt, UpstreamConnection};
 use crate::http1;
 use crate::net;
 use crate::ring_buffer::Body;
@@ -32,16 +32,16 @@
 }
 
 impl Node {
-    pub(super) fn start_fetch(
+    pub(super) fn start_attempt(
         &mut self,
         backend: BackendId,
-        job: Job,
-        until: Nanos,
+        job: UpstreamAttempt,
+        abandon_at: Nanos,
         write_by: Nanos,
     ) {
         // Its client may have left between the decision and here.
-        if let Job::Request { req, .. } = job
-            && !self.reqs.waits(req)
+        if let UpstreamAttempt::Request { request, .. } = job
+            && !self.requests.is_waiting(request)
         {
             return self.report(job, Outcome::NotSent, None);
         }
@@ -50,36 +50,44 @@
             Ok(number) => number,
             Err(DialError::Endpoint) => return self.report(job, Outcome::ConnectFailed, None),
             Err(DialError::Local) => {
-                let give_up = until
+                let give_up = abandon_at
                     .min(write_by)
                     .min(self.now.saturating_add(connect_timeout));
                 return self.postpone(PostponedDial {
                     backend,
                     job,
-                    until,
+                    abandon_at,
                     write_by,
                     give_up,
                 });
             }
         };
-        self.begin_fetch(number, job, until, write_by);
+        self.begin_attempt(number, job, abandon_at, write_by);
     }
 
-    fn begin_fetch(&mut self, number: u32, job: Job, until: Nanos, write_by: Nanos) {
+    fn begin_attempt(
+        &mut self,
+        number: u32,
+        job: UpstreamAttempt,
+        abandon_at: Nanos,
+        write_by: Nanos,
+    ) {
         let connect_timeout = self.deployment.connect_timeout;
-        let Some(fetch) = self.fetches.get_mut(number) else {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        (fetch.job, fetch.until, fetch.write_by) = (Some(job), until, write_by);
-        fetch.waited_for_news = false;
-        let by = match fetch.phase {
-            fetch::Phase::Connecting => until
+        (upstream.job, upstream.abandon_at, upstream.write_by) = (Some(job), abandon_at, write_by);
+        upstream.waited_for_discovery = false;
+        let by = match upstream.state {
+            fetch::UpstreamState::Connecting => abandon_at
                 .min(write_by)
                 .min(self.now.saturating_add(connect_timeout)),
-            _ => until.min(write_by),
+            _ => abandon_at.min(write_by),
         };
-        fetch.deadline.set(by, &mut self.wheel, Due::Fetch(number));
-        self.go_on(number, false);
+        upstream
+            .deadline
+            .set(by, &mut self.wheel, TimerEvent::UpstreamDeadline(number));
+        self.advance(number, false);
     }
 
     /// An attempt whose connection this machine can't start now is neither a failed one nor speaks
@@ -87,20 +95,21 @@
     fn postpone(&mut self, dial: PostponedDial) {
         self.counters.add("dial", "postponed");
         if self.postponed.is_empty() {
-            self.wheel.schedule(self.now + MIN_RETRY, Due::Redial);
+            self.wheel
+                .schedule(self.now + MIN_RETRY, TimerEvent::RetryPostponedDials);
         }
         self.postponed.push(dial);
     }
 
-    pub(super) fn redial(&mut self) {
+    pub(super) fn retry_postponed_dials(&mut self) {
         for dial in std::mem::take(&mut self.postponed) {
-            let gone = matches!(dial.job, Job::Request { req, .. } if !self.reqs.waits(req));
-            if gone || self.now >= dial.give_up {
+            let client_gone = matches!(dial.job, UpstreamAttempt::Request { request, .. } if !self.requests.is_waiting(request));
+            if client_gone || self.now >= dial.give_up {
                 self.report(dial.job, Outcome::NotSent, None);
                 continue;
             }
             match self.connection(dial.backend) {
-                Ok(number) => self.begin_fetch(number, dial.job, dial.until, dial.write_by),
+                Ok(number) => self.begin_attempt(number, dial.job, dial.abandon_at, dial.write_by),
                 Err(DialError::Endpoint) => self.report(dial.job, Outcome::ConnectFailed, None),
                 Err(DialError::Local) => self.postpone(dial),
             }
@@ -108,11 +117,11 @@
     }
 
     /// Ends the postponed attempt of a request, if it has one: it never ran.
-    pub(super) fn drop_postponed(&mut self, req: u32) {
+    pub(super) fn drop_postponed(&mut self, request: u32) {
         if let Some(place) = self
             .postponed
             .iter()
-            .position(|dial| dial.job.is_attempt_of(req))
+            .position(|dial| dial.job.is_attempt_of(request))
         {
             let dial = self.postponed.remove(place);
             self.report(dial.job, Outcome::NotSent, None);
@@ -121,14 +130,14 @@
 
     /// Whether the attempt of a request that is out, if one is, has not been written whole and so
     /// never ran.
-    pub(super) fn is_unwritten(&self, req: u32) -> bool {
+    pub(super) fn is_unwritten(&self, request: u32) -> bool {
         self.postponed
             .iter()
-            .any(|dial| dial.job.is_attempt_of(req))
+            .any(|dial| dial.job.is_attempt_of(request))
             || self
-                .fetches
+                .upstreams
                 .iter()
-                .any(|(_, fetch)| fetch.is_unwritten_of(req))
+                .any(|(_, upstream)| upstream.is_unwritten_of(request))
     }
 
     /// Begins the request of a connection that is up, if the rules still allow it by a fresh
@@ -136,18 +145,19 @@
     fn begin_request(&mut self, number: u32) {
         let now = self.clock.read();
         if self.waits_for_news(number, now) {
-            return self.retry_fetch(number);
+            return self.retry_upstream(number);
         }
-        let Some(fetch) = self.fetches.get(number) else {
+        let Some(upstream) = self.upstreams.get(number) else {
             return;
         };
-        let Some(job) = fetch.job else { return };
-        let (until, write_by, backend) = (fetch.until, fetch.write_by, fetch.backend);
+        let Some(job) = upstream.job else { return };
+        let (abandon_at, write_by, backend) =
+            (upstream.abandon_at, upstream.write_by, upstream.backend);
         let facts = WriteFacts {
-            answered: matches!(job, Job::Request { req, .. } if !self.reqs.waits(req)),
-            client_gone: matches!(job, Job::Request { req, .. } if self.client_is_gone(req, now)),
-            backend_ready: self.fleet.endpoint(backend).is_some(),
-            until,
+            answered: matches!(job, UpstreamAttempt::Request { request, .. } if !self.requests.is_waiting(request)),
+            client_gone: matches!(job, UpstreamAttempt::Request { request, .. } if self.client_is_gone(request, now)),
+            backend_ready: self.endpoint_list.endpoint(backend).is_some(),
+            abandon_at,
             write_by,
         };
         let permit = match rules::may_write(now, &facts) {
@@ -155,19 +165,21 @@
             Err(denial) => return self.deny_write(number, denial),
         };
         let bytes = match job {
-            Job::Probe { .. } => http1::write("GET /ping HTTP/1.1", [("host", "kitefork")], None),
-            Job::Request { req, .. } => match self.reqs.cargo(req) {
-                Some(call) => call.bytes(permit.told_ms()),
+            UpstreamAttempt::HealthCheck { .. } => {
+                http1::write("GET /ping HTTP/1.1", [("host", "kitefork")], None)
+            }
+            UpstreamAttempt::Request { request, .. } => match self.requests.payload(request) {
+                Some(call) => call.bytes(permit.timeout_ms()),
                 None => return,
             },
         };
-        let Some(fetch) = self.fetches.get_mut(number) else {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        if !fetch.begin(&bytes) {
-            return self.end_fetch(number, Outcome::ConnectFailed);
+        if !upstream.begin(&bytes) {
+            return self.end_attempt(number, Outcome::ConnectFailed);
         }
-        self.go_on(number, false);
+        self.advance(number, false);
         if let Err(violation) = permit.check(self.clock.read()) {
             self.violated(violation, format_args!("upstream={number}"));
         }
@@ -175,14 +187,15 @@
 
     /// Whether the client of a request has left. Its connection is looked at anew where this turn
     /// has lasted.
-    fn client_is_gone(&self, req: u32, now: Nanos) -> bool {
-        let session = self
-            .reqs
-            .owner(req)
-            .and_then(|owner| self.sessions.get(owner));
-        session.is_none_or(|session| {
-            session.left
-                || (self.turn_has_lasted(now, LONG_TURN) && net::has_peer_closed(&session.socket))
+    fn client_is_gone(&self, request: u32, now: Nanos) -> bool {
+        let connection = self
+            .requests
+            .connection(request)
+            .and_then(|owner| self.clients.get(owner));
+        connection.is_none_or(|connection| {
+            connection.peer_closed
+                || (self.turn_has_lasted(now, LONG_TURN)
+                    && net::has_peer_closed(&connection.socket))
         })
     }
 
@@ -198,17 +211,17 @@
         if !self.turn_has_lasted(now, OLD_NEWS) || !self.has_unread_news() {
             return false;
         }
-        let Some(fetch) = self.fetches.get_mut(number) else {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return false;
         };
-        if std::mem::replace(&mut fetch.waited_for_news, true) {
+        if std::mem::replace(&mut upstream.waited_for_discovery, true) {
             return false;
         }
         // Its connection is up, so the time for that no longer counts.
-        fetch.deadline.set(
-            fetch.until.min(fetch.write_by),
+        upstream.deadline.set(
+            upstream.abandon_at.min(upstream.write_by),
             &mut self.wheel,
-            Due::Fetch(number),
+            TimerEvent::UpstreamDeadline(number),
         );
         true
     }
@@ -229,40 +242,47 @@
             }
             _ => Outcome::NotSent,
         };
-        self.end_fetch(number, outcome);
+        self.end_attempt(number, outcome);
     }
 
     /// A connection to a backend: the newest idle one that is sound, or a new one.
     fn connection(&mut self, backend: BackendId) -> Result<u32, DialError> {
-        let endpoint = self.fleet.endpoint(backend).ok_or(DialError::Endpoint)?;
+        let endpoint = self
+            .endpoint_list
+            .endpoint(backend)
+            .ok_or(DialError::Endpoint)?;
         while let Some(number) = self.pool.take(backend, self.now) {
-            let Some(fetch) = self.fetches.get_mut(number) else {
+            let Some(upstream) = self.upstreams.get_mut(number) else {
                 continue;
             };
-            let sound = fetch.soundness();
+            let sound = upstream.check_reuse();
             self.pool.note(sound, self.now);
             // After a stall the wheel has not yet told that it stands idle for too long.
-            if self.now < fetch.until && sound == Reuse::Yes {
-                fetch.phase = fetch::Phase::Connected;
+            if self.now < upstream.abandon_at && sound == Reuse::Yes {
+                upstream.state = fetch::UpstreamState::Connected;
                 return Ok(number);
             }
-            self.fetches.remove(number);
+            self.upstreams.remove(number);
         }
-        if !self.room_for_fetch() {
+        if !self.make_room_for_upstream() {
             self.log.line(
                 self.now,
                 "upstream-connections-full",
-                format_args!("open={}", self.fetches.len()),
+                format_args!("open={}", self.upstreams.len()),
             );
             return Err(DialError::Local);
         }
         self.trace.line(
             self.now,
-            format_args!("connect b={} open={}", backend.0, self.fetches.len()),
+            format_args!("connect b={} open={}", backend.0, self.upstreams.len()),
         );
         let opened = net::dial(endpoint).and_then(|socket| {
-            self.fetches
-                .insert(Fetch::new(socket, backend, &self.budget))
+            self.upstreams
+                .insert(UpstreamConnection::new(
+                    socket,
+                    backend,
+                    &self.buffer_budget,
+                ))
                 .ok_or(Errno::MFILE)
         });
         opened.map_err(|error| {
@@ -279,122 +299,135 @@
     }
 
     /// Has the events given for a fetch that its phase wants; a little later where that fails now.
-    fn watch_fetch(&mut self, number: u32) {
-        let Some(fetch) = self.fetches.get_mut(number) else {
+    fn register_upstream(&mut self, number: u32) {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        let wanted = match fetch.phase {
-            fetch::Phase::Connecting | fetch::Phase::Connected | fetch::Phase::Sending => BOTH,
-            fetch::Phase::Waiting | fetch::Phase::Idle => READ,
+        let wanted = match upstream.state {
+            fetch::UpstreamState::Connecting
+            | fetch::UpstreamState::Connected
+            | fetch::UpstreamState::Sending => BOTH,
+            fetch::UpstreamState::Waiting | fetch::UpstreamState::Idle => READ,
         };
         if let Err(error) =
-            fetch
+            upstream
                 .registration
-                .set(&self.epoll, &fetch.socket, token(FETCH, number), wanted)
+                .set(&self.epoll, &upstream.socket, token(FETCH, number), wanted)
         {
             self.log.line(self.now, "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
-                let outcome = fetch.broken(Outcome::Reset);
-                return self.end_fetch(number, outcome);
+                let outcome = upstream.outcome_if_closed(Outcome::Reset);
+                return self.end_attempt(number, outcome);
             }
             self.wheel
-                .schedule(self.now + MIN_RETRY, Due::ResumeFetch(number));
+                .schedule(self.now + MIN_RETRY, TimerEvent::ResumeUpstream(number));
         }
     }
 
     /// The machine lacks something for a moment, or there is news to be read first: the fetch is
     /// gone on with a little later, and has no event before that, which would come without a pause.
-    fn retry_fetch(&mut self, number: u32) {
-        let Some(fetch) = self.fetches.get_mut(number) else {
+    fn retry_upstream(&mut self, number: u32) {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
         // Where this fails too, events come early and find the same.
-        let _ = fetch.registration.set(
+        let _ = upstream.registration.set(
             &self.epoll,
-            &fetch.socket,
+            &upstream.socket,
             token(FETCH, number),
             EventFlags::empty(),
         );
         self.wheel
-            .schedule(self.now + MIN_RETRY, Due::ResumeFetch(number));
+            .schedule(self.now + MIN_RETRY, TimerEvent::ResumeUpstream(number));
     }
 
     /// Whether another connection to a backend may be held; what can best be missed closes for it.
-    fn room_for_fetch(&mut self) -> bool {
+    fn make_room_for_upstream(&mut self) -> bool {
         if self
-            .ledger
-            .fits(Purpose::Fetch, self.fetches.len(), self.sessions.len())
+            .descriptor_budget
+            .fits(Purpose::Upstream, self.upstreams.len(), self.clients.len())
         {
             return true;
         }
-        let lends = self.ledger.lends(Purpose::Session, self.sessions.len());
-        let session = if lends {
+        let lends = self
+            .descriptor_budget
+            .lends(Purpose::Client, self.clients.len());
+        let connection = if lends {
             self.eviction_candidate()
         } else {
             None
         };
-        if let Some((.., number)) = session.filter(|(class, ..)| *class <= HARDLY_MISSED) {
+        if let Some((.., number)) = connection.filter(|(class, ..)| *class <= HARDLY_MISSED) {
             return self.evict(number);
         }
         if let Some(idle) = self.pool.evict() {
-            return self.fetches.remove(idle).is_some();
+            return self.upstreams.remove(idle).is_some();
         }
-        session.is_some_and(|(.., number)| self.evict(number))
+        connection.is_some_and(|(.., number)| self.evict(number))
     }
 
     /// Moves a fetch on as far as its socket lets it.
-    pub(super) fn go_on(&mut self, number: u32, ready: bool) {
-        let Some(fetch) = self.fetches.get_mut(number) else {
+    pub(super) fn advance(&mut self, number: u32, ready: bool) {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        let before = fetch.phase;
+        let before = upstream.state;
         // A connection that has come up, or taken more, through a stall: its time may be over
         // though the wheel has not said so yet.
-        let unwritten = !matches!(before, fetch::Phase::Waiting | fetch::Phase::Idle);
-        if unwritten && (self.now > fetch.write_by || self.now >= fetch.until) {
-            return self.end_fetch(number, Outcome::ConnectFailed);
+        let unwritten = !matches!(
+            before,
+            fetch::UpstreamState::Waiting | fetch::UpstreamState::Idle
+        );
+        if unwritten && (self.now > upstream.write_by || self.now >= upstream.abandon_at) {
+            return self.end_attempt(number, Outcome::ConnectFailed);
         }
-        match fetch.go_on(ready) {
+        match upstream.advance(ready) {
             Progress::Connected => self.begin_request(number),
-            Progress::Later => self.retry_fetch(number),
+            Progress::Later => self.retry_upstream(number),
             Progress::Going => {
-                let by = match fetch.phase {
-                    fetch::Phase::Waiting => fetch.until,
-                    _ => fetch.until.min(fetch.write_by),
+                let by = match upstream.state {
+                    fetch::UpstreamState::Waiting => upstream.abandon_at,
+                    _ => upstream.abandon_at.min(upstream.write_by),
                 };
-                if fetch.phase != before {
-                    fetch.deadline.set(by, &mut self.wheel, Due::Fetch(number));
+                if upstream.state != before {
+                    upstream.deadline.set(
+                        by,
+                        &mut self.wheel,
+                        TimerEvent::UpstreamDeadline(number),
+                    );
                 }
-                self.watch_fetch(number);
+                self.register_upstream(number);
             }
             Progress::Answered(head, body, reuse) => self.answered(number, &head, body, reuse),
-            Progress::Failed(outcome) => self.end_fetch(number, outcome),
+            Progress::Failed(outcome) => self.end_attempt(number, outcome),
             Progress::Stale(reuse) => {
-                let backend = fetch.backend;
+                let backend = upstream.backend;
                 self.pool.note(reuse, self.now);
                 self.pool.remove(backend, number);
-                self.fetches.remove(number);
+                self.upstreams.remove(number);
             }
         }
     }
 
     pub(super) fn answered(&mut self, number: u32, head: &http1::Head, body: Body, reuse: Reuse) {
-        let Some(fetch) = self.fetches.get_mut(number) else {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        let (job, backend) = (fetch.job.take(), fetch.backend);
+        let (job, backend) = (upstream.job.take(), upstream.backend);
         self.pool.note(reuse, self.now);
         // A backend that is leaving gets its connections closed.
-        if reuse == Reuse::Yes && self.fleet.endpoint(backend).is_some() {
-            fetch.phase = fetch::Phase::Idle;
+        if reuse == Reuse::Yes && self.endpoint_list.endpoint(backend).is_some() {
+            upstream.state = fetch::UpstreamState::Idle;
             // Clearly before the backend's machine would close it: what crosses that close is a
             // reset.
             let by = self.now.saturating_add(self.deployment.idle_limit / 4 * 3);
-            fetch.until = by;
-            fetch.deadline.set(by, &mut self.wheel, Due::Fetch(number));
+            upstream.abandon_at = by;
+            upstream
+                .deadline
+                .set(by, &mut self.wheel, TimerEvent::UpstreamDeadline(number));
             self.pool.put(backend, number, self.now);
         } else {
-            self.fetches.remove(number);
+            self.upstreams.remove(number);
         }
         if let Some(job) = job {
             self.report(job, fetch::outcome(head), Some((head, body)));
@@ -403,34 +436,36 @@
 
     /// A req has lost its client: an attempt that is not written whole is not written at all, also
     /// where the deployment lets no attempt be called off.
-    pub(super) fn call_off(&mut self, req: u32) {
+    pub(super) fn cancel_unwritten(&mut self, request: u32) {
         let found = self
-            .fetches
+            .upstreams
             .iter()
-            .find(|(_, fetch)| fetch.is_unwritten_of(req))
+            .find(|(_, upstream)| upstream.is_unwritten_of(request))
             .map(|(number, _)| number);
         if let Some(number) = found {
-            self.end_fetch(number, Outcome::NotSent);
+            self.end_attempt(number, Outcome::NotSent);
         }
-        self.drop_postponed(req);
+        self.drop_postponed(request);
     }
 
     /// Closes a fetch's connection, and only then tells how its attempt ended.
-    pub(super) fn end_fetch(&mut self, number: u32, outcome: Outcome) {
-        if let Some(Fetch { job: Some(job), .. }) = self.fetches.remove(number) {
+    pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) {
+        if let Some(UpstreamConnection { job: Some(job), .. }) = self.upstreams.remove(number) {
             self.report(job, outcome, None);
         }
     }
 
     pub(super) fn report(
         &mut self,
-        job: Job,
+        job: UpstreamAttempt,
         outcome: Outcome,
         answer: Option<(&http1::Head, Body)>,
     ) {
         match job {
-            Job::Request { req, attempt } => {
-                let owner = self.reqs.ended(self.now, req, attempt, outcome);
+            UpstreamAttempt::Request { request, attempt } => {
+                let owner = self
+                    .requests
+                    .attempt_ended(self.now, request, attempt, outcome);
                 if let (Some(owner), Some((head, body))) = (owner, answer) {
                     let headers: Vec<(&str, &str)> = head.end_to_end_headers().collect();
                     let http1::Start::Response { status } = head.start else {
@@ -440,9 +475,9 @@
                     self.answered.push_back(owner);
                 }
             }
-            Job::Probe { backend, sent } => {
+            UpstreamAttempt::HealthCheck { backend, sent } => {
                 let latency = self.now.saturating_sub(sent);
-                self.reqs.feed(
+                self.requests.feed(
                     self.now,
                     Event::HealthCheckEnded {
                         backend,
@@ -455,29 +490,30 @@
         }
     }
 
-    pub(super) fn fetch_due(&mut self, number: u32) {
-        let Some(fetch) = self.fetches.get_mut(number) else {
+    pub(super) fn upstream_deadline_due(&mut self, number: u32) {
+        let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        if !fetch
-            .deadline
-            .is_due(self.now, &mut self.wheel, Due::Fetch(number))
-        {
+        if !upstream.deadline.is_due(
+            self.now,
+            &mut self.wheel,
+            TimerEvent::UpstreamDeadline(number),
+        ) {
             return;
         }
-        if fetch.phase == fetch::Phase::Idle {
-            let backend = fetch.backend;
+        if upstream.state == fetch::UpstreamState::Idle {
+            let backend = upstream.backend;
             self.pool.remove(backend, number);
-            self.fetches.remove(number);
+            self.upstreams.remove(number);
         } else {
-            let outcome = fetch.broken(Outcome::Timeout);
-            self.end_fetch(number, outcome);
+            let outcome = upstream.outcome_if_closed(Outcome::Timeout);
+            self.end_attempt(number, outcome);
         }
     }
 
     pub(super) fn close_idle(&mut self, backend: BackendId) {
         for number in self.pool.drain(backend) {
-            self.fetches.remove(number);
+            self.upstreams.remove(number);
         }
     }
 }
--- a/crates/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -4,12 +4,12 @@
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
-use super::{BOTH, CALL, Due, MIN_RETRY, Node, READ, token};
+use super::{BOTH, CALL, MIN_RETRY, Node, READ, TimerEvent, token};
 use crate::clock::{MS, SECOND};
 use crate::config;
-use crate::discovery::{self, Call, CallEnd, Freshness, News, Update};
+use crate::discovery::{self, CallEnd, CallProgress, DiscoveryCall, EndpointUpdate, Freshness};
 use crate::errno::{self, ErrorClass};
-use crate::fetch::{self, Fetch};
+use crate::fetch::{self, UpstreamConnection};
 use crate::net;
 use crate::ring_buffer::WriteOutcome;
 
@@ -70,9 +70,9 @@
             self.calls.remove(number);
         }
         // Each call of the decisions gets one event: nothing has changed.
-        self.take_update(&Update {
-            rev: self.rev,
-            ..Update::default()
+        self.apply_update(&EndpointUpdate {
+            rev: self.revision,
+            ..EndpointUpdate::default()
         });
     }
 
@@ -81,7 +81,8 @@
     /// told whether or not this node has heard it, so no client is taken before it has spoken.
     pub(super) fn follow_pushes(&mut self) {
         if !self.deployment.settings.poll_endpoints {
-            self.wheel.schedule(self.now + BLIND, Due::ServeStaleList);
+            self.wheel
+                .schedule(self.now + BLIND, TimerEvent::ServeStaleList);
             self.call(true);
         }
     }
@@ -114,17 +115,21 @@
             .line(self.now, format_args!("call watch={}", u8::from(watch)));
         let opened = net::dial(self.discovery).and_then(|socket| {
             let number = self.calls.vacant().ok_or(Errno::MFILE)?;
-            let mut call = Call::new(socket, watch, self.rev, self.discovery, self.now);
+            let mut call =
+                DiscoveryCall::new(socket, watch, self.revision, self.discovery, self.now);
             call.registration
                 .set(&self.epoll, &call.socket, token(CALL, number), BOTH)?;
             let asked = self.deployment.settings.poll_endpoints;
             let by = if asked {
-                discovery::CONNECT
+                discovery::CONNECT_TIMEOUT
             } else {
-                self.part_of_grace(2, discovery::CONNECT)
+                self.part_of_grace(2, discovery::CONNECT_TIMEOUT)
             };
-            call.deadline
-                .set(self.now + by, &mut self.wheel, Due::Call(number));
+            call.deadline.set(
+                self.now + by,
+                &mut self.wheel,
+                TimerEvent::DiscoveryDeadline(number),
+            );
             self.calls.insert(call);
             Ok(())
         });
@@ -135,8 +140,10 @@
             // long.
             _ => {
                 self.log.line(self.now, "call-postponed", error);
-                self.wheel
-                    .schedule(self.now + CALL_RETRY, Due::Recall { watch });
+                self.wheel.schedule(
+                    self.now + CALL_RETRY,
+                    TimerEvent::RetryDiscoveryCall { watch },
+                );
             }
         }
     }
@@ -160,8 +167,10 @@
             token(CALL, number),
             EventFlags::empty(),
         );
-        self.wheel
-            .schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
+        self.wheel.schedule(
+            self.now + MIN_RETRY,
+            TimerEvent::ResumeDiscoveryCall(number),
+        );
     }
 
     fn call_failed(&mut self, why: impl std::fmt::Display) {
@@ -174,7 +183,7 @@
             return;
         }
         if self.deployment.settings.poll_endpoints {
-            self.reqs.feed(self.now, Event::DiscoveryFailed);
+            self.requests.feed(self.now, Event::DiscoveryFailed);
         } else {
             // The agent is this node's own: no crowd of others calls it. At once first, then ever
             // more seldom.
@@ -183,7 +192,7 @@
                 n => self.part_of_grace(4, MOST_WAIT).min(SHORTEST << n.min(8)),
             };
             self.failed_calls += 1;
-            self.wheel.schedule(self.now + wait, Due::Watch);
+            self.wheel.schedule(self.now + wait, TimerEvent::OpenWatch);
         }
     }
 
@@ -197,7 +206,7 @@
                 return self.retry_call(number);
             }
             if call.outbox.is_empty() {
-                call.heard = self.now;
+                call.last_byte_at = self.now;
             }
         }
         let wanted = if call.outbox.is_empty() { READ } else { BOTH };
@@ -206,38 +215,43 @@
             .set(&self.epoll, &call.socket, token(CALL, number), wanted)
             .is_err()
         {
-            self.wheel
-                .schedule(self.now + MIN_RETRY, Due::ResumeCall(number));
+            self.wheel.schedule(
+                self.now + MIN_RETRY,
+                TimerEvent::ResumeDiscoveryCall(number),
+            );
         }
-        let news = call.read(self.now);
-        let later = news.later;
+        let progress = call.read(self.now);
+        let later = progress.later;
         if call.outbox.is_empty() {
-            call.deadline
-                .set(call.time_limit(), &mut self.wheel, Due::Call(number));
+            call.deadline.set(
+                call.time_limit(),
+                &mut self.wheel,
+                TimerEvent::DiscoveryDeadline(number),
+            );
         }
-        self.take_news(number, news);
+        self.apply_progress(number, progress);
         if later {
             self.retry_call(number);
         }
     }
 
-    pub(super) fn take_news(&mut self, number: u32, news: News) {
-        self.list_synced |= news.spoke;
-        if news.over.is_some()
+    pub(super) fn apply_progress(&mut self, number: u32, progress: CallProgress) {
+        self.list_synced |= progress.spoke;
+        if progress.over.is_some()
             && let Some(call) = self.calls.remove(number)
             && self.now.saturating_sub(call.made) > STEADY
         {
             self.failed_calls = 0;
         }
-        for update in &news.updates {
-            self.take_update(update);
+        for update in &progress.updates {
+            self.apply_update(update);
             // The next one tells what has changed since.
             self.confirmed = Some(self.now);
         }
-        if news.spoke {
+        if progress.spoke {
             self.confirmed = Some(self.now);
         }
-        if let Some(why) = news.over.filter(|_| !news.well) {
+        if let Some(why) = progress.over.filter(|_| !progress.well) {
             self.call_failed(why);
         }
     }
@@ -246,23 +260,24 @@
         let Some(call) = self.calls.get_mut(number) else {
             return;
         };
-        if call
-            .deadline
-            .is_due(self.now, &mut self.wheel, Due::Call(number))
-        {
+        if call.deadline.is_due(
+            self.now,
+            &mut self.wheel,
+            TimerEvent::DiscoveryDeadline(number),
+        ) {
             let over = Some(CallEnd::Silent);
-            self.take_news(
+            self.apply_progress(
                 number,
-                News {
+                CallProgress {
                     over,
-                    ..News::default()
+                    ..CallProgress::default()
                 },
             );
         }
     }
 
-    pub(super) fn take_update(&mut self, update: &Update) {
-        let age = if update.rev < self.rev {
+    pub(super) fn apply_update(&mut self, update: &EndpointUpdate) {
+        let age = if update.rev < self.revision {
             Freshness::Older
         } else {
             Freshness::Current
@@ -271,41 +286,41 @@
             self.log.line(
                 self.now,
                 "older-list",
-                format_args!("rev={} known={}", update.rev, self.rev),
+                format_args!("rev={} known={}", update.rev, self.revision),
             );
         }
-        self.take_list(update, age);
+        self.apply_list(update, age);
     }
 
-    pub(super) fn take_list(&mut self, update: &Update, age: Freshness) {
-        self.rev = update.rev;
-        let heard = self.clock.heard(self.now, self.confirmed);
-        let (event, ends) = self.fleet.apply(&heard, update, age);
+    pub(super) fn apply_list(&mut self, update: &EndpointUpdate, age: Freshness) {
+        self.revision = update.rev;
+        let heard = self.clock.observe(self.now, self.confirmed);
+        let (event, ends) = self.endpoint_list.apply(&heard, update, age);
         if self.trace.is_on() {
             self.trace.line(
                 self.now,
                 format_args!("notified rev={} all={}", update.rev, u8::from(update.all)),
             );
-            for line in self.fleet.lines(update, self.now) {
+            for line in self.endpoint_list.lines(update, self.now) {
                 self.trace.line(self.now, format_args!("endpoint {line}"));
             }
         }
-        self.reqs.feed(self.now, event);
+        self.requests.feed(self.now, event);
         for backend in ends {
             self.close_idle(backend);
             // What is not connected yet would write its first byte at any later time; the rule on
             // drains counts that byte. It never ran, so it can go elsewhere.
-            let connecting = |(_, fetch): &(u32, &Fetch)| {
-                fetch.backend == backend && fetch.phase == fetch::Phase::Connecting
+            let connecting = |(_, upstream): &(u32, &UpstreamConnection)| {
+                upstream.backend == backend && upstream.state == fetch::UpstreamState::Connecting
             };
             let numbers: Vec<u32> = self
-                .fetches
+                .upstreams
                 .iter()
                 .filter(connecting)
                 .map(|(n, _)| n)
                 .collect();
             for number in numbers {
-                self.end_fetch(number, Outcome::ConnectFailed);
+                self.end_attempt(number, Outcome::ConnectFailed);
             }
         }
     }
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -5,8 +5,8 @@
 use kitefork_balancer::Nanos;
 use rustix::event::epoll::{self, EventFlags};
 
-use super::{BOTH, Due, LEFT, LISTENER, MIN_RETRY, Node, READ, SESSION, token};
-use crate::client::{self, HARDLY_MISSED, Intake, Route, Session};
+use super::{BOTH, LEFT, LISTENER, MIN_RETRY, Node, READ, SESSION, TimerEvent, token};
+use crate::client::{self, ClientConnection, HARDLY_MISSED, ReadEvent, Route};
 use crate::clock::MS;
 use crate::counters::CloseReason;
 use crate::descriptor_budget::Purpose;
@@ -31,7 +31,7 @@
                 return;
             };
             // No session is given up for nobody.
-            if !self.session_fits() {
+            if !self.client_fits() {
                 match net::has_client(listener) {
                     Ok(true) => {}
                     Ok(false) => return self.queue_emptied(self.now),
@@ -39,11 +39,11 @@
                     Err(_) => return self.retry_accept_later(),
                 }
             }
-            if !self.room_for_session() {
+            if !self.make_room_for_client() {
                 self.log.line(
                     self.now,
                     "client-connections-full",
-                    format_args!("open={}", self.sessions.len()),
+                    format_args!("open={}", self.clients.len()),
                 );
                 return self.pause_accepting();
             }
@@ -53,7 +53,7 @@
             match net::accept(listener) {
                 Ok(socket) => {
                     self.accept_retry = MIN_RETRY;
-                    self.open_session(socket);
+                    self.add_client(socket);
                 }
                 Err(error) => match errno::of_accept(error) {
                     ErrorClass::WouldBlock => return self.queue_emptied(self.now),
@@ -80,7 +80,8 @@
 
     pub(super) fn pause_accepting(&mut self) {
         self.set_accepting(false);
-        self.wheel.schedule(self.now + ACCEPT_PAUSE, Due::Accept);
+        self.wheel
+            .schedule(self.now + ACCEPT_PAUSE, TimerEvent::ResumeAccepting);
     }
 
     /// The machine lacks something for a moment, and clients wait: soon at first, then ever more
@@ -88,15 +89,15 @@
     fn retry_accept_later(&mut self) {
         self.set_accepting(false);
         self.wheel
-            .schedule(self.now + self.accept_retry, Due::Accept);
+            .schedule(self.now + self.accept_retry, TimerEvent::ResumeAccepting);
         self.accept_retry = (self.accept_retry * 2).min(ACCEPT_PAUSE);
     }
 
     /// When the accept queue was last seen empty: read so, or by a look of the loop while it is
     /// watched.
     fn queue_empty_at(&self) -> Nanos {
-        let seen = if self.queue_watched <= self.looked {
-            self.looked
+        let seen = if self.queue_watched <= self.previous_poll_at {
+            self.previous_poll_at
         } else {
             0
         };
@@ -123,31 +124,34 @@
             let registered = epoll::modify(&self.epoll, listener, token(LISTENER, 0), flags);
             // Without its events no client would ever be taken again.
             if on && registered.is_err() {
-                self.wheel.schedule(self.now + MIN_RETRY, Due::Accept);
+                self.wheel
+                    .schedule(self.now + MIN_RETRY, TimerEvent::ResumeAccepting);
             }
         }
     }
 
-    fn session_fits(&self) -> bool {
-        self.ledger
-            .fits(Purpose::Session, self.sessions.len(), self.fetches.len())
+    fn client_fits(&self) -> bool {
+        self.descriptor_budget
+            .fits(Purpose::Client, self.clients.len(), self.upstreams.len())
     }
 
     /// Whether another session may be held; what can best be missed closes for it.
-    fn room_for_session(&mut self) -> bool {
-        if self.session_fits() {
+    fn make_room_for_client(&mut self) -> bool {
+        if self.client_fits() {
             return true;
         }
         // One that turns out to have asked is spared no more: each turn finds another, or closes
         // one.
-        for _ in 0..=self.sessions.len() {
+        for _ in 0..=self.clients.len() {
             let spare = self.eviction_candidate();
             let hardly_missed = spare.is_some_and(|(class, ..)| class <= HARDLY_MISSED);
             if !hardly_missed
-                && self.ledger.lends(Purpose::Fetch, self.fetches.len())
+                && self
+                    .descriptor_budget
+                    .lends(Purpose::Upstream, self.upstreams.len())
                 && let Some(idle) = self.pool.evict()
             {
-                return self.fetches.remove(idle).is_some();
+                return self.upstreams.remove(idle).is_some();
             }
             let Some((.., number)) = spare else {
                 return false;
@@ -168,45 +172,45 @@
     /// Closes a session for a reason of the node's own, if the rules allow it; else takes up what
     /// forbids it. Tells whether it has closed.
     pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
-        let Some(session) = self.sessions.get(number) else {
+        let Some(connection) = self.clients.get(number) else {
             return false;
         };
-        match rules::may_close(session.close_facts()) {
-            Ok(permit) => self.close_session(number, permit, reason),
+        match rules::may_close(connection.close_facts()) {
+            Ok(permit) => self.close_client(number, permit, reason),
             Err(denial) => {
                 self.count_denial(denial, format_args!("connection={number}"));
-                self.read_session(number);
-                self.sessions.get(number).is_none()
+                self.read_client(number);
+                self.clients.get(number).is_none()
             }
         }
     }
 
     /// The session that can be spared most: its class, since when, its number.
     pub(super) fn eviction_candidate(&self) -> Option<(u8, Nanos, u32)> {
-        let spare = |(number, session): (u32, &Session)| {
-            session
+        let spare = |(number, connection): (u32, &ClientConnection)| {
+            connection
                 .eviction_rank(self.now)
                 .map(|(class, since)| (class, since, number))
         };
-        self.sessions.iter().filter_map(spare).min()
+        self.clients.iter().filter_map(spare).min()
     }
 
     /// Clients may hold only so many connections for requests here. Guards against some that have
     /// asked once and keep theirs for good: others then can't connect, of which nothing shows here.
-    pub(super) fn trim_sessions(&mut self) {
-        self.trimming = false;
+    pub(super) fn trim_clients(&mut self) {
+        self.trim_scheduled = false;
         let asked = self
-            .sessions
+            .clients
             .iter()
-            .filter(|(_, session)| session.has_asked())
+            .filter(|(_, connection)| connection.has_sent_message())
             .count();
-        let over = asked.saturating_sub(self.ledger.most_active_sessions());
+        let over = asked.saturating_sub(self.descriptor_budget.max_active_clients());
         let mut spare: Vec<(u8, Nanos, u32)> = self
-            .sessions
+            .clients
             .iter()
-            .filter(|(_, session)| session.has_asked())
-            .filter_map(|(number, session)| {
-                session
+            .filter(|(_, connection)| connection.has_sent_message())
+            .filter_map(|(number, connection)| {
+                connection
                     .eviction_rank(self.now)
                     .map(|(class, since)| (class, since, number))
             })
@@ -216,38 +220,41 @@
         for (.., number) in spare.into_iter().take(over) {
             self.evict(number);
         }
-        self.watch_sessions();
+        self.schedule_trim();
     }
 
     /// While there may be too many that have asked, they are looked at now and then.
-    fn watch_sessions(&mut self) {
-        if !self.trimming && self.sessions.len() > self.ledger.most_active_sessions() {
-            self.trimming = true;
+    fn schedule_trim(&mut self) {
+        if !self.trim_scheduled && self.clients.len() > self.descriptor_budget.max_active_clients()
+        {
+            self.trim_scheduled = true;
             self.wheel
-                .schedule(self.now + client::TRIM, Due::TrimSessions);
+                .schedule(self.now + client::TRIM_INTERVAL, TimerEvent::TrimClients);
         }
     }
 
-    pub(super) fn open_session(&mut self, socket: OwnedFd) {
+    pub(super) fn add_client(&mut self, socket: OwnedFd) {
         let queued = self.queue_empty_at();
-        let Some(number) =
-            self.sessions
-                .insert(Session::new(socket, self.now, queued, &self.budget))
-        else {
+        let Some(number) = self.clients.insert(ClientConnection::new(
+            socket,
+            self.now,
+            queued,
+            &self.buffer_budget,
+        )) else {
             return;
         };
-        self.watch_sessions();
-        self.read_session(number);
+        self.schedule_trim();
+        self.read_client(number);
     }
 
     /// Closes a session; a req that it waits for has lost its client.
-    pub(super) fn close_session(
+    pub(super) fn close_client(
         &mut self,
         number: u32,
         _permit: ClosePermit,
         reason: CloseReason,
     ) -> bool {
-        let Some(mut session) = self.sessions.remove(number) else {
+        let Some(mut connection) = self.clients.remove(number) else {
             return false;
         };
         self.counters.closed(reason);
@@ -256,70 +263,74 @@
             format_args!("closed connection={number} why={}", reason.name()),
         );
         let of_client = matches!(reason, CloseReason::ClientGone | CloseReason::Broken);
-        if session.req.is_some() && !of_client {
+        if connection.request.is_some() && !of_client {
             self.violated(
                 Violation::ClosedUnanswered,
                 format_args!("connection={number}"),
             );
         }
-        if let Some(req) = session.req {
-            self.reqs.gone(self.now, req);
-            self.call_off(req);
+        if let Some(request) = connection.request {
+            self.requests.client_gone(self.now, request);
+            self.cancel_unwritten(request);
         }
-        session.close_gracefully();
+        connection.close_gracefully();
         true
     }
 
-    pub(super) fn session_due(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    pub(super) fn client_deadline_due(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        if !session
-            .deadline
-            .is_due(self.now, &mut self.wheel, Due::Session(number))
-        {
+        if !connection.deadline.is_due(
+            self.now,
+            &mut self.wheel,
+            TimerEvent::ClientDeadline(number),
+        ) {
             return;
         }
-        if session.phase == client::Phase::Open && session.outbox.is_empty() && !session.is_idle() {
+        if connection.state == client::ConnectionState::Open
+            && connection.outbox.is_empty()
+            && !connection.is_idle()
+        {
             self.reply(number, 408, &[], b"the request did not come whole\n", true);
             return self.answered.push_back(number);
         }
         // On a resting one a request may have come since this turn's look at the sockets.
-        if session.is_idle() {
+        if connection.is_idle() {
             self.close_if_allowed(number, CloseReason::TimedOut);
         } else {
-            self.close_session(number, ClosePermit::time_is_over(), CloseReason::TimedOut);
+            self.close_client(number, ClosePermit::time_is_over(), CloseReason::TimedOut);
         }
     }
 
-    pub(super) fn session_ready(&mut self, number: u32, flags: EventFlags) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    pub(super) fn client_ready(&mut self, number: u32, flags: EventFlags) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        session.left |= flags.intersects(LEFT);
+        connection.peer_closed |= flags.intersects(LEFT);
         // With a full inbox the end can't be read, and would be told again without a pause.
-        if session.left && session.is_input_full() {
-            self.client_left(number);
+        if connection.peer_closed && connection.is_input_full() {
+            self.client_closed_input(number);
         } else {
-            self.read_session(number);
+            self.read_client(number);
         }
     }
 
     /// Reads a session and takes one message. The next one, if it has come behind it, gets its turn
     /// a tick later: a client that sends without end must not hold the loop.
-    pub(super) fn read_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    pub(super) fn read_client(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        if session.flush(self.now) == WriteOutcome::Broken {
-            return self.drop_session(number, CloseReason::Broken);
+        if connection.flush(self.now) == WriteOutcome::Broken {
+            return self.drop_client(number, CloseReason::Broken);
         }
-        match session.read(self.now, self.looked) {
-            Intake::Wait => {}
-            Intake::Later => return self.retry_session(number),
-            Intake::Ended => return self.client_left(number),
-            Intake::Broken => return self.drop_session(number, CloseReason::Broken),
-            Intake::Bad(bad) => {
+        match connection.read(self.now, self.previous_poll_at) {
+            ReadEvent::Incomplete => {}
+            ReadEvent::RetryLater => return self.retry_client(number),
+            ReadEvent::EndOfStream => return self.client_closed_input(number),
+            ReadEvent::Broken => return self.drop_client(number, CloseReason::Broken),
+            ReadEvent::Invalid(bad) => {
                 let status = client::status_of(bad);
                 self.log.line(
                     self.now,
@@ -328,13 +339,13 @@
                 );
                 self.reply(number, status, &[], b"the request can't be read\n", true);
             }
-            Intake::Message(head, body, began) => {
+            ReadEvent::Message(head, body, began) => {
                 let waited = self.now.saturating_sub(began);
-                let left = session.left;
+                let peer_closed = connection.peer_closed;
                 match client::route(head, body, &self.deployment, waited) {
                     // The client may have gone, so it must not run. It may also have ended its
                     // sending alone, and then it waits for an answer.
-                    Route::Request(..) if left => {
+                    Route::Request(..) if peer_closed => {
                         self.trace
                             .line(self.now, format_args!("client-closed connection={number}"));
                         self.count_denial(Denial::ClientGone, format_args!("connection={number}"));
@@ -354,45 +365,45 @@
                         };
                         self.reply(number, status, allow, format!("{why}\n").as_bytes(), false);
                     }
-                    Route::Request(ask, call) => self.open_req(number, ask, call),
+                    Route::Request(spec, call) => self.open_request(number, spec, call),
                 }
             }
         }
-        self.flush_session(number);
+        self.flush_client(number);
     }
 
     /// The client has ended its sending. A close looks the same, so its request is not worked on
     /// any more; but a client that only ended its sending waits for an answer, and gets one.
-    fn client_left(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    fn client_closed_input(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        session.left = true;
-        if let Some(req) = session.req {
+        connection.peer_closed = true;
+        if let Some(request) = connection.request {
             // What is not written yet never runs.
-            let unwritten = self.is_unwritten(req);
-            let untried = self.reqs.may_refuse(req, unwritten);
-            self.reqs.gone(self.now, req);
-            self.call_off(req);
-            let (status, body) = if untried {
+            let unwritten = self.is_unwritten(request);
+            let rejectable = self.requests.may_reject(request, unwritten);
+            self.requests.client_gone(self.now, request);
+            self.cancel_unwritten(request);
+            let (status, body) = if rejectable {
                 (503, LEFT_UNTRIED)
             } else {
                 (502, LEFT_TRIED)
             };
             self.reply(number, status, &[], body, true);
-            return self.flush_session(number);
+            return self.flush_client(number);
         }
-        if session.outbox.is_empty() {
-            self.drop_session(number, CloseReason::ClientGone);
+        if connection.outbox.is_empty() {
+            self.drop_client(number, CloseReason::ClientGone);
         } else {
             // An answer is on its way to one that still reads.
-            self.flush_session(number);
+            self.flush_client(number);
         }
     }
 
     /// Closes a session that its client has ended or broken.
-    fn drop_session(&mut self, number: u32, reason: CloseReason) {
-        self.close_session(number, ClosePermit::nothing_owed(), reason);
+    fn drop_client(&mut self, number: u32, reason: CloseReason) {
+        self.close_client(number, ClosePermit::nothing_owed(), reason);
     }
 
     pub(super) fn reply_health(&mut self, number: u32) {
@@ -400,7 +411,7 @@
             (503, "ending\n")
         } else if !self.list_synced {
             (503, "discovery has not spoken\n")
-        } else if !self.fleet.has_ready() {
+        } else if !self.endpoint_list.has_ready() {
             (503, "no backend is ready\n")
         } else {
             (200, "ok\n")
@@ -408,15 +419,20 @@
         self.reply(number, status, &[], word.as_bytes(), false);
     }
 
-    pub(super) fn open_req(&mut self, number: u32, mut ask: RequestSpec, call: client::Call) {
+    pub(super) fn open_request(
+        &mut self,
+        number: u32,
+        mut spec: RequestSpec,
+        call: client::ForwardedRequest,
+    ) {
         if let Some(ends) = self.ends {
             if self.now >= ends {
                 return self.reply(number, 503, &[], b"the node ends\n", true);
             }
             // No attempt outlives the node: what it began would be cut off and then have failed.
-            ask.client_timeout = ask.client_timeout.min(ends - self.now);
+            spec.client_timeout = spec.client_timeout.min(ends - self.now);
         }
-        let (req, last_resort) = match self.reqs.open(self.now, number, ask, call) {
+        let (request, guard_at) = match self.requests.open(self.now, number, spec, call) {
             Ok(opened) => opened,
             Err(OpenError::TableFull) => {
                 self.log.line(self.now, "requests-full", "rejected");
@@ -434,19 +450,20 @@
                 );
             }
         };
-        if let Some(session) = self.sessions.get_mut(number) {
-            session.req = Some(req);
+        if let Some(connection) = self.clients.get_mut(number) {
+            connection.request = Some(request);
         }
         // The key is looked up among the headers: only for a trace.
         if self.trace.is_on()
-            && let Some(call) = self.reqs.cargo(req)
+            && let Some(call) = self.requests.payload(request)
         {
             self.trace.line(
                 self.now,
-                format_args!("accepted id={req} key={}", call.key()),
+                format_args!("accepted id={request} key={}", call.key()),
             );
         }
-        self.wheel.schedule(last_resort, Due::Request(req));
+        self.wheel
+            .schedule(guard_at, TimerEvent::DeadlineGuard(request));
     }
 
     /// Gives a session an answer of the node's own.
@@ -459,9 +476,9 @@
         end: bool,
     ) {
         let end = end || self.is_draining();
-        if let Some(session) = self.sessions.get_mut(number) {
-            let end = end || session.left;
-            session.answer(self.now, status, headers, body, end);
+        if let Some(connection) = self.clients.get_mut(number) {
+            let end = end || connection.peer_closed;
+            connection.answer(self.now, status, headers, body, end);
         }
     }
 
@@ -479,66 +496,72 @@
 
     /// The machine lacks something for a moment: the session is gone on with a little later, and
     /// has no event before that, which would come without a pause.
-    fn retry_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    fn retry_client(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
         // Where this fails too, events come early and find the same.
-        let _ = session.watch(
+        let _ = connection.watch(
             &self.epoll,
             token(SESSION, number),
             EventFlags::empty(),
             self.now,
         );
-        session
-            .deadline
-            .set(session.time_limit(), &mut self.wheel, Due::Session(number));
+        connection.deadline.set(
+            connection.time_limit(),
+            &mut self.wheel,
+            TimerEvent::ClientDeadline(number),
+        );
         self.wheel
-            .schedule(self.now + MIN_RETRY, Due::NextMessage(number));
+            .schedule(self.now + MIN_RETRY, TimerEvent::ResumeClient(number));
     }
 
     /// Writes what there is to write, and looks for the right events and deadline.
-    pub(super) fn flush_session(&mut self, number: u32) {
-        let Some(session) = self.sessions.get_mut(number) else {
+    pub(super) fn flush_client(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        let written = session.flush(self.now);
+        let written = connection.flush(self.now);
         if written == WriteOutcome::Broken {
-            return self.drop_session(number, CloseReason::Broken);
+            return self.drop_client(number, CloseReason::Broken);
         }
-        if session.left && session.outbox.is_empty() && session.req.is_none() {
-            let answered = session.phase == client::Phase::Lingering;
+        if connection.peer_closed && connection.outbox.is_empty() && connection.request.is_none() {
+            let answered = connection.state == client::ConnectionState::Lingering;
             let reason = if answered {
                 CloseReason::Answered
             } else {
                 CloseReason::ClientGone
             };
-            return self.drop_session(number, reason);
+            return self.drop_client(number, reason);
         }
-        let wanted = match (session.outbox.is_empty(), session.is_input_full()) {
+        let wanted = match (connection.outbox.is_empty(), connection.is_input_full()) {
             // Its end is known and would be told again without a pause.
-            _ if session.left => EventFlags::OUT,
+            _ if connection.peer_closed => EventFlags::OUT,
             (true, false) => READ,
             (true, true) => EventFlags::RDHUP,
             (false, false) => BOTH,
             (false, true) => EventFlags::OUT | EventFlags::RDHUP,
         };
         if written == WriteOutcome::RetryLater {
-            return self.retry_session(number);
+            return self.retry_client(number);
         }
-        if let Err(error) = session.watch(&self.epoll, token(SESSION, number), wanted, self.now) {
+        if let Err(error) = connection.watch(&self.epoll, token(SESSION, number), wanted, self.now)
+        {
             self.log.line(self.now, "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
-                return self.drop_session(number, CloseReason::Broken);
+                return self.drop_client(number, CloseReason::Broken);
             }
             self.wheel
-                .schedule(self.now + MIN_RETRY, Due::NextMessage(number));
+                .schedule(self.now + MIN_RETRY, TimerEvent::ResumeClient(number));
         }
-        session
-            .deadline
-            .set(session.time_limit(), &mut self.wheel, Due::Session(number));
-        if session.has_next() {
-            self.wheel.schedule(self.now, Due::NextMessage(number));
+        connection.deadline.set(
+            connection.time_limit(),
+            &mut self.wheel,
+            TimerEvent::ClientDeadline(number),
+        );
+        if connection.has_next() {
+            self.wheel
+                .schedule(self.now, TimerEvent::ResumeClient(number));
         }
     }
 }
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -82,55 +82,59 @@
 }
 
 struct Attempt {
-    sent: Nanos,
+    started_at: Nanos,
     /// `None` while it is out.
     outcome: Option<Outcome>,
 }
 
-struct OpenRequest<C> {
-    owner: u32,
+struct PendingRequest<C> {
+    connection: u32,
     txn: Box<str>,
-    cargo: C,
-    effect: Idempotency,
+    payload: C,
+    idempotency: Idempotency,
     deadline: Nanos,
     attempts: Vec<Attempt>,
     /// It has its final answer, or nobody waits for one.
-    over: bool,
+    is_finished: bool,
     last_outcome: Option<Outcome>,
 }
 
-impl<C> OpenRequest<C> {
-    fn out(&self) -> usize {
+impl<C> PendingRequest<C> {
+    fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
-    fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
+    fn may_have_been_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
             .filter(|a| a.outcome.is_none_or(|o| !o.not_executed()))
     }
 
     /// Whether "trying again is harmless" is true.
-    fn refusable(&self) -> bool {
-        rules::may_refuse(self.effect, self.may_have_run().next().is_some()).is_ok()
+    fn is_rejectable(&self) -> bool {
+        rules::may_reject(
+            self.idempotency,
+            self.may_have_been_executed().next().is_some(),
+        )
+        .is_ok()
     }
 
     fn history(&self) -> History {
         History {
-            effect: self.effect,
+            idempotency: self.idempotency,
             attempts: self.attempts.len(),
-            out: self.out(),
-            may_have_run: self.may_have_run().next().is_some(),
+            in_flight: self.in_flight(),
+            may_have_been_executed: self.may_have_been_executed().next().is_some(),
             write_by: self.write_by(),
         }
     }
 
     /// Until when another attempt may reach a backend.
     fn write_by(&self) -> Nanos {
-        match self.effect {
+        match self.idempotency {
             Idempotency::IdempotencyKey { window, .. } => self
-                .may_have_run()
-                .map(|a| a.sent.saturating_add(window))
+                .may_have_been_executed()
+                .map(|a| a.started_at.saturating_add(window))
                 .min()
                 .unwrap_or(Nanos::MAX),
             _ => Nanos::MAX,
@@ -140,10 +144,10 @@
 
 pub struct RequestTable<C> {
     balancer: Balancer,
-    table: Slab<OpenRequest<C>>,
+    table: Slab<PendingRequest<C>>,
     /// Names of the reqs in the table.
     names: HashSet<Box<str>>,
-    effects: Vec<Idempotency>,
+    idempotency_by_class: Vec<Idempotency>,
     max_attempts: usize,
     slack: Nanos,
     actions: Vec<Action>,
@@ -160,13 +164,13 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        most: usize,
+        max: usize,
         now: Nanos,
     ) -> Result<RequestTable<C>, SettingsError> {
         Ok(RequestTable {
-            table: Slab::new(most),
+            table: Slab::new(max),
             names: HashSet::new(),
-            effects: settings
+            idempotency_by_class: settings
                 .classes
                 .iter()
                 .map(|class| class.idempotency)
@@ -188,57 +192,57 @@
     pub fn open(
         &mut self,
         now: Nanos,
-        owner: u32,
-        ask: RequestSpec,
-        cargo: C,
+        connection: u32,
+        spec: RequestSpec,
+        payload: C,
     ) -> Result<(u32, Nanos), OpenError> {
-        if self.names.contains(&ask.txn) {
+        if self.names.contains(&spec.txn) {
             return Err(OpenError::DuplicateId);
         }
-        let req = OpenRequest {
-            owner,
-            txn: ask.txn.clone(),
-            cargo,
-            effect: self.effects[usize::from(ask.class)],
-            deadline: now.saturating_add(ask.client_timeout),
+        let pending = PendingRequest {
+            connection,
+            txn: spec.txn.clone(),
+            payload,
+            idempotency: self.idempotency_by_class[usize::from(spec.class)],
+            deadline: now.saturating_add(spec.client_timeout),
             attempts: Vec::new(),
-            over: false,
+            is_finished: false,
             last_outcome: None,
         };
-        let id = self.table.insert(req).ok_or(OpenError::TableFull)?;
+        let id = self.table.insert(pending).ok_or(OpenError::TableFull)?;
         self.trace.line(
             now,
             format_args!(
                 "request id={id} txn={} client_timeout_us={}",
-                ask.txn,
-                ask.client_timeout / 1_000
+                spec.txn,
+                spec.client_timeout / 1_000
             ),
         );
-        self.names.insert(ask.txn);
+        self.names.insert(spec.txn);
         let request = Request {
             id: RequestId(id),
-            class: ClassId(ask.class),
-            tenant: TenantId(ask.tenant),
+            class: ClassId(spec.class),
+            tenant: TenantId(spec.tenant),
             // No request of ours names its subject, and no decision asks for it.
             key: 0,
-            client_timeout: ask.client_timeout,
-            work_hint: ask.work_hint,
-            client_retry: ask.client_retry,
+            client_timeout: spec.client_timeout,
+            work_hint: spec.work_hint,
+            client_retry: spec.client_retry,
             is_write: !matches!(
-                self.effects[usize::from(ask.class)],
+                self.idempotency_by_class[usize::from(spec.class)],
                 Idempotency::Idempotent
             ),
         };
         self.feed(now, Event::Request(request));
         Ok((
             id,
-            now.saturating_add(ask.client_timeout)
+            now.saturating_add(spec.client_timeout)
                 .saturating_add(self.slack),
         ))
     }
 
-    pub fn cargo(&self, id: u32) -> Option<&C> {
-        self.table.get(id).map(|req| &req.cargo)
+    pub fn payload(&self, id: u32) -> Option<&C> {
+        self.table.get(id).map(|pending| &pending.payload)
     }
 
     /// Draws of the decisions that had to walk the whole list of backends.
@@ -247,34 +251,42 @@
     }
 
     /// The client session that waits for it.
-    pub fn owner(&self, id: u32) -> Option<u32> {
-        self.table.get(id).map(|req| req.owner)
+    pub fn connection(&self, id: u32) -> Option<u32> {
+        self.table.get(id).map(|pending| pending.connection)
     }
 
     /// It has no answer yet, and somebody waits for it.
-    pub fn waits(&self, id: u32) -> bool {
-        self.table.get(id).is_some_and(|req| !req.over)
+    pub fn is_waiting(&self, id: u32) -> bool {
+        self.table
+            .get(id)
+            .is_some_and(|pending| !pending.is_finished)
     }
 
     /// An attempt has ended. Gives the client session that is now to have its answer, if it is the
     /// req's first and the client still waits.
-    pub fn ended(&mut self, now: Nanos, id: u32, attempt: u8, outcome: Outcome) -> Option<u32> {
-        let req = self.table.get_mut(id)?;
-        let ended = req
+    pub fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        id: u32,
+        attempt: u8,
+        outcome: Outcome,
+    ) -> Option<u32> {
+        let pending = self.table.get_mut(id)?;
+        let attempt_ended = pending
             .attempts
             .get_mut(usize::from(attempt))
             .filter(|a| a.outcome.is_none())?;
-        ended.outcome = Some(outcome);
-        let latency = now.saturating_sub(ended.sent);
-        req.last_outcome = Some(outcome);
+        attempt_ended.outcome = Some(outcome);
+        let latency = now.saturating_sub(attempt_ended.started_at);
+        pending.last_outcome = Some(outcome);
         let last = matches!(outcome, Outcome::Success | Outcome::BadRequest);
-        let served = (last && !req.over).then_some(req.owner);
-        req.over |= last;
+        let served = (last && !pending.is_finished).then_some(pending.connection);
+        pending.is_finished |= last;
         if served.is_some() {
             self.violations
-                .extend(rules::check_answer(now, req.deadline).err());
+                .extend(rules::check_answer(now, pending.deadline).err());
         }
-        let finished = req.over;
+        let finished = pending.is_finished;
         self.trace.line(
             now,
             format_args!(
@@ -294,26 +306,30 @@
                 load_report: Vec::new(),
             },
         );
-        self.forget(id);
+        self.remove_if_finished(id);
         served
     }
 
     /// Whether a refusal of it would be true, if what is out counts as never run where it is
     /// `unwritten`.
-    pub fn may_refuse(&self, id: u32, unwritten: bool) -> bool {
-        let Some(req) = self.table.get(id) else {
+    pub fn may_reject(&self, id: u32, unwritten: bool) -> bool {
+        let Some(pending) = self.table.get(id) else {
             return false;
         };
-        let ran = req
-            .may_have_run()
+        let ran = pending
+            .may_have_been_executed()
             .any(|attempt| attempt.outcome.is_some() || !unwritten);
-        rules::may_refuse(req.effect, ran).is_ok()
+        rules::may_reject(pending.idempotency, ran).is_ok()
     }
 
     /// The client has gone.
-    pub fn gone(&mut self, now: Nanos, id: u32) {
-        if let Some(req) = self.table.get_mut(id).filter(|req| !req.over) {
-            req.over = true;
+    pub fn client_gone(&mut self, now: Nanos, id: u32) {
+        if let Some(pending) = self
+            .table
+            .get_mut(id)
+            .filter(|pending| !pending.is_finished)
+        {
+            pending.is_finished = true;
             self.trace
                 .line(now, format_args!("client-disconnected id={id}"));
             self.feed(
@@ -322,7 +338,7 @@
                     request: RequestId(id),
                 },
             );
-            self.forget(id);
+            self.remove_if_finished(id);
         }
     }
 
@@ -334,31 +350,31 @@
 
     /// The node ends before the req has its answer. What never ran is refused, so that the client
     /// may go to another node at once; what may have run has failed.
-    pub fn fail_on_shutdown(&mut self, now: Nanos, id: u32) {
+    pub fn fail_for_shutdown(&mut self, now: Nanos, id: u32) {
         self.force_reply(now, id, LocalReply::Rejected { retry_after: 0 });
     }
 
     /// Answers a req over the head of the decisions; tells whether it still waited.
-    fn force_reply(&mut self, now: Nanos, id: u32, answer: LocalReply) -> bool {
-        let waits = self.waits(id);
-        if waits {
-            self.answer(now, id, answer);
+    fn force_reply(&mut self, now: Nanos, id: u32, reply: LocalReply) -> bool {
+        let is_waiting = self.is_waiting(id);
+        if is_waiting {
+            self.reply(now, id, reply);
             self.feed(
                 now,
                 Event::ClientDisconnected {
                     request: RequestId(id),
                 },
             );
-            self.forget(id);
+            self.remove_if_finished(id);
         }
-        waits
+        is_waiting
     }
 
     /// Every req that has no answer yet.
     pub fn unanswered(&self) -> Vec<u32> {
         self.table
             .iter()
-            .filter(|(_, req)| !req.over)
+            .filter(|(_, pending)| !pending.is_finished)
             .map(|(id, _)| id)
             .collect()
     }
@@ -367,7 +383,7 @@
     pub fn feed(&mut self, now: Nanos, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
-        let mut moot = Vec::new();
+        let mut not_sent = Vec::new();
         for action in actions.drain(..) {
             match action {
                 Action::StartAttempt {
@@ -375,18 +391,18 @@
                     backend,
                     abandon_at,
                 } => {
-                    moot.extend(self.send(now, request.0, backend, abandon_at));
+                    not_sent.extend(self.start_attempt(now, request.0, backend, abandon_at));
                 }
                 Action::Reject {
                     request,
                     retry_after,
                 } => {
-                    self.answer(now, request.0, LocalReply::Rejected { retry_after });
-                    self.forget(request.0);
+                    self.reply(now, request.0, LocalReply::Rejected { retry_after });
+                    self.remove_if_finished(request.0);
                 }
                 Action::Fail { request } => {
-                    self.answer(now, request.0, LocalReply::Failed);
-                    self.forget(request.0);
+                    self.reply(now, request.0, LocalReply::Failed);
+                    self.remove_if_finished(request.0);
                 }
                 Action::CancelAttempt { request, attempt } => {
                     self.trace
@@ -414,31 +430,37 @@
             }
         }
         self.actions = actions;
-        for (id, attempt) in moot {
-            self.ended(now, id, attempt, Outcome::NotSent);
+        for (id, attempt) in not_sent {
+            self.attempt_ended(now, id, attempt, Outcome::NotSent);
         }
     }
 
     /// Starts an attempt, or names it when it must not go out: the rules hold here too, should a
     /// decision ever be wrong.
-    fn send(&mut self, now: Nanos, id: u32, backend: BackendId, until: Nanos) -> Option<(u32, u8)> {
-        let req = self.table.get_mut(id)?;
-        let attempt = u8::try_from(req.attempts.len()).ok()?;
-        let until = if until == 0 {
-            req.deadline
+    fn start_attempt(
+        &mut self,
+        now: Nanos,
+        id: u32,
+        backend: BackendId,
+        abandon_at: Nanos,
+    ) -> Option<(u32, u8)> {
+        let pending = self.table.get_mut(id)?;
+        let attempt = u8::try_from(pending.attempts.len()).ok()?;
+        let abandon_at = if abandon_at == 0 {
+            pending.deadline
         } else {
-            until.min(req.deadline)
+            abandon_at.min(pending.deadline)
         };
         let facts = StartFacts {
-            answered: req.over,
-            deadline: req.deadline,
-            most_attempts: self.max_attempts,
-            history: req.history(),
+            answered: pending.is_finished,
+            deadline: pending.deadline,
+            max_attempts: self.max_attempts,
+            history: pending.history(),
         };
         let allowed = rules::may_start(now, &facts);
-        let write_by = req.write_by();
-        req.attempts.push(Attempt {
-            sent: now,
+        let write_by = pending.write_by();
+        pending.attempts.push(Attempt {
+            started_at: now,
             outcome: None,
         });
         self.trace.line(
@@ -457,7 +479,7 @@
             request: id,
             attempt,
             backend,
-            abandon_at: until,
+            abandon_at,
             write_by,
         });
         None
@@ -465,40 +487,44 @@
 
     /// Gives the final answer, once. A refusal promises that trying again is harmless; where that
     /// is not so it becomes a failure.
-    fn answer(&mut self, now: Nanos, id: u32, answer: LocalReply) {
-        let Some(req) = self.table.get_mut(id).filter(|req| !req.over) else {
+    fn reply(&mut self, now: Nanos, id: u32, reply: LocalReply) {
+        let Some(pending) = self
+            .table
+            .get_mut(id)
+            .filter(|pending| !pending.is_finished)
+        else {
             return;
         };
-        req.over = true;
+        pending.is_finished = true;
         self.violations
-            .extend(rules::check_answer(now, req.deadline).err());
-        let answer = match answer {
-            LocalReply::Rejected { .. } if !req.refusable() => LocalReply::Failed,
+            .extend(rules::check_answer(now, pending.deadline).err());
+        let reply = match reply {
+            LocalReply::Rejected { .. } if !pending.is_rejectable() => LocalReply::Failed,
             other => other,
         };
-        let answer = match answer {
-            LocalReply::Failed if req.last_outcome == Some(Outcome::Timeout) => {
+        let reply = match reply {
+            LocalReply::Failed if pending.last_outcome == Some(Outcome::Timeout) => {
                 LocalReply::TimedOut
             }
             other => other,
         };
         self.trace
-            .line(now, format_args!("answer id={id} what={answer:?}"));
+            .line(now, format_args!("answer id={id} what={reply:?}"));
         self.commands.push_back(Command::Reply {
-            connection: req.owner,
-            reply: answer,
+            connection: pending.connection,
+            reply,
         });
     }
 
     /// Ends a req that is over and has nothing out.
-    fn forget(&mut self, id: u32) {
+    fn remove_if_finished(&mut self, id: u32) {
         if self
             .table
             .get(id)
-            .is_some_and(|req| req.over && req.out() == 0)
-            && let Some(req) = self.table.remove(id)
+            .is_some_and(|pending| pending.is_finished && pending.in_flight() == 0)
+            && let Some(pending) = self.table.remove(id)
         {
-            self.names.remove(&req.txn);
+            self.names.remove(&pending.txn);
         }
     }
 }
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -6,19 +6,19 @@
 
 const NOW: Nanos = 100 * SECOND;
 
-fn reqs(effect: Idempotency) -> RequestTable<()> {
+fn requests(idempotency: Idempotency) -> RequestTable<()> {
     let class = Class {
         latency_objective: SECOND,
         client_timeout: 5 * SECOND,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class],
         ..Settings::default()
     };
-    let mut reqs = RequestTable::new(settings, 1, 4, NOW).unwrap();
+    let mut requests = RequestTable::new(settings, 1, 4, NOW).unwrap();
     let state = EndpointState::Ready;
     let backend = |id| Endpoint {
         id: BackendId(id),
@@ -26,21 +26,21 @@
         state,
         ..Endpoint::default()
     };
-    reqs.feed(
+    requests.feed(
         NOW,
         Event::EndpointUpdate {
             kind: UpdateKind::Full,
             endpoints: vec![backend(1), backend(2)],
         },
     );
-    reqs
+    requests
 }
 
-fn open(reqs: &mut RequestTable<()>) -> u32 {
-    reqs.open(NOW, 77, ask(), ()).unwrap().0
+fn open(requests: &mut RequestTable<()>) -> u32 {
+    requests.open(NOW, 77, spec(), ()).unwrap().0
 }
 
-fn ask() -> RequestSpec {
+fn spec() -> RequestSpec {
     RequestSpec {
         txn: "a".into(),
         class: 0,
@@ -51,58 +51,70 @@
     }
 }
 
-fn answers(reqs: &mut RequestTable<()>) -> Vec<LocalReply> {
-    let answer = |command| match command {
+fn replies(requests: &mut RequestTable<()>) -> Vec<LocalReply> {
+    let reply = |command| match command {
         Command::Reply {
             connection: 77,
             reply,
         } => Some(reply),
         _ => None,
     };
-    reqs.commands.drain(..).filter_map(answer).collect()
+    requests.commands.drain(..).filter_map(reply).collect()
 }
 
 #[test]
 fn one_answer_whatever_comes_after_it() {
-    let mut reqs = reqs(Idempotency::Idempotent);
-    let id = open(&mut reqs);
-    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Success), Some(77));
-    assert_eq!(reqs.ended(NOW + MS, id, 0, Outcome::Success), None);
-    assert!(!reqs.expire(NOW + 2 * SECOND, id) && answers(&mut reqs).is_empty());
-    assert!(reqs.unanswered().is_empty() && reqs.cargo(id).is_none());
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
+    assert_eq!(
+        requests.attempt_ended(NOW + MS, id, 0, Outcome::Success),
+        Some(77)
+    );
+    assert_eq!(
+        requests.attempt_ended(NOW + MS, id, 0, Outcome::Success),
+        None
+    );
+    assert!(!requests.expire(NOW + 2 * SECOND, id) && replies(&mut requests).is_empty());
+    assert!(requests.unanswered().is_empty() && requests.payload(id).is_none());
 }
 
 #[test]
-fn a_name_is_free_again_once_its_req_has_nothing_out() {
-    let mut reqs = reqs(Idempotency::Idempotent);
-    let id = open(&mut reqs);
-    assert_eq!(reqs.open(NOW, 78, ask(), ()), Err(OpenError::DuplicateId));
-    assert!(reqs.expire(NOW + SECOND, id));
+fn a_name_is_free_again_once_its_request_has_nothing_in_flight() {
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
     assert_eq!(
-        reqs.open(NOW + SECOND, 78, ask(), ()),
+        requests.open(NOW, 78, spec(), ()),
         Err(OpenError::DuplicateId)
     );
-    reqs.ended(NOW + SECOND, id, 0, Outcome::Cancelled);
-    assert!(reqs.open(NOW + SECOND, 78, ask(), ()).is_ok());
+    assert!(requests.expire(NOW + SECOND, id));
+    assert_eq!(
+        requests.open(NOW + SECOND, 78, spec(), ()),
+        Err(OpenError::DuplicateId)
+    );
+    requests.attempt_ended(NOW + SECOND, id, 0, Outcome::Cancelled);
+    assert!(requests.open(NOW + SECOND, 78, spec(), ()).is_ok());
 }
 
 #[test]
-fn the_last_resort_answers_stops_the_fetch_and_keeps_the_req_until_that_has_ended() {
-    let mut reqs = reqs(Idempotency::Idempotent);
-    let id = open(&mut reqs);
-    assert!(reqs.expire(NOW + SECOND, id));
-    assert!(reqs.commands.contains(&Command::CancelAttempt {
+fn the_deadline_guard_answers_cancels_the_attempt_and_keeps_the_request_until_that_has_ended() {
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
+    assert!(requests.expire(NOW + SECOND, id));
+    assert!(requests.commands.contains(&Command::CancelAttempt {
         request: id,
         attempt: 0
     }));
-    assert_eq!(answers(&mut reqs), [LocalReply::TimedOut]);
-    assert!(reqs.cargo(id).is_some());
-    assert_eq!(reqs.ended(NOW + SECOND, id, 0, Outcome::Cancelled), None);
-    assert!(reqs.cargo(id).is_none() && answers(&mut reqs).is_empty());
+    assert_eq!(replies(&mut requests), [LocalReply::TimedOut]);
+    assert!(requests.payload(id).is_some());
+    assert_eq!(
+        requests.attempt_ended(NOW + SECOND, id, 0, Outcome::Cancelled),
+        None
+    );
+    assert!(requests.payload(id).is_none() && replies(&mut requests).is_empty());
 }
 
 #[test]
-fn a_node_that_ends_refuses_what_never_ran_and_fails_what_may_have() {
+fn a_shutdown_rejects_what_was_not_executed_and_fails_what_may_have_been() {
     let keyed = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: SECOND,
@@ -114,17 +126,17 @@
         ),
         (None, LocalReply::Failed),
     ] {
-        let mut reqs = reqs(keyed);
-        let id = open(&mut reqs);
-        reqs.table.get_mut(id).unwrap().attempts[0].outcome = outcome;
-        reqs.fail_on_shutdown(NOW + MS, id);
-        assert_eq!(answers(&mut reqs), [wanted]);
+        let mut requests = requests(keyed);
+        let id = open(&mut requests);
+        requests.table.get_mut(id).unwrap().attempts[0].outcome = outcome;
+        requests.fail_for_shutdown(NOW + MS, id);
+        assert_eq!(replies(&mut requests), [wanted]);
     }
 }
 
 #[test]
-fn no_refusal_of_what_may_have_run() {
-    for (effect, outcome, wanted) in [
+fn nothing_that_may_have_been_executed_is_rejected() {
+    for (idempotency, outcome, wanted) in [
         (
             Idempotency::NotIdempotent,
             Outcome::Reset,
@@ -157,35 +169,42 @@
             LocalReply::Rejected { retry_after: 0 },
         ),
     ] {
-        let mut reqs = reqs(effect);
-        let id = open(&mut reqs);
+        let mut requests = requests(idempotency);
+        let id = open(&mut requests);
         // After a first answer nothing is decided any more, so the guard is met directly.
-        reqs.table.get_mut(id).unwrap().attempts[0].outcome = Some(outcome);
-        reqs.table.get_mut(id).unwrap().last_outcome = Some(outcome);
-        reqs.answer(NOW, id, LocalReply::Rejected { retry_after: 0 });
-        assert_eq!(answers(&mut reqs), [wanted], "{effect:?} {outcome:?}");
+        requests.table.get_mut(id).unwrap().attempts[0].outcome = Some(outcome);
+        requests.table.get_mut(id).unwrap().last_outcome = Some(outcome);
+        requests.reply(NOW, id, LocalReply::Rejected { retry_after: 0 });
+        assert_eq!(
+            replies(&mut requests),
+            [wanted],
+            "{idempotency:?} {outcome:?}"
+        );
     }
 }
 
 #[test]
-fn a_repeat_must_be_written_within_the_window_of_the_attempt_that_may_have_run() {
-    let mut reqs = reqs(Idempotency::IdempotencyKey {
+fn a_retry_must_be_written_within_the_window_of_the_attempt_that_may_have_been_executed() {
+    let mut requests = requests(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: 300 * MS,
     });
-    let id = open(&mut reqs);
-    assert_eq!(reqs.table.get(id).unwrap().write_by(), NOW + 300 * MS);
-    reqs.table.get_mut(id).unwrap().attempts[0].outcome = Some(Outcome::Reset);
+    let id = open(&mut requests);
+    assert_eq!(requests.table.get(id).unwrap().write_by(), NOW + 300 * MS);
+    requests.table.get_mut(id).unwrap().attempts[0].outcome = Some(Outcome::Reset);
     assert_eq!(
-        reqs.send(NOW + 301 * MS, id, BackendId(2), 0),
+        requests.start_attempt(NOW + 301 * MS, id, BackendId(2), 0),
         Some((id, 1))
     );
-    let req = reqs.table.get_mut(id).unwrap();
-    req.attempts[1].outcome = Some(Outcome::NotSent);
-    assert_eq!(reqs.send(NOW + 299 * MS, id, BackendId(2), 0), None);
+    let pending = requests.table.get_mut(id).unwrap();
+    pending.attempts[1].outcome = Some(Outcome::NotSent);
+    assert_eq!(
+        requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
+        None
+    );
     // Never two at once.
     assert_eq!(
-        reqs.send(NOW + 299 * MS, id, BackendId(2), 0),
+        requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
         Some((id, 3))
     );
 }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -14,7 +14,7 @@
 
 /// Shortest time with a backend that is worth an attempt: less is told as 0 ms, and such an attempt
 /// is over when it comes.
-const LEAST_TIME: Nanos = MS;
+const MIN_TIME_LEFT: Nanos = MS;
 
 /// Why something is not allowed now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,11 +26,11 @@
     /// The client's time, or the attempt's, is over.
     DeadlinePassed,
     /// Another attempt of the request is out.
-    AttemptOut,
+    AttemptInFlight,
     /// The request has had as many attempts as the settings allow.
     AttemptsSpent,
     /// An earlier attempt may have run, and the class does not allow a repeat.
-    MayHaveRun,
+    MayHaveBeenExecuted,
     /// Backends no longer drop a repeat of this keyed request.
     WindowClosed,
     /// The list calls the backend draining or gone.
@@ -48,9 +48,9 @@
             Denial::Answered => "answered",
             Denial::ClientGone => "client_disconnected",
             Denial::DeadlinePassed => "deadline_passed",
-            Denial::AttemptOut => "attempt_out",
+            Denial::AttemptInFlight => "attempt_out",
             Denial::AttemptsSpent => "attempts_spent",
-            Denial::MayHaveRun => "may_have_run",
+            Denial::MayHaveBeenExecuted => "may_have_run",
             Denial::WindowClosed => "window_closed",
             Denial::BackendNotReady => "backend_not_ready",
             Denial::Unread => "unread",
@@ -69,13 +69,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct History {
     /// What repeating the request does.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Attempts so far.
     pub attempts: usize,
     /// Attempts that have not ended.
-    pub out: usize,
+    pub in_flight: usize,
     /// Some attempt may have run, or may still run.
-    pub may_have_run: bool,
+    pub may_have_been_executed: bool,
     /// Until when a repeat may be written: the earliest end of a window of those that may have run.
     pub write_by: Nanos,
 }
@@ -88,7 +88,7 @@
     /// When the client gives up.
     pub deadline: Nanos,
     /// Attempts that the settings allow for a request.
-    pub most_attempts: usize,
+    pub max_attempts: usize,
     /// Its earlier attempts.
     pub history: History,
 }
@@ -100,12 +100,12 @@
         Err(Denial::Answered)
     } else if now >= facts.deadline {
         Err(Denial::DeadlinePassed)
-    } else if history.out > 0 {
-        Err(Denial::AttemptOut)
-    } else if history.attempts >= facts.most_attempts {
+    } else if history.in_flight > 0 {
+        Err(Denial::AttemptInFlight)
+    } else if history.attempts >= facts.max_attempts {
         Err(Denial::AttemptsSpent)
-    } else if history.effect == Idempotency::NotIdempotent && history.may_have_run {
-        Err(Denial::MayHaveRun)
+    } else if history.idempotency == Idempotency::NotIdempotent && history.may_have_been_executed {
+        Err(Denial::MayHaveBeenExecuted)
     } else if now > history.write_by {
         Err(Denial::WindowClosed)
     } else {
@@ -123,7 +123,7 @@
     /// The list calls the backend ready.
     pub backend_ready: bool,
     /// When the attempt is given up.
-    pub until: Nanos,
+    pub abandon_at: Nanos,
     /// Until when it may be written.
     pub write_by: Nanos,
 }
@@ -137,14 +137,14 @@
 
 impl WritePermit {
     /// The time that the backend may be told, in whole milliseconds: what is left, rounded down.
-    pub fn told_ms(&self) -> u64 {
+    pub fn timeout_ms(&self) -> u64 {
         self.time_left / MS
     }
 
     /// Whether what was written under this permit was written in time; `now` is read after the
     /// write.
     pub fn check(self, now: Nanos) -> Result<(), Violation> {
-        if now > self.write_by.saturating_add(HELD_UP) {
+        if now > self.write_by.saturating_add(MAX_WRITE_DELAY) {
             Err(Violation::WrittenLate)
         } else {
             Ok(())
@@ -153,7 +153,7 @@
 }
 
 /// A process may be held up for this long between its clock and its write; the terms allow for it.
-const HELD_UP: Nanos = 150 * MS;
+const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
 /// Whether the first byte of an attempt may be written now; `now` is a fresh reading of the clock.
 pub fn may_write(now: Nanos, facts: &WriteFacts) -> Result<WritePermit, Denial> {
@@ -163,28 +163,30 @@
         Err(Denial::ClientGone)
     } else if !facts.backend_ready {
         Err(Denial::BackendNotReady)
-    } else if now.saturating_add(LEAST_TIME) > facts.until {
+    } else if now.saturating_add(MIN_TIME_LEFT) > facts.abandon_at {
         Err(Denial::DeadlinePassed)
     } else if now > facts.write_by {
         Err(Denial::WindowClosed)
     } else {
         Ok(WritePermit {
-            time_left: facts.until - now,
+            time_left: facts.abandon_at - now,
             write_by: facts.write_by,
         })
     }
 }
 
 /// Whether a refusal, which tells the client that trying again is harmless, would be true.
-pub fn may_refuse(effect: Idempotency, may_have_run: bool) -> Result<(), Denial> {
-    match effect {
+pub fn may_reject(idempotency: Idempotency, may_have_been_executed: bool) -> Result<(), Denial> {
+    match idempotency {
         Idempotency::Idempotent
         | Idempotency::IdempotencyKey {
             scope: DeduplicationScope::Global,
             ..
         } => Ok(()),
-        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent if may_have_run => {
-            Err(Denial::MayHaveRun)
+        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent
+            if may_have_been_executed =>
+        {
+            Err(Denial::MayHaveBeenExecuted)
         }
         Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => Ok(()),
     }
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -15,16 +15,16 @@
 
 fn start() -> StartFacts {
     let history = History {
-        effect: KEYED,
+        idempotency: KEYED,
         attempts: 1,
-        out: 0,
-        may_have_run: true,
+        in_flight: 0,
+        may_have_been_executed: true,
         write_by: NOW + 100 * MS,
     };
     StartFacts {
         answered: false,
         deadline: NOW + 500 * MS,
-        most_attempts: 3,
+        max_attempts: 3,
         history,
     }
 }
@@ -34,7 +34,7 @@
         answered: false,
         client_gone: false,
         backend_ready: true,
-        until: NOW + 500 * MS,
+        abandon_at: NOW + 500 * MS,
         write_by: NOW + 100 * MS,
     }
 }
@@ -45,14 +45,14 @@
     let cases: [(Denial, Change<StartFacts>); 7] = [
         (Denial::Answered, |f| f.answered = true),
         (Denial::DeadlinePassed, |f| f.deadline = NOW),
-        (Denial::AttemptOut, |f| f.history.out = 1),
+        (Denial::AttemptInFlight, |f| f.history.in_flight = 1),
         (Denial::AttemptsSpent, |f| f.history.attempts = 3),
-        (Denial::MayHaveRun, |f| {
-            f.history.effect = Idempotency::NotIdempotent
+        (Denial::MayHaveBeenExecuted, |f| {
+            f.history.idempotency = Idempotency::NotIdempotent
         }),
         (Denial::WindowClosed, |f| f.history.write_by = NOW - 1),
-        (Denial::AttemptOut, |f| {
-            (f.history.out, f.history.effect) = (1, Idempotency::Idempotent)
+        (Denial::AttemptInFlight, |f| {
+            (f.history.in_flight, f.history.idempotency) = (1, Idempotency::Idempotent)
         }),
     ];
     for (wanted, change) in cases {
@@ -65,38 +65,44 @@
 #[test]
 fn a_byte_is_written_unless_one_fact_forbids_it() {
     assert_eq!(
-        may_write(NOW, &write()).map(|permit| permit.told_ms()).ok(),
+        may_write(NOW, &write())
+            .map(|permit| permit.timeout_ms())
+            .ok(),
         Some(500)
     );
     let cases: [(Denial, Change<WriteFacts>); 6] = [
         (Denial::Answered, |f| f.answered = true),
         (Denial::ClientGone, |f| f.client_gone = true),
         (Denial::BackendNotReady, |f| f.backend_ready = false),
-        (Denial::DeadlinePassed, |f| f.until = NOW),
-        (Denial::DeadlinePassed, |f| f.until = NOW + LEAST_TIME - 1),
+        (Denial::DeadlinePassed, |f| f.abandon_at = NOW),
+        (Denial::DeadlinePassed, |f| {
+            f.abandon_at = NOW + MIN_TIME_LEFT - 1
+        }),
         (Denial::WindowClosed, |f| f.write_by = NOW - 1),
     ];
     for (wanted, change) in cases {
         let mut facts = write();
         change(&mut facts);
         assert_eq!(
-            may_write(NOW, &facts).map(|permit| permit.told_ms()).err(),
+            may_write(NOW, &facts)
+                .map(|permit| permit.timeout_ms())
+                .err(),
             Some(wanted)
         );
     }
 }
 
 #[test]
-fn the_time_told_is_rounded_down_and_a_late_write_is_a_violation() {
+fn the_timeout_is_rounded_down_and_a_late_write_is_a_violation() {
     let facts = WriteFacts {
-        until: NOW + 7 * MS + 999_999,
+        abandon_at: NOW + 7 * MS + 999_999,
         ..write()
     };
-    assert_eq!(may_write(NOW, &facts).unwrap().told_ms(), 7);
+    assert_eq!(may_write(NOW, &facts).unwrap().timeout_ms(), 7);
     let permit = || may_write(NOW, &write()).unwrap();
-    assert_eq!(permit().check(NOW + 100 * MS + HELD_UP), Ok(()));
+    assert_eq!(permit().check(NOW + 100 * MS + MAX_WRITE_DELAY), Ok(()));
     assert_eq!(
-        permit().check(NOW + 101 * MS + HELD_UP),
+        permit().check(NOW + 101 * MS + MAX_WRITE_DELAY),
         Err(Violation::WrittenLate)
     );
 }
@@ -111,12 +117,12 @@
 }
 
 #[test]
-fn a_refusal_is_true_only_where_a_repeat_is_harmless() {
+fn a_rejection_is_true_only_where_a_retry_is_harmless() {
     let all = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Global,
         window: MS,
     };
-    for (effect, may_have_run, allowed) in [
+    for (idempotency, may_have_been_executed, allowed) in [
         (Idempotency::Idempotent, true, true),
         (all, true, true),
         (KEYED, true, false),
@@ -125,9 +131,9 @@
         (Idempotency::NotIdempotent, false, true),
     ] {
         assert_eq!(
-            may_refuse(effect, may_have_run).is_ok(),
+            may_reject(idempotency, may_have_been_executed).is_ok(),
             allowed,
-            "{effect:?} {may_have_run}"
+            "{idempotency:?} {may_have_been_executed}"
         );
     }
 }
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -19,15 +19,15 @@
 
 /// A change counts as notified at the latest this long after the list service had it (protocol
 /// page), so what a list tells as new had not been so for much longer.
-const MOST_LIST_LAG: Nanos = 6 * SECOND;
+const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
 /// The wall clock may be off by an hour (the operators' terms), and as much again to spare: what
 /// seems to be older than this is old.
-const MOST_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
+const MAX_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
 
 /// What the node knows when it hears of a start.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
+pub struct StartObservation {
     /// Now, on the monotonic clock.
     pub now: Nanos,
     /// Wall-clock time now, in Unix milliseconds.
@@ -42,38 +42,43 @@
 #[derive(Debug, Default)]
 pub struct StartTimes {
     /// The wall-clock time at the monotonic clock's zero is not before this, in nanoseconds.
-    least_wall_at_zero: Nanos,
+    min_wall_at_zero: Nanos,
 }
 
 impl StartTimes {
     /// Takes note of a start that is heard of now.
     pub fn note(&mut self, boot_ms: u64, now: Nanos) {
-        self.least_wall_at_zero = self
-            .least_wall_at_zero
+        self.min_wall_at_zero = self
+            .min_wall_at_zero
             .max(boot_ms.saturating_mul(MS).saturating_sub(now));
     }
 
     /// When a backend started whose list entry has this `boot_ms`, on the monotonic clock; `None`:
     /// long ago.
-    pub fn started_at(&self, boot_ms: u64, heard: &Heard) -> Option<Nanos> {
+    pub fn started_at(&self, boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
         if boot_ms == 0 {
             return None;
         }
-        let age_by_wall = heard.wall_now_ms.saturating_sub(boot_ms).saturating_mul(MS);
-        let Some(confirmed) = heard.confirmed else {
-            return (age_by_wall <= MOST_CLOCK_ERROR).then_some(heard.now);
+        let age_by_wall = observation
+            .wall_now_ms
+            .saturating_sub(boot_ms)
+            .saturating_mul(MS);
+        let Some(confirmed) = observation.confirmed else {
+            return (age_by_wall <= MAX_CLOCK_ERROR).then_some(observation.now);
         };
         let boot = boot_ms.saturating_mul(MS);
-        let by_wall = heard.now.checked_sub(age_by_wall);
-        let by_clock_at_start = boot.checked_sub(heard.wall_at_zero);
-        let by_starts_heard = boot.checked_sub(self.least_wall_at_zero);
+        let by_wall = observation.now.checked_sub(age_by_wall);
+        let by_clock_at_start = boot.checked_sub(observation.wall_at_zero);
+        let by_starts_heard = boot.checked_sub(self.min_wall_at_zero);
         let latest = by_wall.max(by_clock_at_start).max(by_starts_heard);
         // A start that lies ahead is not later than the moment it was heard.
-        let started = latest.map(|at| at.min(heard.now)).filter(|at| *at > 0);
-        let earliest = confirmed.saturating_sub(MOST_LIST_LAG);
+        let started = latest
+            .map(|at| at.min(observation.now))
+            .filter(|at| *at > 0);
+        let earliest = confirmed.saturating_sub(MAX_LIST_LAG);
         // Where the clocks contradict what the node has heard, nothing is known but that it is new.
         if started.is_none_or(|at| at < earliest) {
-            Some(heard.now)
+            Some(observation.now)
         } else {
             started
         }
