--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -4,11 +4,12 @@
 
 use kitefork_balancer::{Idempotency, Nanos};
 use kitefork_settings::Deployment;
-use rustix::event::epoll::{EventData, EventFlags};
+use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
 use crate::arrival::Arrival;
 use crate::clock::{MS, SECOND};
+use crate::event_loop::{EventLoop, Token};
 use crate::http1::{self, Head, MAX_ANSWER, MAX_HEAD, ParseError, Parser, Start};
 use crate::net::{self, Registration, Unread};
 use crate::request_table::{LocalReply, RequestSpec};
@@ -324,13 +325,13 @@
     /// As [`Registration::set`].
     pub fn watch(
         &mut self,
-        epoll: &OwnedFd,
-        token: EventData,
+        event_loop: &EventLoop,
+        token: Token,
         wanted: EventFlags,
         now: Nanos,
     ) -> Result<(), Errno> {
         let was_watched = self.registration.flags().contains(EventFlags::IN);
-        self.registration.set(epoll, &self.socket, token, wanted)?;
+        event_loop.register(&mut self.registration, &self.socket, token, wanted)?;
         if wanted.contains(EventFlags::IN) && !was_watched {
             self.arrival.watched = now;
         }
--- /dev/null
+++ b/crates/node/src/diagnostics.rs
@@ -0,0 +1,74 @@
+//! What the node reports of itself: the log, the trace and the counters.
+
+use std::fmt;
+
+use kitefork_balancer::Nanos;
+
+use crate::counters::{CloseReason, Counters};
+use crate::log::{Log, Trace};
+use crate::rules::{Denial, Violation};
+
+/// The node's log, trace and counters. All times are in nanoseconds on the node's clock.
+pub struct Diagnostics {
+    log: Log,
+    trace: Trace,
+    counters: Counters,
+}
+
+impl Diagnostics {
+    /// An empty log and counters beside this trace.
+    pub fn new(trace: Trace) -> Diagnostics {
+        Diagnostics {
+            log: Log::default(),
+            trace,
+            counters: Counters::default(),
+        }
+    }
+
+    /// Writes a log line of a kind; see [`Log::line`].
+    pub fn log(&mut self, now: Nanos, kind: &'static str, details: impl fmt::Display) {
+        self.log.line(now, kind, details);
+    }
+
+    /// Writes a trace line, if the trace is on.
+    pub fn trace(&self, now: Nanos, details: fmt::Arguments) {
+        self.trace.line(now, details);
+    }
+
+    /// Whether trace lines are written at all.
+    pub fn is_tracing(&self) -> bool {
+        self.trace.is_on()
+    }
+
+    /// Counts one event of a kind and reason.
+    pub fn count(&mut self, kind: &'static str, reason: &'static str) {
+        self.counters.add(kind, reason);
+    }
+
+    /// Counts a closed client connection.
+    pub fn count_closed(&mut self, reason: CloseReason) {
+        self.counters.closed(reason);
+    }
+
+    /// Counts what the protocol rules did not allow.
+    pub fn count_denial(&mut self, now: Nanos, denial: Denial, subject: fmt::Arguments) {
+        self.counters.add("denied", denial.name());
+        self.trace
+            .line(now, format_args!("denied why={denial} {subject}"));
+    }
+
+    /// Counts and logs a protocol rule that was found broken after the act: a fault of the program.
+    pub fn count_violation(&mut self, now: Nanos, violation: Violation, subject: fmt::Arguments) {
+        self.counters.add("violation", violation.name());
+        self.log.line(
+            now,
+            "violation",
+            format_args!("rule={} {subject}", violation.name()),
+        );
+    }
+
+    /// The counters, for the line at the end of the process.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,6 +1,8 @@
-//! kitefork: one node in front of the backends. SIGHUP has it read its
-//! configuration anew. Exit codes: 0 after SIGTERM, 1 when the network calls fail,
-//! 2 when the configuration is wrong.
+//! kitefork: one load-balancing proxy in front of the backends.
+//!
+//! SIGTERM and SIGINT shut it down gracefully, SIGHUP has it read its configuration again. Exit
+//! codes: 0 after a graceful shutdown, 1 when a network or system call fails, 2 when the
+//! configuration is invalid.
 #![forbid(unsafe_code)]
 
 mod arrival;
@@ -9,8 +11,10 @@
 mod config;
 mod counters;
 mod descriptor_budget;
+mod diagnostics;
 mod discovery;
 mod errno;
+mod event_loop;
 mod fetch;
 mod http1;
 mod log;
@@ -26,28 +30,30 @@
 
 use std::process::ExitCode;
 
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use crate::signals::Signals;
 
-use crate::signals::Signal;
+/// The exit code where a network or system call fails.
+const EXIT_SYSTEM: u8 = 1;
+/// The exit code where the configuration is invalid.
+const EXIT_CONFIGURATION: u8 = 2;
 
 fn main() -> ExitCode {
-    let fault = |code: u8, why: String| {
-        eprintln!("kitefork: fault {why}");
-        ExitCode::from(code)
-    };
     // First of all: a signal that comes before its handler ends the process.
-    let signals = Signal::register(&[SIGTERM, SIGINT])
-        .and_then(|end| Ok([end, Signal::register(&[SIGHUP])?]));
-    let signals = match signals {
+    let signals = match Signals::register() {
         Ok(signals) => signals,
-        Err(error) => return fault(1, format!("signals: {error}")),
+        Err(error) => return fail(EXIT_SYSTEM, format_args!("signals: {error}")),
     };
     let config = match config::load(|name| std::env::var(name).ok()) {
         Ok(config) => config,
-        Err(why) => return fault(2, why.to_string()),
+        Err(error) => return fail(EXIT_CONFIGURATION, format_args!("{error}")),
     };
     match node::Node::start(config, signals).and_then(node::Node::run) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => fault(1, why),
+        Err(error) => fail(EXIT_SYSTEM, format_args!("{error}")),
     }
 }
+
+fn fail(code: u8, error: std::fmt::Arguments) -> ExitCode {
+    eprintln!("kitefork: fault {error}");
+    ExitCode::from(code)
+}
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,45 +7,73 @@
 mod sessions;
 
 use std::collections::VecDeque;
+use std::fmt;
+use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-use kitefork_balancer::{BackendId, Event, Nanos, Outcome, TimerId};
+use kitefork_balancer::{BackendId, Event, Nanos, Outcome, SettingsError};
 use kitefork_settings::Deployment;
-use rustix::event::Timespec;
-use rustix::event::epoll::{self, EventData, EventFlags};
+use rustix::event::epoll::{self, EventFlags};
 use rustix::io::Errno;
+use thiserror::Error;
 
 use crate::client::{self, ClientConnection};
-use crate::clock::{Clock, MS, SECOND};
+use crate::clock::{Clock, MS};
 use crate::config::Config;
-use crate::counters::Counters;
 use crate::descriptor_budget::{DescriptorBudget, Purpose};
+use crate::diagnostics::Diagnostics;
 use crate::discovery::{DiscoveryCall, EndpointList, Freshness};
+use crate::event_loop::{EventLoop, MIN_RETRY, PEER_CLOSED, TimerEvent, Token};
 use crate::fetch::{Pool, UpstreamAttempt, UpstreamConnection};
-use crate::log::{Log, Trace};
+use crate::log::Trace;
 use crate::net;
 use crate::request_table::{Command, RequestTable};
 use crate::ring_buffer::BufferBudget;
-use crate::rules::{Denial, Violation};
-use crate::signals::Signal;
+use crate::rules::Violation;
+use crate::signals::{SignalKind, Signals};
 use crate::slab::Slab;
-use crate::timer_wheel::TimerWheel;
 
-/// A probe that has no answer by then has failed.
+/// A health check without an answer after this, in nanoseconds, has failed.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
-/// The loop looks at all sockets at least this often, so that it knows within this time since when
-/// a socket that now holds bytes can have held them.
-const MAX_POLL_WAIT: Nanos = 50 * MS;
-/// A gap between two looks that only a process that was stopped has.
-const STALL_THRESHOLD: Nanos = 250 * MS;
-/// A loop that wakes so much later than it wanted to has been stopped meanwhile.
-const MAX_WAKE_DELAY: Nanos = 50 * MS;
-/// Events of a wait that took longer than this may be old; looking again costs one system call.
-const MAX_EVENT_AGE: Nanos = 20 * MS;
-/// Looks that are made anew in one turn at most, for a process that is held up at each.
-const MAX_REPEATED_POLLS: u32 = 4;
-/// What the machine could not do for a moment is tried again after this.
-const MIN_RETRY: Nanos = 2 * MS;
+/// Discovery calls that are open at a time: a watch, a poll and their successors after a reload.
+const MAX_DISCOVERY_CALLS: usize = 4;
+
+/// Timer granularity, in nanoseconds, whatever tick the settings have.
+const MIN_TICK: Nanos = MS;
+const MAX_TICK: Nanos = 10 * MS;
+/// Part of a request's time after which rejecting it has a price although no backend has seen it
+/// (the platform's figure).
+const NEVER_ATTEMPTED_FRACTION: f64 = 0.5;
+/// Connections that fit in a mebibyte. Bodies are on the buffer budget; beside them a connection
+/// holds a head at most, of which these fit in a third of the memory.
+const CONNECTIONS_PER_MIB: usize = 16;
+/// Descriptors that are used however little memory is configured.
+const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
+/// The buffer budget is a quarter of the configured memory, which counts as this much at least.
+const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
+const MIN_MEMORY_MIB: usize = 4;
+
+/// Why the node can't start or go on; the text is what the program prints.
+#[derive(Debug, Error)]
+pub enum NodeError {
+    /// The decision module does not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The listening address can't be bound.
+    #[error("listen on {address}: {error}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's answer.
+        error: Errno,
+    },
+    /// The address of the listening socket can't be read.
+    #[error("getsockname: {0}")]
+    LocalAddress(Errno),
+    /// A call of `epoll` failed.
+    #[error("epoll: {0}")]
+    Epoll(Errno),
+}
 
 /// An attempt whose connection the machine could not start for a moment.
 struct PostponedDial {
@@ -57,88 +85,43 @@
     give_up: Nanos,
 }
 
-/// What hangs on the wheel.
-#[derive(Clone, Copy)]
-enum TimerEvent {
-    ClientDeadline(u32),
-    ResumeClient(u32),
-    DeadlineGuard(u32),
-    UpstreamDeadline(u32),
-    ResumeUpstream(u32),
-    RetryPostponedDials,
-    DiscoveryDeadline(u32),
-    ResumeDiscoveryCall(u32),
-    RetryDiscoveryCall { watch: bool },
-    BalancerTimer(TimerId),
-    ResumeAccepting,
-    TrimClients,
-    StopAccepting,
-    LastAnswers,
-    ForceClose,
-    OpenWatch,
-    ServeStaleList,
-}
-
-/// What a socket belongs to; its epoll token holds this and a number.
-const LISTENER: u64 = 0;
-/// The number is the signal's place among the node's.
-const SIGNAL: u64 = 1;
-const TERMINATE: u32 = 0;
-const RELOAD: u32 = 1;
-const SESSION: u64 = 2;
-const FETCH: u64 = 3;
-const CALL: u64 = 4;
-
-const READ: EventFlags = EventFlags::IN.union(EventFlags::RDHUP);
-const BOTH: EventFlags = READ.union(EventFlags::OUT);
-const LEFT: EventFlags = EventFlags::RDHUP
-    .union(EventFlags::HUP)
-    .union(EventFlags::ERR);
-
-fn token(kind: u64, number: u32) -> EventData {
-    EventData::new_u64(kind << 32 | u64::from(number))
-}
-
-/// Whether an event may forbid a send: a client has left, or there is news of the backends.
-fn forbids(event: &epoll::Event) -> bool {
-    let (kind, flags) = (event.data.u64() >> 32, event.flags);
-    kind == CALL || (kind == SESSION && flags.intersects(LEFT))
+/// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
+fn may_forbid_send(event: &epoll::Event) -> bool {
+    // The fields of a packed struct are copied before they are used.
+    let (data, flags) = (event.data, event.flags);
+    match Token::decode(data) {
+        Some(Token::Discovery(_)) => true,
+        Some(Token::Client(_)) => flags.intersects(PEER_CLOSED),
+        _ => false,
+    }
 }
 
+/// One proxy process: the wiring of its parts.
 pub struct Node {
-    clock: Clock,
-    now: Nanos,
-    /// When the look before this turn's found no event on the sockets that have one now.
-    previous_poll_at: Nanos,
-    /// When this turn's look was made; the next turn's sockets with an event were without one then.
-    last_poll_at: Nanos,
+    event_loop: EventLoop,
+    diagnostics: Diagnostics,
+    signals: Signals,
+    deployment: Deployment,
+    requests: RequestTable<client::ForwardedRequest>,
+    /// Bounds what all connections hold in buffers.
+    buffer_budget: BufferBudget,
+    /// Bounds how many connections there are.
+    descriptor_budget: DescriptorBudget,
     /// When the accept queue was last read empty, and since when an event is given for a client
     /// that comes.
     queue_emptied: Nanos,
     queue_watched: Nanos,
-    counters: Counters,
     /// After this the next accept is tried where the machine lacks something.
     accept_retry: Nanos,
     postponed: Vec<PostponedDial>,
-    wheel: TimerWheel<TimerEvent>,
-    epoll: OwnedFd,
-    log: Log,
-    trace: Trace,
-    deployment: Deployment,
     discovery: std::net::SocketAddr,
     /// `None` once no more clients are taken.
     listener: Option<OwnedFd>,
     accepting: bool,
-    /// Readable when the node is to end, and when it is to read its configuration anew.
-    signals: [Signal; 2],
     /// From SIGTERM on: when whatever waits gets its answer.
     ends: Option<Nanos>,
     /// SIGKILL is due: the process ends whatever is open.
     quit: bool,
-    /// For all that sessions and fetches hold in buffers.
-    buffer_budget: BufferBudget,
-    /// For all that sessions and fetches hold in descriptors.
-    descriptor_budget: DescriptorBudget,
     /// A look at how many sessions have asked hangs on the wheel.
     trim_scheduled: bool,
     clients: Slab<ClientConnection>,
@@ -159,91 +142,77 @@
     list_synced: bool,
     failed_calls: u32,
     endpoint_list: EndpointList,
-    requests: RequestTable<client::ForwardedRequest>,
 }
 
 impl Node {
-    /// Starts to listen. The first of `signals` comes when the node is to end, the second when it
-    /// is to read its configuration anew.
-    pub fn start(config: Config, signals: [Signal; 2]) -> Result<Node, String> {
+    /// Starts to listen, and applies the endpoint list that the configuration holds.
+    ///
+    /// # Errors
+    ///
+    /// If the settings are invalid, or a system call fails that the node can't do without.
+    pub fn start(config: Config, signals: Signals) -> Result<Node, NodeError> {
         let clock = Clock::start();
         let now = clock.read();
         let deployment = config.deployment;
         let mut settings = deployment.settings.clone();
-        // Past half of its time, a refusal of what no backend has seen has a price (the platform's
-        // figure).
-        settings.limits.never_attempted_fraction = 0.5;
-        let tick = settings.tick.clamp(MS, 10 * MS);
-        let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets = own.map_or(config.sockets, |own| config.sockets.min(own as usize));
-        // Bodies are on the budget; what a connection holds beside them is a head at most, of which
-        // these fit a third of the memory.
-        let sockets = sockets.min(config.memory_mb.saturating_mul(16).max(64));
-        let descriptor_budget = DescriptorBudget::new(sockets);
-        let (max_clients, max_upstreams) = (
-            descriptor_budget.max(Purpose::Client),
-            descriptor_budget.max(Purpose::Upstream),
-        );
+        settings.limits.never_attempted_fraction = NEVER_ATTEMPTED_FRACTION;
+        let tick = settings.tick.clamp(MIN_TICK, MAX_TICK);
+        let descriptors = usable_descriptors(config.sockets, config.memory_mb);
+        let descriptor_budget = DescriptorBudget::new(descriptors);
+        let max_clients = descriptor_budget.max(Purpose::Client);
+        let max_upstreams = descriptor_budget.max(Purpose::Upstream);
         let max_requests = max_clients.min(deployment.most_held).max(1);
-        let mut requests = RequestTable::new(settings, config.seed, max_requests, now)
-            .map_err(|e| e.to_string())?;
+        let mut requests = RequestTable::new(settings, config.seed, max_requests, now)?;
         let trace = Trace::new(config.trace, clock.unix_zero);
         requests.trace = trace;
-        let wrong = |what: &'static str| move |e: Errno| format!("{what}: {e}");
-        let listener = net::retry_at_start(|| net::listener(config.listen))
-            .map_err(|e| format!("listen on {}: {e}", config.listen))?;
-        let listens: std::net::SocketAddr = rustix::net::getsockname(&listener)
+        let listener = net::retry_at_start(|| net::listener(config.listen)).map_err(|error| {
+            NodeError::Listen {
+                address: config.listen,
+                error,
+            }
+        })?;
+        let local_address: SocketAddr = rustix::net::getsockname(&listener)
             .and_then(TryInto::try_into)
-            .map_err(wrong("getsockname"))?;
-        let epoll = net::retry_at_start(|| epoll::create(epoll::CreateFlags::CLOEXEC))
-            .map_err(wrong("epoll"))?;
-        let add = || epoll::add(&epoll, &listener, token(LISTENER, 0), EventFlags::IN);
-        net::retry_at_start(add).map_err(wrong("epoll"))?;
-        for (signal, number) in signals.iter().zip([TERMINATE, RELOAD]) {
-            let add = || epoll::add(&epoll, &signal.wakes, token(SIGNAL, number), EventFlags::IN);
-            net::retry_at_start(add).map_err(wrong("epoll"))?;
-        }
+            .map_err(NodeError::LocalAddress)?;
+        let event_loop = EventLoop::new(clock, now, tick).map_err(NodeError::Epoll)?;
+        register_sources(&event_loop, &listener, &signals).map_err(NodeError::Epoll)?;
         let mut node = Node {
-            wheel: TimerWheel::new(tick, now),
-            now,
-            previous_poll_at: now,
-            last_poll_at: now,
+            event_loop,
+            diagnostics: Diagnostics::new(trace),
+            signals,
+            requests,
+            buffer_budget: BufferBudget::new(buffer_bytes(config.memory_mb)),
+            descriptor_budget,
             queue_emptied: now,
             queue_watched: now,
-            counters: Counters::default(),
             accept_retry: MIN_RETRY,
             postponed: Vec::new(),
-            clock,
-            epoll,
-            log: Log::default(),
-            trace,
             discovery: config.discovery,
             listener: Some(listener),
             accepting: true,
-            signals,
             ends: None,
             quit: false,
-            buffer_budget: BufferBudget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
-            descriptor_budget,
             trim_scheduled: false,
             clients: Slab::new(max_clients),
             answered: VecDeque::new(),
             upstreams: Slab::new(max_upstreams),
             pool: Pool::default(),
-            calls: Slab::new(4),
+            calls: Slab::new(MAX_DISCOVERY_CALLS),
             revision: config.known.rev,
             confirmed: None,
             backing_off: false,
             list_synced: deployment.settings.poll_endpoints,
             failed_calls: 0,
             endpoint_list: EndpointList::new(deployment.zones.clone(), deployment.kinds.clone()),
-            requests,
             deployment,
         };
-        node.log.line(
+        node.diagnostics.log(
             now,
             "start",
-            format_args!("name={} listen={} sockets={sockets}", config.name, listens),
+            format_args!(
+                "name={} listen={local_address} sockets={descriptors}",
+                config.name
+            ),
         );
         node.apply_list(&config.known, Freshness::Cached);
         node.follow_pushes();
@@ -251,110 +220,59 @@
         Ok(node)
     }
 
-    /// Runs until a SIGTERM has been followed to its end.
-    pub fn run(mut self) -> Result<(), String> {
+    /// Serves until a graceful shutdown is complete.
+    ///
+    /// # Errors
+    ///
+    /// If the loop can't poll its sockets.
+    pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
         while !self.is_over() {
-            self.wait_for_events(&mut events)?;
-            // What forbids a send goes before what may lead to one, and is carried out only when
-            // all of it is known: clients that have left, and news of the backends.
-            for event in events.iter().filter(|event| forbids(event)) {
-                self.on_socket(event);
-            }
-            self.flush_pending();
-            for event in events.iter().filter(|event| !forbids(event)) {
-                self.on_socket(event);
-                self.flush_pending();
-            }
-            self.take_signals();
-            for due in self.wheel.expire(self.now) {
-                self.on_timer(due);
+            let capacity = self.clients.len() + self.upstreams.len() + self.calls.len() + 4;
+            self.event_loop
+                .poll(&mut events, capacity)
+                .map_err(NodeError::Epoll)?;
+            self.handle_socket_events(&events);
+            self.handle_signals();
+            for event in self.event_loop.expire_timers() {
+                self.on_timer(event);
                 self.flush_pending();
             }
         }
-        let walks = self.requests.full_walks();
-        self.log.line(
-            self.now,
-            "counts",
-            format_args!("full_scans={walks} {}", self.counters),
-        );
-        self.log.line(self.now, "end", "all answered");
+        self.log_end();
         Ok(())
     }
 
-    /// Waits until a socket has an event or a deadline is due. Gives all that is ready in one look:
-    /// a deadline must not fire, and nothing must be sent, while an answer, a client's leave or a
-    /// drain still waits for the next one, as after a stall. For the same reason a look that is old
-    /// by now is made anew.
-    fn wait_for_events(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
-        self.previous_poll_at = self.last_poll_at;
-        let mut repeated_polls = 0;
-        loop {
-            let began = self.clock.read();
-            let longest = if repeated_polls == 0 {
-                MAX_POLL_WAIT
-            } else {
-                0
-            };
-            let wake = self
-                .wheel
-                .next()
-                .unwrap_or(Nanos::MAX)
-                .min(began.saturating_add(longest));
-            let pause = wake.saturating_sub(began);
-            let pause = Timespec {
-                tv_sec: (pause / SECOND) as i64,
-                tv_nsec: (pause % SECOND) as i64,
-            };
-            events.clear();
-            events.reserve(self.clients.len() + self.upstreams.len() + self.calls.len() + 4);
-            match epoll::wait(
-                &self.epoll,
-                rustix::buffer::spare_capacity(events),
-                Some(&pause),
-            ) {
-                Ok(_) => {}
-                // A process that was stopped and goes on comes here too: much may lie in its
-                // sockets, and no deadline may fire before that is read.
-                Err(Errno::INTR) => continue,
-                Err(error) => return Err(format!("epoll: {error}")),
-            }
-            self.now = self.clock.read();
-            // A process that stood still in its wait may have looked before that.
-            let stood_still = self.now > wake.saturating_add(MAX_WAKE_DELAY);
-            self.last_poll_at = if stood_still { began } else { self.now };
-            // One that was held up between the wait and the clock may have events from before that:
-            // others can have come since, which go before these.
-            let is_old = !events.is_empty() && self.now > began.saturating_add(MAX_EVENT_AGE);
-            if !(stood_still || is_old) || repeated_polls == MAX_REPEATED_POLLS {
-                return Ok(());
-            }
-            repeated_polls += 1;
-            if events.is_empty() {
-                self.previous_poll_at = began;
-            }
+    /// What forbids a send goes before what may lead to one, and is carried out only when all of it
+    /// is known: clients that have closed their side, and changes of the endpoint list. What sockets
+    /// bring goes before the timers, so that an answer which is there wins over its timeout.
+    fn handle_socket_events(&mut self, events: &[epoll::Event]) {
+        for event in events.iter().filter(|event| may_forbid_send(event)) {
+            self.on_socket(event);
+        }
+        self.flush_pending();
+        for event in events.iter().filter(|event| !may_forbid_send(event)) {
+            self.on_socket(event);
+            self.flush_pending();
         }
     }
 
-    /// Counts what the rules did not allow.
-    fn count_denial(&mut self, denial: Denial, of: std::fmt::Arguments) {
-        self.counters.add("denied", denial.name());
-        self.trace
-            .line(self.now, format_args!("denied why={denial} {of}"));
+    fn log_end(&mut self) {
+        let now = self.event_loop.now();
+        let full_scans = self.requests.full_walks();
+        let counts = format!("full_scans={full_scans} {}", self.diagnostics.counters());
+        self.diagnostics.log(now, "counts", counts);
+        self.diagnostics.log(now, "end", "all answered");
     }
 
-    /// A rule was found broken after the act: a fault of the program.
-    fn violated(&mut self, violation: Violation, of: std::fmt::Arguments) {
-        self.counters.add("violation", violation.name());
-        self.log.line(
-            self.now,
-            "violation",
-            format_args!("rule={} {of}", violation.name()),
-        );
-        // A process that was stopped can't act in time.
+    /// A protocol rule was found broken after the act: a fault of the program. Panics in a debug
+    /// build, unless the process was stopped and could not act in time.
+    fn report_violation(&mut self, violation: Violation, subject: fmt::Arguments) {
+        let now = self.event_loop.now();
+        self.diagnostics.count_violation(now, violation, subject);
         debug_assert!(
-            self.now > self.previous_poll_at.saturating_add(STALL_THRESHOLD),
-            "rule broken: {violation:?} {of}"
+            self.event_loop.was_stalled(),
+            "rule broken: {violation:?} {subject}"
         );
     }
 
@@ -367,34 +285,23 @@
     }
 
     fn on_socket(&mut self, event: &epoll::Event) {
-        let (data, flags) = (event.data.u64(), event.flags);
-        let number = data as u32;
-        match data >> 32 {
-            LISTENER => self.accept(),
-            SIGNAL => self.on_signal(number),
-            SESSION => self.client_ready(number, flags),
-            FETCH => self.advance(number, true),
-            CALL => self.read_call(number, flags),
-            _ => {}
+        match Token::decode(event.data) {
+            Some(Token::Listener) => self.accept(),
+            Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
+            Some(Token::Client(number)) => self.client_ready(number, event.flags),
+            Some(Token::Upstream(number)) => self.advance(number, true),
+            Some(Token::Discovery(number)) => self.read_call(number, event.flags),
+            None => {}
         }
     }
 
-    fn on_signal(&mut self, number: u32) {
-        let mut bytes = [0; 16];
-        let signal = &self.signals[number as usize].wakes;
-        while matches!(
-            rustix::io::read(signal, &mut bytes),
-            Ok(1..) | Err(Errno::INTR)
-        ) {}
-    }
-
     /// Carries out the signals that have come, whether or not the byte that wakes the loop could be
     /// written.
-    fn take_signals(&mut self) {
-        if self.signals[TERMINATE as usize].take() {
+    fn handle_signals(&mut self) {
+        if self.signals.get(SignalKind::Terminate).take() {
             self.begin_drain();
         }
-        if self.signals[RELOAD as usize].take() {
+        if self.signals.get(SignalKind::Reload).take() {
             self.reload();
         }
         self.flush_pending();
@@ -405,9 +312,9 @@
             TimerEvent::ClientDeadline(number) => self.client_deadline_due(number),
             TimerEvent::ResumeClient(number) => self.read_client(number),
             TimerEvent::DeadlineGuard(request) => {
-                if self.requests.expire(self.now, request) {
-                    self.log.line(
-                        self.now,
+                if self.requests.expire(self.event_loop.now(), request) {
+                    self.diagnostics.log(
+                        self.event_loop.now(),
                         "deadline-guard",
                         format_args!("request={request}"),
                     );
@@ -419,9 +326,9 @@
             TimerEvent::DiscoveryDeadline(number) => self.call_due(number),
             TimerEvent::ResumeDiscoveryCall(number) => self.read_call(number, EventFlags::OUT),
             TimerEvent::RetryDiscoveryCall { watch } => self.recall(watch),
-            TimerEvent::BalancerTimer(timer) => {
-                self.requests.feed(self.now, Event::Timer { timer })
-            }
+            TimerEvent::BalancerTimer(timer) => self
+                .requests
+                .feed(self.event_loop.now(), Event::Timer { timer }),
             TimerEvent::ResumeAccepting => {
                 self.set_accepting(true);
                 self.accept();
@@ -449,10 +356,11 @@
     /// Does what has been decided, in order. Doing it may lead to more.
     fn execute_commands(&mut self) {
         while let Some(denial) = self.requests.denials.pop() {
-            self.count_denial(denial, format_args!("at=start"));
+            self.diagnostics
+                .count_denial(self.event_loop.now(), denial, format_args!("at=start"));
         }
         while let Some(violation) = self.requests.violations.pop() {
-            self.violated(violation, format_args!("at=answer"));
+            self.report_violation(violation, format_args!("at=answer"));
         }
         while let Some(command) = self.requests.commands.pop_front() {
             match command {
@@ -485,28 +393,57 @@
                 Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
                 Command::CloseIdleConnections(backend) => self.close_idle(backend),
                 Command::CheckHealth(backend) => {
-                    let abandon_at = self.now + HEALTH_CHECK_TIMEOUT;
+                    let abandon_at = self.event_loop.now() + HEALTH_CHECK_TIMEOUT;
                     self.start_attempt(
                         backend,
                         UpstreamAttempt::HealthCheck {
                             backend,
-                            sent: self.now,
+                            sent: self.event_loop.now(),
                         },
                         abandon_at,
                         abandon_at,
                     );
                 }
-                Command::SetTimer { at, timer } => {
-                    self.wheel.schedule(at, TimerEvent::BalancerTimer(timer))
-                }
+                Command::SetTimer { at, timer } => self
+                    .event_loop
+                    .schedule(at, TimerEvent::BalancerTimer(timer)),
                 Command::WatchEndpoints(on) => self.watch(on),
                 Command::PollEndpoints => self.call(false),
-                Command::Log(line) => self.log.line(self.now, "decision", line),
+                Command::Log(line) => self
+                    .diagnostics
+                    .log(self.event_loop.now(), "decision", line),
                 Command::GossipUnsupported => {
                     let text = "a message to peers is not carried";
-                    self.log.line(self.now, "decision", text);
+                    self.diagnostics
+                        .log(self.event_loop.now(), "decision", text);
                 }
             }
         }
     }
 }
+
+/// Descriptors that the process may use: as configured, within its resource limit and its memory.
+fn usable_descriptors(configured: usize, memory_mib: usize) -> usize {
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    let allowed = limit.map_or(configured, |limit| configured.min(limit as usize));
+    let by_memory = memory_mib.saturating_mul(CONNECTIONS_PER_MIB);
+    allowed.min(by_memory.max(MIN_DESCRIPTORS_BY_MEMORY))
+}
+
+fn buffer_bytes(memory_mib: usize) -> usize {
+    memory_mib
+        .max(MIN_MEMORY_MIB)
+        .saturating_mul(BUFFER_BYTES_PER_MIB)
+}
+
+fn register_sources(
+    event_loop: &EventLoop,
+    listener: &OwnedFd,
+    signals: &Signals,
+) -> Result<(), Errno> {
+    event_loop.add_at_start(listener, Token::Listener)?;
+    for kind in [SignalKind::Terminate, SignalKind::Reload] {
+        event_loop.add_at_start(signals.get(kind).wake_up(), Token::Signal(kind))?;
+    }
+    Ok(())
+}
--- a/crates/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -2,11 +2,12 @@
 
 use kitefork_balancer::Nanos;
 
+use super::Node;
 use super::sessions::ACCEPT_PAUSE;
-use super::{MIN_RETRY, Node, TimerEvent};
 use crate::client::ClientConnection;
 use crate::clock::{MS, SECOND};
 use crate::counters::CloseReason;
+use crate::event_loop::{MIN_RETRY, TimerEvent};
 use crate::rules::ClosePermit;
 
 /// New connections are still taken for this long after SIGTERM: the front does not know yet ...
@@ -25,8 +26,8 @@
         if self.is_draining() {
             return;
         }
-        self.log.line(
-            self.now,
+        self.diagnostics.log(
+            self.event_loop.now(),
             "sigterm",
             format_args!("connections={}", self.clients.len()),
         );
@@ -38,14 +39,15 @@
             .map(|class| class.client_timeout)
             .max()
             .unwrap_or(0);
-        let ends = self.now + longest.min(LONGEST_DRAIN) + DRAIN_MORE;
+        let ends = self.event_loop.now() + longest.min(LONGEST_DRAIN) + DRAIN_MORE;
         self.ends = Some(ends);
-        self.wheel.schedule(
-            (self.now + ACCEPT_ON).min(ends - LAST_TAKEN),
+        self.event_loop.schedule(
+            (self.event_loop.now() + ACCEPT_ON).min(ends - LAST_TAKEN),
             TimerEvent::StopAccepting,
         );
-        self.wheel.schedule(ends, TimerEvent::LastAnswers);
-        self.wheel.schedule(ends + FLUSH, TimerEvent::ForceClose);
+        self.event_loop.schedule(ends, TimerEvent::LastAnswers);
+        self.event_loop
+            .schedule(ends + FLUSH, TimerEvent::ForceClose);
     }
 
     /// Takes whoever still waits, then nobody; sessions without a req end.
@@ -53,19 +55,23 @@
         self.set_accepting(true);
         self.accept();
         // Guards against clients that wait for a descriptor: with the listener they would be reset.
-        let ending = self.ends.is_some_and(|ends| self.now >= ends);
+        let ending = self.ends.is_some_and(|ends| self.event_loop.now() >= ends);
         if !self.accepting && !ending {
-            self.log
-                .line(self.now, "late-clients", "wait for a connection to end");
-            return self
-                .wheel
-                .schedule(self.now + ACCEPT_PAUSE, TimerEvent::StopAccepting);
+            self.diagnostics.log(
+                self.event_loop.now(),
+                "late-clients",
+                "wait for a connection to end",
+            );
+            return self.event_loop.schedule(
+                self.event_loop.now() + ACCEPT_PAUSE,
+                TimerEvent::StopAccepting,
+            );
         }
         self.listener = None;
         if !self.close_idle_clients() && !ending {
             // What could not be read for a moment is looked at again.
-            self.wheel
-                .schedule(self.now + MIN_RETRY, TimerEvent::StopAccepting);
+            self.event_loop
+                .schedule(self.event_loop.now() + MIN_RETRY, TimerEvent::StopAccepting);
         }
     }
 
@@ -91,12 +97,13 @@
     /// Sessions then end by themselves once their answer is written.
     pub(super) fn end_drain(&mut self) {
         for request in self.requests.unanswered() {
-            self.requests.fail_for_shutdown(self.now, request);
+            self.requests
+                .fail_for_shutdown(self.event_loop.now(), request);
         }
         self.flush_pending();
         self.stop_accepting();
-        self.log.line(
-            self.now,
+        self.diagnostics.log(
+            self.event_loop.now(),
             "last-answers",
             format_args!("connections={}", self.clients.len()),
         );
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -5,11 +5,12 @@
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
-use super::{BOTH, FETCH, MIN_RETRY, Node, PostponedDial, READ, TimerEvent, token};
+use super::{Node, PostponedDial};
 use crate::client::HARDLY_MISSED;
 use crate::clock::MS;
 use crate::descriptor_budget::Purpose;
 use crate::errno::{self, ErrorClass};
+use crate::event_loop::{MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
 use crate::fetch::{self, Progress, Reuse, UpstreamAttempt, UpstreamConnection};
 use crate::http1;
 use crate::net;
@@ -52,7 +53,7 @@
             Err(DialError::Local) => {
                 let give_up = abandon_at
                     .min(write_by)
-                    .min(self.now.saturating_add(connect_timeout));
+                    .min(self.event_loop.now().saturating_add(connect_timeout));
                 return self.postpone(PostponedDial {
                     backend,
                     job,
@@ -81,22 +82,26 @@
         let by = match upstream.state {
             fetch::UpstreamState::Connecting => abandon_at
                 .min(write_by)
-                .min(self.now.saturating_add(connect_timeout)),
+                .min(self.event_loop.now().saturating_add(connect_timeout)),
             _ => abandon_at.min(write_by),
         };
-        upstream
-            .deadline
-            .set(by, &mut self.wheel, TimerEvent::UpstreamDeadline(number));
+        self.event_loop.set_deadline(
+            &mut upstream.deadline,
+            by,
+            TimerEvent::UpstreamDeadline(number),
+        );
         self.advance(number, false);
     }
 
     /// An attempt whose connection this machine can't start now is neither a failed one nor speaks
     /// against the backend: it is tried again for as long as a connection may take.
     fn postpone(&mut self, dial: PostponedDial) {
-        self.counters.add("dial", "postponed");
+        self.diagnostics.count("dial", "postponed");
         if self.postponed.is_empty() {
-            self.wheel
-                .schedule(self.now + MIN_RETRY, TimerEvent::RetryPostponedDials);
+            self.event_loop.schedule(
+                self.event_loop.now() + MIN_RETRY,
+                TimerEvent::RetryPostponedDials,
+            );
         }
         self.postponed.push(dial);
     }
@@ -104,7 +109,7 @@
     pub(super) fn retry_postponed_dials(&mut self) {
         for dial in std::mem::take(&mut self.postponed) {
             let client_gone = matches!(dial.job, UpstreamAttempt::Request { request, .. } if !self.requests.is_waiting(request));
-            if client_gone || self.now >= dial.give_up {
+            if client_gone || self.event_loop.now() >= dial.give_up {
                 self.report(dial.job, Outcome::NotSent, None);
                 continue;
             }
@@ -143,7 +148,7 @@
     /// Begins the request of a connection that is up, if the rules still allow it by a fresh
     /// reading of the clock and of the client's connection.
     fn begin_request(&mut self, number: u32) {
-        let now = self.clock.read();
+        let now = self.event_loop.clock().read();
         if self.waits_for_news(number, now) {
             return self.retry_upstream(number);
         }
@@ -180,8 +185,8 @@
             return self.end_attempt(number, Outcome::ConnectFailed);
         }
         self.advance(number, false);
-        if let Err(violation) = permit.check(self.clock.read()) {
-            self.violated(violation, format_args!("upstream={number}"));
+        if let Err(violation) = permit.check(self.event_loop.clock().read()) {
+            self.report_violation(violation, format_args!("upstream={number}"));
         }
     }
 
@@ -194,21 +199,16 @@
             .and_then(|owner| self.clients.get(owner));
         connection.is_none_or(|connection| {
             connection.peer_closed
-                || (self.turn_has_lasted(now, LONG_TURN)
+                || (self.event_loop.has_lasted(now, LONG_TURN)
                     && net::has_peer_closed(&connection.socket))
         })
     }
 
-    /// Whether what this turn's look has found may be older than this by now.
-    fn turn_has_lasted(&self, now: Nanos, span: Nanos) -> bool {
-        now.saturating_sub(self.now) > span
-    }
-
     /// Whether an attempt has to wait for news of the list, which go before a send: where this turn
     /// has lasted, they may have come since its look. It waits once, as discovery may never stop
     /// talking.
     fn waits_for_news(&mut self, number: u32, now: Nanos) -> bool {
-        if !self.turn_has_lasted(now, OLD_NEWS) || !self.has_unread_news() {
+        if !self.event_loop.has_lasted(now, OLD_NEWS) || !self.has_unread_news() {
             return false;
         }
         let Some(upstream) = self.upstreams.get_mut(number) else {
@@ -218,9 +218,9 @@
             return false;
         }
         // Its connection is up, so the time for that no longer counts.
-        upstream.deadline.set(
+        self.event_loop.set_deadline(
+            &mut upstream.deadline,
             upstream.abandon_at.min(upstream.write_by),
-            &mut self.wheel,
             TimerEvent::UpstreamDeadline(number),
         );
         true
@@ -235,7 +235,11 @@
 
     /// Ends an attempt of which nothing has been written, and which must not be.
     fn deny_write(&mut self, number: u32, denial: Denial) {
-        self.count_denial(denial, format_args!("upstream={number}"));
+        self.diagnostics.count_denial(
+            self.event_loop.now(),
+            denial,
+            format_args!("upstream={number}"),
+        );
         let outcome = match denial {
             Denial::BackendNotReady | Denial::DeadlinePassed | Denial::WindowClosed => {
                 Outcome::ConnectFailed
@@ -251,29 +255,29 @@
             .endpoint_list
             .endpoint(backend)
             .ok_or(DialError::Endpoint)?;
-        while let Some(number) = self.pool.take(backend, self.now) {
+        while let Some(number) = self.pool.take(backend, self.event_loop.now()) {
             let Some(upstream) = self.upstreams.get_mut(number) else {
                 continue;
             };
             let sound = upstream.check_reuse();
-            self.pool.note(sound, self.now);
+            self.pool.note(sound, self.event_loop.now());
             // After a stall the wheel has not yet told that it stands idle for too long.
-            if self.now < upstream.abandon_at && sound == Reuse::Yes {
+            if self.event_loop.now() < upstream.abandon_at && sound == Reuse::Yes {
                 upstream.state = fetch::UpstreamState::Connected;
                 return Ok(number);
             }
             self.upstreams.remove(number);
         }
         if !self.make_room_for_upstream() {
-            self.log.line(
-                self.now,
+            self.diagnostics.log(
+                self.event_loop.now(),
                 "upstream-connections-full",
                 format_args!("open={}", self.upstreams.len()),
             );
             return Err(DialError::Local);
         }
-        self.trace.line(
-            self.now,
+        self.diagnostics.trace(
+            self.event_loop.now(),
             format_args!("connect b={} open={}", backend.0, self.upstreams.len()),
         );
         let opened = net::dial(endpoint).and_then(|socket| {
@@ -286,8 +290,8 @@
                 .ok_or(Errno::MFILE)
         });
         opened.map_err(|error| {
-            self.log.line(
-                self.now,
+            self.diagnostics.log(
+                self.event_loop.now(),
                 "dial-failed",
                 format_args!("backend={} {error}", backend.0),
             );
@@ -306,21 +310,25 @@
         let wanted = match upstream.state {
             fetch::UpstreamState::Connecting
             | fetch::UpstreamState::Connected
-            | fetch::UpstreamState::Sending => BOTH,
+            | fetch::UpstreamState::Sending => READ_WRITE,
             fetch::UpstreamState::Waiting | fetch::UpstreamState::Idle => READ,
         };
-        if let Err(error) =
-            upstream
-                .registration
-                .set(&self.epoll, &upstream.socket, token(FETCH, number), wanted)
-        {
-            self.log.line(self.now, "epoll-failed", error);
+        if let Err(error) = self.event_loop.register(
+            &mut upstream.registration,
+            &upstream.socket,
+            Token::Upstream(number),
+            wanted,
+        ) {
+            self.diagnostics
+                .log(self.event_loop.now(), "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
                 let outcome = upstream.outcome_if_closed(Outcome::Reset);
                 return self.end_attempt(number, outcome);
             }
-            self.wheel
-                .schedule(self.now + MIN_RETRY, TimerEvent::ResumeUpstream(number));
+            self.event_loop.schedule(
+                self.event_loop.now() + MIN_RETRY,
+                TimerEvent::ResumeUpstream(number),
+            );
         }
     }
 
@@ -331,14 +339,16 @@
             return;
         };
         // Where this fails too, events come early and find the same.
-        let _ = upstream.registration.set(
-            &self.epoll,
+        let _ = self.event_loop.register(
+            &mut upstream.registration,
             &upstream.socket,
-            token(FETCH, number),
+            Token::Upstream(number),
             EventFlags::empty(),
         );
-        self.wheel
-            .schedule(self.now + MIN_RETRY, TimerEvent::ResumeUpstream(number));
+        self.event_loop.schedule(
+            self.event_loop.now() + MIN_RETRY,
+            TimerEvent::ResumeUpstream(number),
+        );
     }
 
     /// Whether another connection to a backend may be held; what can best be missed closes for it.
@@ -378,7 +388,10 @@
             before,
             fetch::UpstreamState::Waiting | fetch::UpstreamState::Idle
         );
-        if unwritten && (self.now > upstream.write_by || self.now >= upstream.abandon_at) {
+        if unwritten
+            && (self.event_loop.now() > upstream.write_by
+                || self.event_loop.now() >= upstream.abandon_at)
+        {
             return self.end_attempt(number, Outcome::ConnectFailed);
         }
         match upstream.advance(ready) {
@@ -390,9 +403,9 @@
                     _ => upstream.abandon_at.min(upstream.write_by),
                 };
                 if upstream.state != before {
-                    upstream.deadline.set(
+                    self.event_loop.set_deadline(
+                        &mut upstream.deadline,
                         by,
-                        &mut self.wheel,
                         TimerEvent::UpstreamDeadline(number),
                     );
                 }
@@ -402,7 +415,7 @@
             Progress::Failed(outcome) => self.end_attempt(number, outcome),
             Progress::Stale(reuse) => {
                 let backend = upstream.backend;
-                self.pool.note(reuse, self.now);
+                self.pool.note(reuse, self.event_loop.now());
                 self.pool.remove(backend, number);
                 self.upstreams.remove(number);
             }
@@ -414,18 +427,23 @@
             return;
         };
         let (job, backend) = (upstream.job.take(), upstream.backend);
-        self.pool.note(reuse, self.now);
+        self.pool.note(reuse, self.event_loop.now());
         // A backend that is leaving gets its connections closed.
         if reuse == Reuse::Yes && self.endpoint_list.endpoint(backend).is_some() {
             upstream.state = fetch::UpstreamState::Idle;
             // Clearly before the backend's machine would close it: what crosses that close is a
             // reset.
-            let by = self.now.saturating_add(self.deployment.idle_limit / 4 * 3);
+            let by = self
+                .event_loop
+                .now()
+                .saturating_add(self.deployment.idle_limit / 4 * 3);
             upstream.abandon_at = by;
-            upstream
-                .deadline
-                .set(by, &mut self.wheel, TimerEvent::UpstreamDeadline(number));
-            self.pool.put(backend, number, self.now);
+            self.event_loop.set_deadline(
+                &mut upstream.deadline,
+                by,
+                TimerEvent::UpstreamDeadline(number),
+            );
+            self.pool.put(backend, number, self.event_loop.now());
         } else {
             self.upstreams.remove(number);
         }
@@ -463,9 +481,9 @@
     ) {
         match job {
             UpstreamAttempt::Request { request, attempt } => {
-                let owner = self
-                    .requests
-                    .attempt_ended(self.now, request, attempt, outcome);
+                let owner =
+                    self.requests
+                        .attempt_ended(self.event_loop.now(), request, attempt, outcome);
                 if let (Some(owner), Some((head, body))) = (owner, answer) {
                     let headers: Vec<(&str, &str)> = head.end_to_end_headers().collect();
                     let http1::Start::Response { status } = head.start else {
@@ -476,9 +494,9 @@
                 }
             }
             UpstreamAttempt::HealthCheck { backend, sent } => {
-                let latency = self.now.saturating_sub(sent);
+                let latency = self.event_loop.now().saturating_sub(sent);
                 self.requests.feed(
-                    self.now,
+                    self.event_loop.now(),
                     Event::HealthCheckEnded {
                         backend,
                         latency,
@@ -494,11 +512,10 @@
         let Some(upstream) = self.upstreams.get_mut(number) else {
             return;
         };
-        if !upstream.deadline.is_due(
-            self.now,
-            &mut self.wheel,
-            TimerEvent::UpstreamDeadline(number),
-        ) {
+        if !self
+            .event_loop
+            .is_due(&mut upstream.deadline, TimerEvent::UpstreamDeadline(number))
+        {
             return;
         }
         if upstream.state == fetch::UpstreamState::Idle {
--- a/crates/node/src/node/lists.rs
+++ b/crates/node/src/node/lists.rs
@@ -4,11 +4,12 @@
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
-use super::{BOTH, CALL, MIN_RETRY, Node, READ, TimerEvent, token};
+use super::Node;
 use crate::clock::{MS, SECOND};
 use crate::config;
 use crate::discovery::{self, CallEnd, CallProgress, DiscoveryCall, EndpointUpdate, Freshness};
 use crate::errno::{self, ErrorClass};
+use crate::event_loop::{MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
 use crate::fetch::{self, UpstreamConnection};
 use crate::net;
 use crate::ring_buffer::WriteOutcome;
@@ -34,8 +35,11 @@
     pub(super) fn reload(&mut self) {
         match config::reload(|name| std::env::var(name).ok()) {
             Ok(discovery) => {
-                self.log
-                    .line(self.now, "reload", format_args!("discovery={discovery}"));
+                self.diagnostics.log(
+                    self.event_loop.now(),
+                    "reload",
+                    format_args!("discovery={discovery}"),
+                );
                 self.discovery = discovery;
                 let open: Vec<(u32, bool)> =
                     self.calls.iter().map(|(n, call)| (n, call.watch)).collect();
@@ -48,7 +52,9 @@
                     .for_each(|_| self.call(false));
                 self.call(true);
             }
-            Err(why) => self.log.line(self.now, "reload-failed", why),
+            Err(why) => self
+                .diagnostics
+                .log(self.event_loop.now(), "reload-failed", why),
         }
     }
 
@@ -81,16 +87,16 @@
     /// told whether or not this node has heard it, so no client is taken before it has spoken.
     pub(super) fn follow_pushes(&mut self) {
         if !self.deployment.settings.poll_endpoints {
-            self.wheel
-                .schedule(self.now + BLIND, TimerEvent::ServeStaleList);
+            self.event_loop
+                .schedule(self.event_loop.now() + BLIND, TimerEvent::ServeStaleList);
             self.call(true);
         }
     }
 
     pub(super) fn serve_stale_list(&mut self) {
         if !std::mem::replace(&mut self.list_synced, true) {
-            self.log.line(
-                self.now,
+            self.diagnostics.log(
+                self.event_loop.now(),
                 "serving-stale-list",
                 "discovery has not spoken: serving from the list that was given",
             );
@@ -111,23 +117,34 @@
     }
 
     pub(super) fn call(&mut self, watch: bool) {
-        self.trace
-            .line(self.now, format_args!("call watch={}", u8::from(watch)));
+        self.diagnostics.trace(
+            self.event_loop.now(),
+            format_args!("call watch={}", u8::from(watch)),
+        );
         let opened = net::dial(self.discovery).and_then(|socket| {
             let number = self.calls.vacant().ok_or(Errno::MFILE)?;
-            let mut call =
-                DiscoveryCall::new(socket, watch, self.revision, self.discovery, self.now);
-            call.registration
-                .set(&self.epoll, &call.socket, token(CALL, number), BOTH)?;
+            let mut call = DiscoveryCall::new(
+                socket,
+                watch,
+                self.revision,
+                self.discovery,
+                self.event_loop.now(),
+            );
+            self.event_loop.register(
+                &mut call.registration,
+                &call.socket,
+                Token::Discovery(number),
+                READ_WRITE,
+            )?;
             let asked = self.deployment.settings.poll_endpoints;
             let by = if asked {
                 discovery::CONNECT_TIMEOUT
             } else {
                 self.part_of_grace(2, discovery::CONNECT_TIMEOUT)
             };
-            call.deadline.set(
-                self.now + by,
-                &mut self.wheel,
+            self.event_loop.set_deadline(
+                &mut call.deadline,
+                self.event_loop.now() + by,
                 TimerEvent::DiscoveryDeadline(number),
             );
             self.calls.insert(call);
@@ -139,9 +156,10 @@
             // Of this machine, for a moment: discovery has not failed, and its backoff would be too
             // long.
             _ => {
-                self.log.line(self.now, "call-postponed", error);
-                self.wheel.schedule(
-                    self.now + CALL_RETRY,
+                self.diagnostics
+                    .log(self.event_loop.now(), "call-postponed", error);
+                self.event_loop.schedule(
+                    self.event_loop.now() + CALL_RETRY,
                     TimerEvent::RetryDiscoveryCall { watch },
                 );
             }
@@ -161,29 +179,31 @@
         let Some(call) = self.calls.get_mut(number) else {
             return;
         };
-        let _ = call.registration.set(
-            &self.epoll,
+        let _ = self.event_loop.register(
+            &mut call.registration,
             &call.socket,
-            token(CALL, number),
+            Token::Discovery(number),
             EventFlags::empty(),
         );
-        self.wheel.schedule(
-            self.now + MIN_RETRY,
+        self.event_loop.schedule(
+            self.event_loop.now() + MIN_RETRY,
             TimerEvent::ResumeDiscoveryCall(number),
         );
     }
 
     fn call_failed(&mut self, why: impl std::fmt::Display) {
-        self.trace
-            .line(self.now, format_args!("call-failed why={why}"));
-        self.log.line(self.now, "discovery-failed", why);
+        self.diagnostics
+            .trace(self.event_loop.now(), format_args!("call-failed why={why}"));
+        self.diagnostics
+            .log(self.event_loop.now(), "discovery-failed", why);
         // A call that a new configuration has brought forward may fail before the backoff is over:
         // the next one comes anyway, and there would from then on be two rows of calls.
         if std::mem::replace(&mut self.backing_off, true) {
             return;
         }
         if self.deployment.settings.poll_endpoints {
-            self.requests.feed(self.now, Event::DiscoveryFailed);
+            self.requests
+                .feed(self.event_loop.now(), Event::DiscoveryFailed);
         } else {
             // The agent is this node's own: no crowd of others calls it. At once first, then ever
             // more seldom.
@@ -192,7 +212,8 @@
                 n => self.part_of_grace(4, MOST_WAIT).min(SHORTEST << n.min(8)),
             };
             self.failed_calls += 1;
-            self.wheel.schedule(self.now + wait, TimerEvent::OpenWatch);
+            self.event_loop
+                .schedule(self.event_loop.now() + wait, TimerEvent::OpenWatch);
         }
     }
 
@@ -206,26 +227,36 @@
                 return self.retry_call(number);
             }
             if call.outbox.is_empty() {
-                call.last_byte_at = self.now;
+                call.last_byte_at = self.event_loop.now();
             }
         }
-        let wanted = if call.outbox.is_empty() { READ } else { BOTH };
-        if call
-            .registration
-            .set(&self.epoll, &call.socket, token(CALL, number), wanted)
+        let wanted = if call.outbox.is_empty() {
+            READ
+        } else {
+            READ_WRITE
+        };
+        if self
+            .event_loop
+            .register(
+                &mut call.registration,
+                &call.socket,
+                Token::Discovery(number),
+                wanted,
+            )
             .is_err()
         {
-            self.wheel.schedule(
-                self.now + MIN_RETRY,
+            self.event_loop.schedule(
+                self.event_loop.now() + MIN_RETRY,
                 TimerEvent::ResumeDiscoveryCall(number),
             );
         }
-        let progress = call.read(self.now);
+        let progress = call.read(self.event_loop.now());
         let later = progress.later;
         if call.outbox.is_empty() {
-            call.deadline.set(
-                call.time_limit(),
-                &mut self.wheel,
+            let time_limit = call.time_limit();
+            self.event_loop.set_deadline(
+                &mut call.deadline,
+                time_limit,
                 TimerEvent::DiscoveryDeadline(number),
             );
         }
@@ -239,17 +270,17 @@
         self.list_synced |= progress.spoke;
         if progress.over.is_some()
             && let Some(call) = self.calls.remove(number)
-            && self.now.saturating_sub(call.made) > STEADY
+            && self.event_loop.now().saturating_sub(call.made) > STEADY
         {
             self.failed_calls = 0;
         }
         for update in &progress.updates {
             self.apply_update(update);
             // The next one tells what has changed since.
-            self.confirmed = Some(self.now);
+            self.confirmed = Some(self.event_loop.now());
         }
         if progress.spoke {
-            self.confirmed = Some(self.now);
+            self.confirmed = Some(self.event_loop.now());
         }
         if let Some(why) = progress.over.filter(|_| !progress.well) {
             self.call_failed(why);
@@ -260,11 +291,10 @@
         let Some(call) = self.calls.get_mut(number) else {
             return;
         };
-        if call.deadline.is_due(
-            self.now,
-            &mut self.wheel,
-            TimerEvent::DiscoveryDeadline(number),
-        ) {
+        if self
+            .event_loop
+            .is_due(&mut call.deadline, TimerEvent::DiscoveryDeadline(number))
+        {
             let over = Some(CallEnd::Silent);
             self.apply_progress(
                 number,
@@ -283,8 +313,8 @@
             Freshness::Current
         };
         if age == Freshness::Older {
-            self.log.line(
-                self.now,
+            self.diagnostics.log(
+                self.event_loop.now(),
                 "older-list",
                 format_args!("rev={} known={}", update.rev, self.revision),
             );
@@ -294,18 +324,22 @@
 
     pub(super) fn apply_list(&mut self, update: &EndpointUpdate, age: Freshness) {
         self.revision = update.rev;
-        let heard = self.clock.observe(self.now, self.confirmed);
+        let heard = self
+            .event_loop
+            .clock()
+            .observe(self.event_loop.now(), self.confirmed);
         let (event, ends) = self.endpoint_list.apply(&heard, update, age);
-        if self.trace.is_on() {
-            self.trace.line(
-                self.now,
+        if self.diagnostics.is_tracing() {
+            self.diagnostics.trace(
+                self.event_loop.now(),
                 format_args!("notified rev={} all={}", update.rev, u8::from(update.all)),
             );
-            for line in self.endpoint_list.lines(update, self.now) {
-                self.trace.line(self.now, format_args!("endpoint {line}"));
+            for line in self.endpoint_list.lines(update, self.event_loop.now()) {
+                self.diagnostics
+                    .trace(self.event_loop.now(), format_args!("endpoint {line}"));
             }
         }
-        self.requests.feed(self.now, event);
+        self.requests.feed(self.event_loop.now(), event);
         for backend in ends {
             self.close_idle(backend);
             // What is not connected yet would write its first byte at any later time; the rule on
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -3,14 +3,15 @@
 use std::os::fd::OwnedFd;
 
 use kitefork_balancer::Nanos;
-use rustix::event::epoll::{self, EventFlags};
+use rustix::event::epoll::EventFlags;
 
-use super::{BOTH, LEFT, LISTENER, MIN_RETRY, Node, READ, SESSION, TimerEvent, token};
+use super::Node;
 use crate::client::{self, ClientConnection, HARDLY_MISSED, ReadEvent, Route};
 use crate::clock::MS;
 use crate::counters::CloseReason;
 use crate::descriptor_budget::Purpose;
 use crate::errno::{self, ErrorClass};
+use crate::event_loop::{MIN_RETRY, PEER_CLOSED, READ, READ_WRITE, TimerEvent, Token};
 use crate::net;
 use crate::request_table::{LocalReply, OpenError, RequestSpec};
 use crate::ring_buffer::WriteOutcome;
@@ -34,14 +35,14 @@
             if !self.client_fits() {
                 match net::has_client(listener) {
                     Ok(true) => {}
-                    Ok(false) => return self.queue_emptied(self.now),
+                    Ok(false) => return self.queue_emptied(self.event_loop.now()),
                     // Not known now; the listener's event comes again.
                     Err(_) => return self.retry_accept_later(),
                 }
             }
             if !self.make_room_for_client() {
-                self.log.line(
-                    self.now,
+                self.diagnostics.log(
+                    self.event_loop.now(),
                     "client-connections-full",
                     format_args!("open={}", self.clients.len()),
                 );
@@ -56,14 +57,16 @@
                     self.add_client(socket);
                 }
                 Err(error) => match errno::of_accept(error) {
-                    ErrorClass::WouldBlock => return self.queue_emptied(self.now),
-                    ErrorClass::RetryNow => self.counters.add("accept", "client_disconnected"),
+                    ErrorClass::WouldBlock => return self.queue_emptied(self.event_loop.now()),
+                    ErrorClass::RetryNow => self.diagnostics.count("accept", "client_disconnected"),
                     ErrorClass::RetryLater => {
-                        self.log.line(self.now, "accept-failed", error);
+                        self.diagnostics
+                            .log(self.event_loop.now(), "accept-failed", error);
                         return self.retry_accept_later();
                     }
                     _ => {
-                        self.log.line(self.now, "accept-failed", error);
+                        self.diagnostics
+                            .log(self.event_loop.now(), "accept-failed", error);
                         // Out of descriptors: an idle session gives up its own. No spin on what
                         // can't be taken.
                         if let Some((.., number)) = self.eviction_candidate() {
@@ -80,24 +83,28 @@
 
     pub(super) fn pause_accepting(&mut self) {
         self.set_accepting(false);
-        self.wheel
-            .schedule(self.now + ACCEPT_PAUSE, TimerEvent::ResumeAccepting);
+        self.event_loop.schedule(
+            self.event_loop.now() + ACCEPT_PAUSE,
+            TimerEvent::ResumeAccepting,
+        );
     }
 
     /// The machine lacks something for a moment, and clients wait: soon at first, then ever more
     /// seldom.
     fn retry_accept_later(&mut self) {
         self.set_accepting(false);
-        self.wheel
-            .schedule(self.now + self.accept_retry, TimerEvent::ResumeAccepting);
+        self.event_loop.schedule(
+            self.event_loop.now() + self.accept_retry,
+            TimerEvent::ResumeAccepting,
+        );
         self.accept_retry = (self.accept_retry * 2).min(ACCEPT_PAUSE);
     }
 
     /// When the accept queue was last seen empty: read so, or by a look of the loop while it is
     /// watched.
     fn queue_empty_at(&self) -> Nanos {
-        let seen = if self.queue_watched <= self.previous_poll_at {
-            self.previous_poll_at
+        let seen = if self.queue_watched <= self.event_loop.previous_poll_at() {
+            self.event_loop.previous_poll_at()
         } else {
             0
         };
@@ -121,11 +128,13 @@
             } else {
                 EventFlags::empty()
             };
-            let registered = epoll::modify(&self.epoll, listener, token(LISTENER, 0), flags);
+            let registered = self.event_loop.modify(listener, Token::Listener, flags);
             // Without its events no client would ever be taken again.
             if on && registered.is_err() {
-                self.wheel
-                    .schedule(self.now + MIN_RETRY, TimerEvent::ResumeAccepting);
+                self.event_loop.schedule(
+                    self.event_loop.now() + MIN_RETRY,
+                    TimerEvent::ResumeAccepting,
+                );
             }
         }
     }
@@ -178,7 +187,11 @@
         match rules::may_close(connection.close_facts()) {
             Ok(permit) => self.close_client(number, permit, reason),
             Err(denial) => {
-                self.count_denial(denial, format_args!("connection={number}"));
+                self.diagnostics.count_denial(
+                    self.event_loop.now(),
+                    denial,
+                    format_args!("connection={number}"),
+                );
                 self.read_client(number);
                 self.clients.get(number).is_none()
             }
@@ -189,7 +202,7 @@
     pub(super) fn eviction_candidate(&self) -> Option<(u8, Nanos, u32)> {
         let spare = |(number, connection): (u32, &ClientConnection)| {
             connection
-                .eviction_rank(self.now)
+                .eviction_rank(self.event_loop.now())
                 .map(|(class, since)| (class, since, number))
         };
         self.clients.iter().filter_map(spare).min()
@@ -211,7 +224,7 @@
             .filter(|(_, connection)| connection.has_sent_message())
             .filter_map(|(number, connection)| {
                 connection
-                    .eviction_rank(self.now)
+                    .eviction_rank(self.event_loop.now())
                     .map(|(class, since)| (class, since, number))
             })
             .filter(|(class, ..)| *class <= HARDLY_MISSED)
@@ -228,8 +241,10 @@
         if !self.trim_scheduled && self.clients.len() > self.descriptor_budget.max_active_clients()
         {
             self.trim_scheduled = true;
-            self.wheel
-                .schedule(self.now + client::TRIM_INTERVAL, TimerEvent::TrimClients);
+            self.event_loop.schedule(
+                self.event_loop.now() + client::TRIM_INTERVAL,
+                TimerEvent::TrimClients,
+            );
         }
     }
 
@@ -237,7 +252,7 @@
         let queued = self.queue_empty_at();
         let Some(number) = self.clients.insert(ClientConnection::new(
             socket,
-            self.now,
+            self.event_loop.now(),
             queued,
             &self.buffer_budget,
         )) else {
@@ -257,20 +272,20 @@
         let Some(mut connection) = self.clients.remove(number) else {
             return false;
         };
-        self.counters.closed(reason);
-        self.trace.line(
-            self.now,
+        self.diagnostics.count_closed(reason);
+        self.diagnostics.trace(
+            self.event_loop.now(),
             format_args!("closed connection={number} why={}", reason.name()),
         );
         let of_client = matches!(reason, CloseReason::ClientGone | CloseReason::Broken);
         if connection.request.is_some() && !of_client {
-            self.violated(
+            self.report_violation(
                 Violation::ClosedUnanswered,
                 format_args!("connection={number}"),
             );
         }
         if let Some(request) = connection.request {
-            self.requests.client_gone(self.now, request);
+            self.requests.client_gone(self.event_loop.now(), request);
             self.cancel_unwritten(request);
         }
         connection.close_gracefully();
@@ -281,11 +296,10 @@
         let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        if !connection.deadline.is_due(
-            self.now,
-            &mut self.wheel,
-            TimerEvent::ClientDeadline(number),
-        ) {
+        if !self
+            .event_loop
+            .is_due(&mut connection.deadline, TimerEvent::ClientDeadline(number))
+        {
             return;
         }
         if connection.state == client::ConnectionState::Open
@@ -307,7 +321,7 @@
         let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        connection.peer_closed |= flags.intersects(LEFT);
+        connection.peer_closed |= flags.intersects(PEER_CLOSED);
         // With a full inbox the end can't be read, and would be told again without a pause.
         if connection.peer_closed && connection.is_input_full() {
             self.client_closed_input(number);
@@ -322,39 +336,45 @@
         let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        if connection.flush(self.now) == WriteOutcome::Broken {
+        if connection.flush(self.event_loop.now()) == WriteOutcome::Broken {
             return self.drop_client(number, CloseReason::Broken);
         }
-        match connection.read(self.now, self.previous_poll_at) {
+        match connection.read(self.event_loop.now(), self.event_loop.previous_poll_at()) {
             ReadEvent::Incomplete => {}
             ReadEvent::RetryLater => return self.retry_client(number),
             ReadEvent::EndOfStream => return self.client_closed_input(number),
             ReadEvent::Broken => return self.drop_client(number, CloseReason::Broken),
             ReadEvent::Invalid(bad) => {
                 let status = client::status_of(bad);
-                self.log.line(
-                    self.now,
+                self.diagnostics.log(
+                    self.event_loop.now(),
                     "bad-request",
                     format_args!("status={status} why={bad:?}"),
                 );
                 self.reply(number, status, &[], b"the request can't be read\n", true);
             }
             ReadEvent::Message(head, body, began) => {
-                let waited = self.now.saturating_sub(began);
+                let waited = self.event_loop.now().saturating_sub(began);
                 let peer_closed = connection.peer_closed;
                 match client::route(head, body, &self.deployment, waited) {
                     // The client may have gone, so it must not run. It may also have ended its
                     // sending alone, and then it waits for an answer.
                     Route::Request(..) if peer_closed => {
-                        self.trace
-                            .line(self.now, format_args!("client-closed connection={number}"));
-                        self.count_denial(Denial::ClientGone, format_args!("connection={number}"));
+                        self.diagnostics.trace(
+                            self.event_loop.now(),
+                            format_args!("client-closed connection={number}"),
+                        );
+                        self.diagnostics.count_denial(
+                            self.event_loop.now(),
+                            Denial::ClientGone,
+                            format_args!("connection={number}"),
+                        );
                         self.reply(number, 503, &[], LEFT_UNTRIED, true);
                     }
                     Route::Health => self.reply_health(number),
                     Route::Wrong(status, why) => {
-                        self.log.line(
-                            self.now,
+                        self.diagnostics.log(
+                            self.event_loop.now(),
                             "bad-request",
                             format_args!("status={status} why={why}"),
                         );
@@ -383,7 +403,7 @@
             // What is not written yet never runs.
             let unwritten = self.is_unwritten(request);
             let rejectable = self.requests.may_reject(request, unwritten);
-            self.requests.client_gone(self.now, request);
+            self.requests.client_gone(self.event_loop.now(), request);
             self.cancel_unwritten(request);
             let (status, body) = if rejectable {
                 (503, LEFT_UNTRIED)
@@ -426,43 +446,51 @@
         call: client::ForwardedRequest,
     ) {
         if let Some(ends) = self.ends {
-            if self.now >= ends {
+            if self.event_loop.now() >= ends {
                 return self.reply(number, 503, &[], b"the node ends\n", true);
             }
             // No attempt outlives the node: what it began would be cut off and then have failed.
-            spec.client_timeout = spec.client_timeout.min(ends - self.now);
+            spec.client_timeout = spec.client_timeout.min(ends - self.event_loop.now());
         }
-        let (request, guard_at) = match self.requests.open(self.now, number, spec, call) {
-            Ok(opened) => opened,
-            Err(OpenError::TableFull) => {
-                self.log.line(self.now, "requests-full", "rejected");
-                return self.reply(number, 503, &[], b"too many requests are held\n", false);
-            }
-            Err(OpenError::DuplicateId) => {
-                self.log
-                    .line(self.now, "bad-request", "status=409 why=its X-Txn is open");
-                return self.reply(
-                    number,
-                    409,
-                    &[],
-                    b"a request with this X-Txn is open\n",
-                    false,
-                );
-            }
-        };
+        let (request, guard_at) =
+            match self
+                .requests
+                .open(self.event_loop.now(), number, spec, call)
+            {
+                Ok(opened) => opened,
+                Err(OpenError::TableFull) => {
+                    self.diagnostics
+                        .log(self.event_loop.now(), "requests-full", "rejected");
+                    return self.reply(number, 503, &[], b"too many requests are held\n", false);
+                }
+                Err(OpenError::DuplicateId) => {
+                    self.diagnostics.log(
+                        self.event_loop.now(),
+                        "bad-request",
+                        "status=409 why=its X-Txn is open",
+                    );
+                    return self.reply(
+                        number,
+                        409,
+                        &[],
+                        b"a request with this X-Txn is open\n",
+                        false,
+                    );
+                }
+            };
         if let Some(connection) = self.clients.get_mut(number) {
             connection.request = Some(request);
         }
         // The key is looked up among the headers: only for a trace.
-        if self.trace.is_on()
+        if self.diagnostics.is_tracing()
             && let Some(call) = self.requests.payload(request)
         {
-            self.trace.line(
-                self.now,
+            self.diagnostics.trace(
+                self.event_loop.now(),
                 format_args!("accepted id={request} key={}", call.key()),
             );
         }
-        self.wheel
+        self.event_loop
             .schedule(guard_at, TimerEvent::DeadlineGuard(request));
     }
 
@@ -478,7 +506,7 @@
         let end = end || self.is_draining();
         if let Some(connection) = self.clients.get_mut(number) {
             let end = end || connection.peer_closed;
-            connection.answer(self.now, status, headers, body, end);
+            connection.answer(self.event_loop.now(), status, headers, body, end);
         }
     }
 
@@ -502,18 +530,21 @@
         };
         // Where this fails too, events come early and find the same.
         let _ = connection.watch(
-            &self.epoll,
-            token(SESSION, number),
+            &self.event_loop,
+            Token::Client(number),
             EventFlags::empty(),
-            self.now,
+            self.event_loop.now(),
         );
-        connection.deadline.set(
-            connection.time_limit(),
-            &mut self.wheel,
+        let time_limit = connection.time_limit();
+        self.event_loop.set_deadline(
+            &mut connection.deadline,
+            time_limit,
             TimerEvent::ClientDeadline(number),
         );
-        self.wheel
-            .schedule(self.now + MIN_RETRY, TimerEvent::ResumeClient(number));
+        self.event_loop.schedule(
+            self.event_loop.now() + MIN_RETRY,
+            TimerEvent::ResumeClient(number),
+        );
     }
 
     /// Writes what there is to write, and looks for the right events and deadline.
@@ -521,7 +552,7 @@
         let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
-        let written = connection.flush(self.now);
+        let written = connection.flush(self.event_loop.now());
         if written == WriteOutcome::Broken {
             return self.drop_client(number, CloseReason::Broken);
         }
@@ -539,29 +570,37 @@
             _ if connection.peer_closed => EventFlags::OUT,
             (true, false) => READ,
             (true, true) => EventFlags::RDHUP,
-            (false, false) => BOTH,
+            (false, false) => READ_WRITE,
             (false, true) => EventFlags::OUT | EventFlags::RDHUP,
         };
         if written == WriteOutcome::RetryLater {
             return self.retry_client(number);
         }
-        if let Err(error) = connection.watch(&self.epoll, token(SESSION, number), wanted, self.now)
-        {
-            self.log.line(self.now, "epoll-failed", error);
+        if let Err(error) = connection.watch(
+            &self.event_loop,
+            Token::Client(number),
+            wanted,
+            self.event_loop.now(),
+        ) {
+            self.diagnostics
+                .log(self.event_loop.now(), "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
                 return self.drop_client(number, CloseReason::Broken);
             }
-            self.wheel
-                .schedule(self.now + MIN_RETRY, TimerEvent::ResumeClient(number));
+            self.event_loop.schedule(
+                self.event_loop.now() + MIN_RETRY,
+                TimerEvent::ResumeClient(number),
+            );
         }
-        connection.deadline.set(
-            connection.time_limit(),
-            &mut self.wheel,
+        let time_limit = connection.time_limit();
+        self.event_loop.set_deadline(
+            &mut connection.deadline,
+            time_limit,
             TimerEvent::ClientDeadline(number),
         );
         if connection.has_next() {
-            self.wheel
-                .schedule(self.now, TimerEvent::ResumeClient(number));
+            self.event_loop
+                .schedule(self.event_loop.now(), TimerEvent::ResumeClient(number));
         }
     }
 }
