--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,53 +1,49 @@
-//! The node's one clock: the decisions, the wheel and every deadline count on it.
+//! The node's one clock: the decision module, the timers and every deadline count on it.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use kitefork_balancer::Nanos;
 
-use crate::start_time::StartObservation;
-
+/// One millisecond, in nanoseconds.
 pub const MS: Nanos = 1_000_000;
+/// One second, in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// The clock does not start at 0 but here, so that backends which started before the node still
-/// have a time. Anything older is "long ago"; a cold backend is far younger.
+/// The first reading of the clock, in nanoseconds. It is not 0, so that backends which started
+/// before the node still have a time. Anything older is "long ago"; a backend in slow start is far
+/// younger.
 const HEAD_START: Nanos = 3_600 * SECOND;
 
 /// Monotonic time, tied to Unix time once at the start: a step of the system's clock moves no
 /// deadline.
 pub struct Clock {
-    begun: Instant,
-    /// Unix time at the clock's zero.
-    pub unix_zero: Nanos,
+    started: Instant,
+    unix_zero: Nanos,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or(Duration::ZERO);
         Clock {
-            begun: Instant::now(),
-            unix_zero: (unix.as_nanos() as Nanos).saturating_sub(HEAD_START),
+            started: Instant::now(),
+            unix_zero: (unix_time().as_nanos() as Nanos).saturating_sub(HEAD_START),
         }
     }
 
-    /// One reading a loop round: all events of a round happen at one time, as in a batch of the
-    /// drill.
+    /// Nanoseconds since the clock's zero, an hour before its start.
     pub fn read(&self) -> Nanos {
-        HEAD_START + self.begun.elapsed().as_nanos() as Nanos
+        HEAD_START + self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// What is known at this moment for dating the starts of backends.
-    pub fn observe(&self, now: Nanos, confirmed: Option<Nanos>) -> StartObservation {
-        let wall = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or(Duration::ZERO);
-        StartObservation {
-            now,
-            wall_now_ms: wall.as_millis() as u64,
-            wall_at_zero: self.unix_zero,
-            confirmed,
-        }
+    /// Unix time at the clock's zero, in nanoseconds.
+    pub fn unix_zero(&self) -> Nanos {
+        self.unix_zero
     }
 }
+
+/// The system's wall-clock time since the Unix epoch; zero if it lies before that.
+pub fn unix_time() -> Duration {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or(Duration::ZERO)
+}
--- /dev/null
+++ b/crates/node/src/discovery/client.rs
@@ -0,0 +1,443 @@
+//! The node's side of discovery: which calls are open, when a failed one is made again, and how
+//! fresh the endpoint list is.
+
+use std::net::SocketAddr;
+
+use kitefork_balancer::{BackendId, Nanos};
+use rustix::event::epoll::EventFlags;
+use rustix::io::Errno;
+
+use super::call::{CallKind, CallProgress, DiscoveryCall, SendOutcome};
+use super::endpoint_list::{AppliedUpdate, EndpointList, Freshness};
+use super::update::EndpointUpdate;
+use crate::clock::{MS, SECOND};
+use crate::diagnostics::Diagnostics;
+use crate::errno::{self, ErrorClass};
+use crate::event_loop::{EventLoop, MIN_RETRY, TimerEvent};
+use crate::net;
+use crate::slab::Slab;
+use crate::start_time::StartObservation;
+
+/// Calls that are open at a time at most: a watch, a poll, and their successors after a reload.
+const MAX_CALLS: usize = 4;
+/// A connection to discovery that is not established after this, in nanoseconds, is cut off; a new
+/// one finds the way back sooner than TCP's own retransmissions.
+const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
+/// A call that this machine could not start for a moment is made after this, in nanoseconds.
+const CALL_RETRY: Nanos = 20 * MS;
+/// Where lists are pushed: the first backoff of a failed call, in nanoseconds; it doubles ...
+const MIN_BACKOFF: Nanos = 10 * MS;
+/// ... up to this.
+const MAX_BACKOFF: Nanos = 500 * MS;
+/// Most doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// The backoff is at most this part of the grace for draining backends: a node without a watch must
+/// be back on it well within that grace.
+const BACKOFF_PART_OF_GRACE: Nanos = 4;
+/// The same for the time in which a connection must be established.
+const CONNECT_PART_OF_GRACE: Nanos = 2;
+/// A watch that has lasted for this long, in nanoseconds, ends a row of failures; one that ends at
+/// once must not be opened again without a pause.
+const STEADY_WATCH: Nanos = SECOND;
+/// A node that has heard nothing of discovery for this long after its start, in nanoseconds, serves
+/// from the cached list: an old list is better than no service where discovery stays away. Operators
+/// expect a node to be ready within 10 s.
+const STALE_LIST_AFTER: Nanos = 9 * SECOND;
+
+/// How the endpoint list is kept up to date.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DiscoveryMode {
+    /// The decision module asks for polls and watches.
+    Polled,
+    /// The node keeps a watch open by itself. What the agent has counts as notified whether or not
+    /// this node has read it.
+    Pushed {
+        /// How long after its removal from the list a backend may still get attempts, in nanoseconds.
+        drain_grace: Nanos,
+    },
+}
+
+/// Whether the next call waits for the end of a backoff.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RetryState {
+    Ready,
+    BackingOff,
+}
+
+/// Whether discovery has spoken since the start of the node.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SyncState {
+    AwaitingFirstUpdate,
+    Synced,
+}
+
+/// Whether the decision module is to be told that a call has failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[must_use]
+pub enum FailureNotice {
+    /// Nothing is to be told.
+    Handled,
+    /// It decides on the backoff.
+    NotifyBalancer,
+}
+
+/// What a decision to open or close the watch comes to.
+#[derive(Debug)]
+pub enum WatchChange {
+    /// The watch is to be opened.
+    Open,
+    /// Nothing is to be opened. Each call of the decision module gets one event: this update, in
+    /// which nothing has changed.
+    Unchanged(EndpointUpdate),
+}
+
+/// The calls to discovery and the endpoint list.
+pub struct Discovery {
+    address: SocketAddr,
+    mode: DiscoveryMode,
+    calls: Slab<DiscoveryCall>,
+    revision: u64,
+    /// When discovery last said something, be it that nothing has changed.
+    confirmed_at: Option<Nanos>,
+    retry: RetryState,
+    /// Calls that have failed in a row, where lists are pushed.
+    failed_calls: u32,
+    sync: SyncState,
+    endpoints: EndpointList,
+}
+
+impl Discovery {
+    /// Discovery at `address`, with no call open and the list of this revision still to be applied.
+    pub fn new(
+        address: SocketAddr,
+        mode: DiscoveryMode,
+        revision: u64,
+        endpoints: EndpointList,
+    ) -> Discovery {
+        Discovery {
+            address,
+            mode,
+            calls: Slab::new(MAX_CALLS),
+            revision,
+            confirmed_at: None,
+            retry: RetryState::Ready,
+            failed_calls: 0,
+            sync: match mode {
+                DiscoveryMode::Polled => SyncState::Synced,
+                DiscoveryMode::Pushed { .. } => SyncState::AwaitingFirstUpdate,
+            },
+            endpoints,
+        }
+    }
+
+    /// How many calls are open.
+    pub fn open_calls(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Whether the list may be served from.
+    pub fn is_synced(&self) -> bool {
+        self.sync == SyncState::Synced
+    }
+
+    /// Whether any backend is ready.
+    pub fn has_ready(&self) -> bool {
+        self.endpoints.has_ready()
+    }
+
+    /// Where a backend listens, if it is ready.
+    pub fn ready_address(&self, backend: BackendId) -> Option<SocketAddr> {
+        self.endpoints.ready_address(backend)
+    }
+
+    /// Whether discovery has said something that is not read, as far as that can be known.
+    pub fn has_unread_bytes(&self) -> bool {
+        self.calls.iter().any(|(_, call)| call.has_unread_bytes())
+    }
+
+    /// Where lists are pushed, opens the watch that the node keeps open; no request is served before
+    /// discovery has spoken, or a time limit for that is over.
+    pub fn start(
+        &mut self,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> FailureNotice {
+        if self.mode == DiscoveryMode::Polled {
+            return FailureNotice::Handled;
+        }
+        event_loop.schedule(
+            event_loop.now() + STALE_LIST_AFTER,
+            TimerEvent::ServeStaleList,
+        );
+        self.open_call(CallKind::Watch, event_loop, diagnostics)
+    }
+
+    /// Serves from the cached list from now on, if discovery has said nothing yet.
+    pub fn serve_stale_list(&mut self, now: Nanos, diagnostics: &mut Diagnostics) {
+        if std::mem::replace(&mut self.sync, SyncState::Synced) == SyncState::AwaitingFirstUpdate {
+            diagnostics.log(
+                now,
+                "serving-stale-list",
+                "discovery has not spoken: serving from the list that was given",
+            );
+        }
+    }
+
+    /// Follows discovery to another address: closes all calls, so that their end is no failure. A
+    /// list that was on its way is still wanted: gives how many polls were open.
+    pub fn move_to(&mut self, address: SocketAddr) -> usize {
+        self.address = address;
+        let open: Vec<u32> = self.calls.iter().map(|(number, _)| number).collect();
+        open.into_iter()
+            .filter_map(|number| self.calls.remove(number))
+            .filter(|call| call.kind() == CallKind::Poll)
+            .count()
+    }
+
+    fn open_watch(&self) -> Option<u32> {
+        self.calls
+            .iter()
+            .find(|(_, call)| call.kind() == CallKind::Watch)
+            .map(|(number, _)| number)
+    }
+
+    /// The decision module wants a watch, or none.
+    pub fn change_watch(&mut self, on: bool) -> WatchChange {
+        self.retry = RetryState::Ready;
+        let open = self.open_watch();
+        if on && open.is_none() {
+            return WatchChange::Open;
+        }
+        // One is open already where a new configuration came before the end of a backoff.
+        if !on && let Some(number) = open {
+            self.calls.remove(number);
+        }
+        WatchChange::Unchanged(EndpointUpdate {
+            rev: self.revision,
+            ..EndpointUpdate::default()
+        })
+    }
+
+    /// The backoff of the node's own watch is over.
+    pub fn end_backoff(
+        &mut self,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> FailureNotice {
+        self.retry = RetryState::Ready;
+        if self.open_watch().is_some() {
+            return FailureNotice::Handled;
+        }
+        self.open_call(CallKind::Watch, event_loop, diagnostics)
+    }
+
+    /// Makes a call that the machine could not start before, unless a reload has opened a watch
+    /// meanwhile.
+    pub fn retry_call(
+        &mut self,
+        kind: CallKind,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> FailureNotice {
+        if kind == CallKind::Watch && self.open_watch().is_some() {
+            return FailureNotice::Handled;
+        }
+        self.open_call(kind, event_loop, diagnostics)
+    }
+
+    /// Opens a call.
+    pub fn open_call(
+        &mut self,
+        kind: CallKind,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> FailureNotice {
+        let now = event_loop.now();
+        let is_watch = u8::from(kind == CallKind::Watch);
+        diagnostics.trace(now, format_args!("call watch={is_watch}"));
+        let Err(error) = self.dial(kind, event_loop) else {
+            return FailureNotice::Handled;
+        };
+        if errno::of_connect(error) == ErrorClass::ConnectionLost {
+            return self.call_failed(error, event_loop, diagnostics);
+        }
+        // Of this machine, for a moment: discovery has not failed, and its backoff would be too
+        // long.
+        diagnostics.log(now, "call-postponed", error);
+        event_loop.schedule(
+            now + CALL_RETRY,
+            match kind {
+                CallKind::Watch => TimerEvent::RetryDiscoveryWatch,
+                CallKind::Poll => TimerEvent::RetryDiscoveryPoll,
+            },
+        );
+        FailureNotice::Handled
+    }
+
+    fn dial(&mut self, kind: CallKind, event_loop: &mut EventLoop) -> Result<(), Errno> {
+        let now = event_loop.now();
+        let socket = net::dial(self.address)?;
+        let number = self.calls.vacant().ok_or(Errno::MFILE)?;
+        let mut call = DiscoveryCall::new(socket, kind, self.revision, self.address, now);
+        call.register(number, event_loop)?;
+        call.set_deadline(now + self.connect_timeout(), number, event_loop);
+        self.calls.insert(call);
+        Ok(())
+    }
+
+    fn connect_timeout(&self) -> Nanos {
+        match self.mode {
+            DiscoveryMode::Polled => CONNECT_TIMEOUT,
+            DiscoveryMode::Pushed { drain_grace } => {
+                (drain_grace / CONNECT_PART_OF_GRACE).clamp(MIN_BACKOFF, CONNECT_TIMEOUT)
+            }
+        }
+    }
+
+    /// Counts and logs a failed call, and schedules the next one where lists are pushed.
+    pub fn call_failed(
+        &mut self,
+        why: impl std::fmt::Display,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> FailureNotice {
+        let now = event_loop.now();
+        diagnostics.trace(now, format_args!("call-failed why={why}"));
+        diagnostics.log(now, "discovery-failed", why);
+        // A call that a new configuration has brought forward may fail before the backoff is over:
+        // the next one comes anyway, and there would from then on be two rows of calls.
+        if std::mem::replace(&mut self.retry, RetryState::BackingOff) == RetryState::BackingOff {
+            return FailureNotice::Handled;
+        }
+        match self.mode {
+            DiscoveryMode::Polled => FailureNotice::NotifyBalancer,
+            DiscoveryMode::Pushed { drain_grace } => {
+                let backoff = self.next_backoff(drain_grace);
+                event_loop.schedule(now + backoff, TimerEvent::OpenWatch);
+                FailureNotice::Handled
+            }
+        }
+    }
+
+    /// The agent is this node's own: no crowd of others calls it. So the first retry is immediate,
+    /// then the backoff doubles.
+    fn next_backoff(&mut self, drain_grace: Nanos) -> Nanos {
+        let failed_before = self.failed_calls;
+        self.failed_calls += 1;
+        if failed_before == 0 {
+            return 0;
+        }
+        let longest = (drain_grace / BACKOFF_PART_OF_GRACE).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        longest.min(MIN_BACKOFF << failed_before.min(MAX_BACKOFF_DOUBLINGS))
+    }
+
+    /// Writes and reads a call whose socket is ready; `None` if there is nothing to follow up.
+    pub fn advance_call(
+        &mut self,
+        number: u32,
+        flags: EventFlags,
+        event_loop: &mut EventLoop,
+    ) -> Option<CallProgress> {
+        let now = event_loop.now();
+        let call = self.calls.get_mut(number)?;
+        if flags.intersects(EventFlags::OUT) && call.send(now) == SendOutcome::RetryLater {
+            self.pause_call(number, event_loop);
+            return None;
+        }
+        if call.register(number, event_loop).is_err() {
+            event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeDiscoveryCall(number));
+        }
+        let progress = call.read(now);
+        call.set_silence_deadline(number, event_loop);
+        Some(progress)
+    }
+
+    /// The machine lacks resources for a moment: the call is resumed a little later, and has no
+    /// event before that, which would come without a pause.
+    pub fn pause_call(&mut self, number: u32, event_loop: &mut EventLoop) {
+        if let Some(call) = self.calls.get_mut(number) {
+            let _ = call.pause(number, event_loop);
+            let at = event_loop.now() + MIN_RETRY;
+            event_loop.schedule(at, TimerEvent::ResumeDiscoveryCall(number));
+        }
+    }
+
+    /// Whether a call is silent for too long, now that its timer has fired.
+    pub fn is_call_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
+        self.calls
+            .get_mut(number)
+            .is_some_and(|call| call.is_due(number, event_loop))
+    }
+
+    /// Takes note of what a call has brought, before its updates are applied; closes one that is
+    /// over.
+    pub fn note_progress(&mut self, number: u32, progress: &CallProgress, now: Nanos) {
+        if progress.spoke {
+            self.sync = SyncState::Synced;
+        }
+        if progress.end.is_some()
+            && let Some(call) = self.calls.remove(number)
+            && now.saturating_sub(call.opened_at()) > STEADY_WATCH
+        {
+            self.failed_calls = 0;
+        }
+    }
+
+    /// Discovery has confirmed the list: the next update says what has changed since.
+    pub fn confirm(&mut self, now: Nanos) {
+        self.confirmed_at = Some(now);
+    }
+
+    /// Applies an update that discovery has sent.
+    pub fn apply(
+        &mut self,
+        update: &EndpointUpdate,
+        event_loop: &EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> AppliedUpdate {
+        let freshness = if update.rev < self.revision {
+            diagnostics.log(
+                event_loop.now(),
+                "older-list",
+                format_args!("rev={} known={}", update.rev, self.revision),
+            );
+            Freshness::Older
+        } else {
+            Freshness::Current
+        };
+        self.apply_as(freshness, update, event_loop, diagnostics)
+    }
+
+    /// Applies the list from before the start of the node.
+    pub fn apply_cached(
+        &mut self,
+        update: &EndpointUpdate,
+        event_loop: &EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> AppliedUpdate {
+        self.apply_as(Freshness::Cached, update, event_loop, diagnostics)
+    }
+
+    fn apply_as(
+        &mut self,
+        freshness: Freshness,
+        update: &EndpointUpdate,
+        event_loop: &EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> AppliedUpdate {
+        let now = event_loop.now();
+        self.revision = update.rev;
+        let observation = StartObservation::new(event_loop.clock(), now, self.confirmed_at);
+        let applied = self.endpoints.apply(&observation, update, freshness);
+        if diagnostics.is_tracing() {
+            diagnostics.trace(
+                now,
+                format_args!("notified rev={} all={}", update.rev, u8::from(update.all)),
+            );
+            for line in self.endpoints.trace_lines(update, now) {
+                diagnostics.trace(now, format_args!("endpoint {line}"));
+            }
+        }
+        applied
+    }
+}
--- /dev/null
+++ b/crates/node/src/discovery/update.rs
@@ -0,0 +1,99 @@
+//! Endpoint updates as discovery sends them: the decoder of its JSON.
+
+use std::net::SocketAddr;
+
+use kitefork_balancer::EndpointState;
+use kitefork_settings::json::{ConfigError, Document, JsonValue};
+
+/// What an update says of one backend.
+#[derive(Debug, Clone)]
+pub struct ListedEndpoint {
+    /// The backend's name, unique for all time.
+    pub uid: String,
+    /// Where it listens; a ready one always has an address.
+    pub address: Option<SocketAddr>,
+    /// Its availability zone (`az`); may be empty.
+    pub zone: String,
+    /// Its kind of machine (`model`); may be empty.
+    pub kind: String,
+    /// Its cell (`pod_group`).
+    pub cell: u16,
+    /// Ready, draining or removed.
+    pub state: EndpointState,
+    /// Its relative capacity (`capacity_hint`).
+    pub weight: f32,
+    /// When it started, in Unix milliseconds by its own clock; 0: not known.
+    pub boot_ms: u64,
+}
+
+/// One object of discovery: changes of the endpoint list, or the whole list.
+#[derive(Debug, Clone, Default)]
+pub struct EndpointUpdate {
+    /// The revision of the list after this update.
+    pub rev: u64,
+    /// Whether `entries` is the whole list: what is missing on it has been removed.
+    pub all: bool,
+    /// The backends that the update speaks of.
+    pub entries: Vec<ListedEndpoint>,
+}
+
+impl EndpointUpdate {
+    /// Parses one JSON object.
+    ///
+    /// # Errors
+    ///
+    /// If the text is no JSON, or a key is missing or invalid; nothing of it is taken then.
+    pub fn parse(text: &[u8]) -> Result<EndpointUpdate, ConfigError> {
+        EndpointUpdate::read(&Document::parse(text)?.root())
+    }
+
+    /// Reads an update out of a JSON value.
+    ///
+    /// # Errors
+    ///
+    /// If a key is missing or invalid.
+    pub fn read(root: &JsonValue) -> Result<EndpointUpdate, ConfigError> {
+        let entries = root.get("targets")?.array()?;
+        Ok(EndpointUpdate {
+            rev: root.get("rev")?.integer()?,
+            all: root.get("all")?.boolean()?,
+            entries: entries
+                .iter()
+                .map(ListedEndpoint::read)
+                .collect::<Result<_, _>>()?,
+        })
+    }
+}
+
+impl ListedEndpoint {
+    fn read(value: &JsonValue) -> Result<ListedEndpoint, ConfigError> {
+        let word = value.get("state")?;
+        let state = match word.string()? {
+            "Ready" => EndpointState::Ready,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
+            _ => return Err(word.invalid("unknown state")),
+        };
+        let address = value
+            .find("endpoint")
+            .map(|e| e.string()?.parse().map_err(|_| e.invalid("not an address")))
+            .transpose()?;
+        if address.is_none() && state == EndpointState::Ready {
+            return Err(value.invalid("a ready backend needs an `endpoint`"));
+        }
+        Ok(ListedEndpoint {
+            uid: value.get("uid")?.string()?.to_string(),
+            address,
+            zone: value.get_or("az", "", JsonValue::string)?.to_string(),
+            kind: value.get_or("model", "", JsonValue::string)?.to_string(),
+            cell: value.get_or("pod_group", 0, JsonValue::small_integer)?,
+            state,
+            weight: value.get_or("capacity_hint", 1.0, JsonValue::number)? as f32,
+            boot_ms: value.get_or("boot_ms", 0, JsonValue::integer)?,
+        })
+    }
+}
+
+#[cfg(test)]
+#[path = "update_tests.rs"]
+mod tests;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -109,11 +109,10 @@
     DiscoveryDeadline(u32),
     /// Go on with a discovery call for which the machine lacked resources.
     ResumeDiscoveryCall(u32),
-    /// Make a discovery call that could not be started before.
-    RetryDiscoveryCall {
-        /// A watch; otherwise a poll of the whole list.
-        watch: bool,
-    },
+    /// Open a watch that could not be opened before.
+    RetryDiscoveryWatch,
+    /// Make a poll that could not be started before.
+    RetryDiscoveryPoll,
     /// A timer of the decision module.
     BalancerTimer(TimerId),
     /// Accept clients again after a pause.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,9 +1,9 @@
 //! The loop: waits for sockets and deadlines, and carries out what is decided. One clock reading a
 //! round; what sockets bring goes first, so that an answer which is there wins over its time-out.
 
+mod discovery;
 mod end;
 mod fetches;
-mod lists;
 mod sessions;
 
 use std::collections::VecDeque;
@@ -22,7 +22,7 @@
 use crate::config::Config;
 use crate::descriptor_budget::{DescriptorBudget, Purpose};
 use crate::diagnostics::Diagnostics;
-use crate::discovery::{DiscoveryCall, EndpointList, Freshness};
+use crate::discovery::{CallKind, Discovery, DiscoveryMode, EndpointList};
 use crate::event_loop::{EventLoop, MIN_RETRY, PEER_CLOSED, TimerEvent, Token};
 use crate::fetch::{Pool, UpstreamAttempt, UpstreamConnection};
 use crate::log::Trace;
@@ -35,8 +35,6 @@
 
 /// A health check without an answer after this, in nanoseconds, has failed.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
-/// Discovery calls that are open at a time: a watch, a poll and their successors after a reload.
-const MAX_DISCOVERY_CALLS: usize = 4;
 
 /// Timer granularity, in nanoseconds, whatever tick the settings have.
 const MIN_TICK: Nanos = MS;
@@ -114,7 +112,7 @@
     /// After this the next accept is tried where the machine lacks something.
     accept_retry: Nanos,
     postponed: Vec<PostponedDial>,
-    discovery: std::net::SocketAddr,
+    discovery: Discovery,
     /// `None` once no more clients are taken.
     listener: Option<OwnedFd>,
     accepting: bool,
@@ -130,18 +128,6 @@
     answered: VecDeque<u32>,
     upstreams: Slab<UpstreamConnection>,
     pool: Pool,
-    calls: Slab<DiscoveryCall>,
-    revision: u64,
-    /// When discovery last said something, be it that nothing has changed.
-    confirmed: Option<Nanos>,
-    /// The next call to discovery waits, for the decisions or, where lists are pushed, on the
-    /// wheel.
-    backing_off: bool,
-    /// Only where lists are pushed: discovery has spoken since the start, and how many calls in a
-    /// row failed.
-    list_synced: bool,
-    failed_calls: u32,
-    endpoint_list: EndpointList,
 }
 
 impl Node {
@@ -163,7 +149,7 @@
         let max_upstreams = descriptor_budget.max(Purpose::Upstream);
         let max_requests = max_clients.min(deployment.most_held).max(1);
         let mut requests = RequestTable::new(settings, config.seed, max_requests, now)?;
-        let trace = Trace::new(config.trace, clock.unix_zero);
+        let trace = Trace::new(config.trace, clock.unix_zero());
         requests.trace = trace;
         let listener = net::retry_at_start(|| net::listener(config.listen)).map_err(|error| {
             NodeError::Listen {
@@ -176,6 +162,15 @@
             .map_err(NodeError::LocalAddress)?;
         let event_loop = EventLoop::new(clock, now, tick).map_err(NodeError::Epoll)?;
         register_sources(&event_loop, &listener, &signals).map_err(NodeError::Epoll)?;
+        let mode = if deployment.settings.poll_endpoints {
+            DiscoveryMode::Polled
+        } else {
+            DiscoveryMode::Pushed {
+                drain_grace: deployment.settings.rules.drain_grace,
+            }
+        };
+        let endpoints = EndpointList::new(deployment.zones.clone(), deployment.kinds.clone());
+        let discovery = Discovery::new(config.discovery, mode, config.known.rev, endpoints);
         let mut node = Node {
             event_loop,
             diagnostics: Diagnostics::new(trace),
@@ -187,7 +182,7 @@
             queue_watched: now,
             accept_retry: MIN_RETRY,
             postponed: Vec::new(),
-            discovery: config.discovery,
+            discovery,
             listener: Some(listener),
             accepting: true,
             ends: None,
@@ -197,13 +192,6 @@
             answered: VecDeque::new(),
             upstreams: Slab::new(max_upstreams),
             pool: Pool::default(),
-            calls: Slab::new(MAX_DISCOVERY_CALLS),
-            revision: config.known.rev,
-            confirmed: None,
-            backing_off: false,
-            list_synced: deployment.settings.poll_endpoints,
-            failed_calls: 0,
-            endpoint_list: EndpointList::new(deployment.zones.clone(), deployment.kinds.clone()),
             deployment,
         };
         node.diagnostics.log(
@@ -214,8 +202,8 @@
                 config.name
             ),
         );
-        node.apply_list(&config.known, Freshness::Cached);
-        node.follow_pushes();
+        node.apply_cached_list(&config.known);
+        node.start_discovery();
         node.flush_pending();
         Ok(node)
     }
@@ -228,7 +216,8 @@
     pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
         while !self.is_over() {
-            let capacity = self.clients.len() + self.upstreams.len() + self.calls.len() + 4;
+            let capacity =
+                self.clients.len() + self.upstreams.len() + self.discovery.open_calls() + 4;
             self.event_loop
                 .poll(&mut events, capacity)
                 .map_err(NodeError::Epoll)?;
@@ -290,7 +279,7 @@
             Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
             Some(Token::Client(number)) => self.client_ready(number, event.flags),
             Some(Token::Upstream(number)) => self.advance(number, true),
-            Some(Token::Discovery(number)) => self.read_call(number, event.flags),
+            Some(Token::Discovery(number)) => self.advance_discovery_call(number, event.flags),
             None => {}
         }
     }
@@ -323,9 +312,12 @@
             TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
             TimerEvent::ResumeUpstream(number) => self.advance(number, false),
             TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
-            TimerEvent::DiscoveryDeadline(number) => self.call_due(number),
-            TimerEvent::ResumeDiscoveryCall(number) => self.read_call(number, EventFlags::OUT),
-            TimerEvent::RetryDiscoveryCall { watch } => self.recall(watch),
+            TimerEvent::DiscoveryDeadline(number) => self.discovery_deadline_due(number),
+            TimerEvent::ResumeDiscoveryCall(number) => {
+                self.advance_discovery_call(number, EventFlags::OUT)
+            }
+            TimerEvent::RetryDiscoveryWatch => self.retry_discovery_call(CallKind::Watch),
+            TimerEvent::RetryDiscoveryPoll => self.retry_discovery_call(CallKind::Poll),
             TimerEvent::BalancerTimer(timer) => self
                 .requests
                 .feed(self.event_loop.now(), Event::Timer { timer }),
@@ -337,8 +329,11 @@
             TimerEvent::StopAccepting => self.stop_accepting(),
             TimerEvent::LastAnswers => self.end_drain(),
             TimerEvent::ForceClose => self.quit(),
-            TimerEvent::OpenWatch => self.watch_pushes(),
-            TimerEvent::ServeStaleList => self.serve_stale_list(),
+            TimerEvent::OpenWatch => self.end_discovery_backoff(),
+            TimerEvent::ServeStaleList => {
+                let now = self.event_loop.now();
+                self.discovery.serve_stale_list(now, &mut self.diagnostics)
+            }
         }
     }
 
@@ -407,8 +402,8 @@
                 Command::SetTimer { at, timer } => self
                     .event_loop
                     .schedule(at, TimerEvent::BalancerTimer(timer)),
-                Command::WatchEndpoints(on) => self.watch(on),
-                Command::PollEndpoints => self.call(false),
+                Command::WatchEndpoints(on) => self.change_watch(on),
+                Command::PollEndpoints => self.open_discovery_call(CallKind::Poll),
                 Command::Log(line) => self
                     .diagnostics
                     .log(self.event_loop.now(), "decision", line),
--- /dev/null
+++ b/crates/node/src/node/discovery.rs
@@ -0,0 +1,139 @@
+//! Discovery events: what the calls bring, and what follows for requests and connections.
+
+use kitefork_balancer::{Event, Outcome};
+use rustix::event::epoll::EventFlags;
+
+use super::Node;
+use crate::config;
+use crate::discovery::{
+    AppliedUpdate, CallEnd, CallKind, CallProgress, EndpointUpdate, FailureNotice, WatchChange,
+};
+
+impl Node {
+    /// Follows discovery to where the configuration now has it, and at once, whatever the backoff:
+    /// the old one soon falls silent. The list, the requests and the connections live on. An invalid
+    /// file changes nothing.
+    pub(super) fn reload(&mut self) {
+        let now = self.event_loop.now();
+        match config::reload(|name| std::env::var(name).ok()) {
+            Ok(address) => {
+                self.diagnostics
+                    .log(now, "reload", format_args!("discovery={address}"));
+                for _ in 0..self.discovery.move_to(address) {
+                    self.open_discovery_call(CallKind::Poll);
+                }
+                // A watch is resumed, or opened early.
+                self.open_discovery_call(CallKind::Watch);
+            }
+            Err(error) => self.diagnostics.log(now, "reload-failed", error),
+        }
+    }
+
+    /// Opens or closes the watch, as the decision module wants it.
+    pub(super) fn change_watch(&mut self, on: bool) {
+        match self.discovery.change_watch(on) {
+            WatchChange::Open => self.open_discovery_call(CallKind::Watch),
+            WatchChange::Unchanged(update) => self.apply_update(&update),
+        }
+    }
+
+    pub(super) fn open_discovery_call(&mut self, kind: CallKind) {
+        let notice = self
+            .discovery
+            .open_call(kind, &mut self.event_loop, &mut self.diagnostics);
+        self.notify_failure(notice);
+    }
+
+    pub(super) fn retry_discovery_call(&mut self, kind: CallKind) {
+        let notice = self
+            .discovery
+            .retry_call(kind, &mut self.event_loop, &mut self.diagnostics);
+        self.notify_failure(notice);
+    }
+
+    pub(super) fn start_discovery(&mut self) {
+        let notice = self
+            .discovery
+            .start(&mut self.event_loop, &mut self.diagnostics);
+        self.notify_failure(notice);
+    }
+
+    pub(super) fn end_discovery_backoff(&mut self) {
+        let notice = self
+            .discovery
+            .end_backoff(&mut self.event_loop, &mut self.diagnostics);
+        self.notify_failure(notice);
+    }
+
+    fn notify_failure(&mut self, notice: FailureNotice) {
+        if notice == FailureNotice::NotifyBalancer {
+            self.requests
+                .feed(self.event_loop.now(), Event::DiscoveryFailed);
+        }
+    }
+
+    pub(super) fn advance_discovery_call(&mut self, number: u32, flags: EventFlags) {
+        let Some(progress) = self
+            .discovery
+            .advance_call(number, flags, &mut self.event_loop)
+        else {
+            return;
+        };
+        let retry_later = progress.retry_later;
+        self.apply_progress(number, progress);
+        if retry_later {
+            self.discovery.pause_call(number, &mut self.event_loop);
+        }
+    }
+
+    pub(super) fn discovery_deadline_due(&mut self, number: u32) {
+        if self.discovery.is_call_due(number, &mut self.event_loop) {
+            self.apply_progress(number, CallProgress::ended(CallEnd::Silent));
+        }
+    }
+
+    fn apply_progress(&mut self, number: u32, progress: CallProgress) {
+        let now = self.event_loop.now();
+        self.discovery.note_progress(number, &progress, now);
+        for update in &progress.updates {
+            self.apply_update(update);
+            self.discovery.confirm(now);
+        }
+        if progress.spoke {
+            self.discovery.confirm(now);
+        }
+        if let Some(end) = progress.into_failure() {
+            let notice =
+                self.discovery
+                    .call_failed(end, &mut self.event_loop, &mut self.diagnostics);
+            self.notify_failure(notice);
+        }
+    }
+
+    fn apply_update(&mut self, update: &EndpointUpdate) {
+        let applied = self
+            .discovery
+            .apply(update, &self.event_loop, &mut self.diagnostics);
+        self.follow_update(applied);
+    }
+
+    pub(super) fn apply_cached_list(&mut self, update: &EndpointUpdate) {
+        let applied = self
+            .discovery
+            .apply_cached(update, &self.event_loop, &mut self.diagnostics);
+        self.follow_update(applied);
+    }
+
+    /// Tells the decision module, and ends the connections that must end. What is not connected yet
+    /// would write its first byte at any later time, and the rule on draining backends counts that
+    /// byte; it was not executed, so it can go elsewhere.
+    fn follow_update(&mut self, applied: AppliedUpdate) {
+        self.requests.feed(self.event_loop.now(), applied.event);
+        for backend in applied.disconnect {
+            self.close_idle(backend);
+            for number in self.connecting_to(backend) {
+                self.end_attempt(number, Outcome::ConnectFailed);
+            }
+        }
+    }
+}
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -1,7 +1,6 @@
 //! The loop's side of fetches: starting attempts, the pool, and how attempts ended.
 
 use kitefork_balancer::{BackendId, Event, Nanos, Outcome};
-use rustix::event::PollFlags;
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
@@ -161,7 +160,7 @@
         let facts = WriteFacts {
             answered: matches!(job, UpstreamAttempt::Request { request, .. } if !self.requests.is_waiting(request)),
             client_gone: matches!(job, UpstreamAttempt::Request { request, .. } if self.client_is_gone(request, now)),
-            backend_ready: self.endpoint_list.endpoint(backend).is_some(),
+            backend_ready: self.discovery.ready_address(backend).is_some(),
             abandon_at,
             write_by,
         };
@@ -208,7 +207,7 @@
     /// has lasted, they may have come since its look. It waits once, as discovery may never stop
     /// talking.
     fn waits_for_news(&mut self, number: u32, now: Nanos) -> bool {
-        if !self.event_loop.has_lasted(now, OLD_NEWS) || !self.has_unread_news() {
+        if !self.event_loop.has_lasted(now, OLD_NEWS) || !self.discovery.has_unread_bytes() {
             return false;
         }
         let Some(upstream) = self.upstreams.get_mut(number) else {
@@ -226,13 +225,6 @@
         true
     }
 
-    /// Whether discovery has said something that is not read, as far as that can be known.
-    fn has_unread_news(&self) -> bool {
-        self.calls
-            .iter()
-            .any(|(_, call)| net::is_ready(&call.socket, PollFlags::IN).unwrap_or(true))
-    }
-
     /// Ends an attempt of which nothing has been written, and which must not be.
     fn deny_write(&mut self, number: u32, denial: Denial) {
         self.diagnostics.count_denial(
@@ -252,8 +244,8 @@
     /// A connection to a backend: the newest idle one that is sound, or a new one.
     fn connection(&mut self, backend: BackendId) -> Result<u32, DialError> {
         let endpoint = self
-            .endpoint_list
-            .endpoint(backend)
+            .discovery
+            .ready_address(backend)
             .ok_or(DialError::Endpoint)?;
         while let Some(number) = self.pool.take(backend, self.event_loop.now()) {
             let Some(upstream) = self.upstreams.get_mut(number) else {
@@ -429,7 +421,7 @@
         let (job, backend) = (upstream.job.take(), upstream.backend);
         self.pool.note(reuse, self.event_loop.now());
         // A backend that is leaving gets its connections closed.
-        if reuse == Reuse::Yes && self.endpoint_list.endpoint(backend).is_some() {
+        if reuse == Reuse::Yes && self.discovery.ready_address(backend).is_some() {
             upstream.state = fetch::UpstreamState::Idle;
             // Clearly before the backend's machine would close it: what crosses that close is a
             // reset.
@@ -528,6 +520,16 @@
         }
     }
 
+    /// The connections to a backend that are not established yet.
+    pub(super) fn connecting_to(&self, backend: BackendId) -> Vec<u32> {
+        self.upstreams
+            .iter()
+            .filter(|(_, upstream)| upstream.backend == backend)
+            .filter(|(_, upstream)| upstream.state == fetch::UpstreamState::Connecting)
+            .map(|(number, _)| number)
+            .collect()
+    }
+
     pub(super) fn close_idle(&mut self, backend: BackendId) {
         for number in self.pool.drain(backend) {
             self.upstreams.remove(number);
--- a/crates/node/src/node/sessions.rs
+++ b/crates/node/src/node/sessions.rs
@@ -429,9 +429,9 @@
     pub(super) fn reply_health(&mut self, number: u32) {
         let (status, word) = if self.is_draining() {
             (503, "ending\n")
-        } else if !self.list_synced {
+        } else if !self.discovery.is_synced() {
             (503, "discovery has not spoken\n")
-        } else if !self.endpoint_list.has_ready() {
+        } else if !self.discovery.has_ready() {
             (503, "no backend is ready\n")
         } else {
             (200, "ok\n")
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -15,7 +15,7 @@
 
 use kitefork_balancer::Nanos;
 
-use crate::clock::{MS, SECOND};
+use crate::clock::{self, Clock, MS, SECOND};
 
 /// A change counts as notified at the latest this long after the list service had it (protocol
 /// page), so what a list tells as new had not been so for much longer.
@@ -38,6 +38,18 @@
     pub confirmed: Option<Nanos>,
 }
 
+impl StartObservation {
+    /// What is known at `now`, a reading of `clock`, of a list that was confirmed at `confirmed`.
+    pub fn new(clock: &Clock, now: Nanos, confirmed: Option<Nanos>) -> StartObservation {
+        StartObservation {
+            now,
+            wall_now_ms: clock::unix_time().as_millis() as u64,
+            wall_at_zero: clock.unix_zero(),
+            confirmed,
+        }
+    }
+}
+
 /// Dates starts, by what earlier ones have shown of the clocks.
 #[derive(Debug, Default)]
 pub struct StartTimes {
