--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -23,6 +23,11 @@
 }
 
 impl CloseReason {
+    /// Whether its client has ended it, so that no answer is owed any more.
+    pub fn is_by_client(self) -> bool {
+        matches!(self, CloseReason::ClientGone | CloseReason::Broken)
+    }
+
     /// The word in logs and counts.
     pub fn name(self) -> &'static str {
         match self {
--- /dev/null
+++ b/crates/node/src/downstream/connection.rs
@@ -0,0 +1,422 @@
+//! A client's connection: its state, time limits and events.
+
+use std::os::fd::OwnedFd;
+
+use kitefork_balancer::Nanos;
+use rustix::event::epoll::EventFlags;
+use rustix::io::Errno;
+
+use super::eviction::{EvictionCandidate, EvictionRank};
+use super::input::{ClientInput, Message};
+use super::reply::Reply;
+use crate::clock::{MS, SECOND};
+use crate::counters::CloseReason;
+use crate::diagnostics::Diagnostics;
+use crate::errno::{self, ErrorClass};
+use crate::event_loop::{EventLoop, MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
+use crate::http1::{MAX_ANSWER, MAX_HEAD, ParseError};
+use crate::net::{self, Registration, Unread};
+use crate::ring_buffer::{BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
+use crate::rules::CloseFacts;
+use crate::timer_wheel::Deadline;
+
+/// A connection on which no message was ever complete, or whose head is incomplete, ends after this,
+/// in nanoseconds: it may be one of hundreds that will never say more. For a first message it counts
+/// from the connection's start.
+const HEAD_TIMEOUT: Nanos = 2_500 * MS;
+/// A connection whose message's body does not go on ends after this, in nanoseconds; a slow but
+/// honest one goes on.
+const BODY_PAUSE_TIMEOUT: Nanos = 2 * SECOND;
+/// An answered connection without a new message ends after this, in nanoseconds.
+const IDLE_TIMEOUT: Nanos = 10 * SECOND;
+/// A connection that has not sent its whole body, or not read its answer, ends after this, in
+/// nanoseconds.
+const STALL_TIMEOUT: Nanos = 10 * SECOND;
+/// A connection whose last answer is written ends after this, in nanoseconds.
+const LINGER_TIMEOUT: Nanos = SECOND;
+/// Where descriptors are short, a client that has sent no message, or no second one, by then, in
+/// nanoseconds, is among the first to go.
+const FIRST_MESSAGE_GRACE: Nanos = 50 * MS;
+/// Where many connections are open, expendable ones are looked for this often, in nanoseconds.
+pub const TRIM_INTERVAL: Nanos = FIRST_MESSAGE_GRACE / 5;
+/// A client that has come back keeps its connection for this long, in nanoseconds, before it is
+/// among those to go.
+const RETURNING_CLIENT_GRACE: Nanos = 2 * SECOND;
+/// Most pieces that are read and thrown away before a connection closes.
+const MAX_DISCARDED_READS: usize = 16;
+/// What a client that expects it gets before it sends its body.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// The state of a client connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionState {
+    /// Messages come and go.
+    Open,
+    /// What is written goes out, then the connection ends.
+    Closing,
+    /// All is written. What still comes is thrown away: closing at once would reset the connection
+    /// and could take the answer with it.
+    Lingering,
+}
+
+/// What reading a connection came to.
+pub enum ReadEvent {
+    /// No message is complete.
+    Incomplete,
+    /// The machine lacks resources for a moment: read again a little later.
+    RetryLater,
+    /// A complete message.
+    Message(Message),
+    /// What has come is no message.
+    Invalid(ParseError),
+    /// The client has closed its side.
+    EndOfStream,
+    /// The connection has broken.
+    Broken,
+}
+
+/// A connection of a client.
+pub struct ClientConnection {
+    socket: OwnedFd,
+    outbox: RingBuffer,
+    input: ClientInput,
+    state: ConnectionState,
+    /// The request that waits for its answer.
+    request: Option<u32>,
+    /// The client has closed its side, or the connection has broken. A half-close looks the same.
+    peer_closed: bool,
+    /// When it came to its present state: every time limit on a client counts from here, so that a
+    /// client which sends or reads a byte now and then does not stay for ever.
+    since: Nanos,
+    deadline: Deadline,
+    registration: Registration,
+}
+
+impl ClientConnection {
+    /// A connection that was accepted at `now`, and was established at `queued_at` at the earliest.
+    pub fn new(
+        socket: OwnedFd,
+        now: Nanos,
+        queued_at: Nanos,
+        budget: &BufferBudget,
+    ) -> ClientConnection {
+        ClientConnection {
+            socket,
+            // An answer, its head, and `100 Continue` before it.
+            outbox: RingBuffer::new(MAX_ANSWER + 2 * MAX_HEAD).with_budget(budget),
+            input: ClientInput::new(now, queued_at, budget),
+            state: ConnectionState::Open,
+            request: None,
+            peer_closed: false,
+            since: now,
+            deadline: Deadline::new(),
+            registration: Registration::default(),
+        }
+    }
+
+    /// The request that waits for its answer.
+    pub fn request(&self) -> Option<u32> {
+        self.request
+    }
+
+    /// A request of the last message waits for its answer from now on.
+    pub fn set_request(&mut self, request: u32) {
+        self.request = Some(request);
+    }
+
+    /// Whether the client is known to have closed its side.
+    pub fn is_peer_closed(&self) -> bool {
+        self.peer_closed
+    }
+
+    /// Takes note that the client has closed its side.
+    pub fn note_peer_closed(&mut self) {
+        self.peer_closed = true;
+    }
+
+    /// Whether the client has closed its side by a fresh look at the socket.
+    pub fn has_peer_closed_now(&self) -> bool {
+        net::has_peer_closed(&self.socket)
+    }
+
+    /// Whether nothing is left to write.
+    pub fn is_written(&self) -> bool {
+        self.outbox.is_empty()
+    }
+
+    /// When it has taken too long over its present state.
+    fn time_limit(&self) -> Nanos {
+        let limit = match self.state {
+            ConnectionState::Lingering => LINGER_TIMEOUT,
+            ConnectionState::Open if self.request.is_some() => return Deadline::NEVER,
+            ConnectionState::Open if self.is_idle() && self.has_sent_message() => IDLE_TIMEOUT,
+            ConnectionState::Open if self.is_idle() => HEAD_TIMEOUT,
+            ConnectionState::Open if self.is_written() && !self.input.has_head() => HEAD_TIMEOUT,
+            ConnectionState::Open if self.is_written() => {
+                let next_byte_by = self.input.last_byte_at() + BODY_PAUSE_TIMEOUT;
+                return (self.since + STALL_TIMEOUT).min(next_byte_by);
+            }
+            ConnectionState::Open | ConnectionState::Closing => STALL_TIMEOUT,
+        };
+        self.since.saturating_add(limit)
+    }
+
+    /// How readily the connection, which has this number, is closed for another one. `None`: not at
+    /// all, as a request waits or an answer is on its way.
+    pub fn eviction_candidate(&self, number: u32, now: Nanos) -> Option<EvictionCandidate> {
+        if self.request.is_some() || !self.is_written() {
+            return None;
+        }
+        let age = now.saturating_sub(self.since);
+        let rank = match self.state {
+            ConnectionState::Open if self.is_idle() => match self.input.message_count() {
+                1 if age > FIRST_MESSAGE_GRACE => EvictionRank::SentOnce,
+                0 if age > FIRST_MESSAGE_GRACE => EvictionRank::NeverSent,
+                2.. if age > RETURNING_CLIENT_GRACE => EvictionRank::Returned,
+                0 | 1 => EvictionRank::Recent,
+                _ => EvictionRank::RecentlyReturned,
+            },
+            ConnectionState::Lingering => EvictionRank::Lingering,
+            ConnectionState::Open | ConnectionState::Closing => EvictionRank::Active,
+        };
+        Some(EvictionCandidate {
+            rank,
+            since: self.since,
+            number,
+        })
+    }
+
+    /// Whether it has had a complete message.
+    pub fn has_sent_message(&self) -> bool {
+        self.input.message_count() > 0
+    }
+
+    /// Whether it stands between two messages.
+    pub fn is_idle(&self) -> bool {
+        self.accepts_message() && self.input.is_between_messages()
+    }
+
+    /// Whether its client takes its time over a message.
+    pub fn has_partial_message(&self) -> bool {
+        self.state == ConnectionState::Open && self.is_written() && !self.is_idle()
+    }
+
+    /// Whether its last message is answered, and the next has come behind it.
+    fn has_next(&self) -> bool {
+        self.accepts_message() && self.input.has_next()
+    }
+
+    fn accepts_message(&self) -> bool {
+        self.state == ConnectionState::Open && self.request.is_none() && self.is_written()
+    }
+
+    /// Whether there is no room to read until the current request is answered.
+    pub fn is_input_full(&self) -> bool {
+        self.input.is_full()
+    }
+
+    /// Writes what it can; a closing connection whose last byte is written shows its end.
+    pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
+        let written = self.outbox.write_to(&self.socket);
+        if self.state == ConnectionState::Closing && self.is_written() {
+            self.shut_down();
+            self.state = ConnectionState::Lingering;
+            self.since = now;
+        }
+        written
+    }
+
+    fn shut_down(&self) {
+        // One that is broken already shows so when it is read.
+        let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
+    }
+
+    /// Reads what has come, up to a complete message. While a request waits or an answer is not
+    /// written, what comes waits in the ring. `previous_poll_at` is when the loop last saw all
+    /// sockets without an event.
+    pub fn read(&mut self, now: Nanos, previous_poll_at: Nanos) -> ReadEvent {
+        let arrived_at = self.input.earliest_arrival(now, previous_poll_at);
+        let mut has_read = false;
+        loop {
+            if self.accepts_message()
+                && let Some(event) = self.parse(now)
+            {
+                if matches!(event, ReadEvent::Message(_)) {
+                    if has_read {
+                        self.input.note_arrival_behind_message(arrived_at);
+                    }
+                    self.peer_closed |=
+                        self.input
+                            .has_end_behind_message(&self.socket, now, arrived_at);
+                }
+                return event;
+            }
+            match self.input.fill(&self.socket, now, arrived_at) {
+                // One piece an iteration: a client that never stops must not hold the loop.
+                ReadOutcome::Data if self.state != ConnectionState::Open => {
+                    self.input.discard();
+                    return ReadEvent::Incomplete;
+                }
+                ReadOutcome::Data => has_read = true,
+                ReadOutcome::WouldBlock | ReadOutcome::BufferFull => return ReadEvent::Incomplete,
+                ReadOutcome::RetryLater => return ReadEvent::RetryLater,
+                ReadOutcome::EndOfStream => return ReadEvent::EndOfStream,
+                ReadOutcome::Broken => return ReadEvent::Broken,
+            }
+        }
+    }
+
+    fn parse(&mut self, now: Nanos) -> Option<ReadEvent> {
+        if self.input.is_empty() {
+            return None;
+        }
+        if self.input.begin_message() {
+            self.since = now;
+        }
+        if let Err(error) = self.input.parse() {
+            return Some(ReadEvent::Invalid(error));
+        }
+        if self.input.awaits_continue() {
+            // Small, and before any answer: it always fits.
+            let is_sent = self.outbox.push(CONTINUE);
+            self.input.set_continue_sent(is_sent);
+        }
+        self.input.take_message(now).map(ReadEvent::Message)
+    }
+
+    /// What decides whether it may be closed for a reason of the node's own.
+    pub fn close_facts(&self) -> CloseFacts {
+        CloseFacts {
+            answer_owed: self.request.is_some() || !self.is_written(),
+            unread: self.may_have_unread() || self.has_next(),
+        }
+    }
+
+    /// Whether bytes may have come, maybe of a request, that nobody has read.
+    fn may_have_unread(&self) -> bool {
+        self.state == ConnectionState::Open
+            && matches!(net::unread(&self.socket), Unread::Bytes | Unread::Unknown)
+    }
+
+    /// The last act before its socket closes. With bytes unread that is a reset, which throws away
+    /// what the kernel has not yet sent of an answer. The end goes out first: a request that comes
+    /// in this very moment has met a close, and its client retries elsewhere; read before the end it
+    /// would look accepted.
+    pub fn close_gracefully(&mut self) {
+        if !self.has_sent_message() && self.state == ConnectionState::Open {
+            return;
+        }
+        self.shut_down();
+        for _ in 0..MAX_DISCARDED_READS {
+            if !self.input.discard_from(&self.socket) {
+                return;
+            }
+        }
+    }
+
+    /// Puts an answer in the outbox.
+    pub fn reply(&mut self, now: Nanos, reply: Reply) {
+        self.request = None;
+        self.since = now;
+        let reply = Reply {
+            close: reply.close || !self.input.is_kept_alive(),
+            ..reply
+        };
+        // An answer that doesn't fit can't be told from none: the connection ends without a whole
+        // one.
+        if !self.outbox.push(&reply.encode()) || reply.close {
+            self.state = ConnectionState::Closing;
+        }
+    }
+
+    /// The events that its state needs.
+    fn wanted_events(&self) -> EventFlags {
+        match (self.is_written(), self.is_input_full()) {
+            // Its end is known and would be reported again without a pause.
+            _ if self.peer_closed => EventFlags::OUT,
+            (true, false) => READ,
+            (true, true) => EventFlags::RDHUP,
+            (false, false) => READ_WRITE,
+            (false, true) => EventFlags::OUT | EventFlags::RDHUP,
+        }
+    }
+
+    fn register(
+        &mut self,
+        number: u32,
+        event_loop: &EventLoop,
+        wanted: EventFlags,
+    ) -> Result<(), Errno> {
+        let was_watched = self.registration.flags().contains(EventFlags::IN);
+        let token = Token::Client(number);
+        event_loop.register(&mut self.registration, &self.socket, token, wanted)?;
+        if wanted.contains(EventFlags::IN) && !was_watched {
+            self.input.note_watched(event_loop.now());
+        }
+        Ok(())
+    }
+
+    fn update_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
+        let at = self.time_limit();
+        event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
+    }
+
+    /// Whether its time limit is over, now that its timer has fired.
+    pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
+        event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
+    }
+
+    /// The machine lacks resources for a moment: the connection `number` is resumed a little later,
+    /// and has no event before that, which would come without a pause.
+    pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
+        // Where this fails too, events come early and find the same.
+        let _ = self.register(number, event_loop, EventFlags::empty());
+        self.update_deadline(number, event_loop);
+        let at = event_loop.now() + MIN_RETRY;
+        event_loop.schedule(at, TimerEvent::ResumeClient(number));
+    }
+
+    /// Writes what there is to write, and has the right events and time limit set.
+    ///
+    /// # Errors
+    ///
+    /// Why the connection is to be closed now.
+    pub fn flush_and_register(
+        &mut self,
+        number: u32,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> Result<(), CloseReason> {
+        let now = event_loop.now();
+        let written = self.flush(now);
+        if written == WriteOutcome::Broken {
+            return Err(CloseReason::Broken);
+        }
+        if self.peer_closed && self.is_written() && self.request.is_none() {
+            return Err(match self.state {
+                ConnectionState::Lingering => CloseReason::Answered,
+                ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientGone,
+            });
+        }
+        if written == WriteOutcome::RetryLater {
+            self.pause(number, event_loop);
+            return Ok(());
+        }
+        if let Err(error) = self.register(number, event_loop, self.wanted_events()) {
+            diagnostics.log(now, "epoll-failed", error);
+            if errno::of_register(error) != ErrorClass::RetryLater {
+                return Err(CloseReason::Broken);
+            }
+            event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeClient(number));
+        }
+        self.update_deadline(number, event_loop);
+        if self.has_next() {
+            event_loop.schedule(now, TimerEvent::ResumeClient(number));
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+#[path = "connection_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/src/downstream/mod.rs
@@ -0,0 +1,20 @@
+//! Downstream: the listener, the clients' connections, and what their messages request.
+
+mod arrival;
+mod connection;
+mod eviction;
+mod forwarded_request;
+mod input;
+mod listener;
+mod reply;
+mod route;
+mod table;
+
+pub use connection::{ClientConnection, ReadEvent};
+pub use eviction::EvictionCandidate;
+pub use forwarded_request::ForwardedRequest;
+pub use input::Message;
+pub use listener::{ACCEPT_PAUSE, AcceptOutcome, Listener};
+pub use reply::{LocalReplyHead, Reply, status_of};
+pub use route::{InvalidRequest, Route, route};
+pub use table::ClientConnections;
--- /dev/null
+++ b/crates/node/src/downstream/reply.rs
@@ -0,0 +1,111 @@
+//! Answers to clients: status lines, and the answers of the node's own.
+
+use crate::clock::SECOND;
+use crate::http1::{self, ParseError};
+use crate::request_table::LocalReply;
+
+/// An answer to a client, before it is encoded.
+#[derive(Debug, Clone, Copy)]
+pub struct Reply<'a> {
+    /// The HTTP status.
+    pub status: u16,
+    /// Headers beside the length and the end of the connection.
+    pub headers: &'a [(&'a str, &'a str)],
+    /// The body.
+    pub body: &'a [u8],
+    /// Whether the connection closes after it.
+    pub close: bool,
+}
+
+impl<'a> Reply<'a> {
+    /// An answer without headers, after which the connection stays open.
+    pub fn new(status: u16, body: &'a [u8]) -> Reply<'a> {
+        Reply {
+            status,
+            headers: &[],
+            body,
+            close: false,
+        }
+    }
+
+    /// An answer without headers, after which the connection closes.
+    pub fn closing(status: u16, body: &'a [u8]) -> Reply<'a> {
+        Reply {
+            close: true,
+            ..Reply::new(status, body)
+        }
+    }
+
+    /// The bytes of the answer.
+    pub fn encode(&self) -> Vec<u8> {
+        let last = self.close.then_some(("connection", "close"));
+        let first = format!("HTTP/1.1 {} {}", self.status, phrase(self.status));
+        http1::write(
+            &first,
+            self.headers.iter().copied().chain(last),
+            Some(self.body),
+        )
+    }
+}
+
+fn phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        505 => "HTTP Version Not Supported",
+        // A backend's own; the words mean nothing to a reader.
+        _ => "Rejected",
+    }
+}
+
+/// The status for a message that can't be parsed.
+pub fn status_of(error: ParseError) -> u16 {
+    match error {
+        ParseError::Malformed => 400,
+        ParseError::HeadTooLarge => 431,
+        ParseError::BodyTooLarge => 413,
+        ParseError::UnsupportedVersion => 505,
+        ParseError::BufferBudgetSpent => 503,
+    }
+}
+
+/// How an answer that no backend made looks to a client.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct LocalReplyHead {
+    /// The HTTP status.
+    pub status: u16,
+    /// The value of `Retry-After`, in seconds.
+    pub retry_after: Option<String>,
+}
+
+impl LocalReplyHead {
+    /// The head of this answer.
+    pub fn new(reply: LocalReply) -> LocalReplyHead {
+        let (status, retry_after) = match reply {
+            LocalReply::Rejected { retry_after: 0 } => (503, None),
+            // Whole seconds are what every client reads.
+            LocalReply::Rejected { retry_after } => {
+                (503, Some(retry_after.div_ceil(SECOND).to_string()))
+            }
+            LocalReply::Failed => (502, None),
+            LocalReply::TimedOut => (504, None),
+        };
+        LocalReplyHead {
+            status,
+            retry_after,
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "reply_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/src/downstream/route.rs
@@ -0,0 +1,193 @@
+//! What a message requests. What is invalid about it is found here, before the decision module or a
+//! backend come to see it.
+
+use kitefork_balancer::{Idempotency, Nanos};
+use kitefork_settings::Deployment;
+
+use super::forwarded_request::ForwardedRequest;
+use crate::clock::MS;
+use crate::http1::{Head, Start};
+use crate::request_table::RequestSpec;
+use crate::ring_buffer::Body;
+
+/// The path of requests for backends.
+const API_PATH: &str = "/api";
+/// The path on which the node answers for its own health.
+const HEALTH_PATH: &str = "/_health";
+/// Longest name of a request, in bytes.
+const MAX_TXN_BYTES: usize = 256;
+
+/// What a message requests.
+pub enum Route {
+    /// The health of the node itself.
+    Health,
+    /// A request for a backend.
+    Request {
+        /// What the request table has to know of it.
+        spec: RequestSpec,
+        /// What is forwarded.
+        payload: ForwardedRequest,
+    },
+    /// Nothing that can be served.
+    Invalid(InvalidRequest),
+}
+
+/// Why a message can't be served.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InvalidRequest {
+    /// The HTTP status of the answer.
+    pub status: u16,
+    /// The body of the answer; for 405 the methods that are allowed.
+    pub reason: &'static str,
+}
+
+impl InvalidRequest {
+    const fn bad_request(reason: &'static str) -> InvalidRequest {
+        InvalidRequest {
+            status: 400,
+            reason,
+        }
+    }
+
+    const fn not_allowed(allowed_methods: &'static str) -> InvalidRequest {
+        InvalidRequest {
+            status: 405,
+            reason: allowed_methods,
+        }
+    }
+
+    /// The value of the header `allow`, if the answer has one.
+    pub fn allow(&self) -> Option<&'static str> {
+        (self.status == 405).then_some(self.reason)
+    }
+}
+
+/// Reads what a message requests. `waited` nanoseconds have passed since its first byte arrived.
+pub fn route(head: Head, body: Body, deployment: &Deployment, waited: Nanos) -> Route {
+    let fields = Fields {
+        head: &head,
+        deployment,
+    };
+    match fields.read(waited) {
+        Ok(Some(spec)) => Route::Request {
+            spec,
+            payload: ForwardedRequest::new(head, body),
+        },
+        Ok(None) => Route::Health,
+        Err(invalid) => Route::Invalid(invalid),
+    }
+}
+
+/// The fields of a message's head, as the deployment defines them.
+struct Fields<'a> {
+    head: &'a Head,
+    deployment: &'a Deployment,
+}
+
+impl<'a> Fields<'a> {
+    /// The request; `None` for one of the node's own health.
+    fn read(&self, waited: Nanos) -> Result<Option<RequestSpec>, InvalidRequest> {
+        let Start::Request { method, target } = &self.head.start else {
+            return Err(InvalidRequest::bad_request("not a request"));
+        };
+        match target.split('?').next().unwrap_or_default() {
+            HEALTH_PATH if method == "GET" => Ok(None),
+            HEALTH_PATH => Err(InvalidRequest::not_allowed("GET")),
+            API_PATH if matches!(method.as_str(), "GET" | "POST") => {
+                self.read_request(method, waited).map(Some)
+            }
+            API_PATH => Err(InvalidRequest::not_allowed("GET, POST")),
+            _ => Err(InvalidRequest {
+                status: 404,
+                reason: "no such path",
+            }),
+        }
+    }
+
+    /// The fields in the order in which their faults are reported.
+    fn read_request(&self, method: &str, waited: Nanos) -> Result<RequestSpec, InvalidRequest> {
+        let txn = self.txn()?;
+        let class = self.class()?;
+        let tenant = self.tenant()?;
+        let remaining_ms = self
+            .figure("x-remaining-ms", "X-Remaining-Ms is bad")?
+            .ok_or(InvalidRequest::bad_request("X-Remaining-Ms is missing"))?;
+        let estimate_us = self.figure("x-estimate", "X-Estimate is bad")?;
+        self.check_idempotency(method, class)?;
+        Ok(RequestSpec {
+            txn: txn.into(),
+            class,
+            tenant,
+            // Counted from when the client sent it: what its last bytes took to come has passed.
+            client_timeout: (remaining_ms * MS).saturating_sub(waited),
+            work_hint: estimate_us.map(|us| us * 1_000),
+            client_retry: self.header("x-resent")? == Some("1"),
+        })
+    }
+
+    fn header(&self, name: &str) -> Result<Option<&'a str>, InvalidRequest> {
+        self.head
+            .unique(name)
+            .map_err(|_| InvalidRequest::bad_request("a header stands twice"))
+    }
+
+    fn txn(&self) -> Result<&'a str, InvalidRequest> {
+        self.header("x-txn")?
+            .filter(|txn| !txn.is_empty() && txn.len() <= MAX_TXN_BYTES)
+            .ok_or(InvalidRequest::bad_request("X-Txn is missing or bad"))
+    }
+
+    fn class(&self) -> Result<u16, InvalidRequest> {
+        position(&self.deployment.classes, self.header("x-lane")?)
+            .ok_or(InvalidRequest::bad_request("X-Lane is missing or unknown"))
+    }
+
+    fn tenant(&self) -> Result<u16, InvalidRequest> {
+        match self.header("x-org")? {
+            None if self.deployment.tenants.is_empty() => Ok(0),
+            name => position(&self.deployment.tenants, name)
+                .ok_or(InvalidRequest::bad_request("X-Org is missing or unknown")),
+        }
+    }
+
+    /// A header that holds a whole number of 32 bits.
+    fn figure(&self, name: &str, reason: &'static str) -> Result<Option<Nanos>, InvalidRequest> {
+        match self.header(name)? {
+            None => Ok(None),
+            Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => text
+                .parse::<u32>()
+                .map(|n| Some(Nanos::from(n)))
+                .map_err(|_| InvalidRequest::bad_request(reason)),
+            Some(_) => Err(InvalidRequest::bad_request(reason)),
+        }
+    }
+
+    /// The class fixes the method, and a request with an idempotency key must have its key: without
+    /// it backends can't drop repeats.
+    fn check_idempotency(&self, method: &str, class: u16) -> Result<(), InvalidRequest> {
+        let idempotency = self.deployment.settings.classes[usize::from(class)].idempotency;
+        match (method, idempotency) {
+            ("GET", Idempotency::Idempotent) => {}
+            ("GET", _) => return Err(InvalidRequest::not_allowed("POST")),
+            ("POST", Idempotency::Idempotent) => return Err(InvalidRequest::not_allowed("GET")),
+            _ => {}
+        }
+        if matches!(idempotency, Idempotency::IdempotencyKey { .. })
+            && self.header("idempotency-key")?.is_none_or(str::is_empty)
+        {
+            return Err(InvalidRequest::bad_request("Idempotency-Key is missing"));
+        }
+        Ok(())
+    }
+}
+
+fn position(names: &[String], name: Option<&str>) -> Option<u16> {
+    names
+        .iter()
+        .position(|known| name == Some(known))
+        .and_then(|position| u16::try_from(position).ok())
+}
+
+#[cfg(test)]
+#[path = "route_tests.rs"]
+mod tests;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,14 +5,13 @@
 //! configuration is invalid.
 #![forbid(unsafe_code)]
 
-mod arrival;
-mod client;
 mod clock;
 mod config;
 mod counters;
 mod descriptor_budget;
 mod diagnostics;
 mod discovery;
+mod downstream;
 mod errno;
 mod event_loop;
 mod fetch;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -2,11 +2,10 @@
 //! round; what sockets bring goes first, so that an answer which is there wins over its time-out.
 
 mod discovery;
+mod downstream;
 mod end;
 mod fetches;
-mod sessions;
 
-use std::collections::VecDeque;
 use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -17,13 +16,13 @@
 use rustix::io::Errno;
 use thiserror::Error;
 
-use crate::client::{self, ClientConnection};
 use crate::clock::{Clock, MS};
 use crate::config::Config;
 use crate::descriptor_budget::{DescriptorBudget, Purpose};
 use crate::diagnostics::Diagnostics;
 use crate::discovery::{CallKind, Discovery, DiscoveryMode, EndpointList};
-use crate::event_loop::{EventLoop, MIN_RETRY, PEER_CLOSED, TimerEvent, Token};
+use crate::downstream::{ClientConnections, ForwardedRequest, Listener};
+use crate::event_loop::{EventLoop, PEER_CLOSED, TimerEvent, Token};
 use crate::fetch::{Pool, UpstreamAttempt, UpstreamConnection};
 use crate::log::Trace;
 use crate::net;
@@ -100,32 +99,19 @@
     diagnostics: Diagnostics,
     signals: Signals,
     deployment: Deployment,
-    requests: RequestTable<client::ForwardedRequest>,
+    requests: RequestTable<ForwardedRequest>,
     /// Bounds what all connections hold in buffers.
     buffer_budget: BufferBudget,
     /// Bounds how many connections there are.
     descriptor_budget: DescriptorBudget,
-    /// When the accept queue was last read empty, and since when an event is given for a client
-    /// that comes.
-    queue_emptied: Nanos,
-    queue_watched: Nanos,
-    /// After this the next accept is tried where the machine lacks something.
-    accept_retry: Nanos,
+    listener: Listener,
+    clients: ClientConnections,
     postponed: Vec<PostponedDial>,
     discovery: Discovery,
-    /// `None` once no more clients are taken.
-    listener: Option<OwnedFd>,
-    accepting: bool,
     /// From SIGTERM on: when whatever waits gets its answer.
     ends: Option<Nanos>,
     /// SIGKILL is due: the process ends whatever is open.
     quit: bool,
-    /// A look at how many sessions have asked hangs on the wheel.
-    trim_scheduled: bool,
-    clients: Slab<ClientConnection>,
-    /// Sessions whose req has been answered: the answer is to be written, and the next message may
-    /// be there.
-    answered: VecDeque<u32>,
     upstreams: Slab<UpstreamConnection>,
     pool: Pool,
 }
@@ -178,18 +164,12 @@
             requests,
             buffer_budget: BufferBudget::new(buffer_bytes(config.memory_mb)),
             descriptor_budget,
-            queue_emptied: now,
-            queue_watched: now,
-            accept_retry: MIN_RETRY,
+            listener: Listener::new(listener, now),
+            clients: ClientConnections::new(max_clients),
             postponed: Vec::new(),
             discovery,
-            listener: Some(listener),
-            accepting: true,
             ends: None,
             quit: false,
-            trim_scheduled: false,
-            clients: Slab::new(max_clients),
-            answered: VecDeque::new(),
             upstreams: Slab::new(max_upstreams),
             pool: Pool::default(),
             deployment,
@@ -270,12 +250,12 @@
     }
 
     fn is_over(&self) -> bool {
-        self.quit || (self.is_draining() && self.listener.is_none() && self.clients.len() == 0)
+        self.quit || (self.is_draining() && self.listener.is_closed() && self.clients.len() == 0)
     }
 
     fn on_socket(&mut self, event: &epoll::Event) {
         match Token::decode(event.data) {
-            Some(Token::Listener) => self.accept(),
+            Some(Token::Listener) => self.accept_clients(),
             Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
             Some(Token::Client(number)) => self.client_ready(number, event.flags),
             Some(Token::Upstream(number)) => self.advance(number, true),
@@ -321,10 +301,7 @@
             TimerEvent::BalancerTimer(timer) => self
                 .requests
                 .feed(self.event_loop.now(), Event::Timer { timer }),
-            TimerEvent::ResumeAccepting => {
-                self.set_accepting(true);
-                self.accept();
-            }
+            TimerEvent::ResumeAccepting => self.resume_accepting(),
             TimerEvent::TrimClients => self.trim_clients(),
             TimerEvent::StopAccepting => self.stop_accepting(),
             TimerEvent::LastAnswers => self.end_drain(),
@@ -341,7 +318,7 @@
     fn flush_pending(&mut self) {
         loop {
             self.execute_commands();
-            let Some(number) = self.answered.pop_front() else {
+            let Some(number) = self.clients.pop_answered() else {
                 return;
             };
             self.flush_client(number);
--- /dev/null
+++ b/crates/node/src/node/downstream.rs
@@ -0,0 +1,473 @@
+//! Events of the listener and of client connections: accepting, reading messages, answering.
+
+use std::os::fd::OwnedFd;
+
+use rustix::event::epoll::EventFlags;
+
+use super::Node;
+use crate::counters::CloseReason;
+use crate::descriptor_budget::Purpose;
+use crate::downstream::{
+    self, AcceptOutcome, EvictionCandidate, ForwardedRequest, InvalidRequest, LocalReplyHead,
+    Message, ReadEvent, Reply, Route,
+};
+use crate::event_loop::{PEER_CLOSED, TimerEvent};
+use crate::http1::ParseError;
+use crate::net;
+use crate::request_table::{LocalReply, OpenError, RequestSpec};
+use crate::ring_buffer::WriteOutcome;
+use crate::rules::{self, ClosePermit, Denial, Violation};
+
+/// Answers to clients that have closed their side behind their request: not executed, and maybe
+/// executed.
+const CLIENT_GONE_REJECTED: &[u8] = b"refused: the client has left, nothing ran\n";
+const CLIENT_GONE_FAILED: &[u8] = b"failed: the client has left\n";
+
+impl Node {
+    /// Accepts every client that waits: what the kernel has accepted counts as ours. In one
+    /// iteration no more than its queue holds: a flood that never ends must not hold the loop.
+    pub(super) fn accept_clients(&mut self) {
+        for _ in 0..=net::ACCEPT_BACKLOG {
+            if !self.listener.is_accepting() || !self.accept_client() {
+                return;
+            }
+        }
+        // How long the rest has waited is not known any more.
+        self.listener.note_queue_not_emptied();
+    }
+
+    /// Accepts one client; whether another one may wait.
+    fn accept_client(&mut self) -> bool {
+        let now = self.event_loop.now();
+        // No connection is given up for nobody.
+        if !self.client_fits() {
+            match self.listener.has_waiting_client() {
+                Ok(true) => {}
+                Ok(false) => {
+                    self.listener.note_queue_empty(now);
+                    return false;
+                }
+                // Not known now; the listener's event comes again.
+                Err(_) => {
+                    self.listener.retry_later(&mut self.event_loop);
+                    return false;
+                }
+            }
+        }
+        if !self.make_room_for_client() {
+            let open = self.clients.len();
+            self.diagnostics
+                .log(now, "client-connections-full", format_args!("open={open}"));
+            self.listener.pause(&mut self.event_loop);
+            return false;
+        }
+        let outcome = self.listener.accept();
+        self.handle_accept(outcome)
+    }
+
+    fn handle_accept(&mut self, outcome: AcceptOutcome) -> bool {
+        let now = self.event_loop.now();
+        match outcome {
+            AcceptOutcome::Client(socket) => {
+                self.add_client(socket);
+                true
+            }
+            AcceptOutcome::ClientGone => {
+                self.diagnostics.count("accept", "client_disconnected");
+                true
+            }
+            AcceptOutcome::QueueEmpty => {
+                self.listener.note_queue_empty(now);
+                false
+            }
+            AcceptOutcome::RetryLater(error) => {
+                self.diagnostics.log(now, "accept-failed", error);
+                self.listener.retry_later(&mut self.event_loop);
+                false
+            }
+            AcceptOutcome::Failed(error) => {
+                self.diagnostics.log(now, "accept-failed", error);
+                // Out of descriptors: an idle connection gives up its own. No busy loop on what
+                // can't be accepted.
+                if let Some(candidate) = self.eviction_candidate() {
+                    self.evict(candidate.number);
+                }
+                self.listener.pause(&mut self.event_loop);
+                false
+            }
+        }
+    }
+
+    pub(super) fn resume_accepting(&mut self) {
+        self.listener.resume(&mut self.event_loop);
+        self.accept_clients();
+    }
+
+    fn client_fits(&self) -> bool {
+        self.descriptor_budget
+            .fits(Purpose::Client, self.clients.len(), self.upstreams.len())
+    }
+
+    /// Whether another client connection may be held; the most expendable one closes for it.
+    fn make_room_for_client(&mut self) -> bool {
+        if self.client_fits() {
+            return true;
+        }
+        // One that turns out to have sent a request is not closed: each round finds another, or
+        // closes one.
+        for _ in 0..=self.clients.len() {
+            let candidate = self.eviction_candidate();
+            let is_expendable = candidate.is_some_and(|c| c.rank.is_expendable());
+            if !is_expendable
+                && self
+                    .descriptor_budget
+                    .lends(Purpose::Upstream, self.upstreams.len())
+                && let Some(idle) = self.pool.evict()
+            {
+                return self.upstreams.remove(idle).is_some();
+            }
+            let Some(candidate) = candidate else {
+                return false;
+            };
+            if self.evict(candidate.number) {
+                return true;
+            }
+        }
+        false
+    }
+
+    pub(super) fn eviction_candidate(&self) -> Option<EvictionCandidate> {
+        self.clients.eviction_candidate(self.event_loop.now())
+    }
+
+    /// Closes an expendable connection, unless a request has come on it that nobody has read: to its
+    /// client that close would be one without an answer. Whether it has closed.
+    pub(super) fn evict(&mut self, number: u32) -> bool {
+        self.close_if_allowed(number, CloseReason::Evicted)
+    }
+
+    /// Closes a connection for a reason of the node's own, if the rules allow it; else takes up what
+    /// forbids it. Whether it has closed.
+    pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
+        let Some(connection) = self.clients.get(number) else {
+            return false;
+        };
+        match rules::may_close(connection.close_facts()) {
+            Ok(permit) => self.close_client(number, permit, reason),
+            Err(denial) => {
+                self.count_client_denial(denial, number);
+                self.read_client(number);
+                self.clients.get(number).is_none()
+            }
+        }
+    }
+
+    fn count_client_denial(&mut self, denial: Denial, number: u32) {
+        let now = self.event_loop.now();
+        self.diagnostics
+            .count_denial(now, denial, format_args!("connection={number}"));
+    }
+
+    /// Clients may hold only so many connections on which they have sent a request.
+    pub(super) fn trim_clients(&mut self) {
+        let max_active = self.descriptor_budget.max_active_clients();
+        for candidate in self.clients.trim(self.event_loop.now(), max_active) {
+            self.evict(candidate.number);
+        }
+        self.schedule_trim();
+    }
+
+    fn schedule_trim(&mut self) {
+        let max_active = self.descriptor_budget.max_active_clients();
+        self.clients.schedule_trim(max_active, &mut self.event_loop);
+    }
+
+    fn add_client(&mut self, socket: OwnedFd) {
+        let now = self.event_loop.now();
+        let queued_at = self
+            .listener
+            .queue_empty_at(self.event_loop.previous_poll_at());
+        if let Some(number) = self
+            .clients
+            .add(socket, now, queued_at, &self.buffer_budget)
+        {
+            self.schedule_trim();
+            self.read_client(number);
+        }
+    }
+
+    /// Closes a connection; a request that waits on it has lost its client. Whether it was open.
+    pub(super) fn close_client(
+        &mut self,
+        number: u32,
+        _permit: ClosePermit,
+        reason: CloseReason,
+    ) -> bool {
+        let Some(mut connection) = self.clients.remove(number) else {
+            return false;
+        };
+        let now = self.event_loop.now();
+        self.diagnostics.count_closed(reason);
+        self.diagnostics.trace(
+            now,
+            format_args!("closed connection={number} why={}", reason.name()),
+        );
+        if let Some(request) = connection.request() {
+            if !reason.is_by_client() {
+                self.report_violation(
+                    Violation::ClosedUnanswered,
+                    format_args!("connection={number}"),
+                );
+            }
+            self.requests.client_gone(now, request);
+            self.cancel_unwritten(request);
+        }
+        connection.close_gracefully();
+        true
+    }
+
+    /// Closes a connection that its client has ended or broken.
+    fn drop_client(&mut self, number: u32, reason: CloseReason) {
+        self.close_client(number, ClosePermit::nothing_owed(), reason);
+    }
+
+    pub(super) fn client_deadline_due(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
+            return;
+        };
+        if !connection.is_due(number, &mut self.event_loop) {
+            return;
+        }
+        if connection.has_partial_message() {
+            let reply = Reply::closing(408, b"the request did not come whole\n");
+            self.reply(number, reply);
+            return self.clients.push_answered(number);
+        }
+        // On an idle one a request may have come since this iteration's poll.
+        if connection.is_idle() {
+            self.close_if_allowed(number, CloseReason::TimedOut);
+        } else {
+            self.close_client(number, ClosePermit::time_is_over(), CloseReason::TimedOut);
+        }
+    }
+
+    pub(super) fn client_ready(&mut self, number: u32, flags: EventFlags) {
+        let Some(connection) = self.clients.get_mut(number) else {
+            return;
+        };
+        if flags.intersects(PEER_CLOSED) {
+            connection.note_peer_closed();
+        }
+        // With a full inbox the end can't be read, and would be reported again without a pause.
+        if connection.is_peer_closed() && connection.is_input_full() {
+            self.client_closed_input(number);
+        } else {
+            self.read_client(number);
+        }
+    }
+
+    /// Reads a connection and handles one message. The next one, if it has come behind it, is
+    /// handled a tick later: a client that sends without end must not hold the loop.
+    pub(super) fn read_client(&mut self, number: u32) {
+        let now = self.event_loop.now();
+        let Some(connection) = self.clients.get_mut(number) else {
+            return;
+        };
+        if connection.flush(now) == WriteOutcome::Broken {
+            return self.drop_client(number, CloseReason::Broken);
+        }
+        match connection.read(now, self.event_loop.previous_poll_at()) {
+            ReadEvent::Incomplete => {}
+            ReadEvent::RetryLater => return connection.pause(number, &mut self.event_loop),
+            ReadEvent::EndOfStream => return self.client_closed_input(number),
+            ReadEvent::Broken => return self.drop_client(number, CloseReason::Broken),
+            ReadEvent::Invalid(error) => self.reply_unreadable(number, error),
+            ReadEvent::Message(message) => self.handle_message(number, message),
+        }
+        self.flush_client(number);
+    }
+
+    fn reply_unreadable(&mut self, number: u32, error: ParseError) {
+        let status = downstream::status_of(error);
+        self.diagnostics.log(
+            self.event_loop.now(),
+            "bad-request",
+            format_args!("status={status} why={error:?}"),
+        );
+        self.reply(
+            number,
+            Reply::closing(status, b"the request can't be read\n"),
+        );
+    }
+
+    fn handle_message(&mut self, number: u32, message: Message) {
+        let now = self.event_loop.now();
+        let waited = now.saturating_sub(message.started_at);
+        let is_peer_closed = self
+            .clients
+            .get(number)
+            .is_some_and(|connection| connection.is_peer_closed());
+        match downstream::route(message.head, message.body, &self.deployment, waited) {
+            // The client may have gone, so it must not be executed. It may also have closed its
+            // sending side alone, and then it waits for an answer.
+            Route::Request { .. } if is_peer_closed => {
+                self.diagnostics
+                    .trace(now, format_args!("client-closed connection={number}"));
+                self.count_client_denial(Denial::ClientGone, number);
+                self.reply(number, Reply::closing(503, CLIENT_GONE_REJECTED));
+            }
+            Route::Health => self.reply_health(number),
+            Route::Invalid(invalid) => self.reply_invalid(number, invalid),
+            Route::Request { spec, payload } => self.open_request(number, spec, payload),
+        }
+    }
+
+    fn reply_invalid(&mut self, number: u32, invalid: InvalidRequest) {
+        let InvalidRequest { status, reason } = invalid;
+        self.diagnostics.log(
+            self.event_loop.now(),
+            "bad-request",
+            format_args!("status={status} why={reason}"),
+        );
+        let allow = invalid.allow().map(|methods| ("allow", methods));
+        let body = format!("{reason}\n");
+        let reply = Reply {
+            headers: allow.as_slice(),
+            ..Reply::new(status, body.as_bytes())
+        };
+        self.reply(number, reply);
+    }
+
+    fn reply_health(&mut self, number: u32) {
+        let reply = if self.is_draining() {
+            Reply::new(503, b"ending\n")
+        } else if !self.discovery.is_synced() {
+            Reply::new(503, b"discovery has not spoken\n")
+        } else if !self.discovery.has_ready() {
+            Reply::new(503, b"no backend is ready\n")
+        } else {
+            Reply::new(200, b"ok\n")
+        };
+        self.reply(number, reply);
+    }
+
+    /// The client has closed its sending side. A full close looks the same, so its request is not
+    /// worked on any more; but a client that only ended its sending waits for an answer, and gets
+    /// one.
+    fn client_closed_input(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
+            return;
+        };
+        connection.note_peer_closed();
+        if let Some(request) = connection.request() {
+            self.reply_to_departed(number, request);
+        } else if connection.is_written() {
+            return self.drop_client(number, CloseReason::ClientGone);
+        }
+        // An answer is on its way to one that still reads.
+        self.flush_client(number);
+    }
+
+    fn reply_to_departed(&mut self, number: u32, request: u32) {
+        // What is not written yet is never executed.
+        let is_unwritten = self.is_unwritten(request);
+        let is_rejectable = self.requests.may_reject(request, is_unwritten);
+        self.requests.client_gone(self.event_loop.now(), request);
+        self.cancel_unwritten(request);
+        let reply = if is_rejectable {
+            Reply::closing(503, CLIENT_GONE_REJECTED)
+        } else {
+            Reply::closing(502, CLIENT_GONE_FAILED)
+        };
+        self.reply(number, reply);
+    }
+
+    fn open_request(&mut self, number: u32, mut spec: RequestSpec, payload: ForwardedRequest) {
+        let now = self.event_loop.now();
+        if let Some(ends) = self.ends {
+            if now >= ends {
+                return self.reply(number, Reply::closing(503, b"the node ends\n"));
+            }
+            // No attempt outlives the node: what it began would be cut off and then have failed.
+            spec.client_timeout = spec.client_timeout.min(ends - now);
+        }
+        let opened = match self.requests.open(now, number, spec, payload) {
+            Ok(opened) => opened,
+            Err(error) => return self.reply_not_opened(number, error),
+        };
+        let (request, guard_at) = opened;
+        if let Some(connection) = self.clients.get_mut(number) {
+            connection.set_request(request);
+        }
+        // The key is looked up among the headers: only for a trace.
+        if self.diagnostics.is_tracing()
+            && let Some(payload) = self.requests.payload(request)
+        {
+            let key = payload.key();
+            self.diagnostics
+                .trace(now, format_args!("accepted id={request} key={key}"));
+        }
+        self.event_loop
+            .schedule(guard_at, TimerEvent::DeadlineGuard(request));
+    }
+
+    fn reply_not_opened(&mut self, number: u32, error: OpenError) {
+        let now = self.event_loop.now();
+        let reply = match error {
+            OpenError::TableFull => {
+                self.diagnostics.log(now, "requests-full", "rejected");
+                Reply::new(503, b"too many requests are held\n")
+            }
+            OpenError::DuplicateId => {
+                let details = "status=409 why=its X-Txn is open";
+                self.diagnostics.log(now, "bad-request", details);
+                Reply::new(409, b"a request with this X-Txn is open\n")
+            }
+        };
+        self.reply(number, reply);
+    }
+
+    /// Gives a connection an answer; it closes after it where the node shuts down or the client has
+    /// closed its side.
+    pub(super) fn reply(&mut self, number: u32, reply: Reply) {
+        let is_draining = self.is_draining();
+        if let Some(connection) = self.clients.get_mut(number) {
+            let reply = Reply {
+                close: reply.close || is_draining || connection.is_peer_closed(),
+                ..reply
+            };
+            connection.reply(self.event_loop.now(), reply);
+        }
+    }
+
+    pub(super) fn send_local_reply(&mut self, number: u32, local: LocalReply) {
+        let head = LocalReplyHead::new(local);
+        let retry_after = head
+            .retry_after
+            .as_deref()
+            .map(|seconds| ("retry-after", seconds));
+        let body = match local {
+            LocalReply::Rejected { .. } => "refused: trying again is harmless\n",
+            LocalReply::Failed => "failed\n",
+            LocalReply::TimedOut => "no answer in time\n",
+        };
+        let reply = Reply {
+            headers: retry_after.as_slice(),
+            ..Reply::new(head.status, body.as_bytes())
+        };
+        self.reply(number, reply);
+        self.clients.push_answered(number);
+    }
+
+    /// Writes what there is to write, and has the right events and time limit set.
+    pub(super) fn flush_client(&mut self, number: u32) {
+        let Some(connection) = self.clients.get_mut(number) else {
+            return;
+        };
+        let flushed =
+            connection.flush_and_register(number, &mut self.event_loop, &mut self.diagnostics);
+        if let Err(reason) = flushed {
+            self.drop_client(number, reason);
+        }
+    }
+}
--- a/crates/node/src/node/end.rs
+++ b/crates/node/src/node/end.rs
@@ -3,10 +3,9 @@
 use kitefork_balancer::Nanos;
 
 use super::Node;
-use super::sessions::ACCEPT_PAUSE;
-use crate::client::ClientConnection;
 use crate::clock::{MS, SECOND};
 use crate::counters::CloseReason;
+use crate::downstream::{ACCEPT_PAUSE, ClientConnection};
 use crate::event_loop::{MIN_RETRY, TimerEvent};
 use crate::rules::ClosePermit;
 
@@ -52,11 +51,10 @@
 
     /// Takes whoever still waits, then nobody; sessions without a req end.
     pub(super) fn stop_accepting(&mut self) {
-        self.set_accepting(true);
-        self.accept();
+        self.resume_accepting();
         // Guards against clients that wait for a descriptor: with the listener they would be reset.
         let ending = self.ends.is_some_and(|ends| self.event_loop.now() >= ends);
-        if !self.accepting && !ending {
+        if self.listener.is_paused() && !ending {
             self.diagnostics.log(
                 self.event_loop.now(),
                 "late-clients",
@@ -67,7 +65,7 @@
                 TimerEvent::StopAccepting,
             );
         }
-        self.listener = None;
+        self.listener.close();
         if !self.close_idle_clients() && !ending {
             // What could not be read for a moment is looked at again.
             self.event_loop
@@ -78,7 +76,7 @@
     /// Closes the sessions on which nothing is under way; a request that has come while nobody
     /// looked is served, not cut off. Tells whether all that are idle have closed.
     fn close_idle_clients(&mut self) -> bool {
-        let numbers: Vec<u32> = self.clients.iter().map(|(number, _)| number).collect();
+        let numbers = self.clients.numbers();
         let mut all_closed = true;
         for number in numbers {
             self.read_client(number);
@@ -113,7 +111,7 @@
     /// kernel still holds of an answer is lost with it.
     pub(super) fn quit(&mut self) {
         self.quit = true;
-        let numbers: Vec<u32> = self.clients.iter().map(|(number, _)| number).collect();
+        let numbers = self.clients.numbers();
         for number in numbers {
             self.close_client(number, ClosePermit::nothing_owed(), CloseReason::Shutdown);
         }
--- a/crates/node/src/node/fetches.rs
+++ b/crates/node/src/node/fetches.rs
@@ -5,9 +5,9 @@
 use rustix::io::Errno;
 
 use super::{Node, PostponedDial};
-use crate::client::HARDLY_MISSED;
 use crate::clock::MS;
 use crate::descriptor_budget::Purpose;
+use crate::downstream::Reply;
 use crate::errno::{self, ErrorClass};
 use crate::event_loop::{MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
 use crate::fetch::{self, Progress, Reuse, UpstreamAttempt, UpstreamConnection};
@@ -195,11 +195,10 @@
         let connection = self
             .requests
             .connection(request)
-            .and_then(|owner| self.clients.get(owner));
+            .and_then(|number| self.clients.get(number));
         connection.is_none_or(|connection| {
-            connection.peer_closed
-                || (self.event_loop.has_lasted(now, LONG_TURN)
-                    && net::has_peer_closed(&connection.socket))
+            connection.is_peer_closed()
+                || (self.event_loop.has_lasted(now, LONG_TURN) && connection.has_peer_closed_now())
         })
     }
 
@@ -354,18 +353,18 @@
         let lends = self
             .descriptor_budget
             .lends(Purpose::Client, self.clients.len());
-        let connection = if lends {
+        let candidate = if lends {
             self.eviction_candidate()
         } else {
             None
         };
-        if let Some((.., number)) = connection.filter(|(class, ..)| *class <= HARDLY_MISSED) {
-            return self.evict(number);
+        if let Some(expendable) = candidate.filter(|c| c.rank.is_expendable()) {
+            return self.evict(expendable.number);
         }
         if let Some(idle) = self.pool.evict() {
             return self.upstreams.remove(idle).is_some();
         }
-        connection.is_some_and(|(.., number)| self.evict(number))
+        candidate.is_some_and(|candidate| self.evict(candidate.number))
     }
 
     /// Moves a fetch on as far as its socket lets it.
@@ -481,8 +480,14 @@
                     let http1::Start::Response { status } = head.start else {
                         return;
                     };
-                    self.reply(owner, status, &headers, &body, false);
-                    self.answered.push_back(owner);
+                    self.reply(
+                        owner,
+                        Reply {
+                            headers: &headers,
+                            ..Reply::new(status, &body)
+                        },
+                    );
+                    self.clients.push_answered(owner);
                 }
             }
             UpstreamAttempt::HealthCheck { backend, sent } => {
