--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -14,7 +14,6 @@
 mod downstream;
 mod errno;
 mod event_loop;
-mod fetch;
 mod http1;
 mod log;
 mod net;
@@ -26,6 +25,7 @@
 mod slab;
 mod start_time;
 mod timer_wheel;
+mod upstream;
 
 use std::process::ExitCode;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -4,13 +4,13 @@
 mod discovery;
 mod downstream;
 mod end;
-mod fetches;
+mod upstream;
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-use kitefork_balancer::{BackendId, Event, Nanos, Outcome, SettingsError};
+use kitefork_balancer::{BackendId, Event, Nanos, SettingsError};
 use kitefork_settings::Deployment;
 use rustix::event::epoll::{self, EventFlags};
 use rustix::io::Errno;
@@ -23,14 +23,13 @@
 use crate::discovery::{CallKind, Discovery, DiscoveryMode, EndpointList};
 use crate::downstream::{ClientConnections, ForwardedRequest, Listener};
 use crate::event_loop::{EventLoop, PEER_CLOSED, TimerEvent, Token};
-use crate::fetch::{Pool, UpstreamAttempt, UpstreamConnection};
 use crate::log::Trace;
 use crate::net;
 use crate::request_table::{Command, RequestTable};
 use crate::ring_buffer::BufferBudget;
 use crate::rules::Violation;
 use crate::signals::{SignalKind, Signals};
-use crate::slab::Slab;
+use crate::upstream::{AttemptLimits, UpstreamAttempt, UpstreamConnections};
 
 /// A health check without an answer after this, in nanoseconds, has failed.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
@@ -72,16 +71,6 @@
     Epoll(Errno),
 }
 
-/// An attempt whose connection the machine could not start for a moment.
-struct PostponedDial {
-    backend: BackendId,
-    job: UpstreamAttempt,
-    abandon_at: Nanos,
-    write_by: Nanos,
-    /// Then it has failed, through no fault of the backend.
-    give_up: Nanos,
-}
-
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
 fn may_forbid_send(event: &epoll::Event) -> bool {
     // The fields of a packed struct are copied before they are used.
@@ -106,14 +95,12 @@
     descriptor_budget: DescriptorBudget,
     listener: Listener,
     clients: ClientConnections,
-    postponed: Vec<PostponedDial>,
     discovery: Discovery,
     /// From SIGTERM on: when whatever waits gets its answer.
     ends: Option<Nanos>,
     /// SIGKILL is due: the process ends whatever is open.
     quit: bool,
-    upstreams: Slab<UpstreamConnection>,
-    pool: Pool,
+    upstreams: UpstreamConnections,
 }
 
 impl Node {
@@ -166,12 +153,14 @@
             descriptor_budget,
             listener: Listener::new(listener, now),
             clients: ClientConnections::new(max_clients),
-            postponed: Vec::new(),
             discovery,
             ends: None,
             quit: false,
-            upstreams: Slab::new(max_upstreams),
-            pool: Pool::default(),
+            upstreams: UpstreamConnections::new(
+                max_upstreams,
+                deployment.connect_timeout,
+                deployment.idle_limit,
+            ),
             deployment,
         };
         node.diagnostics.log(
@@ -258,7 +247,7 @@
             Some(Token::Listener) => self.accept_clients(),
             Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
             Some(Token::Client(number)) => self.client_ready(number, event.flags),
-            Some(Token::Upstream(number)) => self.advance(number, true),
+            Some(Token::Upstream(number)) => self.advance_upstream(number, true),
             Some(Token::Discovery(number)) => self.advance_discovery_call(number, event.flags),
             None => {}
         }
@@ -290,7 +279,7 @@
                 }
             }
             TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
-            TimerEvent::ResumeUpstream(number) => self.advance(number, false),
+            TimerEvent::ResumeUpstream(number) => self.advance_upstream(number, false),
             TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
             TimerEvent::DiscoveryDeadline(number) => self.discovery_deadline_due(number),
             TimerEvent::ResumeDiscoveryCall(number) => {
@@ -343,39 +332,19 @@
                     abandon_at,
                     write_by,
                 } => {
-                    self.start_attempt(
-                        backend,
-                        UpstreamAttempt::Request { request, attempt },
+                    let attempt = UpstreamAttempt::Request { request, attempt };
+                    let limits = AttemptLimits {
                         abandon_at,
                         write_by,
-                    );
+                    };
+                    self.start_attempt(backend, attempt, limits);
                 }
                 Command::CancelAttempt { request, attempt } => {
-                    let job = Some(UpstreamAttempt::Request { request, attempt });
-                    let found = self
-                        .upstreams
-                        .iter()
-                        .find(|(_, upstream)| upstream.job == job)
-                        .map(|(number, _)| number);
-                    if let Some(number) = found {
-                        self.end_attempt(number, Outcome::Cancelled);
-                    }
-                    self.drop_postponed(request);
+                    self.cancel_attempt(request, attempt);
                 }
                 Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
-                Command::CloseIdleConnections(backend) => self.close_idle(backend),
-                Command::CheckHealth(backend) => {
-                    let abandon_at = self.event_loop.now() + HEALTH_CHECK_TIMEOUT;
-                    self.start_attempt(
-                        backend,
-                        UpstreamAttempt::HealthCheck {
-                            backend,
-                            sent: self.event_loop.now(),
-                        },
-                        abandon_at,
-                        abandon_at,
-                    );
-                }
+                Command::CloseIdleConnections(backend) => self.upstreams.close_idle(backend),
+                Command::CheckHealth(backend) => self.check_health(backend),
                 Command::SetTimer { at, timer } => self
                     .event_loop
                     .schedule(at, TimerEvent::BalancerTimer(timer)),
@@ -392,6 +361,19 @@
             }
         }
     }
+
+    fn check_health(&mut self, backend: BackendId) {
+        let now = self.event_loop.now();
+        let attempt = UpstreamAttempt::HealthCheck {
+            backend,
+            sent_at: now,
+        };
+        let limits = AttemptLimits {
+            abandon_at: now + HEALTH_CHECK_TIMEOUT,
+            write_by: now + HEALTH_CHECK_TIMEOUT,
+        };
+        self.start_attempt(backend, attempt, limits);
+    }
 }
 
 /// Descriptors that the process may use: as configured, within its resource limit and its memory.
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -130,8 +130,8 @@
     fn follow_update(&mut self, applied: AppliedUpdate) {
         self.requests.feed(self.event_loop.now(), applied.event);
         for backend in applied.disconnect {
-            self.close_idle(backend);
-            for number in self.connecting_to(backend) {
+            self.upstreams.close_idle(backend);
+            for number in self.upstreams.connecting_to(backend) {
                 self.end_attempt(number, Outcome::ConnectFailed);
             }
         }
--- a/crates/node/src/node/downstream.rs
+++ b/crates/node/src/node/downstream.rs
@@ -122,9 +122,9 @@
                 && self
                     .descriptor_budget
                     .lends(Purpose::Upstream, self.upstreams.len())
-                && let Some(idle) = self.pool.evict()
+                && let Some(has_closed) = self.upstreams.evict_idle()
             {
-                return self.upstreams.remove(idle).is_some();
+                return has_closed;
             }
             let Some(candidate) = candidate else {
                 return false;
@@ -370,7 +370,7 @@
 
     fn reply_to_departed(&mut self, number: u32, request: u32) {
         // What is not written yet is never executed.
-        let is_unwritten = self.is_unwritten(request);
+        let is_unwritten = self.upstreams.has_unwritten(request);
         let is_rejectable = self.requests.may_reject(request, is_unwritten);
         self.requests.client_gone(self.event_loop.now(), request);
         self.cancel_unwritten(request);
--- /dev/null
+++ b/crates/node/src/node/upstream.rs
@@ -0,0 +1,336 @@
+//! Events of upstream connections: starting attempts, and how they ended.
+
+use kitefork_balancer::{BackendId, Event, Nanos, Outcome};
+
+use super::Node;
+use crate::clock::MS;
+use crate::descriptor_budget::Purpose;
+use crate::downstream::Reply;
+use crate::http1;
+use crate::rules::{self, Denial, WriteFacts};
+use crate::upstream::{
+    self, Answer, AttemptLimits, DialError, PostponedDial, UpstreamAttempt, UpstreamEvent,
+};
+
+/// An iteration of the loop that has lasted longer than this, in nanoseconds, has old news of its
+/// clients.
+const MAX_CLIENT_STATE_AGE: Nanos = 5 * MS;
+/// An update of the endpoint list that has lain unread for no longer than this, in nanoseconds,
+/// holds back no attempt: the grace of draining backends has more than this to spare.
+const MAX_UNREAD_UPDATE_AGE: Nanos = 20 * MS;
+
+impl Node {
+    pub(super) fn start_attempt(
+        &mut self,
+        backend: BackendId,
+        attempt: UpstreamAttempt,
+        limits: AttemptLimits,
+    ) {
+        // Its client may have left between the decision and here.
+        if self.is_obsolete(attempt) {
+            return self.report(attempt, Outcome::NotSent);
+        }
+        let now = self.event_loop.now();
+        self.dial_for(PostponedDial {
+            backend,
+            attempt,
+            limits,
+            give_up_at: self.upstreams.connect_by(limits, now),
+        });
+    }
+
+    /// Whether the request of an attempt waits for no answer any more.
+    fn is_obsolete(&self, attempt: UpstreamAttempt) -> bool {
+        attempt
+            .request()
+            .is_some_and(|request| !self.requests.is_waiting(request))
+    }
+
+    fn dial_for(&mut self, dial: PostponedDial) {
+        match self.connect(dial.backend) {
+            Ok(number) => {
+                self.upstreams
+                    .assign(number, dial.attempt, dial.limits, &mut self.event_loop);
+                self.advance_upstream(number, false);
+            }
+            Err(DialError::Endpoint) => self.report(dial.attempt, Outcome::ConnectFailed),
+            Err(DialError::Local) => {
+                self.diagnostics.count("dial", "postponed");
+                self.upstreams.postpone(dial, &mut self.event_loop);
+            }
+        }
+    }
+
+    pub(super) fn retry_postponed_dials(&mut self) {
+        for dial in self.upstreams.take_postponed() {
+            if self.is_obsolete(dial.attempt) || self.event_loop.now() >= dial.give_up_at {
+                self.report(dial.attempt, Outcome::NotSent);
+            } else {
+                self.dial_for(dial);
+            }
+        }
+    }
+
+    /// A connection to a backend: the newest idle one that can be used again, or a new one.
+    fn connect(&mut self, backend: BackendId) -> Result<u32, DialError> {
+        let now = self.event_loop.now();
+        let address = self
+            .discovery
+            .ready_address(backend)
+            .ok_or(DialError::Endpoint)?;
+        if let Some(number) = self.upstreams.take_idle(backend, now) {
+            return Ok(number);
+        }
+        if !self.make_room_for_upstream() {
+            let open = self.upstreams.len();
+            self.diagnostics.log(
+                now,
+                "upstream-connections-full",
+                format_args!("open={open}"),
+            );
+            return Err(DialError::Local);
+        }
+        self.upstreams.dial(
+            backend,
+            address,
+            &self.buffer_budget,
+            now,
+            &mut self.diagnostics,
+        )
+    }
+
+    /// Whether another upstream connection may be held; the most expendable connection closes for
+    /// it.
+    fn make_room_for_upstream(&mut self) -> bool {
+        let budget = self.descriptor_budget;
+        if budget.fits(Purpose::Upstream, self.upstreams.len(), self.clients.len()) {
+            return true;
+        }
+        let candidate = if budget.lends(Purpose::Client, self.clients.len()) {
+            self.eviction_candidate()
+        } else {
+            None
+        };
+        if let Some(expendable) = candidate.filter(|c| c.rank.is_expendable()) {
+            return self.evict(expendable.number);
+        }
+        if let Some(has_closed) = self.upstreams.evict_idle() {
+            return has_closed;
+        }
+        candidate.is_some_and(|candidate| self.evict(candidate.number))
+    }
+
+    /// Moves a connection on as far as its socket lets it.
+    pub(super) fn advance_upstream(&mut self, number: u32, is_ready: bool) {
+        let event = self.upstreams.advance(
+            number,
+            is_ready,
+            &mut self.event_loop,
+            &mut self.diagnostics,
+        );
+        match event {
+            None => {}
+            Some(UpstreamEvent::Connected) => self.begin_request(number),
+            Some(UpstreamEvent::Answered(answer)) => self.handle_answer(number, answer),
+            Some(UpstreamEvent::Failed(outcome)) => self.end_attempt(number, outcome),
+        }
+    }
+
+    /// Begins the request of a connection that is established, if the rules still allow it by a
+    /// fresh reading of the clock and of the client's connection.
+    fn begin_request(&mut self, number: u32) {
+        let now = self.event_loop.clock().read();
+        if self.is_held_for_discovery(number, now) {
+            return;
+        }
+        let Some(attempt) = self.upstreams.get(number).and_then(|c| c.attempt()) else {
+            return;
+        };
+        let Some(facts) = self.write_facts(number, attempt, now) else {
+            return;
+        };
+        let permit = match rules::may_write(now, &facts) {
+            Ok(permit) => permit,
+            Err(denial) => return self.deny_write(number, denial),
+        };
+        let Some(bytes) = self.request_bytes(attempt, permit.timeout_ms()) else {
+            return;
+        };
+        let Some(connection) = self.upstreams.get_mut(number) else {
+            return;
+        };
+        if !connection.begin(&bytes) {
+            return self.end_attempt(number, Outcome::ConnectFailed);
+        }
+        self.advance_upstream(number, false);
+        if let Err(violation) = permit.check(self.event_loop.clock().read()) {
+            self.report_violation(violation, format_args!("upstream={number}"));
+        }
+    }
+
+    /// Whether an attempt is held back for updates of the endpoint list, which go before a send:
+    /// where this iteration has lasted, they may have come since its poll.
+    fn is_held_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
+        self.event_loop.has_lasted(now, MAX_UNREAD_UPDATE_AGE)
+            && self.discovery.has_unread_bytes()
+            && self
+                .upstreams
+                .hold_for_discovery(number, &mut self.event_loop)
+    }
+
+    /// What decides whether the attempt of a connection may be written.
+    fn write_facts(&self, number: u32, attempt: UpstreamAttempt, now: Nanos) -> Option<WriteFacts> {
+        let connection = self.upstreams.get(number)?;
+        let limits = connection.limits();
+        Some(WriteFacts {
+            answered: self.is_obsolete(attempt),
+            client_gone: attempt
+                .request()
+                .is_some_and(|request| self.is_client_gone(request, now)),
+            backend_ready: self.discovery.ready_address(connection.backend()).is_some(),
+            abandon_at: limits.abandon_at,
+            write_by: limits.write_by,
+        })
+    }
+
+    /// Whether the client of a request has left. Its connection is looked at anew where this
+    /// iteration has lasted.
+    fn is_client_gone(&self, request: u32, now: Nanos) -> bool {
+        let connection = self
+            .requests
+            .connection(request)
+            .and_then(|number| self.clients.get(number));
+        connection.is_none_or(|connection| {
+            connection.is_peer_closed()
+                || (self.event_loop.has_lasted(now, MAX_CLIENT_STATE_AGE)
+                    && connection.has_peer_closed_now())
+        })
+    }
+
+    fn request_bytes(&self, attempt: UpstreamAttempt, timeout_ms: u64) -> Option<Vec<u8>> {
+        match attempt {
+            UpstreamAttempt::HealthCheck { .. } => Some(http1::write(
+                "GET /ping HTTP/1.1",
+                [("host", "kitefork")],
+                None,
+            )),
+            UpstreamAttempt::Request { request, .. } => {
+                let payload = self.requests.payload(request)?;
+                Some(payload.bytes(timeout_ms))
+            }
+        }
+    }
+
+    /// Ends an attempt of which nothing has been written, and which must not be.
+    fn deny_write(&mut self, number: u32, denial: Denial) {
+        let now = self.event_loop.now();
+        self.diagnostics
+            .count_denial(now, denial, format_args!("upstream={number}"));
+        let outcome = match denial {
+            Denial::BackendNotReady | Denial::DeadlinePassed | Denial::WindowClosed => {
+                Outcome::ConnectFailed
+            }
+            _ => Outcome::NotSent,
+        };
+        self.end_attempt(number, outcome);
+    }
+
+    fn handle_answer(&mut self, number: u32, answer: Answer) {
+        let is_backend_ready = self
+            .upstreams
+            .get(number)
+            .is_some_and(|connection| self.discovery.ready_address(connection.backend()).is_some());
+        let attempt =
+            self.upstreams
+                .release(number, answer.reuse, is_backend_ready, &mut self.event_loop);
+        if let Some(attempt) = attempt {
+            let outcome = upstream::outcome(&answer.head);
+            self.report_answer(attempt, outcome, Some(answer));
+        }
+    }
+
+    pub(super) fn upstream_deadline_due(&mut self, number: u32) {
+        if let Some(outcome) = self.upstreams.expire(number, &mut self.event_loop) {
+            self.end_attempt(number, outcome);
+        }
+    }
+
+    /// Closes a connection, and only then reports how its attempt ended.
+    pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) {
+        if let Some(attempt) = self.upstreams.close(number) {
+            self.report(attempt, outcome);
+        }
+    }
+
+    /// Cancels an attempt that the decision module does not want any more.
+    pub(super) fn cancel_attempt(&mut self, request: u32, attempt: u8) {
+        let found = self
+            .upstreams
+            .find_attempt(UpstreamAttempt::Request { request, attempt });
+        if let Some(number) = found {
+            self.end_attempt(number, Outcome::Cancelled);
+        }
+        self.drop_postponed(request);
+    }
+
+    /// A request has lost its client: an attempt that is not written completely is not written at
+    /// all, also where the deployment lets no attempt be cancelled.
+    pub(super) fn cancel_unwritten(&mut self, request: u32) {
+        if let Some(number) = self.upstreams.find_unwritten(request) {
+            self.end_attempt(number, Outcome::NotSent);
+        }
+        self.drop_postponed(request);
+    }
+
+    /// Ends the postponed attempt of a request, if it has one: it was not sent.
+    fn drop_postponed(&mut self, request: u32) {
+        if let Some(attempt) = self.upstreams.remove_postponed(request) {
+            self.report(attempt, Outcome::NotSent);
+        }
+    }
+
+    fn report(&mut self, attempt: UpstreamAttempt, outcome: Outcome) {
+        self.report_answer(attempt, outcome, None);
+    }
+
+    /// Tells the request table or the decision module how an attempt ended; an answer goes to the
+    /// client that still waits for it.
+    fn report_answer(
+        &mut self,
+        attempt: UpstreamAttempt,
+        outcome: Outcome,
+        answer: Option<Answer>,
+    ) {
+        let now = self.event_loop.now();
+        match attempt {
+            UpstreamAttempt::Request { request, attempt } => {
+                let waiting = self.requests.attempt_ended(now, request, attempt, outcome);
+                if let (Some(connection), Some(answer)) = (waiting, answer) {
+                    self.forward_answer(connection, &answer);
+                }
+            }
+            UpstreamAttempt::HealthCheck { backend, sent_at } => {
+                let event = Event::HealthCheckEnded {
+                    backend,
+                    latency: now.saturating_sub(sent_at),
+                    outcome,
+                    load_report: Vec::new(),
+                };
+                self.requests.feed(now, event);
+            }
+        }
+    }
+
+    fn forward_answer(&mut self, connection: u32, answer: &Answer) {
+        let http1::Start::Response { status } = answer.head.start else {
+            return;
+        };
+        let headers: Vec<(&str, &str)> = answer.head.end_to_end_headers().collect();
+        let reply = Reply {
+            headers: &headers,
+            ..Reply::new(status, &answer.body)
+        };
+        self.reply(connection, reply);
+        self.clients.push_answered(connection);
+    }
+}
--- a/crates/node/src/fetch_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of `fetch`.
+//! Unit tests of upstream connections.
 
 use super::*;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 
-/// A fetch whose request is written, and the backend's end.
+/// A connection whose request is written, and the backend's end.
 fn waiting() -> (UpstreamConnection, UnixStream) {
     let (family, kind, flags) = (
         AddressFamily::UNIX,
@@ -16,7 +16,7 @@
     let mut connection = UpstreamConnection::new(near, BackendId(1), &BufferBudget::default());
     connection.state = UpstreamState::Sending;
     assert!(connection.outbox.push(b"GET / HTTP/1.1\r\n\r\n"));
-    assert!(matches!(connection.advance(true), Progress::Going));
+    assert!(matches!(connection.advance(true), Progress::Pending));
     (connection, far.into())
 }
 
@@ -25,7 +25,7 @@
     far.write_all(bytes.as_bytes()).unwrap();
     let far = (!close).then_some(far);
     let found = match connection.advance(true) {
-        Progress::Answered(head, _, reuse) => Ok((outcome(&head), reuse)),
+        Progress::Answered(answer) => Ok((outcome(&answer.head), answer.reuse)),
         Progress::Failed(outcome) => Err(outcome),
         _ => panic!("not ended"),
     };
@@ -94,8 +94,12 @@
     });
     let body = loop {
         match connection.advance(true) {
-            Progress::Going => {}
-            Progress::Answered(_, body, Reuse::Yes) => break body,
+            Progress::Pending => {}
+            Progress::Answered(Answer {
+                body,
+                reuse: Reuse::Yes,
+                ..
+            }) => break body,
             _ => panic!("not answered"),
         }
     };
@@ -109,10 +113,10 @@
     let (mut connection, mut far) = waiting();
     far.write_all(ok.replace("Content-Length: 2", "A: b").as_bytes())
         .unwrap();
-    assert!(matches!(connection.advance(true), Progress::Going));
+    assert!(matches!(connection.advance(true), Progress::Pending));
     assert!(far.read(&mut [0; 64]).unwrap() > 0);
     drop(far);
-    let Progress::Answered(head, body, reuse) = connection.advance(true) else {
+    let Progress::Answered(Answer { head, body, reuse }) = connection.advance(true) else {
         panic!("not answered")
     };
     assert_eq!(
--- /dev/null
+++ b/crates/node/src/upstream/mod.rs
@@ -0,0 +1,10 @@
+//! Upstream: the connections to backends, the attempts that they carry, and the pool of idle ones.
+
+mod attempt;
+mod connection;
+mod pool;
+mod table;
+
+pub use attempt::{AttemptLimits, PostponedDial, UpstreamAttempt};
+pub use connection::{Answer, outcome};
+pub use table::{DialError, UpstreamConnections, UpstreamEvent};
