--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -21,6 +21,7 @@
 mod request_table;
 mod ring_buffer;
 mod rules;
+mod shutdown;
 mod signals;
 mod slab;
 mod start_time;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 
 mod discovery;
 mod downstream;
-mod end;
+mod shutdown;
 mod upstream;
 
 use std::fmt;
@@ -28,6 +28,7 @@
 use crate::request_table::{Command, RequestTable};
 use crate::ring_buffer::BufferBudget;
 use crate::rules::Violation;
+use crate::shutdown::Shutdown;
 use crate::signals::{SignalKind, Signals};
 use crate::upstream::{AttemptLimits, UpstreamAttempt, UpstreamConnections};
 
@@ -96,10 +97,7 @@
     listener: Listener,
     clients: ClientConnections,
     discovery: Discovery,
-    /// From SIGTERM on: when whatever waits gets its answer.
-    ends: Option<Nanos>,
-    /// SIGKILL is due: the process ends whatever is open.
-    quit: bool,
+    shutdown: Shutdown,
     upstreams: UpstreamConnections,
 }
 
@@ -154,8 +152,7 @@
             listener: Listener::new(listener, now),
             clients: ClientConnections::new(max_clients),
             discovery,
-            ends: None,
-            quit: false,
+            shutdown: Shutdown::new(),
             upstreams: UpstreamConnections::new(
                 max_upstreams,
                 deployment.connect_timeout,
@@ -234,12 +231,9 @@
         );
     }
 
-    fn is_draining(&self) -> bool {
-        self.ends.is_some()
-    }
-
     fn is_over(&self) -> bool {
-        self.quit || (self.is_draining() && self.listener.is_closed() && self.clients.len() == 0)
+        let is_drained = self.listener.is_closed() && self.clients.len() == 0;
+        self.shutdown.is_forced() || (self.shutdown.is_draining() && is_drained)
     }
 
     fn on_socket(&mut self, event: &epoll::Event) {
@@ -257,7 +251,7 @@
     /// written.
     fn handle_signals(&mut self) {
         if self.signals.get(SignalKind::Terminate).take() {
-            self.begin_drain();
+            self.begin_shutdown();
         }
         if self.signals.get(SignalKind::Reload).take() {
             self.reload();
@@ -293,8 +287,8 @@
             TimerEvent::ResumeAccepting => self.resume_accepting(),
             TimerEvent::TrimClients => self.trim_clients(),
             TimerEvent::StopAccepting => self.stop_accepting(),
-            TimerEvent::LastAnswers => self.end_drain(),
-            TimerEvent::ForceClose => self.quit(),
+            TimerEvent::LastAnswers => self.give_last_answers(),
+            TimerEvent::ForceClose => self.force_close(),
             TimerEvent::OpenWatch => self.end_discovery_backoff(),
             TimerEvent::ServeStaleList => {
                 let now = self.event_loop.now();
--- a/crates/node/src/node/downstream.rs
+++ b/crates/node/src/node/downstream.rs
@@ -339,7 +339,7 @@
     }
 
     fn reply_health(&mut self, number: u32) {
-        let reply = if self.is_draining() {
+        let reply = if self.shutdown.is_draining() {
             Reply::new(503, b"ending\n")
         } else if !self.discovery.is_synced() {
             Reply::new(503, b"discovery has not spoken\n")
@@ -384,12 +384,12 @@
 
     fn open_request(&mut self, number: u32, mut spec: RequestSpec, payload: ForwardedRequest) {
         let now = self.event_loop.now();
-        if let Some(ends) = self.ends {
-            if now >= ends {
+        if let Some(last_answers_at) = self.shutdown.last_answers_at() {
+            if now >= last_answers_at {
                 return self.reply(number, Reply::closing(503, b"the node ends\n"));
             }
             // No attempt outlives the node: what it began would be cut off and then have failed.
-            spec.client_timeout = spec.client_timeout.min(ends - now);
+            spec.client_timeout = spec.client_timeout.min(last_answers_at - now);
         }
         let opened = match self.requests.open(now, number, spec, payload) {
             Ok(opened) => opened,
@@ -430,7 +430,7 @@
     /// Gives a connection an answer; it closes after it where the node shuts down or the client has
     /// closed its side.
     pub(super) fn reply(&mut self, number: u32, reply: Reply) {
-        let is_draining = self.is_draining();
+        let is_draining = self.shutdown.is_draining();
         if let Some(connection) = self.clients.get_mut(number) {
             let reply = Reply {
                 close: reply.close || is_draining || connection.is_peer_closed(),
