--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -119,9 +119,8 @@
         let max_clients = descriptor_budget.max(Purpose::Client);
         let max_upstreams = descriptor_budget.max(Purpose::Upstream);
         let max_requests = max_clients.min(deployment.most_held).max(1);
-        let mut requests = RequestTable::new(settings, config.seed, max_requests, now)?;
         let trace = Trace::new(config.trace, clock.unix_zero());
-        requests.trace = trace;
+        let requests = RequestTable::new(settings, config.seed, max_requests, now, trace)?;
         let listener = net::retry_at_start(|| net::listener(config.listen)).map_err(|error| {
             NodeError::Listen {
                 address: config.listen,
@@ -310,14 +309,14 @@
 
     /// Does what has been decided, in order. Doing it may lead to more.
     fn execute_commands(&mut self) {
-        while let Some(denial) = self.requests.denials.pop() {
+        while let Some(denial) = self.requests.pop_denial() {
             self.diagnostics
                 .count_denial(self.event_loop.now(), denial, format_args!("at=start"));
         }
-        while let Some(violation) = self.requests.violations.pop() {
+        while let Some(violation) = self.requests.pop_violation() {
             self.report_violation(violation, format_args!("at=answer"));
         }
-        while let Some(command) = self.requests.commands.pop_front() {
+        while let Some(command) = self.requests.next_command() {
             match command {
                 Command::StartAttempt {
                     request,
--- a/crates/node/src/node/downstream.rs
+++ b/crates/node/src/node/downstream.rs
@@ -14,7 +14,7 @@
 use crate::event_loop::{PEER_CLOSED, TimerEvent};
 use crate::http1::ParseError;
 use crate::net;
-use crate::request_table::{LocalReply, OpenError, RequestSpec};
+use crate::request_table::{LocalReply, OpenError, OpenedRequest, RequestSpec};
 use crate::ring_buffer::WriteOutcome;
 use crate::rules::{self, ClosePermit, Denial, Violation};
 
@@ -395,7 +395,10 @@
             Ok(opened) => opened,
             Err(error) => return self.reply_not_opened(number, error),
         };
-        let (request, guard_at) = opened;
+        let OpenedRequest {
+            id: request,
+            guard_at,
+        } = opened;
         if let Some(connection) = self.clients.get_mut(number) {
             connection.set_request(request);
         }
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -18,7 +18,7 @@
         classes: vec![class],
         ..Settings::default()
     };
-    let mut requests = RequestTable::new(settings, 1, 4, NOW).unwrap();
+    let mut requests = RequestTable::new(settings, 1, 4, NOW, Trace::default()).unwrap();
     let state = EndpointState::Ready;
     let backend = |id| Endpoint {
         id: BackendId(id),
@@ -37,7 +37,7 @@
 }
 
 fn open(requests: &mut RequestTable<()>) -> u32 {
-    requests.open(NOW, 77, spec(), ()).unwrap().0
+    requests.open(NOW, 77, spec(), ()).unwrap().id
 }
 
 fn spec() -> RequestSpec {
@@ -190,11 +190,17 @@
         window: 300 * MS,
     });
     let id = open(&mut requests);
-    assert_eq!(requests.table.get(id).unwrap().write_by(), NOW + 300 * MS);
+    assert_eq!(
+        requests.table.get(id).unwrap().history().write_by,
+        NOW + 300 * MS
+    );
     requests.table.get_mut(id).unwrap().attempts[0].outcome = Some(Outcome::Reset);
     assert_eq!(
         requests.start_attempt(NOW + 301 * MS, id, BackendId(2), 0),
-        Some((id, 1))
+        Some(DeniedAttempt {
+            request: id,
+            attempt: 1
+        })
     );
     let pending = requests.table.get_mut(id).unwrap();
     pending.attempts[1].outcome = Some(Outcome::NotSent);
@@ -205,6 +211,9 @@
     // Never two at once.
     assert_eq!(
         requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
-        Some((id, 3))
+        Some(DeniedAttempt {
+            request: id,
+            attempt: 3
+        })
     );
 }
