--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,76 +1,45 @@
-//! The loop: waits for sockets and deadlines, and carries out what is decided. One clock reading a
-//! round; what sockets bring goes first, so that an answer which is there wins over its time-out.
-
+//! The node: the loop that waits for sockets and timers, and hands each event to the part that it
+//! concerns.
+//!
+//! - `start` makes the parts from the configuration.
+//! - `accept`, `clients`: the listener and the client connections ([`crate::downstream`]).
+//! - `upstream`: attempts at backends ([`crate::upstream`]).
+//! - `discovery`: the endpoint list ([`crate::discovery`]).
+//! - `commands`: what the request table has decided ([`crate::request_table`]).
+//! - `shutdown`: from SIGTERM to the last answer ([`crate::shutdown`]).
+
+mod accept;
+mod clients;
+mod commands;
 mod discovery;
-mod downstream;
+mod error;
 mod shutdown;
+mod start;
 mod upstream;
 
 use std::fmt;
-use std::net::SocketAddr;
-use std::os::fd::OwnedFd;
 
-use kitefork_balancer::{BackendId, Event, Nanos, SettingsError};
+use kitefork_balancer::Event;
 use kitefork_settings::Deployment;
 use rustix::event::epoll::{self, EventFlags};
-use rustix::io::Errno;
-use thiserror::Error;
 
-use crate::clock::{Clock, MS};
-use crate::config::Config;
-use crate::descriptor_budget::{DescriptorBudget, Purpose};
+use crate::descriptor_budget::DescriptorBudget;
 use crate::diagnostics::Diagnostics;
-use crate::discovery::{CallKind, Discovery, DiscoveryMode, EndpointList};
+use crate::discovery::{CallKind, Discovery};
 use crate::downstream::{ClientConnections, ForwardedRequest, Listener};
 use crate::event_loop::{EventLoop, PEER_CLOSED, TimerEvent, Token};
-use crate::log::Trace;
-use crate::net;
-use crate::request_table::{Command, RequestTable};
+use crate::request_table::RequestTable;
 use crate::ring_buffer::BufferBudget;
 use crate::rules::Violation;
 use crate::shutdown::Shutdown;
 use crate::signals::{SignalKind, Signals};
-use crate::upstream::{AttemptLimits, UpstreamAttempt, UpstreamConnections};
-
-/// A health check without an answer after this, in nanoseconds, has failed.
-const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
+use crate::upstream::UpstreamConnections;
 
-/// Timer granularity, in nanoseconds, whatever tick the settings have.
-const MIN_TICK: Nanos = MS;
-const MAX_TICK: Nanos = 10 * MS;
-/// Part of a request's time after which rejecting it has a price although no backend has seen it
-/// (the platform's figure).
-const NEVER_ATTEMPTED_FRACTION: f64 = 0.5;
-/// Connections that fit in a mebibyte. Bodies are on the buffer budget; beside them a connection
-/// holds a head at most, of which these fit in a third of the memory.
-const CONNECTIONS_PER_MIB: usize = 16;
-/// Descriptors that are used however little memory is configured.
-const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
-/// The buffer budget is a quarter of the configured memory, which counts as this much at least.
-const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
-const MIN_MEMORY_MIB: usize = 4;
+pub use error::NodeError;
 
-/// Why the node can't start or go on; the text is what the program prints.
-#[derive(Debug, Error)]
-pub enum NodeError {
-    /// The decision module does not accept the settings.
-    #[error(transparent)]
-    Settings(#[from] SettingsError),
-    /// The listening address can't be bound.
-    #[error("listen on {address}: {error}")]
-    Listen {
-        /// The configured address.
-        address: SocketAddr,
-        /// The system's answer.
-        error: Errno,
-    },
-    /// The address of the listening socket can't be read.
-    #[error("getsockname: {0}")]
-    LocalAddress(Errno),
-    /// A call of `epoll` failed.
-    #[error("epoll: {0}")]
-    Epoll(Errno),
-}
+/// Events that one poll takes beside those of connections and discovery calls: the listener and the
+/// signals, and one to spare.
+const OTHER_EVENTS: usize = 4;
 
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
 fn may_forbid_send(event: &epoll::Event) -> bool {
@@ -83,11 +52,12 @@
     }
 }
 
-/// One proxy process: the wiring of its parts.
+/// One proxy process: the wiring of its parts, each of which owns its state.
 pub struct Node {
     event_loop: EventLoop,
     diagnostics: Diagnostics,
     signals: Signals,
+    shutdown: Shutdown,
     deployment: Deployment,
     requests: RequestTable<ForwardedRequest>,
     /// Bounds what all connections hold in buffers.
@@ -96,83 +66,11 @@
     descriptor_budget: DescriptorBudget,
     listener: Listener,
     clients: ClientConnections,
-    discovery: Discovery,
-    shutdown: Shutdown,
     upstreams: UpstreamConnections,
+    discovery: Discovery,
 }
 
 impl Node {
-    /// Starts to listen, and applies the endpoint list that the configuration holds.
-    ///
-    /// # Errors
-    ///
-    /// If the settings are invalid, or a system call fails that the node can't do without.
-    pub fn start(config: Config, signals: Signals) -> Result<Node, NodeError> {
-        let clock = Clock::start();
-        let now = clock.read();
-        let deployment = config.deployment;
-        let mut settings = deployment.settings.clone();
-        settings.limits.never_attempted_fraction = NEVER_ATTEMPTED_FRACTION;
-        let tick = settings.tick.clamp(MIN_TICK, MAX_TICK);
-        let descriptors = usable_descriptors(config.sockets, config.memory_mb);
-        let descriptor_budget = DescriptorBudget::new(descriptors);
-        let max_clients = descriptor_budget.max(Purpose::Client);
-        let max_upstreams = descriptor_budget.max(Purpose::Upstream);
-        let max_requests = max_clients.min(deployment.most_held).max(1);
-        let trace = Trace::new(config.trace, clock.unix_zero());
-        let requests = RequestTable::new(settings, config.seed, max_requests, now, trace)?;
-        let listener = net::retry_at_start(|| net::listener(config.listen)).map_err(|error| {
-            NodeError::Listen {
-                address: config.listen,
-                error,
-            }
-        })?;
-        let local_address: SocketAddr = rustix::net::getsockname(&listener)
-            .and_then(TryInto::try_into)
-            .map_err(NodeError::LocalAddress)?;
-        let event_loop = EventLoop::new(clock, now, tick).map_err(NodeError::Epoll)?;
-        register_sources(&event_loop, &listener, &signals).map_err(NodeError::Epoll)?;
-        let mode = if deployment.settings.poll_endpoints {
-            DiscoveryMode::Polled
-        } else {
-            DiscoveryMode::Pushed {
-                drain_grace: deployment.settings.rules.drain_grace,
-            }
-        };
-        let endpoints = EndpointList::new(deployment.zones.clone(), deployment.kinds.clone());
-        let discovery = Discovery::new(config.discovery, mode, config.known.rev, endpoints);
-        let mut node = Node {
-            event_loop,
-            diagnostics: Diagnostics::new(trace),
-            signals,
-            requests,
-            buffer_budget: BufferBudget::new(buffer_bytes(config.memory_mb)),
-            descriptor_budget,
-            listener: Listener::new(listener, now),
-            clients: ClientConnections::new(max_clients),
-            discovery,
-            shutdown: Shutdown::new(),
-            upstreams: UpstreamConnections::new(
-                max_upstreams,
-                deployment.connect_timeout,
-                deployment.idle_limit,
-            ),
-            deployment,
-        };
-        node.diagnostics.log(
-            now,
-            "start",
-            format_args!(
-                "name={} listen={local_address} sockets={descriptors}",
-                config.name
-            ),
-        );
-        node.apply_cached_list(&config.known);
-        node.start_discovery();
-        node.flush_pending();
-        Ok(node)
-    }
-
     /// Serves until a graceful shutdown is complete.
     ///
     /// # Errors
@@ -181,8 +79,7 @@
     pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
         while !self.is_over() {
-            let capacity =
-                self.clients.len() + self.upstreams.len() + self.discovery.open_calls() + 4;
+            let capacity = self.max_events();
             self.event_loop
                 .poll(&mut events, capacity)
                 .map_err(NodeError::Epoll)?;
@@ -197,6 +94,11 @@
         Ok(())
     }
 
+    fn max_events(&self) -> usize {
+        let connections = self.clients.len() + self.upstreams.len();
+        connections + self.discovery.open_calls() + OTHER_EVENTS
+    }
+
     /// What forbids a send goes before what may lead to one, and is carried out only when all of it
     /// is known: clients that have closed their side, and changes of the endpoint list. What sockets
     /// bring goes before the timers, so that an answer which is there wins over its timeout.
@@ -258,139 +160,39 @@
         self.flush_pending();
     }
 
-    fn on_timer(&mut self, due: TimerEvent) {
-        match due {
+    fn on_timer(&mut self, event: TimerEvent) {
+        let now = self.event_loop.now();
+        match event {
             TimerEvent::ClientDeadline(number) => self.client_deadline_due(number),
             TimerEvent::ResumeClient(number) => self.read_client(number),
-            TimerEvent::DeadlineGuard(request) => {
-                if self.requests.expire(self.event_loop.now(), request) {
-                    self.diagnostics.log(
-                        self.event_loop.now(),
-                        "deadline-guard",
-                        format_args!("request={request}"),
-                    );
-                }
-            }
+            TimerEvent::DeadlineGuard(request) => self.guard_deadline(request),
             TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
             TimerEvent::ResumeUpstream(number) => self.advance_upstream(number, false),
             TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
             TimerEvent::DiscoveryDeadline(number) => self.discovery_deadline_due(number),
             TimerEvent::ResumeDiscoveryCall(number) => {
-                self.advance_discovery_call(number, EventFlags::OUT)
+                self.advance_discovery_call(number, EventFlags::OUT);
             }
             TimerEvent::RetryDiscoveryWatch => self.retry_discovery_call(CallKind::Watch),
             TimerEvent::RetryDiscoveryPoll => self.retry_discovery_call(CallKind::Poll),
-            TimerEvent::BalancerTimer(timer) => self
-                .requests
-                .feed(self.event_loop.now(), Event::Timer { timer }),
+            TimerEvent::OpenWatch => self.end_discovery_backoff(),
+            TimerEvent::ServeStaleList => {
+                self.discovery.serve_stale_list(now, &mut self.diagnostics);
+            }
+            TimerEvent::BalancerTimer(timer) => self.requests.feed(now, Event::Timer { timer }),
             TimerEvent::ResumeAccepting => self.resume_accepting(),
             TimerEvent::TrimClients => self.trim_clients(),
             TimerEvent::StopAccepting => self.stop_accepting(),
             TimerEvent::LastAnswers => self.give_last_answers(),
             TimerEvent::ForceClose => self.force_close(),
-            TimerEvent::OpenWatch => self.end_discovery_backoff(),
-            TimerEvent::ServeStaleList => {
-                let now = self.event_loop.now();
-                self.discovery.serve_stale_list(now, &mut self.diagnostics)
-            }
         }
     }
 
-    /// Does all that follows from an event: commands first, then answers go out.
-    fn flush_pending(&mut self) {
-        loop {
-            self.execute_commands();
-            let Some(number) = self.clients.pop_answered() else {
-                return;
-            };
-            self.flush_client(number);
-        }
-    }
-
-    /// Does what has been decided, in order. Doing it may lead to more.
-    fn execute_commands(&mut self) {
-        while let Some(denial) = self.requests.pop_denial() {
+    fn guard_deadline(&mut self, request: u32) {
+        let now = self.event_loop.now();
+        if self.requests.expire(now, request) {
             self.diagnostics
-                .count_denial(self.event_loop.now(), denial, format_args!("at=start"));
-        }
-        while let Some(violation) = self.requests.pop_violation() {
-            self.report_violation(violation, format_args!("at=answer"));
-        }
-        while let Some(command) = self.requests.next_command() {
-            match command {
-                Command::StartAttempt {
-                    request,
-                    attempt,
-                    backend,
-                    abandon_at,
-                    write_by,
-                } => {
-                    let attempt = UpstreamAttempt::Request { request, attempt };
-                    let limits = AttemptLimits {
-                        abandon_at,
-                        write_by,
-                    };
-                    self.start_attempt(backend, attempt, limits);
-                }
-                Command::CancelAttempt { request, attempt } => {
-                    self.cancel_attempt(request, attempt);
-                }
-                Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
-                Command::CloseIdleConnections(backend) => self.upstreams.close_idle(backend),
-                Command::CheckHealth(backend) => self.check_health(backend),
-                Command::SetTimer { at, timer } => self
-                    .event_loop
-                    .schedule(at, TimerEvent::BalancerTimer(timer)),
-                Command::WatchEndpoints(on) => self.change_watch(on),
-                Command::PollEndpoints => self.open_discovery_call(CallKind::Poll),
-                Command::Log(line) => self
-                    .diagnostics
-                    .log(self.event_loop.now(), "decision", line),
-                Command::GossipUnsupported => {
-                    let text = "a message to peers is not carried";
-                    self.diagnostics
-                        .log(self.event_loop.now(), "decision", text);
-                }
-            }
+                .log(now, "deadline-guard", format_args!("request={request}"));
         }
     }
-
-    fn check_health(&mut self, backend: BackendId) {
-        let now = self.event_loop.now();
-        let attempt = UpstreamAttempt::HealthCheck {
-            backend,
-            sent_at: now,
-        };
-        let limits = AttemptLimits {
-            abandon_at: now + HEALTH_CHECK_TIMEOUT,
-            write_by: now + HEALTH_CHECK_TIMEOUT,
-        };
-        self.start_attempt(backend, attempt, limits);
-    }
-}
-
-/// Descriptors that the process may use: as configured, within its resource limit and its memory.
-fn usable_descriptors(configured: usize, memory_mib: usize) -> usize {
-    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    let allowed = limit.map_or(configured, |limit| configured.min(limit as usize));
-    let by_memory = memory_mib.saturating_mul(CONNECTIONS_PER_MIB);
-    allowed.min(by_memory.max(MIN_DESCRIPTORS_BY_MEMORY))
-}
-
-fn buffer_bytes(memory_mib: usize) -> usize {
-    memory_mib
-        .max(MIN_MEMORY_MIB)
-        .saturating_mul(BUFFER_BYTES_PER_MIB)
-}
-
-fn register_sources(
-    event_loop: &EventLoop,
-    listener: &OwnedFd,
-    signals: &Signals,
-) -> Result<(), Errno> {
-    event_loop.add_at_start(listener, Token::Listener)?;
-    for kind in [SignalKind::Terminate, SignalKind::Reload] {
-        event_loop.add_at_start(signals.get(kind).wake_up(), Token::Signal(kind))?;
-    }
-    Ok(())
 }
--- /dev/null
+++ b/crates/node/src/node/accept.rs
@@ -0,0 +1,184 @@
+//! Accepting clients, and closing connections where descriptors are short.
+
+use std::os::fd::OwnedFd;
+
+use super::Node;
+use crate::counters::CloseReason;
+use crate::descriptor_budget::Purpose;
+use crate::downstream::{AcceptOutcome, EvictionCandidate};
+use crate::net;
+use crate::rules::{self, Denial};
+
+impl Node {
+    /// Accepts every client that waits: what the kernel has accepted counts as ours. In one
+    /// iteration no more than its queue holds: a flood that never ends must not hold the loop.
+    pub(super) fn accept_clients(&mut self) {
+        for _ in 0..=net::ACCEPT_BACKLOG {
+            if !self.listener.is_accepting() || !self.accept_client() {
+                return;
+            }
+        }
+        // How long the rest has waited is not known any more.
+        self.listener.note_queue_not_emptied();
+    }
+
+    /// Accepts one client; whether another one may wait.
+    fn accept_client(&mut self) -> bool {
+        let now = self.event_loop.now();
+        // No connection is given up for nobody.
+        if !self.client_fits() {
+            match self.listener.has_waiting_client() {
+                Ok(true) => {}
+                Ok(false) => {
+                    self.listener.note_queue_empty(now);
+                    return false;
+                }
+                // Not known now; the listener's event comes again.
+                Err(_) => {
+                    self.listener.retry_later(&mut self.event_loop);
+                    return false;
+                }
+            }
+        }
+        if !self.make_room_for_client() {
+            let open = self.clients.len();
+            self.diagnostics
+                .log(now, "client-connections-full", format_args!("open={open}"));
+            self.listener.pause(&mut self.event_loop);
+            return false;
+        }
+        let outcome = self.listener.accept();
+        self.handle_accept(outcome)
+    }
+
+    fn handle_accept(&mut self, outcome: AcceptOutcome) -> bool {
+        let now = self.event_loop.now();
+        match outcome {
+            AcceptOutcome::Client(socket) => {
+                self.add_client(socket);
+                true
+            }
+            AcceptOutcome::ClientGone => {
+                self.diagnostics.count("accept", "client_disconnected");
+                true
+            }
+            AcceptOutcome::QueueEmpty => {
+                self.listener.note_queue_empty(now);
+                false
+            }
+            AcceptOutcome::RetryLater(error) => {
+                self.diagnostics.log(now, "accept-failed", error);
+                self.listener.retry_later(&mut self.event_loop);
+                false
+            }
+            AcceptOutcome::Failed(error) => {
+                self.diagnostics.log(now, "accept-failed", error);
+                // Out of descriptors: an idle connection gives up its own. No busy loop on what
+                // can't be accepted.
+                if let Some(candidate) = self.eviction_candidate() {
+                    self.evict(candidate.number);
+                }
+                self.listener.pause(&mut self.event_loop);
+                false
+            }
+        }
+    }
+
+    pub(super) fn resume_accepting(&mut self) {
+        self.listener.resume(&mut self.event_loop);
+        self.accept_clients();
+    }
+
+    fn client_fits(&self) -> bool {
+        self.descriptor_budget
+            .fits(Purpose::Client, self.clients.len(), self.upstreams.len())
+    }
+
+    /// Whether another client connection may be held; the most expendable one closes for it.
+    fn make_room_for_client(&mut self) -> bool {
+        if self.client_fits() {
+            return true;
+        }
+        // One that turns out to have sent a request is not closed: each round finds another, or
+        // closes one.
+        for _ in 0..=self.clients.len() {
+            let candidate = self.eviction_candidate();
+            let is_expendable = candidate.is_some_and(|c| c.rank.is_expendable());
+            if !is_expendable
+                && self
+                    .descriptor_budget
+                    .lends(Purpose::Upstream, self.upstreams.len())
+                && let Some(has_closed) = self.upstreams.evict_idle()
+            {
+                return has_closed;
+            }
+            let Some(candidate) = candidate else {
+                return false;
+            };
+            if self.evict(candidate.number) {
+                return true;
+            }
+        }
+        false
+    }
+
+    pub(super) fn eviction_candidate(&self) -> Option<EvictionCandidate> {
+        self.clients.eviction_candidate(self.event_loop.now())
+    }
+
+    /// Closes an expendable connection, unless a request has come on it that nobody has read: to its
+    /// client that close would be one without an answer. Whether it has closed.
+    pub(super) fn evict(&mut self, number: u32) -> bool {
+        self.close_if_allowed(number, CloseReason::Evicted)
+    }
+
+    /// Closes a connection for a reason of the node's own, if the rules allow it; else takes up what
+    /// forbids it. Whether it has closed.
+    pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
+        let Some(connection) = self.clients.get(number) else {
+            return false;
+        };
+        match rules::may_close(connection.close_facts()) {
+            Ok(permit) => self.close_client(number, permit, reason),
+            Err(denial) => {
+                self.count_client_denial(denial, number);
+                self.read_client(number);
+                self.clients.get(number).is_none()
+            }
+        }
+    }
+
+    pub(super) fn count_client_denial(&mut self, denial: Denial, number: u32) {
+        let now = self.event_loop.now();
+        self.diagnostics
+            .count_denial(now, denial, format_args!("connection={number}"));
+    }
+
+    /// Clients may hold only so many connections on which they have sent a request.
+    pub(super) fn trim_clients(&mut self) {
+        let max_active = self.descriptor_budget.max_active_clients();
+        for candidate in self.clients.trim(self.event_loop.now(), max_active) {
+            self.evict(candidate.number);
+        }
+        self.schedule_trim();
+    }
+
+    fn schedule_trim(&mut self) {
+        let max_active = self.descriptor_budget.max_active_clients();
+        self.clients.schedule_trim(max_active, &mut self.event_loop);
+    }
+
+    fn add_client(&mut self, socket: OwnedFd) {
+        let now = self.event_loop.now();
+        let queued_at = self
+            .listener
+            .queue_empty_at(self.event_loop.previous_poll_at());
+        if let Some(number) = self
+            .clients
+            .add(socket, now, queued_at, &self.buffer_budget)
+        {
+            self.schedule_trim();
+            self.read_client(number);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/error.rs
@@ -0,0 +1,29 @@
+//! Why a node can't start or go on.
+
+use std::net::SocketAddr;
+
+use kitefork_balancer::SettingsError;
+use rustix::io::Errno;
+use thiserror::Error;
+
+/// Why the node can't start or go on; the text is what the program prints.
+#[derive(Debug, Error)]
+pub enum NodeError {
+    /// The decision module does not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The listening address can't be bound.
+    #[error("listen on {address}: {error}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's answer.
+        error: Errno,
+    },
+    /// The address of the listening socket can't be read.
+    #[error("getsockname: {0}")]
+    LocalAddress(Errno),
+    /// A call of `epoll` failed.
+    #[error("epoll: {0}")]
+    Epoll(Errno),
+}
--- /dev/null
+++ b/crates/node/src/node/start.rs
@@ -0,0 +1,165 @@
+//! The start of a node: its parts from the configuration.
+
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+use kitefork_balancer::{Nanos, SettingsError};
+use kitefork_settings::Deployment;
+use rustix::io::Errno;
+
+use super::{Node, NodeError};
+use crate::clock::{Clock, MS};
+use crate::config::Config;
+use crate::descriptor_budget::{DescriptorBudget, Purpose};
+use crate::diagnostics::Diagnostics;
+use crate::discovery::{Discovery, DiscoveryMode, EndpointList};
+use crate::downstream::{ClientConnections, ForwardedRequest, Listener};
+use crate::event_loop::{EventLoop, Token};
+use crate::log::Trace;
+use crate::net;
+use crate::request_table::RequestTable;
+use crate::ring_buffer::BufferBudget;
+use crate::shutdown::Shutdown;
+use crate::signals::{SignalKind, Signals};
+use crate::upstream::UpstreamConnections;
+
+/// Timer granularity, in nanoseconds, whatever tick the settings have.
+const MIN_TICK: Nanos = MS;
+const MAX_TICK: Nanos = 10 * MS;
+/// Part of a request's time after which rejecting it has a price although no backend has seen it
+/// (the platform's figure).
+const NEVER_ATTEMPTED_FRACTION: f64 = 0.5;
+/// Connections that fit in a mebibyte. Bodies are on the buffer budget; beside them a connection
+/// holds a head at most, of which these fit in a third of the memory.
+const CONNECTIONS_PER_MIB: usize = 16;
+/// Descriptors that are used however little memory is configured.
+const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
+/// The buffer budget is a quarter of the configured memory, which counts as this much at least.
+const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
+const MIN_MEMORY_MIB: usize = 4;
+
+impl Node {
+    /// Starts to listen, and applies the endpoint list that the configuration holds.
+    ///
+    /// # Errors
+    ///
+    /// If the settings are invalid, or a system call fails that the node can't do without.
+    pub fn start(config: Config, signals: Signals) -> Result<Node, NodeError> {
+        let clock = Clock::start();
+        let now = clock.read();
+        let trace = Trace::new(config.trace, clock.unix_zero());
+        let descriptors = usable_descriptors(config.sockets, config.memory_mb);
+        let descriptor_budget = DescriptorBudget::new(descriptors);
+        let requests = request_table(&config, &descriptor_budget, now, trace)?;
+        let socket = listen(config.listen)?;
+        let local_address = local_address(&socket)?;
+        let event_loop = event_loop(clock, now, &config.deployment, &socket, &signals)?;
+        let deployment = config.deployment;
+        let mut node = Node {
+            event_loop,
+            diagnostics: Diagnostics::new(trace),
+            signals,
+            shutdown: Shutdown::new(),
+            requests,
+            buffer_budget: BufferBudget::new(buffer_bytes(config.memory_mb)),
+            descriptor_budget,
+            listener: Listener::new(socket, now),
+            clients: ClientConnections::new(descriptor_budget.max(Purpose::Client)),
+            upstreams: UpstreamConnections::new(
+                descriptor_budget.max(Purpose::Upstream),
+                deployment.connect_timeout,
+                deployment.idle_limit,
+            ),
+            discovery: discovery(config.discovery, config.known.rev, &deployment),
+            deployment,
+        };
+        let name = config.name;
+        node.diagnostics.log(
+            now,
+            "start",
+            format_args!("name={name} listen={local_address} sockets={descriptors}"),
+        );
+        node.apply_cached_list(&config.known);
+        node.start_discovery();
+        node.flush_pending();
+        Ok(node)
+    }
+}
+
+fn request_table(
+    config: &Config,
+    descriptor_budget: &DescriptorBudget,
+    now: Nanos,
+    trace: Trace,
+) -> Result<RequestTable<ForwardedRequest>, SettingsError> {
+    let mut settings = config.deployment.settings.clone();
+    settings.limits.never_attempted_fraction = NEVER_ATTEMPTED_FRACTION;
+    let max_requests = descriptor_budget
+        .max(Purpose::Client)
+        .min(config.deployment.most_held)
+        .max(1);
+    RequestTable::new(settings, config.seed, max_requests, now, trace)
+}
+
+fn listen(address: SocketAddr) -> Result<OwnedFd, NodeError> {
+    net::retry_at_start(|| net::listener(address))
+        .map_err(|error| NodeError::Listen { address, error })
+}
+
+/// Where the node listens, also where the configuration leaves the port to the system.
+fn local_address(socket: &OwnedFd) -> Result<SocketAddr, NodeError> {
+    rustix::net::getsockname(socket)
+        .and_then(TryInto::try_into)
+        .map_err(NodeError::LocalAddress)
+}
+
+fn event_loop(
+    clock: Clock,
+    now: Nanos,
+    deployment: &Deployment,
+    listener: &OwnedFd,
+    signals: &Signals,
+) -> Result<EventLoop, NodeError> {
+    let tick = deployment.settings.tick.clamp(MIN_TICK, MAX_TICK);
+    let event_loop = EventLoop::new(clock, now, tick).map_err(NodeError::Epoll)?;
+    register_sources(&event_loop, listener, signals).map_err(NodeError::Epoll)?;
+    Ok(event_loop)
+}
+
+fn discovery(address: SocketAddr, revision: u64, deployment: &Deployment) -> Discovery {
+    let mode = if deployment.settings.poll_endpoints {
+        DiscoveryMode::Polled
+    } else {
+        DiscoveryMode::Pushed {
+            drain_grace: deployment.settings.rules.drain_grace,
+        }
+    };
+    let endpoints = EndpointList::new(deployment.zones.clone(), deployment.kinds.clone());
+    Discovery::new(address, mode, revision, endpoints)
+}
+
+/// Descriptors that the process may use: as configured, within its resource limit and its memory.
+fn usable_descriptors(configured: usize, memory_mib: usize) -> usize {
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    let allowed = limit.map_or(configured, |limit| configured.min(limit as usize));
+    let by_memory = memory_mib.saturating_mul(CONNECTIONS_PER_MIB);
+    allowed.min(by_memory.max(MIN_DESCRIPTORS_BY_MEMORY))
+}
+
+fn buffer_bytes(memory_mib: usize) -> usize {
+    memory_mib
+        .max(MIN_MEMORY_MIB)
+        .saturating_mul(BUFFER_BYTES_PER_MIB)
+}
+
+fn register_sources(
+    event_loop: &EventLoop,
+    listener: &OwnedFd,
+    signals: &Signals,
+) -> Result<(), Errno> {
+    event_loop.add_at_start(listener, Token::Listener)?;
+    for kind in [SignalKind::Terminate, SignalKind::Reload] {
+        event_loop.add_at_start(signals.get(kind).wake_up(), Token::Signal(kind))?;
+    }
+    Ok(())
+}
