--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -7,6 +7,7 @@
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 
+use super::backoff::{Backoff, DiscoveryMode};
 use super::call::{CallKind, CallProgress, DiscoveryCall, SendOutcome};
 use super::endpoint_list::{AppliedUpdate, EndpointList, Freshness};
 use super::update::EndpointUpdate;
@@ -20,22 +21,8 @@
 
 /// Calls that are open at a time at most: a watch, a poll, and their successors after a reload.
 const MAX_CALLS: usize = 4;
-/// A connection to discovery that is not established after this, in nanoseconds, is cut off; a new
-/// one finds the way back sooner than TCP's own retransmissions.
-const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
 /// A call that this machine could not start for a moment is made after this, in nanoseconds.
 const CALL_RETRY: Nanos = 20 * MS;
-/// Where lists are pushed: the first backoff of a failed call, in nanoseconds; it doubles ...
-const MIN_BACKOFF: Nanos = 10 * MS;
-/// ... up to this.
-const MAX_BACKOFF: Nanos = 500 * MS;
-/// Most doublings of the backoff.
-const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// The backoff is at most this part of the grace for draining backends: a node without a watch must
-/// be back on it well within that grace.
-const BACKOFF_PART_OF_GRACE: Nanos = 4;
-/// The same for the time in which a connection must be established.
-const CONNECT_PART_OF_GRACE: Nanos = 2;
 /// A watch that has lasted for this long, in nanoseconds, ends a row of failures; one that ends at
 /// once must not be opened again without a pause.
 const STEADY_WATCH: Nanos = SECOND;
@@ -44,26 +31,6 @@
 /// expect a node to be ready within 10 s.
 const STALE_LIST_AFTER: Nanos = 9 * SECOND;
 
-/// How the endpoint list is kept up to date.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DiscoveryMode {
-    /// The decision module asks for polls and watches.
-    Polled,
-    /// The node keeps a watch open by itself. What the agent has counts as notified whether or not
-    /// this node has read it.
-    Pushed {
-        /// How long after its removal from the list a backend may still get attempts, in nanoseconds.
-        drain_grace: Nanos,
-    },
-}
-
-/// Whether the next call waits for the end of a backoff.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RetryState {
-    Ready,
-    BackingOff,
-}
-
 /// Whether discovery has spoken since the start of the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SyncState {
@@ -99,9 +66,7 @@
     revision: u64,
     /// When discovery last said something, be it that nothing has changed.
     confirmed_at: Option<Nanos>,
-    retry: RetryState,
-    /// Calls that have failed in a row, where lists are pushed.
-    failed_calls: u32,
+    backoff: Backoff,
     sync: SyncState,
     endpoints: EndpointList,
 }
@@ -120,8 +85,7 @@
             calls: Slab::new(MAX_CALLS),
             revision,
             confirmed_at: None,
-            retry: RetryState::Ready,
-            failed_calls: 0,
+            backoff: Backoff::new(),
             sync: match mode {
                 DiscoveryMode::Polled => SyncState::Synced,
                 DiscoveryMode::Pushed { .. } => SyncState::AwaitingFirstUpdate,
@@ -203,7 +167,7 @@
 
     /// The decision module wants a watch, or none.
     pub fn change_watch(&mut self, on: bool) -> WatchChange {
-        self.retry = RetryState::Ready;
+        self.backoff.end();
         let open = self.open_watch();
         if on && open.is_none() {
             return WatchChange::Open;
@@ -224,7 +188,7 @@
         event_loop: &mut EventLoop,
         diagnostics: &mut Diagnostics,
     ) -> FailureNotice {
-        self.retry = RetryState::Ready;
+        self.backoff.end();
         if self.open_watch().is_some() {
             return FailureNotice::Handled;
         }
@@ -280,20 +244,11 @@
         let number = self.calls.vacant().ok_or(Errno::MFILE)?;
         let mut call = DiscoveryCall::new(socket, kind, self.revision, self.address, now);
         call.register(number, event_loop)?;
-        call.set_deadline(now + self.connect_timeout(), number, event_loop);
+        call.set_deadline(now + self.mode.connect_timeout(), number, event_loop);
         self.calls.insert(call);
         Ok(())
     }
 
-    fn connect_timeout(&self) -> Nanos {
-        match self.mode {
-            DiscoveryMode::Polled => CONNECT_TIMEOUT,
-            DiscoveryMode::Pushed { drain_grace } => {
-                (drain_grace / CONNECT_PART_OF_GRACE).clamp(MIN_BACKOFF, CONNECT_TIMEOUT)
-            }
-        }
-    }
-
     /// Counts and logs a failed call, and schedules the next one where lists are pushed.
     pub fn call_failed(
         &mut self,
@@ -304,33 +259,19 @@
         let now = event_loop.now();
         diagnostics.trace(now, format_args!("call-failed why={why}"));
         diagnostics.log(now, "discovery-failed", why);
-        // A call that a new configuration has brought forward may fail before the backoff is over:
-        // the next one comes anyway, and there would from then on be two rows of calls.
-        if std::mem::replace(&mut self.retry, RetryState::BackingOff) == RetryState::BackingOff {
+        if !self.backoff.begin() {
             return FailureNotice::Handled;
         }
         match self.mode {
             DiscoveryMode::Polled => FailureNotice::NotifyBalancer,
             DiscoveryMode::Pushed { drain_grace } => {
-                let backoff = self.next_backoff(drain_grace);
-                event_loop.schedule(now + backoff, TimerEvent::OpenWatch);
+                let wait = self.backoff.next_wait(drain_grace);
+                event_loop.schedule(now + wait, TimerEvent::OpenWatch);
                 FailureNotice::Handled
             }
         }
     }
 
-    /// The agent is this node's own: no crowd of others calls it. So the first retry is immediate,
-    /// then the backoff doubles.
-    fn next_backoff(&mut self, drain_grace: Nanos) -> Nanos {
-        let failed_before = self.failed_calls;
-        self.failed_calls += 1;
-        if failed_before == 0 {
-            return 0;
-        }
-        let longest = (drain_grace / BACKOFF_PART_OF_GRACE).clamp(MIN_BACKOFF, MAX_BACKOFF);
-        longest.min(MIN_BACKOFF << failed_before.min(MAX_BACKOFF_DOUBLINGS))
-    }
-
     /// Writes and reads a call whose socket is ready; `None` if there is nothing to follow up.
     pub fn advance_call(
         &mut self,
@@ -379,7 +320,7 @@
             && let Some(call) = self.calls.remove(number)
             && now.saturating_sub(call.opened_at()) > STEADY_WATCH
         {
-            self.failed_calls = 0;
+            self.backoff.reset();
         }
     }
 
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -7,14 +7,16 @@
 //! On the wire the backends are `targets`, their version `rev`, a draining one `Terminating` and a
 //! removed one `Gone`; [`EndpointUpdate`] maps them.
 
+mod backoff;
 mod call;
 mod client;
 mod endpoint_list;
 mod object_scanner;
 mod update;
 
+pub use backoff::DiscoveryMode;
 pub use call::{CallEnd, CallKind, CallProgress};
-pub use client::{Discovery, DiscoveryMode, FailureNotice, WatchChange};
+pub use client::{Discovery, FailureNotice, WatchChange};
 pub use endpoint_list::{AppliedUpdate, EndpointList};
 pub use update::EndpointUpdate;
 /// The name that `config` uses.
--- /dev/null
+++ b/crates/node/src/downstream/connection/events.rs
@@ -0,0 +1,100 @@
+//! What a client connection wants of the event loop: events, and a timer for its time limit.
+
+use rustix::event::epoll::EventFlags;
+use rustix::io::Errno;
+
+use super::{ClientConnection, ConnectionState};
+use crate::counters::CloseReason;
+use crate::diagnostics::Diagnostics;
+use crate::errno::{self, ErrorClass};
+use crate::event_loop::{EventLoop, MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
+use crate::ring_buffer::WriteOutcome;
+
+impl ClientConnection {
+    /// The events that its state needs.
+    fn wanted_events(&self) -> EventFlags {
+        match (self.is_written(), self.is_input_full()) {
+            // Its end is known and would be reported again without a pause.
+            _ if self.peer_closed => EventFlags::OUT,
+            (true, false) => READ,
+            (true, true) => EventFlags::RDHUP,
+            (false, false) => READ_WRITE,
+            (false, true) => EventFlags::OUT | EventFlags::RDHUP,
+        }
+    }
+
+    fn register(
+        &mut self,
+        number: u32,
+        event_loop: &EventLoop,
+        wanted: EventFlags,
+    ) -> Result<(), Errno> {
+        let was_watched = self.registration.flags().contains(EventFlags::IN);
+        let token = Token::Client(number);
+        event_loop.register(&mut self.registration, &self.socket, token, wanted)?;
+        if wanted.contains(EventFlags::IN) && !was_watched {
+            self.input.note_watched(event_loop.now());
+        }
+        Ok(())
+    }
+
+    fn update_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
+        let at = self.time_limit();
+        event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
+    }
+
+    /// Whether its time limit is over, now that its timer has fired.
+    pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
+        event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
+    }
+
+    /// The machine lacks resources for a moment: the connection `number` is resumed a little later,
+    /// and has no event before that, which would come without a pause.
+    pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
+        // Where this fails too, events come early and find the same.
+        let _ = self.register(number, event_loop, EventFlags::empty());
+        self.update_deadline(number, event_loop);
+        let at = event_loop.now() + MIN_RETRY;
+        event_loop.schedule(at, TimerEvent::ResumeClient(number));
+    }
+
+    /// Writes what there is to write, and has the right events and time limit set.
+    ///
+    /// # Errors
+    ///
+    /// Why the connection is to be closed now.
+    pub fn flush_and_register(
+        &mut self,
+        number: u32,
+        event_loop: &mut EventLoop,
+        diagnostics: &mut Diagnostics,
+    ) -> Result<(), CloseReason> {
+        let now = event_loop.now();
+        let written = self.flush(now);
+        if written == WriteOutcome::Broken {
+            return Err(CloseReason::Broken);
+        }
+        if self.peer_closed && self.is_written() && self.request.is_none() {
+            return Err(match self.state {
+                ConnectionState::Lingering => CloseReason::Answered,
+                ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientGone,
+            });
+        }
+        if written == WriteOutcome::RetryLater {
+            self.pause(number, event_loop);
+            return Ok(());
+        }
+        if let Err(error) = self.register(number, event_loop, self.wanted_events()) {
+            diagnostics.log(now, "epoll-failed", error);
+            if errno::of_register(error) != ErrorClass::RetryLater {
+                return Err(CloseReason::Broken);
+            }
+            event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeClient(number));
+        }
+        self.update_deadline(number, event_loop);
+        if self.has_next() {
+            event_loop.schedule(now, TimerEvent::ResumeClient(number));
+        }
+        Ok(())
+    }
+}
