--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,6 +1,7 @@
-//! Counts of what the node has done, by reason: what operators read when they ask why requests were
-//! refused, retried or given up. Kept for the whole life of the process; bounded, as each key is a
-//! word of the code.
+//! Counts of what the node has done, by reason, for operators who ask why requests were rejected,
+//! retried or abandoned.
+//!
+//! The counts live as long as the process. They are bounded, as each key is a word of the code.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,29 +10,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// Its client ended it.
-    ClientGone,
+    ClientDisconnected,
     /// It broke: a reset, or a write that failed for good.
     Broken,
     /// Its last answer is written.
     Answered,
     /// Its descriptor was needed for another connection.
     Evicted,
-    /// It asked nothing for too long, or took too long over a message or an answer.
+    /// It sent nothing for too long, or took too long over a message or an answer.
     TimedOut,
-    /// The node ends.
+    /// The node shuts down.
     Shutdown,
 }
 
 impl CloseReason {
     /// Whether its client has ended it, so that no answer is owed any more.
     pub fn is_by_client(self) -> bool {
-        matches!(self, CloseReason::ClientGone | CloseReason::Broken)
+        matches!(self, CloseReason::ClientDisconnected | CloseReason::Broken)
     }
 
     /// The word in logs and counts.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientGone => "client_disconnected",
+            CloseReason::ClientDisconnected => "client_disconnected",
             CloseReason::Broken => "broken",
             CloseReason::Answered => "answered",
             CloseReason::Evicted => "evicted",
--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -1,28 +1,34 @@
-//! The ledger of descriptors: who may hold how many. Sessions and fetches draw on one stock; each
-//! has a reserve that the other can't use up, and what neither needs is free for both. Pure
-//! figures, no I/O.
+//! The descriptor budget: how many connections clients and backends may hold.
 //!
-//! A fixed split turns clients away while the other side's part lies idle, and the other way round.
+//! Both draw on one stock; each has a reserve that the other can't use up, and what neither needs
+//! is free for both. A fixed split would reject clients while the other side's part lies idle, and
+//! the other way round. Pure figures, no I/O.
 
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
+    /// A client's connection.
     Client,
+    /// A connection to a backend.
     Upstream,
 }
 
 /// Descriptors that are neither: the standard three, epoll, the listener, the signals' pairs and
 /// their copies (6), calls to discovery (4), one for a file that is read, and some to spare.
 pub const OTHER_DESCRIPTORS: usize = 20;
-/// Part of the connections that are kept for each side: a session waits for each fetch, but most
-/// sessions wait for none.
-const CLIENT_RESERVE: (usize, usize) = (1, 2);
-const UPSTREAM_RESERVE: (usize, usize) = (1, 4);
-/// Clients of a node hold at most a third of its descriptors for requests (the platform's word; a
+/// Connections that a process has at least, however few descriptors it may hold.
+const MIN_CONNECTIONS: usize = 4;
+/// The reserve of the clients is this part of all connections: a client waits for each upstream
+/// connection, but most clients wait for none.
+const CLIENT_RESERVE_DIVISOR: usize = 2;
+/// The reserve of the upstream connections is this part of all connections.
+const UPSTREAM_RESERVE_DIVISOR: usize = 4;
+/// Clients of a node hold at most a third of its descriptors for requests (the platform's limit; a
 /// front's pool has such a bound elsewhere). Once they do, the next request finds no connection and
-/// none of them is missed here, so idle ones go before that: they hold a quarter at most.
+/// none of them is missed here, so idle ones go before that: they hold this part at most.
 const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
+/// How many connections each side may hold.
 #[derive(Debug, Clone, Copy)]
 pub struct DescriptorBudget {
     limit: usize,
@@ -34,16 +40,15 @@
     pub fn new(limit: usize) -> DescriptorBudget {
         DescriptorBudget {
             limit,
-            connections: limit.saturating_sub(OTHER_DESCRIPTORS).max(4),
+            connections: limit.saturating_sub(OTHER_DESCRIPTORS).max(MIN_CONNECTIONS),
         }
     }
 
     fn reserve(&self, purpose: Purpose) -> usize {
-        let (part, of) = match purpose {
-            Purpose::Client => CLIENT_RESERVE,
-            Purpose::Upstream => UPSTREAM_RESERVE,
-        };
-        self.connections * part / of
+        match purpose {
+            Purpose::Client => self.connections / CLIENT_RESERVE_DIVISOR,
+            Purpose::Upstream => self.connections / UPSTREAM_RESERVE_DIVISOR,
+        }
     }
 
     /// Most that `purpose` can ever hold.
@@ -56,13 +61,13 @@
         own < self.connections - others.max(self.reserve(purpose.other()))
     }
 
-    /// Whether closing one of `held` of `purpose` makes room for the other: it has more than its
-    /// reserve.
-    pub fn lends(&self, purpose: Purpose, held: usize) -> bool {
-        held > self.reserve(purpose)
+    /// Whether closing one of `open` of `purpose` lets the other have one more: it has more than
+    /// its reserve.
+    pub fn lends(&self, purpose: Purpose, open: usize) -> bool {
+        open > self.reserve(purpose)
     }
 
-    /// How many sessions that have asked may be held before idle ones close.
+    /// How many clients that have sent a request may be connected before idle ones are closed.
     pub fn max_active_clients(&self) -> usize {
         self.limit / ACTIVE_CLIENTS_DIVISOR
     }
--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -12,26 +12,28 @@
         steps in prop::collection::vec(any::<(bool, bool)>(), 0..6000),
     ) {
         let budget = DescriptorBudget::new(limit);
-        let mut held = [0usize; 2];
+        let mut open = [0usize; 2];
         for (upstream, take) in steps {
-            let (purpose, own) = if upstream { (Purpose::Upstream, 1) } else { (Purpose::Client, 0) };
+            let purpose = if upstream { Purpose::Upstream } else { Purpose::Client };
+            let own = usize::from(upstream);
             if !take {
-                held[own] = held[own].saturating_sub(1);
-            } else if budget.fits(purpose, held[own], held[1 - own]) {
-                held[own] += 1;
+                open[own] = open[own].saturating_sub(1);
+            } else if budget.fits(purpose, open[own], open[1 - own]) {
+                open[own] += 1;
             } else {
-                prop_assert!(held[own] >= budget.reserve(purpose), "{held:?}");
+                prop_assert!(open[own] >= budget.reserve(purpose), "{open:?}");
                 // What stands in the way is this side's own or can be lent by the other.
                 prop_assert!(
-                    held[own] == budget.max(purpose) || budget.lends(purpose.other(), held[1 - own])
+                    open[own] == budget.max(purpose) || budget.lends(purpose.other(), open[1 - own])
                 );
             }
-            prop_assert!(held[0] + held[1] + OTHER_DESCRIPTORS <= limit, "{held:?}");
-            prop_assert!(held[0] <= budget.max(Purpose::Client));
-            prop_assert!(held[1] <= budget.max(Purpose::Upstream));
+            prop_assert!(open[0] + open[1] + OTHER_DESCRIPTORS <= limit, "{open:?}");
+            prop_assert!(open[0] <= budget.max(Purpose::Client));
+            prop_assert!(open[1] <= budget.max(Purpose::Upstream));
         }
         let alone = (0..).find(|n| !budget.fits(Purpose::Client, *n, 0)).unwrap();
         prop_assert_eq!(alone, budget.max(Purpose::Client));
-        prop_assert!(budget.max_active_clients() < limit / 3 && budget.max_active_clients() < alone);
+        prop_assert!(budget.max_active_clients() < limit / 3);
+        prop_assert!(budget.max_active_clients() < alone);
     }
 }
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -19,9 +19,9 @@
 use crate::ring_buffer::{ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// A call silent for this long, in nanoseconds, is cut off: a watch says something every 2 s, a call
-/// is answered or rejected within 3 s, and TCP would not tell. Short enough that what was missed is
-/// requested again within the 6 s after which it counts as notified.
+/// A call silent for this long, in nanoseconds, is cut off: a watch says something every 2 s, a
+/// call is answered or rejected within 3 s, and TCP would not tell. Short enough that what was
+/// missed is requested again within the 6 s after which it counts as notified.
 const SILENCE_TIMEOUT: Nanos = 4_200 * MS;
 /// The same for a watch that has spoken before: it says something every 2 s, and its successor may
 /// at first be rejected, which takes up to 3 s more.
@@ -34,9 +34,9 @@
 /// Reads of one call in a loop iteration: enough for the longest list, while a sender without end
 /// can't hold the loop.
 const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
-/// Room for the request of a call, in bytes.
+/// Capacity for the request of a call, in bytes.
 const REQUEST_BYTES: usize = 4096;
-/// Room for what is read at a time, in bytes.
+/// Capacity for what is read at a time, in bytes.
 const INBOX_BYTES: usize = 64 * 1024;
 
 /// What a call requests.
@@ -68,7 +68,7 @@
     Malformed(ParseError),
     /// Another answer than 200.
     #[error("answered {0:?}")]
-    Refused(Start),
+    Rejected(Start),
     /// The answer to a watch is complete, which it never should be.
     #[error("the watch ended")]
     WatchEnded,
@@ -135,7 +135,8 @@
 }
 
 impl DiscoveryCall {
-    /// A call on a connection that is being established to `host`; a watch resumes after `revision`.
+    /// A call on a connection that is being established to `host`; a watch resumes after
+    /// `revision`.
     pub fn new(
         socket: OwnedFd,
         kind: CallKind,
@@ -310,7 +311,7 @@
         match self.parser.head.as_ref().map(|head| &head.start) {
             None => return Ok(()),
             Some(Start::Response { status: 200 }) => {}
-            Some(start) => return Err(CallEnd::Refused(start.clone())),
+            Some(start) => return Err(CallEnd::Rejected(start.clone())),
         }
         if self.kind == CallKind::Watch {
             self.take_objects(progress)?;
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -27,8 +27,8 @@
 /// once must not be opened again without a pause.
 const STEADY_WATCH: Nanos = SECOND;
 /// A node that has heard nothing of discovery for this long after its start, in nanoseconds, serves
-/// from the cached list: an old list is better than no service where discovery stays away. Operators
-/// expect a node to be ready within 10 s.
+/// from the cached list: an old list is better than no service where discovery stays away.
+/// Operators expect a node to be ready within 10 s.
 const STALE_LIST_AFTER: Nanos = 9 * SECOND;
 
 /// Whether discovery has spoken since the start of the node.
@@ -38,11 +38,11 @@
     Synced,
 }
 
-/// Whether the decision module is to be told that a call has failed.
+/// Whether the decision module has to know that a call has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum FailureNotice {
-    /// Nothing is to be told.
+    /// It need not know.
     Handled,
     /// It decides on the backoff.
     NotifyBalancer,
@@ -119,8 +119,8 @@
         self.calls.iter().any(|(_, call)| call.has_unread_bytes())
     }
 
-    /// Where lists are pushed, opens the watch that the node keeps open; no request is served before
-    /// discovery has spoken, or a time limit for that is over.
+    /// Where lists are pushed, opens the watch that the node keeps open; no request is served
+    /// before discovery has spoken, or a time limit for that is over.
     pub fn start(
         &mut self,
         event_loop: &mut EventLoop,
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -16,7 +16,7 @@
 /// once more, and what is known of it should then still count. No attempt at it is in flight for as
 /// long.
 const REMOVED_ENDPOINT_RETENTION: Nanos = 60 * SECOND;
-/// Most names of zones, and of kinds; further ones are not told apart.
+/// Most names of zones, and of kinds; further ones are not distinguished.
 const MAX_NAMES: usize = 1_000;
 
 /// How an update relates to what is known.
@@ -33,7 +33,7 @@
 /// What follows from an update.
 #[derive(Debug)]
 pub struct AppliedUpdate {
-    /// What the decision module is told.
+    /// What goes to the decision module.
     pub event: Event,
     /// The backends to which connections must end: those that are draining or removed, and those
     /// that have another address.
@@ -92,9 +92,9 @@
             .any(|known| known.state == EndpointState::Ready)
     }
 
-    /// Applies an update. An older one is applied too, as its sender may have begun to count anew;
-    /// but a backend that is draining or removed is ready again only by a newer update, or by a
-    /// newer start.
+    /// Applies an update. An older one is applied too, as its sender may count from the start
+    /// again; but a backend that is draining or removed is ready again only by a newer update, or
+    /// by a newer start.
     pub fn apply(
         &mut self,
         observation: &StartObservation,
@@ -130,7 +130,7 @@
         update: &EndpointUpdate,
         freshness: Freshness,
     ) -> Vec<Endpoint> {
-        // All of them before any is dated: the youngest one tells most of the clocks.
+        // All of them before any is dated: the youngest one says most about the clocks.
         for entry in &update.entries {
             self.start_times.note(entry.boot_ms, observation.now);
         }
@@ -175,8 +175,8 @@
         }
     }
 
-    /// An older update makes no backend ready that is known to be draining or removed, unless it has
-    /// started anew since.
+    /// An older update makes no backend ready that is known to be draining or removed, unless it
+    /// has started again since.
     fn keep_departures(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
             let departed = self
@@ -285,8 +285,8 @@
     }
 }
 
-/// The position of a name in the settings' list. A name that they do not know yet gets a position of
-/// its own: a new kind of machine must not cost the whole list.
+/// The position of a name in the settings' list. A name that they do not know yet gets a position
+/// of its own: a new kind of machine must not cost the whole list.
 fn position_of(names: &mut Vec<String>, name: &str) -> u16 {
     let found = names.iter().position(|known| known == name);
     found.unwrap_or_else(|| {
--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -101,11 +101,11 @@
 fn a_day_of_new_uids_is_forgotten_again_and_no_number_is_given_twice() {
     let mut endpoint_list = EndpointList::new(vec![], vec![]);
     let mut numbers = Vec::new();
-    for turn in 0..1000 {
-        let uid = format!("s-{turn}");
+    for second in 0..1000 {
+        let uid = format!("s-{second}");
         let event = endpoint_list
             .apply(
-                &at(turn * SECOND),
+                &at(second * SECOND),
                 &update(true, &[(&uid, 1, "Ready")]),
                 Freshness::Current,
             )
--- a/crates/node/src/discovery/object_scanner.rs
+++ b/crates/node/src/discovery/object_scanner.rs
@@ -12,8 +12,8 @@
 }
 
 impl ObjectScanner {
-    /// Goes on over what has arrived in `bytes`, which still begins at the first object that has not
-    /// ended. The length of that object with its line end, once it is there.
+    /// Goes on over what has arrived in `bytes`, which still begins at the first object that has
+    /// not ended. The length of that object with its line end, once it is there.
     pub fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         for byte in &bytes[self.scanned..] {
             self.scanned += 1;
--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -1,56 +1,78 @@
-//! When a client's bytes can have come: what the time told to backends is reckoned from.
+//! When a client's bytes can have arrived: the time limit that a backend gets counts from there.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::MS;
 
-/// When bytes of a session can have come at the earliest. The kernel does not say when they came,
-/// so that is the last time at which its socket was seen empty. What came while the process stood
-/// still counts from there.
+/// A gap between two polls up to this long, in nanoseconds, is the loop's own: it waits no longer,
+/// and what arrives wakes it. It is within the slack of the time limits that backends get.
+const MAX_POLL_GAP: Nanos = 80 * MS;
+
+/// When the bytes of a connection can have arrived at the earliest. The kernel does not say when
+/// they did, so that is the last time at which the socket was seen empty. What arrived while the
+/// process stood still counts from there. All times are in nanoseconds on the node's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     /// When the socket was last read empty.
-    pub emptied: Nanos,
-    /// Since when an event is given for what comes; before that an empty look says nothing of this
+    empty_at: Nanos,
+    /// Since when an event is given for what arrives; before that a poll says nothing of this
     /// socket.
-    pub watched: Nanos,
+    watched_since: Nanos,
     /// More may lie in the socket than was read.
-    pub unread: bool,
-    /// When the first byte of the inbox can have come at the earliest.
-    pub oldest: Nanos,
+    has_unread: bool,
+    /// When the first byte of the inbox can have arrived at the earliest.
+    oldest: Nanos,
 }
 
-/// A gap between two looks up to this long is the loop's own: it waits no longer, and what comes
-/// wakes it. It is within the slack of the time told to backends.
-const MAX_POLL_GAP: Nanos = 80 * MS;
-
 impl Arrival {
-    /// Of a connection that was accepted at `now`, and at `queued` at the earliest had come to be.
-    pub fn new(now: Nanos, queued: Nanos) -> Arrival {
+    /// Of a connection that was accepted at `now`, and was established at `queued_at` at the
+    /// earliest.
+    pub fn new(now: Nanos, queued_at: Nanos) -> Arrival {
         Arrival {
-            emptied: queued,
-            watched: now,
-            unread: false,
+            empty_at: queued_at,
+            watched_since: now,
+            has_unread: false,
             oldest: now,
         }
     }
 
     /// The socket was read empty.
-    pub fn emptied(&mut self, now: Nanos) {
-        (self.emptied, self.unread) = (now, false);
+    pub fn note_empty(&mut self, now: Nanos) {
+        self.empty_at = now;
+        self.has_unread = false;
+    }
+
+    /// More may lie in the socket than was read.
+    pub fn note_unread(&mut self) {
+        self.has_unread = true;
+    }
+
+    /// From now on an event is given for what arrives.
+    pub fn note_watched(&mut self, now: Nanos) {
+        self.watched_since = now;
+    }
+
+    /// When the first byte of the inbox can have arrived at the earliest.
+    pub fn oldest(&self) -> Nanos {
+        self.oldest
+    }
+
+    /// The first byte of the inbox can have arrived at `at` at the earliest.
+    pub fn set_oldest(&mut self, at: Nanos) {
+        self.oldest = at;
     }
 
-    /// When bytes that are read at `now` can have come; `looked` is when the loop last saw all
-    /// sockets without an event.
+    /// When bytes that are read at `now` can have arrived; `previous_poll_at` is when the loop last
+    /// saw all sockets without an event.
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
-        let seen_by_loop = !self.unread && previous_poll_at >= self.watched;
-        let empty = if seen_by_loop {
-            self.emptied.max(previous_poll_at)
+        let is_seen_by_loop = !self.has_unread && previous_poll_at >= self.watched_since;
+        let empty_at = if is_seen_by_loop {
+            self.empty_at.max(previous_poll_at)
         } else {
-            self.emptied
+            self.empty_at
         };
-        if now.saturating_sub(empty) > MAX_POLL_GAP {
-            empty
+        if now.saturating_sub(empty_at) > MAX_POLL_GAP {
+            empty_at
         } else {
             now
         }
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -1,14 +1,14 @@
-//! What the loop's looks say of one socket.
+//! What the loop's polls say of one socket.
 
 use super::*;
 
 const READ: Nanos = 10_000 * MS;
 
 /// A socket that was read empty at the first figure and is watched from the second on.
-fn arrival(emptied: Nanos, watched: Nanos) -> Arrival {
+fn arrival(empty_at: Nanos, watched_since: Nanos) -> Arrival {
     Arrival {
-        emptied,
-        ..Arrival::new(watched, emptied)
+        empty_at,
+        ..Arrival::new(watched_since, empty_at)
     }
 }
 
@@ -36,14 +36,14 @@
 
 #[test]
 fn a_poll_says_nothing_of_a_socket_that_was_not_watched_or_not_read_empty() {
-    let (emptied, previous_poll_at) = (READ - 700 * MS, READ - 10 * MS);
+    let (empty_at, previous_poll_at) = (READ - 700 * MS, READ - 10 * MS);
     assert_eq!(
-        arrival(emptied, READ - 5 * MS).earliest_arrival(READ, previous_poll_at),
-        emptied
+        arrival(empty_at, READ - 5 * MS).earliest_arrival(READ, previous_poll_at),
+        empty_at
     );
     let unread = Arrival {
-        unread: true,
-        ..arrival(emptied, 0)
+        has_unread: true,
+        ..arrival(empty_at, 0)
     };
-    assert_eq!(unread.earliest_arrival(READ, previous_poll_at), emptied);
+    assert_eq!(unread.earliest_arrival(READ, previous_poll_at), empty_at);
 }
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -77,7 +77,7 @@
         if self.peer_closed && self.is_written() && self.request.is_none() {
             return Err(match self.state {
                 ConnectionState::Lingering => CloseReason::Answered,
-                ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientGone,
+                ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientDisconnected,
             });
         }
         if written == WriteOutcome::RetryLater {
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -16,9 +16,9 @@
 use crate::rules::CloseFacts;
 use crate::timer_wheel::Deadline;
 
-/// A connection on which no message was ever complete, or whose head is incomplete, ends after this,
-/// in nanoseconds: it may be one of hundreds that will never say more. For a first message it counts
-/// from the connection's start.
+/// A connection on which no message was ever complete, or whose head is incomplete, ends after
+/// this, in nanoseconds: it may be one of hundreds that will never say more. For a first message it
+/// counts from the connection's start.
 const HEAD_TIMEOUT: Nanos = 2_500 * MS;
 /// A connection whose message's body does not go on ends after this, in nanoseconds; a slow but
 /// honest one goes on.
@@ -33,7 +33,7 @@
 /// Where descriptors are short, a client that has sent no message, or no second one, by then, in
 /// nanoseconds, is among the first to go.
 const FIRST_MESSAGE_GRACE: Nanos = 50 * MS;
-/// Where many connections are open, expendable ones are looked for this often, in nanoseconds.
+/// Where many connections are open, expendable ones are searched for this often, in nanoseconds.
 pub const TRIM_INTERVAL: Nanos = FIRST_MESSAGE_GRACE / 5;
 /// A client that has come back keeps its connection for this long, in nanoseconds, before it is
 /// among those to go.
@@ -130,7 +130,7 @@
         self.peer_closed = true;
     }
 
-    /// Whether the client has closed its side by a fresh look at the socket.
+    /// Whether the client has closed its side by a fresh check of the socket.
     pub fn has_peer_closed_now(&self) -> bool {
         net::has_peer_closed(&self.socket)
     }
@@ -206,7 +206,7 @@
         self.state == ConnectionState::Open && self.request.is_none() && self.is_written()
     }
 
-    /// Whether there is no room to read until the current request is answered.
+    /// Whether it can read no more until the current request is answered.
     pub fn is_input_full(&self) -> bool {
         self.input.is_full()
     }
@@ -296,8 +296,8 @@
 
     /// The last act before its socket closes. With bytes unread that is a reset, which throws away
     /// what the kernel has not yet sent of an answer. The end goes out first: a request that comes
-    /// in this very moment has met a close, and its client retries elsewhere; read before the end it
-    /// would look accepted.
+    /// in this very moment has met a close, and its client retries elsewhere; read before the end
+    /// it would look accepted.
     pub fn close_gracefully(&mut self) {
         if !self.has_sent_message() && self.state == ConnectionState::Open {
             return;
@@ -318,8 +318,8 @@
             close: reply.close || !self.input.is_kept_alive(),
             ..reply
         };
-        // An answer that doesn't fit can't be told from none: the connection ends without a whole
-        // one.
+        // An answer that doesn't fit can't be distinguished from none: the connection ends
+        // without a complete one.
         if !self.outbox.push(&reply.encode()) || reply.close {
             self.state = ConnectionState::Closing;
         }
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -9,8 +9,8 @@
 use crate::net;
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer};
 
-/// Room in the inbox beside a head of the longest length, in bytes.
-const INBOX_SPARE_BYTES: usize = 1024;
+/// Capacity of the inbox beside a head of the longest length, in bytes.
+const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// A complete message.
 pub struct Message {
@@ -43,7 +43,7 @@
     /// the earliest.
     pub fn new(now: Nanos, queued_at: Nanos, budget: &BufferBudget) -> ClientInput {
         ClientInput {
-            inbox: RingBuffer::new(MAX_HEAD + INBOX_SPARE_BYTES).with_budget(budget),
+            inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
             parser: Parser::requests().with_budget(budget),
             arrival: Arrival::new(now, queued_at),
             message_started_at: None,
@@ -89,7 +89,7 @@
         self.inbox.is_empty()
     }
 
-    /// Whether there is no room until the current request is answered.
+    /// Whether it can hold no more until the current request is answered.
     pub fn is_full(&self) -> bool {
         self.inbox.len() > MAX_HEAD
     }
@@ -108,7 +108,7 @@
 
     /// The socket is watched for bytes from now on.
     pub fn note_watched(&mut self, now: Nanos) {
-        self.arrival.watched = now;
+        self.arrival.note_watched(now);
     }
 
     /// When bytes that are read at `now` can have arrived at the earliest; see
@@ -119,7 +119,7 @@
 
     /// What lies behind a message that has only now become complete arrived with its end.
     pub fn note_arrival_behind_message(&mut self, arrived_at: Nanos) {
-        self.arrival.oldest = arrived_at;
+        self.arrival.set_oldest(arrived_at);
     }
 
     /// Reads one piece of what has arrived.
@@ -130,11 +130,11 @@
             ReadOutcome::Data => {
                 self.last_byte_at = now;
                 if was_empty {
-                    self.arrival.oldest = arrived_at;
+                    self.arrival.set_oldest(arrived_at);
                 }
             }
-            ReadOutcome::WouldBlock => self.arrival.emptied(now),
-            ReadOutcome::BufferFull | ReadOutcome::RetryLater => self.arrival.unread = true,
+            ReadOutcome::WouldBlock => self.arrival.note_empty(now),
+            ReadOutcome::BufferFull | ReadOutcome::RetryLater => self.arrival.note_unread(),
             ReadOutcome::EndOfStream | ReadOutcome::Broken => {}
         }
         outcome
@@ -150,16 +150,16 @@
     ) -> bool {
         loop {
             if self.inbox.is_empty() {
-                self.arrival.oldest = arrived_at;
+                self.arrival.set_oldest(arrived_at);
             }
             match self.inbox.read_from(socket) {
                 ReadOutcome::Data => {}
                 ReadOutcome::WouldBlock => {
-                    self.arrival.emptied(now);
+                    self.arrival.note_empty(now);
                     return false;
                 }
                 ReadOutcome::BufferFull | ReadOutcome::RetryLater => {
-                    self.arrival.unread = true;
+                    self.arrival.note_unread();
                     return net::has_peer_closed(socket);
                 }
                 ReadOutcome::EndOfStream | ReadOutcome::Broken => return true,
@@ -173,7 +173,7 @@
         if self.message_started_at.is_some() {
             return false;
         }
-        self.message_started_at = Some(self.arrival.oldest);
+        self.message_started_at = Some(self.arrival.oldest());
         self.message_count > 0
     }
 
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -30,7 +30,7 @@
     /// Nobody waits.
     QueueEmpty,
     /// The client that waited has gone.
-    ClientGone,
+    ClientDisconnected,
     /// The machine lacks resources for a moment.
     RetryLater(Errno),
     /// The process is out of descriptors, or the call itself is wrong.
@@ -105,7 +105,7 @@
             }
             Err(error) => match errno::of_accept(error) {
                 ErrorClass::WouldBlock => AcceptOutcome::QueueEmpty,
-                ErrorClass::RetryNow => AcceptOutcome::ClientGone,
+                ErrorClass::RetryNow => AcceptOutcome::ClientDisconnected,
                 ErrorClass::RetryLater => AcceptOutcome::RetryLater(error),
                 _ => AcceptOutcome::Failed(error),
             },
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -2,8 +2,8 @@
 //! how fresh the last poll is.
 //!
 //! One clock reading serves a whole iteration: all its events happen at one time. A poll whose
-//! events may be stale is repeated, so that no deadline fires and nothing is sent while an answer, a
-//! client's close or a draining backend waits unread, as after a stall of the process.
+//! events may be stale is repeated, so that no deadline fires and nothing is sent while an answer,
+//! a client's close or a draining backend waits unread, as after a stall of the process.
 
 use std::os::fd::{AsFd, OwnedFd};
 
@@ -253,24 +253,17 @@
         let mut repeated_polls = 0;
         loop {
             let started_at = self.clock.read();
-            let max_wait = if repeated_polls == 0 {
-                MAX_POLL_WAIT
-            } else {
-                0
+            let max_wait = match repeated_polls {
+                0 => MAX_POLL_WAIT,
+                _ => 0,
             };
             let wake_at = self.wake_at(started_at, max_wait);
             events.clear();
             events.reserve(capacity);
-            match epoll::wait(
-                &self.epoll,
-                rustix::buffer::spare_capacity(events),
-                Some(&timespec(wake_at.saturating_sub(started_at))),
-            ) {
-                Ok(_) => {}
-                // A process that was stopped and continues comes here too: much may lie in its
-                // sockets, and no deadline may fire before that is read.
-                Err(Errno::INTR) => continue,
-                Err(error) => return Err(error),
+            // A process that was stopped and continues is interrupted here: much may lie in its
+            // sockets, and no deadline may fire before that is read.
+            if !self.wait(events, wake_at.saturating_sub(started_at))? {
+                continue;
             }
             self.now = self.clock.read();
             // A process that was stopped during its wait may have polled before that.
@@ -290,6 +283,16 @@
         }
     }
 
+    /// Waits for events, at most `pause` nanoseconds; `false` if the wait was interrupted.
+    fn wait(&self, events: &mut Vec<epoll::Event>, pause: Nanos) -> Result<bool, Errno> {
+        let buffer = rustix::buffer::spare_capacity(events);
+        match epoll::wait(&self.epoll, buffer, Some(&timespec(pause))) {
+            Ok(_) => Ok(true),
+            Err(Errno::INTR) => Ok(false),
+            Err(error) => Err(error),
+        }
+    }
+
     fn wake_at(&self, started_at: Nanos, max_wait: Nanos) -> Nanos {
         self.timers
             .next()
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -100,8 +100,9 @@
     }
 
     /// What forbids a send goes before what may lead to one, and is carried out only when all of it
-    /// is known: clients that have closed their side, and changes of the endpoint list. What sockets
-    /// bring goes before the timers, so that an answer which is there wins over its timeout.
+    /// is known: clients that have closed their side, and changes of the endpoint list. What
+    /// sockets bring goes before the timers, so that an answer which is there wins over its
+    /// timeout.
     fn handle_socket_events(&mut self, events: &[epoll::Event]) {
         for event in events.iter().filter(|event| may_forbid_send(event)) {
             self.on_socket(event);
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -40,7 +40,7 @@
                 }
             }
         }
-        if !self.make_room_for_client() {
+        if !self.ensure_client_capacity() {
             let open = self.clients.len();
             self.diagnostics
                 .log(now, "client-connections-full", format_args!("open={open}"));
@@ -58,7 +58,7 @@
                 self.add_client(socket);
                 true
             }
-            AcceptOutcome::ClientGone => {
+            AcceptOutcome::ClientDisconnected => {
                 self.diagnostics.count("accept", "client_disconnected");
                 true
             }
@@ -95,7 +95,7 @@
     }
 
     /// Whether another client connection may be held; the most expendable one closes for it.
-    fn make_room_for_client(&mut self) -> bool {
+    fn ensure_client_capacity(&mut self) -> bool {
         if self.client_fits() {
             return true;
         }
@@ -126,14 +126,14 @@
         self.clients.eviction_candidate(self.event_loop.now())
     }
 
-    /// Closes an expendable connection, unless a request has come on it that nobody has read: to its
-    /// client that close would be one without an answer. Whether it has closed.
+    /// Closes an expendable connection, unless a request has come on it that nobody has read: to
+    /// its client that close would be one without an answer. Whether it has closed.
     pub(super) fn evict(&mut self, number: u32) -> bool {
         self.close_if_allowed(number, CloseReason::Evicted)
     }
 
-    /// Closes a connection for a reason of the node's own, if the rules allow it; else takes up what
-    /// forbids it. Whether it has closed.
+    /// Closes a connection for a reason of the node's own, if the rules allow it; else takes up
+    /// what forbids it. Whether it has closed.
     pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
         let Some(connection) = self.clients.get(number) else {
             return false;
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -15,8 +15,8 @@
 
 /// Answers to clients that have closed their side behind their request: not executed, and maybe
 /// executed.
-const CLIENT_GONE_REJECTED: &[u8] = b"refused: the client has left, nothing ran\n";
-const CLIENT_GONE_FAILED: &[u8] = b"failed: the client has left\n";
+const CLIENT_DISCONNECTED_REJECTED: &[u8] = b"refused: the client has left, nothing ran\n";
+const CLIENT_DISCONNECTED_FAILED: &[u8] = b"failed: the client has left\n";
 
 impl Node {
     /// Closes a connection; a request that waits on it has lost its client. Whether it was open.
@@ -42,7 +42,7 @@
                     format_args!("connection={number}"),
                 );
             }
-            self.requests.client_gone(now, request);
+            self.requests.client_disconnected(now, request);
             self.cancel_unwritten(request);
         }
         connection.close_gracefully();
@@ -136,8 +136,8 @@
             Route::Request { .. } if is_peer_closed => {
                 self.diagnostics
                     .trace(now, format_args!("client-closed connection={number}"));
-                self.count_client_denial(Denial::ClientGone, number);
-                self.reply(number, Reply::closing(503, CLIENT_GONE_REJECTED));
+                self.count_client_denial(Denial::ClientDisconnected, number);
+                self.reply(number, Reply::closing(503, CLIENT_DISCONNECTED_REJECTED));
             }
             Route::Health => self.reply_health(number),
             Route::Invalid(invalid) => self.reply_invalid(number, invalid),
@@ -185,7 +185,7 @@
         if let Some(request) = connection.request() {
             self.reply_to_departed(number, request);
         } else if connection.is_written() {
-            return self.drop_client(number, CloseReason::ClientGone);
+            return self.drop_client(number, CloseReason::ClientDisconnected);
         }
         // An answer is on its way to one that still reads.
         self.flush_client(number);
@@ -195,12 +195,13 @@
         // What is not written yet is never executed.
         let is_unwritten = self.upstreams.has_unwritten(request);
         let is_rejectable = self.requests.may_reject(request, is_unwritten);
-        self.requests.client_gone(self.event_loop.now(), request);
+        self.requests
+            .client_disconnected(self.event_loop.now(), request);
         self.cancel_unwritten(request);
         let reply = if is_rejectable {
-            Reply::closing(503, CLIENT_GONE_REJECTED)
+            Reply::closing(503, CLIENT_DISCONNECTED_REJECTED)
         } else {
-            Reply::closing(502, CLIENT_GONE_FAILED)
+            Reply::closing(502, CLIENT_DISCONNECTED_FAILED)
         };
         self.reply(number, reply);
     }
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -11,8 +11,8 @@
 
 impl Node {
     /// Follows discovery to where the configuration now has it, and at once, whatever the backoff:
-    /// the old one soon falls silent. The list, the requests and the connections live on. An invalid
-    /// file changes nothing.
+    /// the old one soon falls silent. The list, the requests and the connections live on. An
+    /// invalid file changes nothing.
     pub(super) fn reload(&mut self) {
         let now = self.event_loop.now();
         match config::reload(|name| std::env::var(name).ok()) {
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -12,8 +12,8 @@
     self, Answer, AttemptLimits, DialError, PostponedDial, UpstreamAttempt, UpstreamEvent,
 };
 
-/// An iteration of the loop that has lasted longer than this, in nanoseconds, has old news of its
-/// clients.
+/// An iteration of the loop that has lasted longer than this, in nanoseconds, may have missed that
+/// a client has disconnected.
 const MAX_CLIENT_STATE_AGE: Nanos = 5 * MS;
 /// An update of the endpoint list that has lain unread for no longer than this, in nanoseconds,
 /// holds back no attempt: the grace of draining backends has more than this to spare.
@@ -81,7 +81,7 @@
         if let Some(number) = self.upstreams.take_idle(backend, now) {
             return Ok(number);
         }
-        if !self.make_room_for_upstream() {
+        if !self.ensure_upstream_capacity() {
             let open = self.upstreams.len();
             self.diagnostics.log(
                 now,
@@ -101,7 +101,7 @@
 
     /// Whether another upstream connection may be held; the most expendable connection closes for
     /// it.
-    fn make_room_for_upstream(&mut self) -> bool {
+    fn ensure_upstream_capacity(&mut self) -> bool {
         let budget = self.descriptor_budget;
         if budget.fits(Purpose::Upstream, self.upstreams.len(), self.clients.len()) {
             return true;
@@ -140,7 +140,7 @@
     /// fresh reading of the clock and of the client's connection.
     fn begin_request(&mut self, number: u32) {
         let now = self.event_loop.clock().read();
-        if self.is_held_for_discovery(number, now) {
+        if self.must_wait_for_discovery(number, now) {
             return;
         }
         let Some(attempt) = self.upstreams.get(number).and_then(|c| c.attempt()) else {
@@ -170,12 +170,12 @@
 
     /// Whether an attempt is held back for updates of the endpoint list, which go before a send:
     /// where this iteration has lasted, they may have come since its poll.
-    fn is_held_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
+    fn must_wait_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
         self.event_loop.has_lasted(now, MAX_UNREAD_UPDATE_AGE)
             && self.discovery.has_unread_bytes()
             && self
                 .upstreams
-                .hold_for_discovery(number, &mut self.event_loop)
+                .delay_for_discovery(number, &mut self.event_loop)
     }
 
     /// What decides whether the attempt of a connection may be written.
@@ -184,18 +184,18 @@
         let limits = connection.limits();
         Some(WriteFacts {
             answered: self.is_obsolete(attempt),
-            client_gone: attempt
+            client_disconnected: attempt
                 .request()
-                .is_some_and(|request| self.is_client_gone(request, now)),
+                .is_some_and(|request| self.is_client_disconnected(request, now)),
             backend_ready: self.discovery.ready_address(connection.backend()).is_some(),
             abandon_at: limits.abandon_at,
             write_by: limits.write_by,
         })
     }
 
-    /// Whether the client of a request has left. Its connection is looked at anew where this
+    /// Whether the client of a request has left. Its connection is checked again where this
     /// iteration has lasted.
-    fn is_client_gone(&self, request: u32, now: Nanos) -> bool {
+    fn is_client_disconnected(&self, request: u32, now: Nanos) -> bool {
         let connection = self
             .requests
             .connection(request)
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::log::Trace;
-use crate::rules::{self, Denial, StartFacts, Violation};
+use crate::rules::{self, Denial, Violation};
 use crate::slab::Slab;
 
 pub use command::{Command, LocalReply, OpenError, OpenedRequest, RequestSpec};
@@ -218,7 +218,7 @@
     }
 
     /// The client of a request has gone.
-    pub fn client_gone(&mut self, now: Nanos, id: u32) {
+    pub fn client_disconnected(&mut self, now: Nanos, id: u32) {
         if let Some(pending) = self.waiting_mut(id) {
             pending.is_finished = true;
             self.trace
@@ -239,8 +239,8 @@
         self.force_reply(now, id, LocalReply::TimedOut)
     }
 
-    /// The node ends before a request has its answer. What was not executed is rejected, so that the
-    /// client may go to another node at once; what may have been executed has failed.
+    /// The node ends before a request has its answer. What was not executed is rejected, so that
+    /// the client may go to another node at once; what may have been executed has failed.
     pub fn fail_for_shutdown(&mut self, now: Nanos, id: u32) {
         self.force_reply(now, id, LocalReply::Rejected { retry_after: 0 });
     }
@@ -264,7 +264,7 @@
             .collect()
     }
 
-    /// Tells the decision module what happened, and turns what it decides into commands.
+    /// Tells the decision module what happened, and makes commands of what it decides.
     pub fn feed(&mut self, now: Nanos, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Turns a decision other than the start of an attempt into a command.
+    /// Makes a command of a decision other than the start of an attempt into a command.
     fn carry_out(&mut self, now: Nanos, action: Action) {
         let command = match action {
             Action::StartAttempt { .. } => return,
@@ -319,7 +319,7 @@
     }
 
     /// Starts an attempt; gives it back where it must not go out: the rules hold here too, should a
-    /// decision ever be wrong. `abandon_at` 0 is the client's deadline.
+    /// decision ever be wrong.
     fn start_attempt(
         &mut self,
         now: Nanos,
@@ -329,16 +329,8 @@
     ) -> Option<DeniedAttempt> {
         let pending = self.table.get_mut(id)?;
         let attempt = u8::try_from(pending.attempts.len()).ok()?;
-        let abandon_at = match abandon_at {
-            0 => pending.deadline,
-            at => at.min(pending.deadline),
-        };
-        let facts = StartFacts {
-            answered: pending.is_finished,
-            deadline: pending.deadline,
-            max_attempts: self.max_attempts,
-            history: pending.history(),
-        };
+        let abandon_at = pending.bounded(abandon_at);
+        let facts = pending.start_facts(self.max_attempts);
         let allowed = rules::may_start(now, &facts);
         pending.attempts.push(Attempt {
             started_at: now,
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -3,7 +3,7 @@
 use kitefork_balancer::{Idempotency, Nanos, Outcome};
 
 use super::command::{LocalReply, RequestSpec};
-use crate::rules::{self, History};
+use crate::rules::{self, History, StartFacts};
 
 /// One attempt of a request.
 pub struct Attempt {
@@ -54,6 +54,25 @@
         }
     }
 
+    /// When an attempt must be abandoned for which `abandon_at` was decided; 0 is the client's
+    /// deadline.
+    pub fn bounded(&self, abandon_at: Nanos) -> Nanos {
+        match abandon_at {
+            0 => self.deadline,
+            at => at.min(self.deadline),
+        }
+    }
+
+    /// What decides whether another attempt may start, where the settings allow `max_attempts`.
+    pub fn start_facts(&self, max_attempts: usize) -> StartFacts {
+        StartFacts {
+            answered: self.is_finished,
+            deadline: self.deadline,
+            max_attempts,
+            history: self.history(),
+        }
+    }
+
     /// Attempts that have not ended.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -136,45 +136,25 @@
 
 #[test]
 fn nothing_that_may_have_been_executed_is_rejected() {
+    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 1 };
+    let rejected = LocalReply::Rejected { retry_after: 0 };
+    let not_idempotent = Idempotency::NotIdempotent;
+    let in_cell = keyed(DeduplicationScope::Cell);
+    let global = keyed(DeduplicationScope::Global);
     for (idempotency, outcome, wanted) in [
-        (
-            Idempotency::NotIdempotent,
-            Outcome::Reset,
-            LocalReply::Failed,
-        ),
-        (
-            Idempotency::NotIdempotent,
-            Outcome::Timeout,
-            LocalReply::TimedOut,
-        ),
-        (
-            Idempotency::NotIdempotent,
-            Outcome::Overloaded,
-            LocalReply::Rejected { retry_after: 0 },
-        ),
-        (
-            Idempotency::IdempotencyKey {
-                scope: DeduplicationScope::Cell,
-                window: 1,
-            },
-            Outcome::Error,
-            LocalReply::Failed,
-        ),
-        (
-            Idempotency::IdempotencyKey {
-                scope: DeduplicationScope::Global,
-                window: 1,
-            },
-            Outcome::Error,
-            LocalReply::Rejected { retry_after: 0 },
-        ),
+        (not_idempotent, Outcome::Reset, LocalReply::Failed),
+        (not_idempotent, Outcome::Timeout, LocalReply::TimedOut),
+        (not_idempotent, Outcome::Overloaded, rejected),
+        (in_cell, Outcome::Error, LocalReply::Failed),
+        (global, Outcome::Error, rejected),
     ] {
         let mut requests = requests(idempotency);
         let id = open(&mut requests);
         // After a first answer nothing is decided any more, so the guard is met directly.
-        requests.table.get_mut(id).unwrap().attempts[0].outcome = Some(outcome);
-        requests.table.get_mut(id).unwrap().last_outcome = Some(outcome);
-        requests.reply(NOW, id, LocalReply::Rejected { retry_after: 0 });
+        let pending = requests.table.get_mut(id).unwrap();
+        pending.attempts[0].outcome = Some(outcome);
+        pending.last_outcome = Some(outcome);
+        requests.reply(NOW, id, rejected);
         assert_eq!(
             replies(&mut requests),
             [wanted],
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules of the protocol, decided in one place: whether an attempt may start, whether its first
-//! byte may be written, whether a request may be refused, and whether an idle client connection may
-//! be closed, now.
+//! byte may be written, whether a request may be rejected, and whether an idle client connection
+//! may be closed, now. All times are in nanoseconds on the node's clock.
 //!
 //! Pure: facts come in, a permit or a [`Denial`] comes out; no sockets, no clock. A permit can only
 //! be made here and is consumed by the act that it allows, so an act without one does not compile.
@@ -12,8 +12,8 @@
 
 use crate::clock::MS;
 
-/// Shortest time with a backend that is worth an attempt: less is told as 0 ms, and such an attempt
-/// is over when it comes.
+/// Shortest time with a backend for which an attempt is started, in nanoseconds: less is sent as 0 ms, and
+/// such an attempt is over when it arrives.
 const MIN_TIME_LEFT: Nanos = MS;
 
 /// Why something is not allowed now.
@@ -22,18 +22,18 @@
     /// The request has its final answer.
     Answered,
     /// The client has closed its connection.
-    ClientGone,
+    ClientDisconnected,
     /// The client's time, or the attempt's, is over.
     DeadlinePassed,
     /// Another attempt of the request is out.
     AttemptInFlight,
     /// The request has had as many attempts as the settings allow.
-    AttemptsSpent,
-    /// An earlier attempt may have run, and the class does not allow a repeat.
+    AttemptsExhausted,
+    /// An earlier attempt may have been executed, and the class does not allow a retry.
     MayHaveBeenExecuted,
-    /// Backends no longer drop a repeat of this keyed request.
+    /// Backends no longer drop a repeat by its idempotency key.
     WindowClosed,
-    /// The list calls the backend draining or gone.
+    /// The endpoint list has the backend draining or removed.
     BackendNotReady,
     /// Bytes that nobody has read lie in the connection.
     Unread,
@@ -46,10 +46,10 @@
     pub fn name(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
-            Denial::ClientGone => "client_disconnected",
+            Denial::ClientDisconnected => "client_disconnected",
             Denial::DeadlinePassed => "deadline_passed",
             Denial::AttemptInFlight => "attempt_out",
-            Denial::AttemptsSpent => "attempts_spent",
+            Denial::AttemptsExhausted => "attempts_spent",
             Denial::MayHaveBeenExecuted => "may_have_run",
             Denial::WindowClosed => "window_closed",
             Denial::BackendNotReady => "backend_not_ready",
@@ -68,15 +68,16 @@
 /// What is known of a request's earlier attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct History {
-    /// What repeating the request does.
+    /// What executing the request twice means.
     pub idempotency: Idempotency,
     /// Attempts so far.
     pub attempts: usize,
     /// Attempts that have not ended.
     pub in_flight: usize,
-    /// Some attempt may have run, or may still run.
+    /// Some attempt may have been executed, or may still be.
     pub may_have_been_executed: bool,
-    /// Until when a repeat may be written: the earliest end of a window of those that may have run.
+    /// Until when a retry may be written: the earliest end of a window of those that may have been
+    /// executed.
     pub write_by: Nanos,
 }
 
@@ -94,6 +95,10 @@
 }
 
 /// Whether another attempt may start now.
+///
+/// # Errors
+///
+/// The first rule that forbids it.
 pub fn may_start(now: Nanos, facts: &StartFacts) -> Result<(), Denial> {
     let history = &facts.history;
     if facts.answered {
@@ -103,7 +108,7 @@
     } else if history.in_flight > 0 {
         Err(Denial::AttemptInFlight)
     } else if history.attempts >= facts.max_attempts {
-        Err(Denial::AttemptsSpent)
+        Err(Denial::AttemptsExhausted)
     } else if history.idempotency == Idempotency::NotIdempotent && history.may_have_been_executed {
         Err(Denial::MayHaveBeenExecuted)
     } else if now > history.write_by {
@@ -119,10 +124,10 @@
     /// The request has its final answer.
     pub answered: bool,
     /// The client's connection shows an end or a reset.
-    pub client_gone: bool,
-    /// The list calls the backend ready.
+    pub client_disconnected: bool,
+    /// The endpoint list has the backend ready.
     pub backend_ready: bool,
-    /// When the attempt is given up.
+    /// When the attempt is abandoned.
     pub abandon_at: Nanos,
     /// Until when it may be written.
     pub write_by: Nanos,
@@ -136,13 +141,17 @@
 }
 
 impl WritePermit {
-    /// The time that the backend may be told, in whole milliseconds: what is left, rounded down.
+    /// The time limit that the backend is given, in whole milliseconds: what is left, rounded down.
     pub fn timeout_ms(&self) -> u64 {
         self.time_left / MS
     }
 
-    /// Whether what was written under this permit was written in time; `now` is read after the
-    /// write.
+    /// Checks whether what was written under this permit was written in time; `now` is read after
+    /// the write.
+    ///
+    /// # Errors
+    ///
+    /// The rule that was broken.
     pub fn check(self, now: Nanos) -> Result<(), Violation> {
         if now > self.write_by.saturating_add(MAX_WRITE_DELAY) {
             Err(Violation::WrittenLate)
@@ -152,15 +161,20 @@
     }
 }
 
-/// A process may be held up for this long between its clock and its write; the terms allow for it.
+/// A process may be held up for this long, in nanoseconds, between its clock and its write; the
+/// protocol allows for it.
 const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
 /// Whether the first byte of an attempt may be written now; `now` is a fresh reading of the clock.
+///
+/// # Errors
+///
+/// The first rule that forbids it.
 pub fn may_write(now: Nanos, facts: &WriteFacts) -> Result<WritePermit, Denial> {
     if facts.answered {
         Err(Denial::Answered)
-    } else if facts.client_gone {
-        Err(Denial::ClientGone)
+    } else if facts.client_disconnected {
+        Err(Denial::ClientDisconnected)
     } else if !facts.backend_ready {
         Err(Denial::BackendNotReady)
     } else if now.saturating_add(MIN_TIME_LEFT) > facts.abandon_at {
@@ -175,7 +189,11 @@
     }
 }
 
-/// Whether a refusal, which tells the client that trying again is harmless, would be true.
+/// Whether a rejection, which says to the client that a retry is harmless, would be true.
+///
+/// # Errors
+///
+/// That the request may have been executed.
 pub fn may_reject(idempotency: Idempotency, may_have_been_executed: bool) -> Result<(), Denial> {
     match idempotency {
         Idempotency::Idempotent
@@ -192,10 +210,14 @@
     }
 }
 
-/// A final answer this long after its client's time is lost, says the protocol's page.
+/// A final answer this long after its client's timeout, in nanoseconds, is lost (protocol page).
 const ANSWER_GRACE: Nanos = 500 * MS;
 
 /// Whether a final answer that is given now is given in time.
+///
+/// # Errors
+///
+/// The rule that was broken.
 pub fn check_answer(now: Nanos, deadline: Nanos) -> Result<(), Violation> {
     if now > deadline.saturating_add(ANSWER_GRACE) {
         Err(Violation::AnsweredLate)
@@ -207,7 +229,7 @@
 /// What decides whether a client connection may be closed for a reason of the node's own.
 #[derive(Debug, Clone, Copy)]
 pub struct CloseFacts {
-    /// A request of this connection waits for its answer, or an answer is not written whole.
+    /// A request of this connection waits for its answer, or an answer is not written completely.
     pub answer_owed: bool,
     /// Bytes have come that nobody has read.
     pub unread: bool,
@@ -232,6 +254,10 @@
 }
 
 /// Whether a client connection may be closed now.
+///
+/// # Errors
+///
+/// The first rule that forbids it.
 pub fn may_close(facts: CloseFacts) -> Result<ClosePermit, Denial> {
     if facts.answer_owed {
         Err(Denial::AnswerOwed)
@@ -245,11 +271,11 @@
 /// A rule that was found broken after the act. Counted and logged; a debug build panics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt was written after the time in which it may be repeated.
+    /// An attempt was written after the time in which it may be retried.
     WrittenLate,
     /// A connection was closed on which an answer was owed.
     ClosedUnanswered,
-    /// A request got its answer long after its client's time.
+    /// A request got its answer long after its client's timeout.
     AnsweredLate,
 }
 
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -32,7 +32,7 @@
 fn write() -> WriteFacts {
     WriteFacts {
         answered: false,
-        client_gone: false,
+        client_disconnected: false,
         backend_ready: true,
         abandon_at: NOW + 500 * MS,
         write_by: NOW + 100 * MS,
@@ -46,7 +46,7 @@
         (Denial::Answered, |f| f.answered = true),
         (Denial::DeadlinePassed, |f| f.deadline = NOW),
         (Denial::AttemptInFlight, |f| f.history.in_flight = 1),
-        (Denial::AttemptsSpent, |f| f.history.attempts = 3),
+        (Denial::AttemptsExhausted, |f| f.history.attempts = 3),
         (Denial::MayHaveBeenExecuted, |f| {
             f.history.idempotency = Idempotency::NotIdempotent
         }),
@@ -72,7 +72,7 @@
     );
     let cases: [(Denial, Change<WriteFacts>); 6] = [
         (Denial::Answered, |f| f.answered = true),
-        (Denial::ClientGone, |f| f.client_gone = true),
+        (Denial::ClientDisconnected, |f| f.client_disconnected = true),
         (Denial::BackendNotReady, |f| f.backend_ready = false),
         (Denial::DeadlinePassed, |f| f.abandon_at = NOW),
         (Denial::DeadlinePassed, |f| {
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -1,4 +1,4 @@
-//! Starts as lists tell them, under sound and stepped clocks.
+//! Starts as lists have them, under sound and stepped clocks.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Dates a start behind one that was heard at once, while all clocks were sound.
+/// Dates a start behind one that was observed at once, while all clocks were sound.
 fn started_at(boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
     let mut starts = StartTimes::default();
     starts.note(NOW_MS, NOW);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_clock_that_is_ahead_is_bounded_by_starts_that_were_heard() {
+fn a_clock_that_is_ahead_is_bounded_by_observed_starts() {
     for ahead_ms in [0, 5_000, 3_600_000] {
         let observation = StartObservation {
             wall_now_ms: NOW_MS + ahead_ms,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_start_that_lies_ahead_is_heard_now() {
+fn a_start_that_lies_ahead_counts_as_observed_now() {
     for boot_ms in [NOW_MS + 1, NOW_MS + 3_600_000, u64::MAX] {
         assert_eq!(started_at(boot_ms, &observation()), Some(NOW), "{boot_ms}");
     }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,8 +14,8 @@
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// Room in the inbox beside a head of the longest length, in bytes.
-const INBOX_SPARE_BYTES: usize = 1024;
+/// Capacity of the inbox beside a head of the longest length, in bytes.
+const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// The state of an upstream connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     Yes,
     /// It has ended, or ends after this answer.
     No,
-    /// More has come on it than was asked for.
+    /// More has come on it than was requested.
     UnexpectedBytes,
 }
 
@@ -101,7 +101,7 @@
             waited_for_discovery: false,
             // A head as long as a client's, and what the node adds to it.
             outbox: RingBuffer::new(MAX_BODY + 2 * MAX_HEAD).with_budget(budget),
-            inbox: RingBuffer::new(MAX_HEAD + INBOX_SPARE_BYTES).with_budget(budget),
+            inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
             // An answer may have neither length nor chunks: an orderly end of the connection makes
             // it complete, a reset does not.
             parser: Parser::responses()
@@ -326,8 +326,8 @@
     }
 
     /// The machine lacks resources for a moment, or an update of the endpoint list is to be read
-    /// first: the connection `number` is resumed a little later, and has no event before that, which
-    /// would come without a pause.
+    /// first: the connection `number` is resumed a little later, and has no event before that,
+    /// which would come without a pause.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
         // Where this fails too, events come early and find the same.
         let _ = self.set_events(number, event_loop, EventFlags::empty());
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -33,54 +33,72 @@
     found
 }
 
+const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+
 #[test]
-fn every_ending_has_its_outcome() {
-    let ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-    assert_eq!(end(ok, false), Ok((Outcome::Success, Reuse::Yes)));
-    assert_eq!(
-        end(
-            &ok.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"),
-            false
+fn every_answer_has_its_outcome() {
+    let rejecting = "X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+    for (answer, outcome) in [
+        (OK.to_string(), Outcome::Success),
+        (
+            format!("HTTP/1.1 503 No\r\n{rejecting}"),
+            Outcome::Overloaded,
         ),
-        Ok((Outcome::Success, Reuse::No))
-    );
+        (
+            format!("HTTP/1.1 504 No\r\n{rejecting}"),
+            Outcome::Overloaded,
+        ),
+        (format!("HTTP/1.1 500 No\r\n{rejecting}"), Outcome::Error),
+        (
+            format!("HTTP/1.1 400 No\r\n{rejecting}"),
+            Outcome::BadRequest,
+        ),
+        (format!("HTTP/1.1 429 No\r\n{rejecting}"), Outcome::Error),
+        (
+            "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_string(),
+            Outcome::Error,
+        ),
+        (
+            "HTTP/1.1 103 Early\r\n\r\n".repeat(9) + OK,
+            Outcome::Success,
+        ),
+    ] {
+        assert_eq!(end(&answer, false), Ok((outcome, Reuse::Yes)), "{answer}");
+    }
+}
+
+#[test]
+fn a_connection_that_closes_or_says_more_is_not_reused() {
+    let closing = OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+    assert_eq!(end(&closing, false), Ok((Outcome::Success, Reuse::No)));
     assert_eq!(
-        end(&format!("{ok}stray"), false),
+        end(&format!("{OK}stray"), false),
         Ok((Outcome::Success, Reuse::UnexpectedBytes))
     );
-    let away = "X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(
-        end(&format!("HTTP/1.1 503 No\r\n{away}"), false),
-        Ok((Outcome::Overloaded, Reuse::Yes))
-    );
-    assert_eq!(
-        end(&format!("HTTP/1.1 504 No\r\n{away}"), false),
-        Ok((Outcome::Overloaded, Reuse::Yes))
-    );
-    assert_eq!(
-        end(&format!("HTTP/1.1 500 No\r\n{away}"), false),
-        Ok((Outcome::Error, Reuse::Yes))
-    );
-    assert_eq!(
-        end(&format!("HTTP/1.1 400 No\r\n{away}"), false),
-        Ok((Outcome::BadRequest, Reuse::Yes))
-    );
+}
+
+#[test]
+fn what_is_no_complete_answer_is_a_reset() {
+    assert_eq!(end(&OK[..OK.len() - 1], true), Err(Outcome::Reset));
+    assert_eq!(end("", true), Err(Outcome::Reset));
+    assert_eq!(end("nonsense\r\n\r\n", false), Err(Outcome::Reset));
     assert_eq!(
-        end(&format!("HTTP/1.1 429 No\r\n{away}"), false),
-        Ok((Outcome::Error, Reuse::Yes))
+        end(&OK.replace(": 2", ": 3221225472"), false),
+        Err(Outcome::Reset)
     );
+    // The far end has not read the request, so its close is a reset.
     assert_eq!(
-        end("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false),
-        Ok((Outcome::Error, Reuse::Yes))
+        end(&OK.replace("Content-Length: 2", "A: b"), true),
+        Err(Outcome::Reset)
     );
-    assert_eq!(end(&ok[..ok.len() - 1], true), Err(Outcome::Reset));
-    assert_eq!(end("", true), Err(Outcome::Reset));
-    assert_eq!(end("nonsense\r\n\r\n", false), Err(Outcome::Reset));
     assert_eq!(
-        end(&ok.replace(": 2", ": 3221225472"), false),
+        end(&"HTTP/1.1 103 Early\r\n\r\n".repeat(99), false),
         Err(Outcome::Reset)
     );
-    // Long answers pass; one with no length is whole at an orderly end, and not before.
+}
+
+#[test]
+fn a_long_answer_passes() {
     let long = "x".repeat(400_000);
     let (mut connection, mut far) = waiting();
     far.set_nonblocking(false).unwrap();
@@ -105,13 +123,12 @@
     };
     assert_eq!(body.len(), 400_000);
     drop(sent.join());
-    // The far end has not read the request, so its close is a reset.
-    assert_eq!(
-        end(&ok.replace("Content-Length: 2", "A: b"), true),
-        Err(Outcome::Reset)
-    );
+}
+
+#[test]
+fn an_answer_without_a_length_is_complete_at_an_orderly_end_and_not_before() {
     let (mut connection, mut far) = waiting();
-    far.write_all(ok.replace("Content-Length: 2", "A: b").as_bytes())
+    far.write_all(OK.replace("Content-Length: 2", "A: b").as_bytes())
         .unwrap();
     assert!(matches!(connection.advance(true), Progress::Pending));
     assert!(far.read(&mut [0; 64]).unwrap() > 0);
@@ -123,14 +140,6 @@
         (outcome(&head), &*body, reuse),
         (Outcome::Success, &b"hi"[..], Reuse::No)
     );
-    assert_eq!(
-        end(&("HTTP/1.1 103 Early\r\n\r\n".repeat(9) + ok), false),
-        Ok((Outcome::Success, Reuse::Yes))
-    );
-    assert_eq!(
-        end(&"HTTP/1.1 103 Early\r\n\r\n".repeat(99), false),
-        Err(Outcome::Reset)
-    );
 }
 
 #[test]
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 use super::connection::Reuse;
 use crate::clock::{MS, SECOND};
 
-/// Once some backend has sent more than was asked for, connections are suspect for this long, in
+/// Once some backend has sent more than was requested, connections are suspect for this long, in
 /// nanoseconds ...
 const SUSPICION_PERIOD: Nanos = 60 * SECOND;
 /// ... and a connection carries no other request for this long after an answer, in nanoseconds: a
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -180,7 +180,7 @@
     }
 
     /// Holds an attempt back, once, until discovery has been read; whether it is held back.
-    pub fn hold_for_discovery(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
+    pub fn delay_for_discovery(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         let Some(connection) = self.table.get_mut(number) else {
             return false;
         };
@@ -255,8 +255,8 @@
         None
     }
 
-    /// Ends the attempt of a connection that was answered, and puts the connection in the pool if it
-    /// can be used again: the connections of a backend that is not ready get closed.
+    /// Ends the attempt of a connection that was answered, and puts the connection in the pool if
+    /// it can be used again: the connections of a backend that is not ready get closed.
     pub fn release(
         &mut self,
         number: u32,
@@ -279,8 +279,8 @@
         attempt
     }
 
-    /// The time limit of a connection may be over, now that its timer has fired: closes an idle one,
-    /// gives the outcome of an attempt that is to be ended.
+    /// The time limit of a connection may be over, now that its timer has fired: closes an idle
+    /// one, gives the outcome of an attempt that is to be ended.
     pub fn expire(&mut self, number: u32, event_loop: &mut EventLoop) -> Option<Outcome> {
         let connection = self.table.get_mut(number)?;
         if !connection.is_due(number, event_loop) {
