--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -42,16 +42,23 @@
     }
 }
 
+/// What is counted; in the order of the log line.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct CounterKey {
+    kind: &'static str,
+    reason: &'static str,
+}
+
 /// Counts by kind and reason.
 #[derive(Debug, Default)]
 pub struct Counters {
-    counts: BTreeMap<(&'static str, &'static str), u64>,
+    counts: BTreeMap<CounterKey, u64>,
 }
 
 impl Counters {
     /// Counts one event of a kind and reason.
     pub fn add(&mut self, kind: &'static str, reason: &'static str) {
-        *self.counts.entry((kind, reason)).or_default() += 1;
+        *self.counts.entry(CounterKey { kind, reason }).or_default() += 1;
     }
 
     /// Counts a closed client connection.
@@ -62,7 +69,7 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, ((kind, reason), count)) in self.counts.iter().enumerate() {
+        for (place, (CounterKey { kind, reason }, count)) in self.counts.iter().enumerate() {
             let space = if place == 0 { "" } else { " " };
             write!(f, "{space}{kind}.{reason}={count}")?;
         }
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -100,3 +100,7 @@
         longest.min(MIN_BACKOFF << failed_before.min(MAX_BACKOFF_DOUBLINGS))
     }
 }
+
+#[cfg(test)]
+#[path = "backoff_tests.rs"]
+mod tests;
--- a/crates/node/src/discovery/object_scanner.rs
+++ b/crates/node/src/discovery/object_scanner.rs
@@ -31,3 +31,7 @@
         None
     }
 }
+
+#[cfg(test)]
+#[path = "object_scanner_tests.rs"]
+mod tests;
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -43,3 +43,7 @@
     /// Its number in the table of client connections.
     pub number: u32,
 }
+
+#[cfg(test)]
+#[path = "eviction_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/src/downstream/eviction_tests.rs
@@ -0,0 +1,29 @@
+//! Unit tests of the order of evictions.
+
+use super::*;
+
+fn candidate(rank: EvictionRank, since: Nanos, number: u32) -> EvictionCandidate {
+    EvictionCandidate {
+        rank,
+        since,
+        number,
+    }
+}
+
+#[test]
+fn the_rank_decides_first_then_the_time_then_the_number() {
+    let in_order = [
+        candidate(EvictionRank::SentOnce, 9, 9),
+        candidate(EvictionRank::NeverSent, 9, 9),
+        candidate(EvictionRank::Returned, 1, 2),
+        candidate(EvictionRank::Returned, 1, 3),
+        candidate(EvictionRank::Returned, 2, 1),
+        candidate(EvictionRank::Lingering, 0, 0),
+        candidate(EvictionRank::Recent, 0, 0),
+        candidate(EvictionRank::RecentlyReturned, 0, 0),
+        candidate(EvictionRank::Active, 0, 0),
+    ];
+    assert!(in_order.is_sorted());
+    let expendable = in_order.iter().filter(|c| c.rank.is_expendable()).count();
+    assert_eq!(expendable, 5);
+}
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -307,3 +307,7 @@
         tv_nsec: (nanos % SECOND) as i64,
     }
 }
+
+#[cfg(test)]
+#[path = "event_loop_tests.rs"]
+mod tests;
