--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -105,7 +105,7 @@
         let mut disconnect = Vec::new();
         let mut endpoints = self.identify(observation, update, freshness);
         if freshness == Freshness::Older {
-            self.keep_departures(update, &mut endpoints);
+            self.keep_unready(update, &mut endpoints);
         }
         if update.all {
             self.remove_unlisted(now, &endpoints, &mut disconnect);
@@ -177,15 +177,15 @@
 
     /// An older update makes no backend ready that is known to be draining or removed, unless it
     /// has started again since.
-    fn keep_departures(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
+    fn keep_unready(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
-            let departed = self
+            let unready = self
                 .endpoints
                 .get(&endpoint.id)
                 .filter(|known| entry.boot_ms <= known.boot_ms)
                 .filter(|known| known.state != EndpointState::Ready);
-            if let Some(departed) = departed {
-                endpoint.state = departed.state;
+            if let Some(unready) = unready {
+                endpoint.state = unready.state;
             }
         }
     }
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -1,5 +1,6 @@
 //! Accepting clients, and closing connections where descriptors are short.
 
+use std::ops::ControlFlow;
 use std::os::fd::OwnedFd;
 
 use super::Node;
@@ -14,7 +15,7 @@
     /// iteration no more than its queue holds: a flood that never ends must not hold the loop.
     pub(super) fn accept_clients(&mut self) {
         for _ in 0..=net::ACCEPT_BACKLOG {
-            if !self.listener.is_accepting() || !self.accept_client() {
+            if !self.listener.is_accepting() || self.accept_client().is_break() {
                 return;
             }
         }
@@ -22,8 +23,8 @@
         self.listener.note_queue_not_emptied();
     }
 
-    /// Accepts one client; whether another one may wait.
-    fn accept_client(&mut self) -> bool {
+    /// Accepts one client; breaks off where no other one can be accepted now.
+    fn accept_client(&mut self) -> ControlFlow<()> {
         let now = self.event_loop.now();
         // No connection is given up for nobody.
         if !self.client_fits() {
@@ -31,12 +32,12 @@
                 Ok(true) => {}
                 Ok(false) => {
                     self.listener.note_queue_empty(now);
-                    return false;
+                    return ControlFlow::Break(());
                 }
                 // Not known now; the listener's event comes again.
                 Err(_) => {
                     self.listener.retry_later(&mut self.event_loop);
-                    return false;
+                    return ControlFlow::Break(());
                 }
             }
         }
@@ -45,31 +46,31 @@
             self.diagnostics
                 .log(now, "client-connections-full", format_args!("open={open}"));
             self.listener.pause(&mut self.event_loop);
-            return false;
+            return ControlFlow::Break(());
         }
         let outcome = self.listener.accept();
         self.handle_accept(outcome)
     }
 
-    fn handle_accept(&mut self, outcome: AcceptOutcome) -> bool {
+    fn handle_accept(&mut self, outcome: AcceptOutcome) -> ControlFlow<()> {
         let now = self.event_loop.now();
         match outcome {
             AcceptOutcome::Client(socket) => {
                 self.add_client(socket);
-                true
+                ControlFlow::Continue(())
             }
             AcceptOutcome::ClientDisconnected => {
                 self.diagnostics.count("accept", "client_disconnected");
-                true
+                ControlFlow::Continue(())
             }
             AcceptOutcome::QueueEmpty => {
                 self.listener.note_queue_empty(now);
-                false
+                ControlFlow::Break(())
             }
             AcceptOutcome::RetryLater(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
                 self.listener.retry_later(&mut self.event_loop);
-                false
+                ControlFlow::Break(())
             }
             AcceptOutcome::Failed(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
@@ -79,7 +80,7 @@
                     self.evict(candidate.number);
                 }
                 self.listener.pause(&mut self.event_loop);
-                false
+                ControlFlow::Break(())
             }
         }
     }
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -183,7 +183,7 @@
         };
         connection.note_peer_closed();
         if let Some(request) = connection.request() {
-            self.reply_to_departed(number, request);
+            self.reply_to_disconnected(number, request);
         } else if connection.is_written() {
             return self.drop_client(number, CloseReason::ClientDisconnected);
         }
@@ -191,7 +191,7 @@
         self.flush_client(number);
     }
 
-    fn reply_to_departed(&mut self, number: u32, request: u32) {
+    fn reply_to_disconnected(&mut self, number: u32, request: u32) {
         // What is not written yet is never executed.
         let is_unwritten = self.upstreams.has_unwritten(request);
         let is_rejectable = self.requests.may_reject(request, is_unwritten);
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -366,7 +366,7 @@
         pending.is_finished = true;
         let violation = rules::check_answer(now, pending.deadline).err();
         let connection = pending.connection;
-        let reply = pending.truthful(reply);
+        let reply = pending.adjusted(reply);
         self.violations.extend(violation);
         self.trace
             .line(now, format_args!("answer id={id} what={reply:?}"));
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -118,7 +118,7 @@
 
     /// The answer that is true of it: a rejection promises that a retry is harmless; where that is
     /// not so it becomes a failure, and after a timeout a timeout.
-    pub fn truthful(&self, reply: LocalReply) -> LocalReply {
+    pub fn adjusted(&self, reply: LocalReply) -> LocalReply {
         let reply = match reply {
             LocalReply::Rejected { .. } if !self.is_rejectable(false) => LocalReply::Failed,
             other => other,
