--- a/crates/node/src/client_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -1,8 +1,10 @@
-//! Unit tests of `client`.
+//! Unit tests of routing: what a message requests.
+
+use kitefork_settings::json::Document;
 
 use super::*;
 use crate::config::tests::CONFIG;
-use kitefork_settings::json::Document;
+use crate::http1::Parser;
 
 fn routed(text: &str) -> Route {
     let tree = Document::parse(CONFIG.as_bytes()).unwrap();
@@ -17,15 +19,15 @@
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn a_req_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
-    let Route::Request(ask, call) = routed(GOOD) else {
-        panic!("not a req")
+fn a_request_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
+    let Route::Request { spec, payload } = routed(GOOD) else {
+        panic!("not a request")
     };
     assert_eq!(
-        (ask.class, ask.tenant, ask.client_timeout, ask.work_hint),
+        (spec.class, spec.tenant, spec.client_timeout, spec.work_hint),
         (0, 0, 450 * MS, Some(1_500_000))
     );
-    let bytes = String::from_utf8(call.bytes(449)).unwrap();
+    let bytes = String::from_utf8(payload.bytes(449)).unwrap();
     assert!(
         bytes.starts_with("POST /api?a=b HTTP/1.1\r\nhost: h\r\nx-txn: 1f\r\n"),
         "{bytes}"
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_by_its_status() {
+fn an_invalid_request_is_answered_by_its_status() {
     for (old, new, wanted) in [
         ("/api", "/apis", 404),
         ("POST", "PUT", 405),
@@ -58,39 +60,9 @@
         ("Idempotency-Key", "Key", 400),
         ("POST /api", "POST /_health", 405),
     ] {
-        let Route::Wrong(status, _) = routed(&GOOD.replace(old, new)) else {
+        let Route::Invalid(invalid) = routed(&GOOD.replace(old, new)) else {
             panic!("{new} passes")
         };
-        assert_eq!(status, wanted, "{new}");
+        assert_eq!(invalid.status, wanted, "{new}");
     }
 }
-
-#[test]
-fn a_session_that_parts_tells_its_end_before_it_throws_a_late_request_away() {
-    use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
-    use std::io::{Read as _, Write as _};
-    let (family, kind, flags) = (
-        AddressFamily::UNIX,
-        SocketType::STREAM,
-        SocketFlags::NONBLOCK,
-    );
-    let (near, far) = socketpair(family, kind, flags, None).unwrap();
-    let mut far = std::os::unix::net::UnixStream::from(far);
-    let mut session = Session::new(near, 0, 0, &BufferBudget::default());
-    far.write_all(GOOD.as_bytes()).unwrap();
-    assert!(matches!(session.read(0, 0), Intake::Message(..)));
-    session.answer(0, 200, &[], b"hi", false);
-    assert!(session.flush(0) == WriteOutcome::Done && far.read(&mut [0; 256]).unwrap() > 0);
-    far.write_all(GOOD.as_bytes()).unwrap();
-    session.close_gracefully();
-    assert_eq!(far.read(&mut [0; 256]).unwrap(), 0);
-    assert!(!session.may_have_unread());
-}
-
-#[test]
-fn advice_is_whole_seconds_and_only_refusals_carry_it() {
-    let refused = |retry_after| status_and_advice(LocalReply::Rejected { retry_after });
-    assert_eq!(refused(1_200 * MS), (503, Some("2".into())));
-    assert_eq!(refused(0), (503, None));
-    assert_eq!(status_and_advice(LocalReply::TimedOut), (504, None));
-}
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,497 +1,199 @@
-//! The loop: waits for sockets and deadlines, and carries out what is decided. One clock reading a
-//! round; what sockets bring goes first, so that an answer which is there wins over its time-out.
-
-mod end;
-mod fetches;
-mod lists;
-mod sessions;
-
-use std::collections::VecDeque;
-use std::os::fd::OwnedFd;
-
-use kitefork_balancer::{BackendId, Event, Nanos, Outcome, TimerId};
+//! The node: the loop that waits for sockets and timers, and hands each event to the part that it
+//! concerns.
+//!
+//! - `start` makes the parts from the configuration.
+//! - `accept`, `clients`: the listener and the client connections ([`crate::downstream`]).
+//! - `upstream`: attempts at backends ([`crate::upstream`]).
+//! - `discovery`: the endpoint list ([`crate::discovery`]).
+//! - `commands`: what the request table has decided ([`crate::request_table`]).
+//! - `shutdown`: from SIGTERM to the last answer ([`crate::shutdown`]).
+
+mod accept;
+mod clients;
+mod commands;
+mod discovery;
+mod error;
+mod shutdown;
+mod start;
+mod upstream;
+
+use std::fmt;
+
+use kitefork_balancer::Event;
 use kitefork_settings::Deployment;
-use rustix::event::Timespec;
-use rustix::event::epoll::{self, EventData, EventFlags};
-use rustix::io::Errno;
-
-use crate::client::{self, Session};
-use crate::clock::{Clock, MS, SECOND};
-use crate::config::Config;
-use crate::counters::Counters;
-use crate::descriptor_budget::{DescriptorBudget, Purpose};
-use crate::discovery::{Call, Fleet, Freshness};
-use crate::fetch::{Fetch, Job, Pool};
-use crate::log::{Log, Trace};
-use crate::net;
-use crate::request_table::{Command, RequestTable};
+use rustix::event::epoll::{self, EventFlags};
+
+use crate::descriptor_budget::DescriptorBudget;
+use crate::diagnostics::Diagnostics;
+use crate::discovery::{CallKind, Discovery};
+use crate::downstream::{ClientConnections, ForwardedRequest, Listener};
+use crate::event_loop::{EventLoop, PEER_CLOSED, TimerEvent, Token};
+use crate::request_table::RequestTable;
 use crate::ring_buffer::BufferBudget;
-use crate::rules::{Denial, Violation};
-use crate::signals::Signal;
-use crate::slab::Slab;
-use crate::timer_wheel::TimerWheel;
-
-/// A probe that has no answer by then has failed.
-const PROBE_PATIENCE: Nanos = 500 * MS;
-/// The loop looks at all sockets at least this often, so that it knows within this time since when
-/// a socket that now holds bytes can have held them.
-const LONGEST_WAIT: Nanos = 50 * MS;
-/// A gap between two looks that only a process that was stopped has.
-const STOPPED: Nanos = 250 * MS;
-/// A loop that wakes so much later than it wanted to has been stopped meanwhile.
-const LATE: Nanos = 50 * MS;
-/// Events of a wait that took longer than this may be old; looking again costs one system call.
-const FRESH: Nanos = 20 * MS;
-/// Looks that are made anew in one turn at most, for a process that is held up at each.
-const MOST_OLD_LOOKS: u32 = 4;
-/// What the machine could not do for a moment is tried again after this.
-const MIN_RETRY: Nanos = 2 * MS;
-
-/// An attempt whose connection the machine could not start for a moment.
-struct PostponedDial {
-    backend: BackendId,
-    job: Job,
-    until: Nanos,
-    write_by: Nanos,
-    /// Then it has failed, through no fault of the backend.
-    give_up: Nanos,
-}
-
-/// What hangs on the wheel.
-#[derive(Clone, Copy)]
-enum Due {
-    Session(u32),
-    NextMessage(u32),
-    Request(u32),
-    Fetch(u32),
-    ResumeFetch(u32),
-    Redial,
-    Call(u32),
-    ResumeCall(u32),
-    Recall { watch: bool },
-    Timer(TimerId),
-    Accept,
-    TrimSessions,
-    StopAccepting,
-    EndDrain,
-    Quit,
-    Watch,
-    ServeStaleList,
-}
-
-/// What a socket belongs to; its epoll token holds this and a number.
-const LISTENER: u64 = 0;
-/// The number is the signal's place among the node's.
-const SIGNAL: u64 = 1;
-const TERMINATE: u32 = 0;
-const RELOAD: u32 = 1;
-const SESSION: u64 = 2;
-const FETCH: u64 = 3;
-const CALL: u64 = 4;
-
-const READ: EventFlags = EventFlags::IN.union(EventFlags::RDHUP);
-const BOTH: EventFlags = READ.union(EventFlags::OUT);
-const LEFT: EventFlags = EventFlags::RDHUP
-    .union(EventFlags::HUP)
-    .union(EventFlags::ERR);
-
-fn token(kind: u64, number: u32) -> EventData {
-    EventData::new_u64(kind << 32 | u64::from(number))
-}
-
-/// Whether an event may forbid a send: a client has left, or there is news of the backends.
-fn forbids(event: &epoll::Event) -> bool {
-    let (kind, flags) = (event.data.u64() >> 32, event.flags);
-    kind == CALL || (kind == SESSION && flags.intersects(LEFT))
+use crate::rules::Violation;
+use crate::shutdown::Shutdown;
+use crate::signals::{SignalKind, Signals};
+use crate::upstream::UpstreamConnections;
+
+pub use error::NodeError;
+
+/// Events that one poll takes beside those of connections and discovery calls: the listener and the
+/// signals, and one to spare.
+const OTHER_EVENTS: usize = 4;
+
+/// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
+fn may_forbid_send(event: &epoll::Event) -> bool {
+    // The fields of a packed struct are copied before they are used.
+    let (data, flags) = (event.data, event.flags);
+    match Token::decode(data) {
+        Some(Token::Discovery(_)) => true,
+        Some(Token::Client(_)) => flags.intersects(PEER_CLOSED),
+        _ => false,
+    }
 }
 
+/// One proxy process: the wiring of its parts, each of which owns its state.
 pub struct Node {
-    clock: Clock,
-    now: Nanos,
-    /// When the look before this turn's found no event on the sockets that have one now.
-    looked: Nanos,
-    /// When this turn's look was made; the next turn's sockets with an event were without one then.
-    last_look: Nanos,
-    /// When the accept queue was last read empty, and since when an event is given for a client
-    /// that comes.
-    queue_emptied: Nanos,
-    queue_watched: Nanos,
-    counters: Counters,
-    /// After this the next accept is tried where the machine lacks something.
-    accept_retry: Nanos,
-    postponed: Vec<PostponedDial>,
-    wheel: TimerWheel<Due>,
-    epoll: OwnedFd,
-    log: Log,
-    trace: Trace,
+    event_loop: EventLoop,
+    diagnostics: Diagnostics,
+    signals: Signals,
+    shutdown: Shutdown,
     deployment: Deployment,
-    discovery: std::net::SocketAddr,
-    /// `None` once no more clients are taken.
-    listener: Option<OwnedFd>,
-    accepting: bool,
-    /// Readable when the node is to end, and when it is to read its configuration anew.
-    signals: [Signal; 2],
-    /// From SIGTERM on: when whatever waits gets its answer.
-    ends: Option<Nanos>,
-    /// SIGKILL is due: the process ends whatever is open.
-    quit: bool,
-    /// For all that sessions and fetches hold in buffers.
-    budget: BufferBudget,
-    /// For all that sessions and fetches hold in descriptors.
-    ledger: DescriptorBudget,
-    /// A look at how many sessions have asked hangs on the wheel.
-    trimming: bool,
-    sessions: Slab<Session>,
-    /// Sessions whose req has been answered: the answer is to be written, and the next message may
-    /// be there.
-    answered: VecDeque<u32>,
-    fetches: Slab<Fetch>,
-    pool: Pool,
-    calls: Slab<Call>,
-    rev: u64,
-    /// When discovery last said something, be it that nothing has changed.
-    confirmed: Option<Nanos>,
-    /// The next call to discovery waits, for the decisions or, where lists are pushed, on the
-    /// wheel.
-    backing_off: bool,
-    /// Only where lists are pushed: discovery has spoken since the start, and how many calls in a
-    /// row failed.
-    list_synced: bool,
-    failed_calls: u32,
-    fleet: Fleet,
-    reqs: RequestTable<client::Call>,
+    requests: RequestTable<ForwardedRequest>,
+    /// Bounds what all connections hold in buffers.
+    buffer_budget: BufferBudget,
+    /// Bounds how many connections there are.
+    descriptor_budget: DescriptorBudget,
+    listener: Listener,
+    clients: ClientConnections,
+    upstreams: UpstreamConnections,
+    discovery: Discovery,
 }
 
 impl Node {
-    /// Starts to listen. The first of `signals` comes when the node is to end, the second when it
-    /// is to read its configuration anew.
-    pub fn start(config: Config, signals: [Signal; 2]) -> Result<Node, String> {
-        let clock = Clock::start();
-        let now = clock.read();
-        let deployment = config.deployment;
-        let mut settings = deployment.settings.clone();
-        // Past half of its time, a refusal of what no backend has seen has a price (the platform's
-        // figure).
-        settings.limits.never_attempted_fraction = 0.5;
-        let tick = settings.tick.clamp(MS, 10 * MS);
-        let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets = own.map_or(config.sockets, |own| config.sockets.min(own as usize));
-        // Bodies are on the budget; what a connection holds beside them is a head at most, of which
-        // these fit a third of the memory.
-        let sockets = sockets.min(config.memory_mb.saturating_mul(16).max(64));
-        let ledger = DescriptorBudget::new(sockets);
-        let (most_sessions, most_fetches) =
-            (ledger.most(Purpose::Session), ledger.most(Purpose::Fetch));
-        let most_reqs = most_sessions.min(deployment.most_held).max(1);
-        let mut reqs =
-            RequestTable::new(settings, config.seed, most_reqs, now).map_err(|e| e.to_string())?;
-        let trace = Trace::new(config.trace, clock.unix_zero);
-        reqs.trace = trace;
-        let wrong = |what: &'static str| move |e: Errno| format!("{what}: {e}");
-        let listener = net::retry_at_start(|| net::listener(config.listen))
-            .map_err(|e| format!("listen on {}: {e}", config.listen))?;
-        let listens: std::net::SocketAddr = rustix::net::getsockname(&listener)
-            .and_then(TryInto::try_into)
-            .map_err(wrong("getsockname"))?;
-        let epoll = net::retry_at_start(|| epoll::create(epoll::CreateFlags::CLOEXEC))
-            .map_err(wrong("epoll"))?;
-        let add = || epoll::add(&epoll, &listener, token(LISTENER, 0), EventFlags::IN);
-        net::retry_at_start(add).map_err(wrong("epoll"))?;
-        for (signal, number) in signals.iter().zip([TERMINATE, RELOAD]) {
-            let add = || epoll::add(&epoll, &signal.wakes, token(SIGNAL, number), EventFlags::IN);
-            net::retry_at_start(add).map_err(wrong("epoll"))?;
-        }
-        let mut node = Node {
-            wheel: TimerWheel::new(tick, now),
-            now,
-            looked: now,
-            last_look: now,
-            queue_emptied: now,
-            queue_watched: now,
-            counters: Counters::default(),
-            accept_retry: MIN_RETRY,
-            postponed: Vec::new(),
-            clock,
-            epoll,
-            log: Log::default(),
-            trace,
-            discovery: config.discovery,
-            listener: Some(listener),
-            accepting: true,
-            signals,
-            ends: None,
-            quit: false,
-            budget: BufferBudget::new(config.memory_mb.max(4).saturating_mul(1 << 18)),
-            ledger,
-            trimming: false,
-            sessions: Slab::new(most_sessions),
-            answered: VecDeque::new(),
-            fetches: Slab::new(most_fetches),
-            pool: Pool::default(),
-            calls: Slab::new(4),
-            rev: config.known.rev,
-            confirmed: None,
-            backing_off: false,
-            list_synced: deployment.settings.poll_endpoints,
-            failed_calls: 0,
-            fleet: Fleet::new(deployment.zones.clone(), deployment.kinds.clone()),
-            reqs,
-            deployment,
-        };
-        node.log.line(
-            now,
-            "start",
-            format_args!("name={} listen={} sockets={sockets}", config.name, listens),
-        );
-        node.take_list(&config.known, Freshness::Cached);
-        node.follow_pushes();
-        node.flush_pending();
-        Ok(node)
-    }
-
-    /// Runs until a SIGTERM has been followed to its end.
-    pub fn run(mut self) -> Result<(), String> {
+    /// Serves until a graceful shutdown is complete.
+    ///
+    /// # Errors
+    ///
+    /// If the loop can't poll its sockets.
+    pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
         while !self.is_over() {
-            self.wait_for_events(&mut events)?;
-            // What forbids a send goes before what may lead to one, and is carried out only when
-            // all of it is known: clients that have left, and news of the backends.
-            for event in events.iter().filter(|event| forbids(event)) {
-                self.on_socket(event);
-            }
-            self.flush_pending();
-            for event in events.iter().filter(|event| !forbids(event)) {
-                self.on_socket(event);
-                self.flush_pending();
-            }
-            self.take_signals();
-            for due in self.wheel.expire(self.now) {
-                self.on_due(due);
+            let capacity = self.max_events();
+            self.event_loop
+                .poll(&mut events, capacity)
+                .map_err(NodeError::Epoll)?;
+            self.handle_socket_events(&events);
+            self.handle_signals();
+            for event in self.event_loop.expire_timers() {
+                self.on_timer(event);
                 self.flush_pending();
             }
         }
-        let walks = self.reqs.full_walks();
-        self.log.line(
-            self.now,
-            "counts",
-            format_args!("full_scans={walks} {}", self.counters),
-        );
-        self.log.line(self.now, "end", "all answered");
+        self.log_end();
         Ok(())
     }
 
-    /// Waits until a socket has an event or a deadline is due. Gives all that is ready in one look:
-    /// a deadline must not fire, and nothing must be sent, while an answer, a client's leave or a
-    /// drain still waits for the next one, as after a stall. For the same reason a look that is old
-    /// by now is made anew.
-    fn wait_for_events(&mut self, events: &mut Vec<epoll::Event>) -> Result<(), String> {
-        self.looked = self.last_look;
-        let mut old_looks = 0;
-        loop {
-            let began = self.clock.read();
-            let longest = if old_looks == 0 { LONGEST_WAIT } else { 0 };
-            let wake = self
-                .wheel
-                .next()
-                .unwrap_or(Nanos::MAX)
-                .min(began.saturating_add(longest));
-            let pause = wake.saturating_sub(began);
-            let pause = Timespec {
-                tv_sec: (pause / SECOND) as i64,
-                tv_nsec: (pause % SECOND) as i64,
-            };
-            events.clear();
-            events.reserve(self.sessions.len() + self.fetches.len() + self.calls.len() + 4);
-            match epoll::wait(
-                &self.epoll,
-                rustix::buffer::spare_capacity(events),
-                Some(&pause),
-            ) {
-                Ok(_) => {}
-                // A process that was stopped and goes on comes here too: much may lie in its
-                // sockets, and no deadline may fire before that is read.
-                Err(Errno::INTR) => continue,
-                Err(error) => return Err(format!("epoll: {error}")),
-            }
-            self.now = self.clock.read();
-            // A process that stood still in its wait may have looked before that.
-            let stood_still = self.now > wake.saturating_add(LATE);
-            self.last_look = if stood_still { began } else { self.now };
-            // One that was held up between the wait and the clock may have events from before that:
-            // others can have come since, which go before these.
-            let is_old = !events.is_empty() && self.now > began.saturating_add(FRESH);
-            if !(stood_still || is_old) || old_looks == MOST_OLD_LOOKS {
-                return Ok(());
-            }
-            old_looks += 1;
-            if events.is_empty() {
-                self.looked = began;
-            }
+    fn max_events(&self) -> usize {
+        let connections = self.clients.len() + self.upstreams.len();
+        connections + self.discovery.open_calls() + OTHER_EVENTS
+    }
+
+    /// What forbids a send goes before what may lead to one, and is carried out only when all of it
+    /// is known: clients that have closed their side, and changes of the endpoint list. What
+    /// sockets bring goes before the timers, so that an answer which is there wins over its
+    /// timeout.
+    fn handle_socket_events(&mut self, events: &[epoll::Event]) {
+        for event in events.iter().filter(|event| may_forbid_send(event)) {
+            self.on_socket(event);
+        }
+        self.flush_pending();
+        for event in events.iter().filter(|event| !may_forbid_send(event)) {
+            self.on_socket(event);
+            self.flush_pending();
         }
     }
 
-    /// Counts what the rules did not allow.
-    fn count_denial(&mut self, denial: Denial, of: std::fmt::Arguments) {
-        self.counters.add("denied", denial.name());
-        self.trace
-            .line(self.now, format_args!("denied why={denial} {of}"));
+    fn log_end(&mut self) {
+        let now = self.event_loop.now();
+        let full_scans = self.requests.full_scans();
+        let counts = format!("full_scans={full_scans} {}", self.diagnostics.counters());
+        self.diagnostics.log(now, "counts", counts);
+        self.diagnostics.log(now, "end", "all answered");
     }
 
-    /// A rule was found broken after the act: a fault of the program.
-    fn violated(&mut self, violation: Violation, of: std::fmt::Arguments) {
-        self.counters.add("violation", violation.name());
-        self.log.line(
-            self.now,
-            "violation",
-            format_args!("rule={} {of}", violation.name()),
-        );
-        // A process that was stopped can't act in time.
+    /// A protocol rule was found broken after the act: a fault of the program. Panics in a debug
+    /// build, unless the process was stopped and could not act in time.
+    fn report_violation(&mut self, violation: Violation, subject: fmt::Arguments) {
+        let now = self.event_loop.now();
+        self.diagnostics.count_violation(now, violation, subject);
         debug_assert!(
-            self.now > self.looked.saturating_add(STOPPED),
-            "rule broken: {violation:?} {of}"
+            self.event_loop.was_stalled(),
+            "rule broken: {violation:?} {subject}"
         );
     }
 
-    fn is_draining(&self) -> bool {
-        self.ends.is_some()
-    }
-
     fn is_over(&self) -> bool {
-        self.quit || (self.is_draining() && self.listener.is_none() && self.sessions.len() == 0)
+        let is_drained = self.listener.is_closed() && self.clients.len() == 0;
+        self.shutdown.is_forced() || (self.shutdown.is_draining() && is_drained)
     }
 
     fn on_socket(&mut self, event: &epoll::Event) {
-        let (data, flags) = (event.data.u64(), event.flags);
-        let number = data as u32;
-        match data >> 32 {
-            LISTENER => self.accept(),
-            SIGNAL => self.on_signal(number),
-            SESSION => self.session_ready(number, flags),
-            FETCH => self.go_on(number, true),
-            CALL => self.read_call(number, flags),
-            _ => {}
+        match Token::decode(event.data) {
+            Some(Token::Listener) => self.accept_clients(),
+            Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
+            Some(Token::Client(number)) => self.client_ready(number, event.flags),
+            Some(Token::Upstream(number)) => self.advance_upstream(number, true),
+            Some(Token::Discovery(number)) => self.advance_discovery_call(number, event.flags),
+            None => {}
         }
     }
 
-    fn on_signal(&mut self, number: u32) {
-        let mut bytes = [0; 16];
-        let signal = &self.signals[number as usize].wakes;
-        while matches!(
-            rustix::io::read(signal, &mut bytes),
-            Ok(1..) | Err(Errno::INTR)
-        ) {}
-    }
-
     /// Carries out the signals that have come, whether or not the byte that wakes the loop could be
     /// written.
-    fn take_signals(&mut self) {
-        if self.signals[TERMINATE as usize].take() {
-            self.begin_drain();
+    fn handle_signals(&mut self) {
+        if self.signals.get(SignalKind::Terminate).take() {
+            self.begin_shutdown();
         }
-        if self.signals[RELOAD as usize].take() {
+        if self.signals.get(SignalKind::Reload).take() {
             self.reload();
         }
         self.flush_pending();
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Session(number) => self.session_due(number),
-            Due::NextMessage(number) => self.read_session(number),
-            Due::Request(req) => {
-                if self.reqs.expire(self.now, req) {
-                    self.log
-                        .line(self.now, "deadline-guard", format_args!("request={req}"));
-                }
+    fn on_timer(&mut self, event: TimerEvent) {
+        let now = self.event_loop.now();
+        match event {
+            TimerEvent::ClientDeadline(number) => self.client_deadline_due(number),
+            TimerEvent::ResumeClient(number) => self.read_client(number),
+            TimerEvent::DeadlineGuard(request) => self.guard_deadline(request),
+            TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
+            TimerEvent::ResumeUpstream(number) => self.advance_upstream(number, false),
+            TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
+            TimerEvent::DiscoveryDeadline(number) => self.discovery_deadline_due(number),
+            TimerEvent::ResumeDiscoveryCall(number) => {
+                self.advance_discovery_call(number, EventFlags::OUT);
             }
-            Due::Fetch(number) => self.fetch_due(number),
-            Due::ResumeFetch(number) => self.go_on(number, false),
-            Due::Redial => self.redial(),
-            Due::Call(number) => self.call_due(number),
-            Due::ResumeCall(number) => self.read_call(number, EventFlags::OUT),
-            Due::Recall { watch } => self.recall(watch),
-            Due::Timer(timer) => self.reqs.feed(self.now, Event::Timer { timer }),
-            Due::Accept => {
-                self.set_accepting(true);
-                self.accept();
+            TimerEvent::RetryDiscoveryWatch => self.retry_discovery_call(CallKind::Watch),
+            TimerEvent::RetryDiscoveryPoll => self.retry_discovery_call(CallKind::Poll),
+            TimerEvent::OpenWatch => self.end_discovery_backoff(),
+            TimerEvent::ServeStaleList => {
+                self.discovery.serve_stale_list(now, &mut self.diagnostics);
             }
-            Due::TrimSessions => self.trim_sessions(),
-            Due::StopAccepting => self.stop_accepting(),
-            Due::EndDrain => self.end_drain(),
-            Due::Quit => self.quit(),
-            Due::Watch => self.watch_pushes(),
-            Due::ServeStaleList => self.serve_stale_list(),
-        }
-    }
-
-    /// Does all that follows from an event: commands first, then answers go out.
-    fn flush_pending(&mut self) {
-        loop {
-            self.execute_commands();
-            let Some(number) = self.answered.pop_front() else {
-                return;
-            };
-            self.flush_session(number);
+            TimerEvent::BalancerTimer(timer) => self.requests.feed(now, Event::Timer { timer }),
+            TimerEvent::ResumeAccepting => self.resume_accepting(),
+            TimerEvent::TrimClients => self.trim_clients(),
+            TimerEvent::StopAccepting => self.stop_accepting(),
+            TimerEvent::LastAnswers => self.give_last_answers(),
+            TimerEvent::ForceClose => self.force_close(),
         }
     }
 
-    /// Does what has been decided, in order. Doing it may lead to more.
-    fn execute_commands(&mut self) {
-        while let Some(denial) = self.reqs.denials.pop() {
-            self.count_denial(denial, format_args!("at=start"));
-        }
-        while let Some(violation) = self.reqs.violations.pop() {
-            self.violated(violation, format_args!("at=answer"));
-        }
-        while let Some(command) = self.reqs.commands.pop_front() {
-            match command {
-                Command::StartAttempt {
-                    request: req,
-                    attempt,
-                    backend,
-                    abandon_at: until,
-                    write_by,
-                } => {
-                    self.start_fetch(backend, Job::Request { req, attempt }, until, write_by);
-                }
-                Command::CancelAttempt {
-                    request: req,
-                    attempt,
-                } => {
-                    let job = Some(Job::Request { req, attempt });
-                    let found = self
-                        .fetches
-                        .iter()
-                        .find(|(_, fetch)| fetch.job == job)
-                        .map(|(number, _)| number);
-                    if let Some(number) = found {
-                        self.end_fetch(number, Outcome::Cancelled);
-                    }
-                    self.drop_postponed(req);
-                }
-                Command::Reply { connection, reply } => self.send_local_reply(connection, reply),
-                Command::CloseIdleConnections(backend) => self.close_idle(backend),
-                Command::CheckHealth(backend) => {
-                    let until = self.now + PROBE_PATIENCE;
-                    self.start_fetch(
-                        backend,
-                        Job::Probe {
-                            backend,
-                            sent: self.now,
-                        },
-                        until,
-                        until,
-                    );
-                }
-                Command::SetTimer { at, timer } => self.wheel.schedule(at, Due::Timer(timer)),
-                Command::WatchEndpoints(on) => self.watch(on),
-                Command::PollEndpoints => self.call(false),
-                Command::Log(line) => self.log.line(self.now, "decision", line),
-                Command::GossipUnsupported => {
-                    let text = "a message to peers is not carried";
-                    self.log.line(self.now, "decision", text);
-                }
-            }
+    fn guard_deadline(&mut self, request: u32) {
+        let now = self.event_loop.now();
+        if self.requests.expire(now, request) {
+            self.diagnostics
+                .log(now, "deadline-guard", format_args!("request={request}"));
         }
     }
 }
--- /dev/null
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -0,0 +1,199 @@
+//! Unit tests of `request_table`.
+
+use super::*;
+use crate::clock::{MS, SECOND};
+use kitefork_balancer::{CellId, Class, DeduplicationScope, Endpoint, EndpointState, UpdateKind};
+
+const NOW: Nanos = 100 * SECOND;
+
+fn requests(idempotency: Idempotency) -> RequestTable<()> {
+    let class = Class {
+        latency_objective: SECOND,
+        client_timeout: 5 * SECOND,
+        priority_weight: 1.0,
+        idempotency,
+        ..Class::default()
+    };
+    let settings = Settings {
+        classes: vec![class],
+        ..Settings::default()
+    };
+    let mut requests = RequestTable::new(settings, 1, 4, NOW, Trace::default()).unwrap();
+    let state = EndpointState::Ready;
+    let backend = |id| Endpoint {
+        id: BackendId(id),
+        cell: CellId(0),
+        state,
+        ..Endpoint::default()
+    };
+    requests.feed(
+        NOW,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: vec![backend(1), backend(2)],
+        },
+    );
+    requests
+}
+
+fn open(requests: &mut RequestTable<()>) -> u32 {
+    requests.open(NOW, 77, spec(), ()).unwrap().id
+}
+
+fn spec() -> RequestSpec {
+    RequestSpec {
+        txn: "a".into(),
+        class: 0,
+        tenant: 0,
+        client_timeout: SECOND,
+        work_hint: None,
+        client_retry: false,
+    }
+}
+
+fn replies(requests: &mut RequestTable<()>) -> Vec<LocalReply> {
+    let reply = |command| match command {
+        Command::Reply {
+            connection: 77,
+            reply,
+        } => Some(reply),
+        _ => None,
+    };
+    requests.commands.drain(..).filter_map(reply).collect()
+}
+
+#[test]
+fn one_answer_whatever_comes_after_it() {
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
+    assert_eq!(
+        requests.attempt_ended(NOW + MS, id, 0, Outcome::Success),
+        Some(77)
+    );
+    assert_eq!(
+        requests.attempt_ended(NOW + MS, id, 0, Outcome::Success),
+        None
+    );
+    assert!(!requests.expire(NOW + 2 * SECOND, id) && replies(&mut requests).is_empty());
+    assert!(requests.unanswered().is_empty() && requests.payload(id).is_none());
+}
+
+#[test]
+fn a_name_is_free_again_once_its_request_has_nothing_in_flight() {
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
+    assert_eq!(
+        requests.open(NOW, 78, spec(), ()),
+        Err(OpenError::DuplicateId)
+    );
+    assert!(requests.expire(NOW + SECOND, id));
+    assert_eq!(
+        requests.open(NOW + SECOND, 78, spec(), ()),
+        Err(OpenError::DuplicateId)
+    );
+    requests.attempt_ended(NOW + SECOND, id, 0, Outcome::Cancelled);
+    assert!(requests.open(NOW + SECOND, 78, spec(), ()).is_ok());
+}
+
+#[test]
+fn the_deadline_guard_answers_cancels_the_attempt_and_keeps_the_request_until_that_has_ended() {
+    let mut requests = requests(Idempotency::Idempotent);
+    let id = open(&mut requests);
+    assert!(requests.expire(NOW + SECOND, id));
+    assert!(requests.commands.contains(&Command::CancelAttempt {
+        request: id,
+        attempt: 0
+    }));
+    assert_eq!(replies(&mut requests), [LocalReply::TimedOut]);
+    assert!(requests.payload(id).is_some());
+    assert_eq!(
+        requests.attempt_ended(NOW + SECOND, id, 0, Outcome::Cancelled),
+        None
+    );
+    assert!(requests.payload(id).is_none() && replies(&mut requests).is_empty());
+}
+
+#[test]
+fn a_shutdown_rejects_what_was_not_executed_and_fails_what_may_have_been() {
+    let keyed = Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
+        window: SECOND,
+    };
+    for (outcome, wanted) in [
+        (
+            Some(Outcome::ConnectFailed),
+            LocalReply::Rejected { retry_after: 0 },
+        ),
+        (None, LocalReply::Failed),
+    ] {
+        let mut requests = requests(keyed);
+        let id = open(&mut requests);
+        requests.table.get_mut(id).unwrap().attempts[0].outcome = outcome;
+        requests.fail_for_shutdown(NOW + MS, id);
+        assert_eq!(replies(&mut requests), [wanted]);
+    }
+}
+
+#[test]
+fn nothing_that_may_have_been_executed_is_rejected() {
+    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 1 };
+    let rejected = LocalReply::Rejected { retry_after: 0 };
+    let not_idempotent = Idempotency::NotIdempotent;
+    let in_cell = keyed(DeduplicationScope::Cell);
+    let global = keyed(DeduplicationScope::Global);
+    for (idempotency, outcome, wanted) in [
+        (not_idempotent, Outcome::Reset, LocalReply::Failed),
+        (not_idempotent, Outcome::Timeout, LocalReply::TimedOut),
+        (not_idempotent, Outcome::Overloaded, rejected),
+        (in_cell, Outcome::Error, LocalReply::Failed),
+        (global, Outcome::Error, rejected),
+    ] {
+        let mut requests = requests(idempotency);
+        let id = open(&mut requests);
+        // After a first answer nothing is decided any more, so the guard is met directly.
+        let pending = requests.table.get_mut(id).unwrap();
+        pending.attempts[0].outcome = Some(outcome);
+        pending.last_outcome = Some(outcome);
+        requests.reply(NOW, id, rejected);
+        assert_eq!(
+            replies(&mut requests),
+            [wanted],
+            "{idempotency:?} {outcome:?}"
+        );
+    }
+}
+
+#[test]
+fn a_retry_must_be_written_within_the_window_of_the_attempt_that_may_have_been_executed() {
+    let mut requests = requests(Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
+        window: 300 * MS,
+    });
+    let id = open(&mut requests);
+    assert_eq!(
+        requests.table.get(id).unwrap().history().write_by,
+        NOW + 300 * MS
+    );
+    requests.table.get_mut(id).unwrap().attempts[0].outcome = Some(Outcome::Reset);
+    assert_eq!(
+        requests.start_attempt(NOW + 301 * MS, id, BackendId(2), 0),
+        Some(DeniedAttempt {
+            request: id,
+            attempt: 1
+        })
+    );
+    let pending = requests.table.get_mut(id).unwrap();
+    pending.attempts[1].outcome = Some(Outcome::NotSent);
+    assert_eq!(
+        requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
+        None
+    );
+    // Never two at once.
+    assert_eq!(
+        requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
+        Some(DeniedAttempt {
+            request: id,
+            attempt: 3
+        })
+    );
+}
