--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -16,24 +16,24 @@
 use rand::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::link::{Link, Linked};
+use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
 /// What a backend is.
 #[derive(Clone, Copy, Debug)]
-pub struct Build {
+pub struct BackendSettings {
     /// Mean work of a request at full speed; each draws its own from an exponential distribution.
     pub work: Duration,
     /// Work of a new connection; the first request on it waits behind that.
     pub handshake: Duration,
     /// Requests held at most; beyond, they are turned away unseen.
-    pub room: usize,
+    pub capacity: usize,
     /// Connections held at most; beyond, requests on new ones are turned away.
     pub connections: usize,
     /// Part of its speed that it starts with.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// Time after a start until it is at full speed.
-    pub cold: Duration,
+    pub slow_start: Duration,
 }
 
 /// How it is doing.
@@ -47,12 +47,12 @@
     /// It answers 500.
     Fails,
     /// It turns all away, as one that drains does.
-    TurnsAway,
+    Rejects,
 }
 
 /// How an attempt ended at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// Not yet.
     Out,
     /// Answered with 200.
@@ -60,9 +60,9 @@
     /// Answered with 500.
     Failed,
     /// Turned away unseen.
-    TurnedAway,
+    Overloaded,
     /// Its connection closed before it was answered.
-    Broken,
+    ConnectionLost,
 }
 
 /// One attempt in the ledger, from its last byte on.
@@ -83,14 +83,14 @@
     /// When it ended.
     pub ended: Duration,
     /// How.
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
 }
 
 /// The attempts of all backends of a run.
 #[derive(Default)]
-pub struct Ledger(Mutex<Vec<Attempt>>);
+pub struct AttemptLog(Mutex<Vec<Attempt>>);
 
-impl Ledger {
+impl AttemptLog {
     fn rows(&self) -> std::sync::MutexGuard<'_, Vec<Attempt>> {
         locked(&self.0)
     }
@@ -118,24 +118,24 @@
     /// Its link to the nodes.
     pub link: Arc<Link>,
     clock: Clock,
-    build: Build,
+    build: BackendSettings,
     state: Mutex<State>,
-    ledger: Arc<Ledger>,
-    turned_away: AtomicU64,
+    attempt_log: Arc<AttemptLog>,
+    rejected: AtomicU64,
 }
 
 /// Ends an attempt in the ledger, whatever becomes of its connection: a dropped one was broken.
 struct Held<'a> {
     backend: &'a Backend,
     place: usize,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     counted: bool,
 }
 
 impl Drop for Held<'_> {
     fn drop(&mut self) {
         {
-            let row = &mut self.backend.ledger.rows()[self.place];
+            let row = &mut self.backend.attempt_log.rows()[self.place];
             (row.ended, row.end) = (self.backend.clock.now(), self.end);
         }
         if self.counted {
@@ -149,9 +149,9 @@
     pub fn new(
         uid: &str,
         cell: u16,
-        build: Build,
+        build: BackendSettings,
         clock: Clock,
-        ledger: Arc<Ledger>,
+        attempt_log: Arc<AttemptLog>,
         seed: u64,
     ) -> Arc<Backend> {
         let state = State {
@@ -168,8 +168,8 @@
             clock,
             build,
             state: Mutex::new(state),
-            ledger,
-            turned_away: AtomicU64::new(0),
+            attempt_log,
+            rejected: AtomicU64::new(0),
         })
     }
 
@@ -191,14 +191,14 @@
     }
 
     /// Requests turned away for a full room or a full table of connections.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away.load(Ordering::SeqCst)
+    pub fn rejected(&self) -> u64 {
+        self.rejected.load(Ordering::SeqCst)
     }
 
     /// Listens for nodes.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let backend = self.clone();
-        let serve = move |linked: Linked| {
+        let serve = move |linked: LinkedStream| {
             let backend = backend.clone();
             let full = backend.link.open() > backend.build.connections;
             {
@@ -221,12 +221,12 @@
     }
 
     /// Speed now: it grows evenly from the cold part to the whole.
-    fn warmth(&self, state: &State, now: Duration) -> f64 {
-        if state.started.is_zero() || self.build.cold.is_zero() {
+    fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
+        if state.started.is_zero() || self.build.slow_start.is_zero() {
             return 1.0;
         }
-        let age = (now - state.started).as_secs_f64() / self.build.cold.as_secs_f64();
-        (self.build.cold_from + (1.0 - self.build.cold_from) * age).min(1.0)
+        let age = (now - state.started).as_secs_f64() / self.build.slow_start.as_secs_f64();
+        (self.build.slow_start_from + (1.0 - self.build.slow_start_from) * age).min(1.0)
     }
 
     async fn answer(
@@ -245,8 +245,8 @@
         let body = request.into_body().collect().await;
         let arrived = self.clock.now();
         let mut held = {
-            let mut rows = self.ledger.rows();
-            let (uid, cell, end) = (self.uid.clone(), self.cell, AttemptEnd::Out);
+            let mut rows = self.attempt_log.rows();
+            let (uid, cell, end) = (self.uid.clone(), self.cell, AttemptOutcome::Out);
             rows.push(Attempt {
                 txn: txn.clone(),
                 key,
@@ -260,7 +260,7 @@
             Held {
                 backend: &self,
                 place: rows.len() - 1,
-                end: AttemptEnd::Broken,
+                end: AttemptOutcome::ConnectionLost,
                 counted: false,
             }
         };
@@ -270,16 +270,16 @@
         };
         let (health, done) = {
             let mut state = self.state();
-            let unseen = body.is_err() || full || state.held >= self.build.room;
+            let unseen = body.is_err() || full || state.held >= self.build.capacity;
             let health = if unseen {
-                Health::TurnsAway
+                Health::Rejects
             } else {
                 state.health
             };
             if let Health::Works(part) = health {
                 let unit = (state.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
                 let work = -self.build.work.as_secs_f64() * (1.0 - unit).ln();
-                let speed = part * self.warmth(&state, arrived);
+                let speed = part * self.slow_start_fraction(&state, arrived);
                 state.free_at = state.free_at.max(arrived) + Duration::from_secs_f64(work / speed);
                 state.held += 1;
                 held.counted = true;
@@ -289,16 +289,16 @@
         match health {
             Health::Works(_) => {
                 tokio::time::sleep_until(self.clock.at(done)).await;
-                held.end = AttemptEnd::Served;
+                held.end = AttemptOutcome::Served;
             }
             Health::Swallows => std::future::pending::<()>().await,
             Health::Fails => {
-                held.end = AttemptEnd::Failed;
+                held.end = AttemptOutcome::Failed;
                 code(&mut answer, 500);
             }
-            Health::TurnsAway => {
-                self.turned_away.fetch_add(1, Ordering::SeqCst);
-                held.end = AttemptEnd::TurnedAway;
+            Health::Rejects => {
+                self.rejected.fetch_add(1, Ordering::SeqCst);
+                held.end = AttemptOutcome::Overloaded;
                 code(&mut answer, 503);
                 answer
                     .headers_mut()
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -18,54 +18,54 @@
 
 /// What repeating a request does, and so its method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
+pub enum Idempotency {
     /// `GET`.
-    Safe,
+    Idempotent,
     /// `POST` with a key.
-    Keyed,
+    IdempotencyKey,
     /// `POST` without one.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A request to be asked.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its name, fresh for each.
     pub txn: String,
     /// Name of its class.
     pub class: String,
     /// What repeating it does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// When it is meant to be sent.
     pub planned: Duration,
     /// How long the client waits.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// How an ask ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ClientOutcome {
     /// With this status and body.
-    Whole(u16, String),
+    Answered(u16, String),
     /// The node could not be reached.
     Unreachable,
     /// The connection ended without a whole answer.
-    Broken,
+    ConnectionLost,
     /// The client gave up.
-    GaveUp,
+    TimedOut,
 }
 
 /// One ask in the ledger.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// What was asked.
-    pub ask: Ask,
+    pub request: ClientRequest,
     /// Number of the node.
     pub node: usize,
     /// When it ended.
     pub ended: Duration,
     /// How.
-    pub answer: Answer,
+    pub answer: ClientOutcome,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -74,7 +74,7 @@
 pub struct Clients {
     clock: Clock,
     idle: Mutex<HashMap<usize, Vec<Sender>>>,
-    asked: Mutex<Vec<Asked>>,
+    asked: Mutex<Vec<RequestRecord>>,
 }
 
 impl Clients {
@@ -88,20 +88,20 @@
     }
 
     /// All asks that have ended.
-    pub fn asked(&self) -> Vec<Asked> {
+    pub fn asked(&self) -> Vec<RequestRecord> {
         locked(&self.asked).clone()
     }
 
     /// Puts one request to a node, now.
-    pub async fn ask(self: Arc<Self>, ask: Ask, node: usize, at: SocketAddr) {
-        let end = self.clock.at(ask.planned + ask.patience);
-        let answer = match tokio::time::timeout_at(end, self.put(&ask, node, at)).await {
+    pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, at: SocketAddr) {
+        let end = self.clock.at(request.planned + request.client_timeout);
+        let answer = match tokio::time::timeout_at(end, self.attempt(&request, node, at)).await {
             Ok(answer) => answer,
-            Err(_) => Answer::GaveUp,
+            Err(_) => ClientOutcome::TimedOut,
         };
         let ended = self.clock.now();
-        locked(&self.asked).push(Asked {
-            ask,
+        locked(&self.asked).push(RequestRecord {
+            request,
             node,
             ended,
             answer,
@@ -115,25 +115,27 @@
         kept.pop()
     }
 
-    fn request(&self, ask: &Ask) -> Request<Full<Bytes>> {
-        let left = (ask.planned + ask.patience).saturating_sub(self.clock.now());
+    fn http_request(&self, request: &ClientRequest) -> Request<Full<Bytes>> {
+        let left = (request.planned + request.client_timeout).saturating_sub(self.clock.now());
         let builder = Request::builder()
-            .method(if ask.effect == Effect::Safe {
+            .method(if request.idempotency == Idempotency::Idempotent {
                 "GET"
             } else {
                 "POST"
             })
             .uri("/api")
             .header("host", "api.internal")
-            .header("x-txn", &ask.txn)
-            .header("x-lane", &ask.class)
+            .header("x-txn", &request.txn)
+            .header("x-lane", &request.class)
             .header("x-org", "acme")
             .header("x-remaining-ms", left.as_millis().to_string());
-        let builder = match ask.effect {
-            Effect::Keyed => builder.header("idempotency-key", format!("k{}", ask.txn)),
+        let builder = match request.idempotency {
+            Idempotency::IdempotencyKey => {
+                builder.header("idempotency-key", format!("k{}", request.txn))
+            }
             _ => builder,
         };
-        let body = if ask.effect == Effect::Safe {
+        let body = if request.idempotency == Idempotency::Idempotent {
             Full::default()
         } else {
             Full::from("body")
@@ -141,7 +143,7 @@
         builder.body(body).expect("sound headers")
     }
 
-    async fn put(&self, ask: &Ask, node: usize, at: SocketAddr) -> Answer {
+    async fn attempt(&self, request: &ClientRequest, node: usize, at: SocketAddr) -> ClientOutcome {
         let mut fresh = false;
         loop {
             let mut sender = match self.idle(node) {
@@ -150,23 +152,23 @@
                     fresh = true;
                     match open(at).await {
                         Some(sender) => sender,
-                        None => return Answer::Unreachable,
+                        None => return ClientOutcome::Unreachable,
                     }
                 }
             };
-            match sender.send_request(self.request(ask)).await {
+            match sender.send_request(self.http_request(request)).await {
                 Ok(answer) => {
                     let status = answer.status().as_u16();
                     let Ok(body) = answer.into_body().collect().await else {
-                        return Answer::Broken;
+                        return ClientOutcome::ConnectionLost;
                     };
                     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
                     locked(&self.idle).entry(node).or_default().push(sender);
-                    return Answer::Whole(status, body);
+                    return ClientOutcome::Answered(status, body);
                 }
                 // A close that crossed the request: it is sent once more on a new connection.
                 Err(error) if !fresh && (error.is_canceled() || error.is_closed()) => fresh = true,
-                Err(_) => return Answer::Broken,
+                Err(_) => return ClientOutcome::ConnectionLost,
             }
         }
     }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/discovery.rs
@@ -19,16 +19,16 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-use crate::link::{Link, Linked};
+use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
 /// A backend in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The same at every node and over restarts.
     pub uid: String,
     /// Where it listens.
-    pub endpoint: SocketAddr,
+    pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
     /// Its small group.
@@ -39,10 +39,10 @@
     pub boot_ms: u64,
 }
 
-impl Entry {
+impl Endpoint {
     /// As the protocol writes it.
     pub fn json(&self) -> Value {
-        json!({"uid": self.uid, "endpoint": self.endpoint.to_string(), "az": self.zone, "model": "m",
+        json!({"uid": self.uid, "endpoint": self.address.to_string(), "az": self.zone, "model": "m",
             "pod_group": self.cell, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms})
     }
 }
@@ -76,7 +76,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Answered with a list or the beginning of a watch.
     Answered,
     /// 503, or broken off.
@@ -87,7 +87,7 @@
 
 /// One call in the ledger.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct DiscoveryCall {
     /// Number of the node whose listener it came to.
     pub node: usize,
     /// When it had arrived whole.
@@ -95,56 +95,60 @@
     /// When it was answered.
     pub ended: Duration,
     /// How.
-    pub end: CallEnd,
+    pub end: CallOutcome,
 }
 
 /// News written to a node.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Notification {
     /// Number of the node.
     pub node: usize,
     /// When it was written.
     pub at: Duration,
     /// The version that it brought the node to.
-    pub rev: u64,
+    pub revision: u64,
 }
 
 struct Inner {
     mode: Mode,
-    rev: u64,
-    entries: BTreeMap<String, Entry>,
-    history: VecDeque<(u64, Entry)>,
+    revision: u64,
+    endpoints: BTreeMap<String, Endpoint>,
+    history: VecDeque<(u64, Endpoint)>,
     free_at: Duration,
-    calls: Vec<Call>,
-    told: Vec<Told>,
+    calls: Vec<DiscoveryCall>,
+    told: Vec<Notification>,
     bytes_written: u64,
     /// Changes by version, kept for the referee.
-    changes: Vec<(u64, Duration, Entry)>,
+    changes: Vec<(u64, Duration, Endpoint)>,
 }
 
 /// The service; one for all nodes.
-pub struct ListService {
+pub struct DiscoveryService {
     clock: Clock,
     capacity: Capacity,
     inner: Mutex<Inner>,
-    rev: watch::Sender<u64>,
+    revision: watch::Sender<u64>,
 }
 
-type Answer = Response<BoxBody<Bytes, io::Error>>;
+type ClientOutcome = Response<BoxBody<Bytes, io::Error>>;
 
-fn status(code: u16) -> Answer {
+fn status(code: u16) -> ClientOutcome {
     let mut answer = Response::new(Empty::new().map_err(|never| match never {}).boxed());
     *answer.status_mut() = code.try_into().expect("a known status");
     answer
 }
 
-impl ListService {
+impl DiscoveryService {
     /// A service that knows these backends.
-    pub fn new(clock: Clock, capacity: Capacity, entries: Vec<Entry>) -> Arc<ListService> {
+    pub fn new(
+        clock: Clock,
+        capacity: Capacity,
+        endpoints: Vec<Endpoint>,
+    ) -> Arc<DiscoveryService> {
         let inner = Inner {
             mode: Mode::Up,
-            rev: 1,
-            entries: entries.into_iter().map(|e| (e.uid.clone(), e)).collect(),
+            revision: 1,
+            endpoints: endpoints.into_iter().map(|e| (e.uid.clone(), e)).collect(),
             history: VecDeque::new(),
             free_at: Duration::ZERO,
             calls: Vec::new(),
@@ -152,11 +156,11 @@
             bytes_written: 0,
             changes: Vec::new(),
         };
-        Arc::new(ListService {
+        Arc::new(DiscoveryService {
             clock,
             capacity,
             inner: Mutex::new(inner),
-            rev: watch::Sender::new(1),
+            revision: watch::Sender::new(1),
         })
     }
 
@@ -167,7 +171,7 @@
     /// Opens a listener for one node.
     pub async fn serve(self: &Arc<Self>, node: usize, link: Arc<Link>) -> io::Result<SocketAddr> {
         let (service, over) = (self.clone(), link.clone());
-        let serve = move |linked: Linked| {
+        let serve = move |linked: LinkedStream| {
             let (service, over) = (service.clone(), over.clone());
             tokio::spawn(async move {
                 let answer = service_fn(|request| {
@@ -197,35 +201,37 @@
     }
 
     /// Publishes a change.
-    pub fn change(&self, entry: Entry) {
+    pub fn change(&self, entry: Endpoint) {
         let mut inner = self.inner();
-        inner.rev += 1;
-        let rev = inner.rev;
+        inner.revision += 1;
+        let revision = inner.revision;
         match entry.state {
-            "Gone" => drop(inner.entries.remove(&entry.uid)),
-            _ => drop(inner.entries.insert(entry.uid.clone(), entry.clone())),
+            "Gone" => drop(inner.endpoints.remove(&entry.uid)),
+            _ => drop(inner.endpoints.insert(entry.uid.clone(), entry.clone())),
         }
-        inner.changes.push((rev, self.clock.now(), entry.clone()));
-        inner.history.push_back((rev, entry));
+        inner
+            .changes
+            .push((revision, self.clock.now(), entry.clone()));
+        inner.history.push_back((revision, entry));
         while inner.history.len() > self.capacity.history {
             inner.history.pop_front();
         }
         drop(inner);
-        self.rev.send_replace(rev);
+        self.revision.send_replace(revision);
     }
 
     /// The list as it is now.
-    pub fn list(&self) -> Vec<Entry> {
-        self.inner().entries.values().cloned().collect()
+    pub fn list(&self) -> Vec<Endpoint> {
+        self.inner().endpoints.values().cloned().collect()
     }
 
     /// All calls so far.
-    pub fn calls(&self) -> Vec<Call> {
+    pub fn calls(&self) -> Vec<DiscoveryCall> {
         self.inner().calls.clone()
     }
 
     /// All news written so far.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<Notification> {
         self.inner().told.clone()
     }
 
@@ -235,7 +241,7 @@
     }
 
     /// Version, time and entry of each change so far.
-    pub fn changes(&self) -> Vec<(u64, Duration, Entry)> {
+    pub fn changes(&self) -> Vec<(u64, Duration, Endpoint)> {
         self.inner().changes.clone()
     }
 
@@ -243,9 +249,12 @@
     /// kept.
     fn update(&self, after: Option<u64>) -> (u64, usize, Bytes) {
         let inner = self.inner();
-        let rev = inner.rev;
-        let kept = inner.history.front().map_or(rev + 1, |(first, _)| *first);
-        let since = after.filter(|after| *after > 0 && after + 1 >= kept && *after <= rev);
+        let revision = inner.revision;
+        let kept = inner
+            .history
+            .front()
+            .map_or(revision + 1, |(first, _)| *first);
+        let since = after.filter(|after| *after > 0 && after + 1 >= kept && *after <= revision);
         let (all, rows): (bool, Vec<Value>) = match since {
             Some(after) => (
                 false,
@@ -256,22 +265,22 @@
                     .map(|(_, e)| e.json())
                     .collect(),
             ),
-            None => (true, inner.entries.values().map(Entry::json).collect()),
+            None => (true, inner.endpoints.values().map(Endpoint::json).collect()),
         };
         let count = rows.len();
         (
-            rev,
+            revision,
             count,
-            Bytes::from(json!({"rev": rev, "all": all, "targets": rows}).to_string() + "\n"),
+            Bytes::from(json!({"rev": revision, "all": all, "targets": rows}).to_string() + "\n"),
         )
     }
 
     /// Notes news as told, unless the link says nothing: then it reaches the node at best when that
     /// is over.
-    fn wrote(&self, node: usize, link: &Link, rev: u64) {
+    fn wrote(&self, node: usize, link: &Link, revision: u64) {
         let at = self.clock.now();
         if link.passes_out() {
-            self.inner().told.push(Told { node, at, rev });
+            self.inner().told.push(Notification { node, at, revision });
         }
     }
 
@@ -280,16 +289,16 @@
         node: usize,
         link: Arc<Link>,
         request: Request<Incoming>,
-    ) -> Result<Answer, Infallible> {
+    ) -> Result<ClientOutcome, Infallible> {
         let arrived = self.clock.now();
         let query = request.uri().query().unwrap_or_default().to_string();
         let place = {
             let mut inner = self.inner();
-            inner.calls.push(Call {
+            inner.calls.push(DiscoveryCall {
                 node,
                 arrived,
                 ended: arrived,
-                end: CallEnd::Unanswered,
+                end: CallOutcome::Unanswered,
             });
             inner.calls.len() - 1
         };
@@ -303,7 +312,7 @@
         match mode {
             Mode::Up => {}
             Mode::Busy => {
-                end(CallEnd::Failed);
+                end(CallOutcome::Failed);
                 return Ok(status(503));
             }
             Mode::Silent => std::future::pending::<()>().await,
@@ -311,7 +320,7 @@
                 let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
                 let half = self.update(None).2;
                 let _ = sender.send_data(half.slice(..half.len() / 2)).await;
-                end(CallEnd::Failed);
+                end(CallOutcome::Failed);
                 // Gone without the last chunk: the connection closes under the answer.
                 sender.abort(io::ErrorKind::BrokenPipe.into());
                 return Ok(Response::new(body.boxed()));
@@ -333,31 +342,31 @@
         };
         if waits > self.capacity.most_wait {
             tokio::time::sleep_until(self.clock.at(arrived + self.capacity.most_wait)).await;
-            end(CallEnd::Failed);
+            end(CallOutcome::Failed);
             return Ok(status(503));
         }
         tokio::time::sleep_until(self.clock.at(done)).await;
-        end(CallEnd::Answered);
+        end(CallOutcome::Answered);
         let (mut sender, body) = Channel::<Bytes, io::Error>::new(4);
         let service = self.clone();
         tokio::spawn(async move {
-            let mut news = service.rev.subscribe();
+            let mut news = service.revision.subscribe();
             news.mark_unchanged();
-            let (mut rev, _, first) = service.update(after.filter(|_| watch));
-            service.wrote(node, &link, rev);
+            let (mut revision, _, first) = service.update(after.filter(|_| watch));
+            service.wrote(node, &link, revision);
             service.inner().bytes_written += first.len() as u64;
             let mut sent = sender.send_data(first).await;
             while watch && sent.is_ok() {
                 // Only whether it has changed goes on: the guard that comes with it would hold off
                 // a change.
-                let changed = async { news.wait_for(|now| *now > rev).await.is_ok() };
+                let changed = async { news.wait_for(|now| *now > revision).await.is_ok() };
                 let line = tokio::select! {
                     // A list may have changed between the first line and here.
                     changed = changed => {
                         if !changed { return; }
-                        let (now, _, line) = service.update(Some(rev));
-                        rev = now;
-                        service.wrote(node, &link, rev);
+                        let (now, _, line) = service.update(Some(revision));
+                        revision = now;
+                        service.wrote(node, &link, revision);
                         line
                     }
                     () = tokio::time::sleep(Duration::from_secs(2)) => Bytes::from_static(b"\n"),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -9,9 +9,9 @@
 
 pub mod backend;
 pub mod clients;
+pub mod discovery;
 pub mod link;
-pub mod list;
-pub mod odd;
+pub mod misbehaving;
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -39,12 +39,12 @@
 
 /// How what this side says is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Manner {
+pub enum WriteBehaviour {
     /// As it is.
     #[default]
-    Whole,
+    Unchanged,
     /// All of it twice, the second time right behind the first.
-    Twice,
+    Duplicated,
     /// A few bytes at a time, with a pause behind each.
     InPieces,
 }
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub struct Link {
     health: Mutex<Health>,
-    manner: Mutex<Manner>,
+    behaviour: Mutex<WriteBehaviour>,
     /// For each connection, who waits to read on it and who to write.
     wakers: Mutex<BTreeMap<usize, [Option<Waker>; 2]>>,
     changed: Notify,
@@ -76,8 +76,8 @@
     }
 
     /// Changes how what this side says is written, on open connections too.
-    pub fn set_manner(&self, manner: Manner) {
-        *locked(&self.manner) = manner;
+    pub fn set_write_behaviour(&self, behaviour: WriteBehaviour) {
+        *locked(&self.behaviour) = behaviour;
     }
 
     /// Resets all connections that are open.
@@ -117,7 +117,7 @@
     /// Listens on a port of its own; each connection is handed to `serve`.
     pub async fn listen(
         self: Arc<Self>,
-        serve: impl Fn(Linked) + Send + 'static,
+        serve: impl Fn(LinkedStream) + Send + 'static,
     ) -> io::Result<(SocketAddr, tokio::task::JoinHandle<()>)> {
         // An address of its own: ports of 127.0.0.1 are given to connections, also while a link
         // refuses, and one that connects to its own port would even reach itself.
@@ -149,7 +149,7 @@
                         self.open.fetch_add(1, Ordering::SeqCst);
                         let number = self.accepted.fetch_add(1, Ordering::SeqCst);
                         let born = self.resets.load(Ordering::SeqCst);
-                        serve(Linked { stream, link: self.clone(), number, born, pause: None });
+                        serve(LinkedStream { stream, link: self.clone(), number, born, pause: None });
                     },
                     () = self.changed.notified() => {}
                 }
@@ -193,7 +193,7 @@
 }
 
 /// A connection over a link.
-pub struct Linked {
+pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
     number: usize,
@@ -202,14 +202,14 @@
     pause: Option<Pin<Box<Sleep>>>,
 }
 
-impl Drop for Linked {
+impl Drop for LinkedStream {
     fn drop(&mut self) {
         locked(&self.link.wakers).remove(&self.number);
         self.link.open.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Linked {
+impl LinkedStream {
     /// Whether bytes pass now; if they don't, the task is woken when that may have changed.
     fn passes(&self, context: &Context<'_>, writes: bool) -> Poll<io::Result<()>> {
         // Kept before the look, so that a change in between is not missed.
@@ -228,7 +228,7 @@
     }
 }
 
-impl AsyncRead for Linked {
+impl AsyncRead for LinkedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -239,22 +239,22 @@
     }
 }
 
-impl AsyncWrite for Linked {
+impl AsyncWrite for LinkedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         std::task::ready!(self.passes(context, true))?;
-        let manner = *locked(&self.link.manner);
-        match manner {
-            Manner::Whole => Pin::new(&mut self.stream).poll_write(context, bytes),
-            Manner::Twice => {
+        let behaviour = *locked(&self.link.behaviour);
+        match behaviour {
+            WriteBehaviour::Unchanged => Pin::new(&mut self.stream).poll_write(context, bytes),
+            WriteBehaviour::Duplicated => {
                 let twice = [bytes, bytes].concat();
                 let written = Pin::new(&mut self.stream).poll_write(context, &twice);
                 written.map_ok(|count| count.min(bytes.len()))
             }
-            Manner::InPieces => {
+            WriteBehaviour::InPieces => {
                 if let Some(pause) = &mut self.pause {
                     std::task::ready!(pause.as_mut().poll(context));
                 }
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -5,7 +5,7 @@
 
 async fn echo() -> (Arc<Link>, SocketAddr) {
     let link = Arc::new(Link::default());
-    let serve = |mut linked: Linked| {
+    let serve = |mut linked: LinkedStream| {
         tokio::spawn(async move {
             let mut byte = [0];
             while linked.read_exact(&mut byte).await.is_ok()
@@ -49,16 +49,16 @@
 async fn what_is_said_comes_twice_or_in_pieces() {
     let (link, address) = echo().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
-    for (manner, wanted) in [
-        (Manner::Twice, &b"aa"[..]),
-        (Manner::InPieces, b"a"),
-        (Manner::Whole, b"a"),
+    for (behaviour, wanted) in [
+        (WriteBehaviour::Duplicated, &b"aa"[..]),
+        (WriteBehaviour::InPieces, b"a"),
+        (WriteBehaviour::Unchanged, b"a"),
     ] {
-        link.set_manner(manner);
+        link.set_write_behaviour(behaviour);
         stream.write_all(b"a").await.unwrap();
         let mut bytes = vec![0; wanted.len()];
         stream.read_exact(&mut bytes).await.unwrap();
-        assert_eq!(bytes, wanted, "{manner:?}");
+        assert_eq!(bytes, wanted, "{behaviour:?}");
     }
 }
 
--- a/crates/standin/src/odd.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -13,7 +13,7 @@
 
 /// What a client does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// It closes its connection this long after its request.
     Leaves(Duration),
     /// It ends its sending behind its request and waits for the answer.
@@ -29,12 +29,12 @@
 }
 
 /// The manners that need no figure.
-pub const MANNERS: [Manner; 5] = [
-    Manner::HalfCloses,
-    Manner::Trickles,
-    Manner::StopsMidway,
-    Manner::Silent,
-    Manner::Pipelines,
+pub const BEHAVIOURS: [Behaviour; 5] = [
+    Behaviour::HalfCloses,
+    Behaviour::Trickles,
+    Behaviour::StopsMidway,
+    Behaviour::Silent,
+    Behaviour::Pipelines,
 ];
 
 /// Pieces of a request that trickles, and the pause between them.
@@ -43,7 +43,7 @@
 
 /// What such a client asks.
 #[derive(Clone, Debug)]
-pub struct OddAsk {
+pub struct MisbehavingRequest {
     /// Its request's name; a second one has a `b` behind it.
     pub txn: String,
     /// Name of its class, whose requests are safe to repeat or keyed.
@@ -51,16 +51,16 @@
     /// It is sent as `POST` with a key.
     pub keyed: bool,
     /// How long it waits.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// What it does.
-    pub manner: Manner,
+    pub behaviour: Behaviour,
 }
 
 /// One such client in the ledger.
 #[derive(Clone, Debug)]
-pub struct OddAsked {
+pub struct MisbehavingRecord {
     /// What it asked, and how.
-    pub ask: OddAsk,
+    pub request: MisbehavingRequest,
     /// Number of the node.
     pub node: usize,
     /// When it had connected; `None` if it could not.
@@ -76,30 +76,30 @@
 }
 
 /// All of them.
-pub struct OddClients {
+pub struct MisbehavingClients {
     clock: Clock,
-    asked: Mutex<Vec<OddAsked>>,
+    asked: Mutex<Vec<MisbehavingRecord>>,
 }
 
-impl OddClients {
+impl MisbehavingClients {
     /// None has asked.
-    pub fn new(clock: Clock) -> Arc<OddClients> {
-        Arc::new(OddClients {
+    pub fn new(clock: Clock) -> Arc<MisbehavingClients> {
+        Arc::new(MisbehavingClients {
             clock,
             asked: Mutex::default(),
         })
     }
 
     /// All that have ended.
-    pub fn asked(&self) -> Vec<OddAsked> {
+    pub fn asked(&self) -> Vec<MisbehavingRecord> {
         locked(&self.asked).clone()
     }
 
     /// Plays one client to its end.
-    pub async fn play(self: Arc<Self>, ask: OddAsk, node: usize, at: SocketAddr) {
+    pub async fn play(self: Arc<Self>, request: MisbehavingRequest, node: usize, at: SocketAddr) {
         let now = self.clock.now();
-        let row = OddAsked {
-            ask,
+        let row = MisbehavingRecord {
+            request,
             node,
             connected: None,
             sent: now,
@@ -111,36 +111,36 @@
         locked(&self.asked).push(row);
     }
 
-    async fn talk(&self, mut row: OddAsked, at: SocketAddr) -> OddAsked {
+    async fn talk(&self, mut row: MisbehavingRecord, at: SocketAddr) -> MisbehavingRecord {
         let Ok(mut stream) = TcpStream::connect(at).await else {
             return row;
         };
         row.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
-        let text = request(&row.ask, "");
-        let sent = match row.ask.manner {
-            Manner::Silent => Ok(()),
-            Manner::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
-            Manner::Trickles => trickle(&mut stream, &text).await,
-            Manner::Pipelines => {
-                let both = [text, request(&row.ask, "b")].concat();
+        let text = request_bytes(&row.request, "");
+        let sent = match row.request.behaviour {
+            Behaviour::Silent => Ok(()),
+            Behaviour::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
+            Behaviour::Trickles => trickle(&mut stream, &text).await,
+            Behaviour::Pipelines => {
+                let both = [text, request_bytes(&row.request, "b")].concat();
                 stream.write_all(&both).await
             }
-            Manner::Leaves(_) | Manner::HalfCloses => stream.write_all(&text).await,
+            Behaviour::Leaves(_) | Behaviour::HalfCloses => stream.write_all(&text).await,
         };
         row.sent = self.clock.now();
         if sent.is_err() {
             row.ended = Some(row.sent);
             return row;
         }
-        match row.ask.manner {
-            Manner::Leaves(wait) => {
+        match row.request.behaviour {
+            Behaviour::Leaves(wait) => {
                 tokio::time::sleep(wait).await;
                 drop(stream);
                 row.left = Some(self.clock.now());
                 return row;
             }
-            Manner::HalfCloses => {
+            Behaviour::HalfCloses => {
                 let _ = stream.shutdown().await;
                 row.left = Some(self.clock.now());
             }
@@ -152,13 +152,13 @@
 
     /// Reads until the answers that are owed have come, the node ends, or far more than patience is
     /// over.
-    async fn read_answers(&self, row: &mut OddAsked, mut stream: TcpStream) {
-        let wanted = if row.ask.manner == Manner::Pipelines {
+    async fn read_answers(&self, row: &mut MisbehavingRecord, mut stream: TcpStream) {
+        let wanted = if row.request.behaviour == Behaviour::Pipelines {
             2
         } else {
             1
         };
-        let limit = row.ask.patience.max(Duration::from_secs(3)) + Duration::from_secs(1);
+        let limit = row.request.client_timeout.max(Duration::from_secs(3)) + Duration::from_secs(1);
         let mut bytes = Vec::new();
         let read = async {
             let mut piece = [0; 4096];
@@ -179,14 +179,14 @@
     }
 }
 
-fn request(ask: &OddAsk, second: &str) -> Vec<u8> {
-    let OddAsk {
+fn request_bytes(request: &MisbehavingRequest, second: &str) -> Vec<u8> {
+    let MisbehavingRequest {
         txn,
         class,
         keyed,
-        patience,
+        client_timeout,
         ..
-    } = ask;
+    } = request;
     let (method, key, body) = if *keyed {
         (
             "POST",
@@ -199,7 +199,7 @@
     format!(
         "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}{second}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
          X-Remaining-Ms: {}\r\n{key}\r\n{body}",
-        patience.as_millis()
+        client_timeout.as_millis()
     )
     .into_bytes()
 }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/cluster.rs
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kitefork_standin::backend::{self, Backend, Ledger};
-use kitefork_standin::clients::{Answer, Ask, Clients, Effect};
+use kitefork_standin::backend::{self, AttemptLog, Backend};
+use kitefork_standin::clients::{ClientOutcome, ClientRequest, Clients, Idempotency};
+use kitefork_standin::discovery::{CallOutcome, Capacity, DiscoveryService, Endpoint, Mode};
 use kitefork_standin::link::{self, Link};
-use kitefork_standin::list::{CallEnd, Capacity, Entry, ListService, Mode};
-use kitefork_standin::odd::{self, Manner, OddAsk, OddClients};
+use kitefork_standin::misbehaving::{self, Behaviour, MisbehavingClients, MisbehavingRequest};
 use kitefork_standin::{Clock, locked};
 use rand::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -24,9 +24,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::node::{Life, Node, Setup};
-use crate::referee::{self, Broken, Ledgers, Rules};
-use crate::scenario::{Class, Known, Scenario, Step, What, span};
+use crate::node::{Incarnation, Node, Setup};
+use crate::referee::{self, Records, Rules, Violation};
+use crate::scenario::{Action, Class, Known, Scenario, Step, span};
 
 /// Grace after a drain was told, and slack of a final answer, as the nodes are told.
 const GRACE: Duration = Duration::from_millis(250);
@@ -80,14 +80,14 @@
     }
 }
 
-struct Parties {
+struct Cluster {
     scenario: Scenario,
     clock: Clock,
-    list: Arc<ListService>,
+    list: Arc<DiscoveryService>,
     list_links: Vec<Arc<Link>>,
     discovery: Vec<SocketAddr>,
     backends: Vec<Arc<Backend>>,
-    entries: Vec<Entry>,
+    endpoints: Vec<Endpoint>,
     nodes: Vec<Mutex<Node>>,
     admitted: Vec<AtomicBool>,
     stopped: Mutex<Vec<(usize, Duration, Duration)>>,
@@ -147,24 +147,24 @@
     let clock = Clock::start();
     let build = &scenario.backend;
     let ms = |ms: f64| span(ms / 1_000.0);
-    let ledger = Arc::new(Ledger::default());
-    let (mut backends, mut entries) = (Vec::new(), Vec::new());
+    let attempt_log = Arc::new(AttemptLog::default());
+    let (mut backends, mut endpoints) = (Vec::new(), Vec::new());
     for number in 0..scenario.fleet.backends {
-        let build = backend::Build {
+        let build = backend::BackendSettings {
             work: ms(build.work_ms),
             handshake: ms(build.handshake_ms),
-            room: build.room,
+            capacity: build.capacity,
             connections: build.connections,
-            cold_from: build.cold_from,
-            cold: span(build.cold_s),
+            slow_start_from: build.slow_start_from,
+            slow_start: span(build.slow_start_s),
         };
         let (uid, cell) = (format!("s-{number:04}"), (number / 4) as u16);
         let seed = scenario.seed.wrapping_mul(1_000_003) + number as u64;
-        let backend = Backend::new(&uid, cell, build, clock, ledger.clone(), seed);
+        let backend = Backend::new(&uid, cell, build, clock, attempt_log.clone(), seed);
         let zone = format!("z{}", zone(scenario, number));
-        entries.push(Entry {
+        endpoints.push(Endpoint {
             uid,
-            endpoint: backend.serve().await?,
+            address: backend.serve().await?,
             zone,
             cell,
             state: "Ready",
@@ -179,7 +179,7 @@
         most_wait: ms(list.most_wait_ms),
         history: list.history,
     };
-    let list = ListService::new(clock, capacity, entries.clone());
+    let list = DiscoveryService::new(clock, capacity, endpoints.clone());
     let (mut list_links, mut discovery) = (Vec::new(), Vec::new());
     for number in 0..scenario.fleet.nodes {
         let link = Arc::new(Link::default());
@@ -187,14 +187,14 @@
         list_links.push(link);
     }
     let numbers = 0..scenario.fleet.nodes;
-    let parties = Arc::new(Parties {
+    let cluster = Arc::new(Cluster {
         scenario: scenario.clone(),
         clock,
         list,
         list_links,
         discovery,
         backends,
-        entries,
+        endpoints,
         nodes: numbers
             .clone()
             .map(|number| Mutex::new(Node::new(number, folder.path())))
@@ -207,19 +207,23 @@
         most_descriptors: Mutex::default(),
     });
     for number in 0..scenario.fleet.nodes {
-        let known = parties.first_known();
-        locked(&parties.nodes[number]).configure(parties.config(number, &known))?;
+        let known = cluster.first_known();
+        locked(&cluster.nodes[number]).configure(cluster.config(number, &known))?;
     }
     let clients = Clients::new(clock);
-    let odd = OddClients::new(clock);
+    let misbehaving = MisbehavingClients::new(clock);
     let setup = programs.setup(scenario);
     let begin = clock.now();
-    let watch = tokio::spawn(load::front(parties.clone()));
-    let asking = tokio::spawn(load::traffic(parties.clone(), clients.clone(), begin));
-    let disturbing = tokio::spawn(load::odd_traffic(parties.clone(), odd.clone(), begin));
-    for (at, step, number) in parties.timeline() {
+    let watch = tokio::spawn(load::front(cluster.clone()));
+    let asking = tokio::spawn(load::traffic(cluster.clone(), clients.clone(), begin));
+    let disturbing = tokio::spawn(load::misbehaving_traffic(
+        cluster.clone(),
+        misbehaving.clone(),
+        begin,
+    ));
+    for (at, step, number) in cluster.timeline() {
         tokio::time::sleep_until(clock.at(begin + at)).await;
-        parties.carry_out(&step, number, &programs.node, &setup)?;
+        cluster.apply(&step, number, &programs.node, &setup)?;
     }
     tokio::time::sleep_until(clock.at(begin + span(scenario.length_s))).await;
     // Those that are out come to their end; asks stop well before it.
@@ -227,62 +231,62 @@
         .traffic
         .class
         .iter()
-        .map(|c| c.deadline_ms)
+        .map(|c| c.client_timeout_ms)
         .fold(0.0, f64::max);
     let _ = asking.await;
     let _ = disturbing.await;
     tokio::time::sleep(ms(longest) + SLACK + Duration::from_millis(300)).await;
     watch.abort();
-    parties.sample();
-    for node in &parties.nodes {
+    cluster.sample();
+    for node in &cluster.nodes {
         let mut node = locked(node);
         node.reap(clock);
         node.signal(Signal::CONT, clock);
         // The run is over, whatever its state: its child ends with it.
         node.signal(Signal::KILL, clock);
     }
-    Ok(parties.report(&clients, &odd, &ledger, begin))
+    Ok(cluster.report(&clients, &misbehaving, &attempt_log, begin))
 }
 
-impl Parties {
+impl Cluster {
     /// The list that nodes are given at their first start.
-    fn first_known(&self) -> Vec<Entry> {
+    fn first_known(&self) -> Vec<Endpoint> {
         match self.scenario.fleet.known {
             Known::Empty => Vec::new(),
-            Known::Current => self.entries.clone(),
+            Known::Current => self.endpoints.clone(),
             Known::Stale => {
-                let aged = |(number, entry): (usize, &Entry)| {
+                let aged = |(number, entry): (usize, &Endpoint)| {
                     let uid = if number % 10 < 3 {
                         format!("old-{number:04}")
                     } else {
                         entry.uid.clone()
                     };
-                    Entry {
+                    Endpoint {
                         uid,
                         ..entry.clone()
                     }
                 };
-                self.entries.iter().enumerate().map(aged).collect()
+                self.endpoints.iter().enumerate().map(aged).collect()
             }
         }
     }
 
-    fn config(&self, number: usize, known: &[Entry]) -> Value {
+    fn config(&self, number: usize, known: &[Endpoint]) -> Value {
         let scenario = &self.scenario;
         let (backend, traffic) = (&scenario.backend, &scenario.traffic);
         let ns = |ms: f64| (ms * 1e6) as u64;
-        let effect = |class: &Class| match class.effect() {
-            Some(Effect::Unsafe) => "once",
-            Some(Effect::Keyed) => "by_key",
+        let idempotency = |class: &Class| match class.idempotency() {
+            Some(Idempotency::NotIdempotent) => "once",
+            Some(Idempotency::IdempotencyKey) => "by_key",
             _ => "repeatable",
         };
         let default = [Class {
             name: "check".into(),
-            effect: "safe".into(),
+            idempotency: "safe".into(),
             share: 1.0,
-            aim_ms: 300.0,
-            deadline_ms: 1_000.0,
-            worth: 1.0,
+            latency_objective_ms: 300.0,
+            client_timeout_ms: 1_000.0,
+            priority_weight: 1.0,
         }];
         let classes = if traffic.class.is_empty() {
             &default[..]
@@ -292,9 +296,9 @@
         let grades: Vec<Value> = classes
             .iter()
             .map(|class| {
-                json!({"name": class.name, "effect": effect(class), "keyScope": "cell",
-                    "windowNs": WINDOW.as_nanos() as u64, "goalTimeNs": ns(class.aim_ms),
-                    "giveUpNs": ns(class.deadline_ms), "importance": class.worth})
+                json!({"name": class.name, "effect": idempotency(class), "keyScope": "cell",
+                    "windowNs": WINDOW.as_nanos() as u64, "goalTimeNs": ns(class.latency_objective_ms),
+                    "giveUpNs": ns(class.client_timeout_ms), "importance": class.priority_weight})
             })
             .collect();
         let mode = if scenario.list.pushed {
@@ -311,14 +315,14 @@
             .wrapping_add(number as u64);
         json!({"name": format!("n{number}"), "discovery": self.discovery[number].to_string(),
             "seed": format!("{seed:016x}"), "limits": {"sockets": scenario.fleet.sockets, "memory_mb": 64},
-            "known": {"rev": 0, "all": true, "targets": known.iter().map(Entry::json).collect::<Vec<_>>()},
+            "known": {"rev": 0, "all": true, "targets": known.iter().map(Endpoint::json).collect::<Vec<_>>()},
             "settings": {"azs": zones, "kinds": ["m"], "membershipMode": mode, "tickNs": 1_000_000,
                 "me": number, "zone": zone(scenario, number),
-                "siblings": scenario.fleet.siblings.unwrap_or(scenario.fleet.nodes),
+                "siblings": scenario.fleet.proxy_count.unwrap_or(scenario.fleet.nodes),
                 "grades": grades, "tenants": [{"name": "acme", "quotaPerS": 1e9}],
                 "limits": {"cancel": true, "maxAttempts": 5, "maxRetryAfterNs": 500_000_000,
                     "connectTimeoutNs": 100_000_000, "connIdleNs": 10_000_000_000u64},
-                "rules": {"coldFrom": backend.cold_from, "coldNs": ns(backend.cold_s * 1e3).max(1),
+                "rules": {"coldFrom": backend.slow_start_from, "coldNs": ns(backend.slow_start_s * 1e3).max(1),
                     "drainGraceNs": GRACE.as_nanos() as u64, "fallNs": FALL.as_nanos() as u64,
                     "tipMultiple": MULTIPLE, "answerSlackNs": SLACK.as_nanos() as u64,
                     "askWithinNs": 10_000_000_000u64}}})
@@ -328,22 +332,22 @@
     fn timeline(&self) -> Vec<(Duration, Step, usize)> {
         let mut all = Vec::new();
         for step in &self.scenario.at {
-            let count = match step.what {
-                What::Start
-                | What::Kill
-                | What::Term
-                | What::Stop
-                | What::Cont
-                | What::Reload
-                | What::ReloadHalf
-                | What::ReloadMissing
-                | What::ListCut => self.nodes.len(),
-                What::ListUp
-                | What::ListBusy
-                | What::ListSilent
-                | What::ListHalf
-                | What::ListDown
-                | What::ListRestart => 1,
+            let count = match step.action {
+                Action::Start
+                | Action::Kill
+                | Action::Term
+                | Action::Stop
+                | Action::Cont
+                | Action::Reload
+                | Action::ReloadHalf
+                | Action::ReloadMissing
+                | Action::ListCut => self.nodes.len(),
+                Action::ListUp
+                | Action::ListBusy
+                | Action::ListSilent
+                | Action::ListHalf
+                | Action::ListDown
+                | Action::ListRestart => 1,
                 _ => self.backends.len(),
             };
             let [from, to] = step.part.map(|part| (part * count as f64).round() as usize);
@@ -362,7 +366,7 @@
         all
     }
 
-    fn carry_out(
+    fn apply(
         self: &Arc<Self>,
         step: &Step,
         number: usize,
@@ -371,28 +375,28 @@
     ) -> io::Result<()> {
         let clock = self.clock;
         let signal = |signal| locked(&self.nodes[number]).signal(signal, clock);
-        match step.what {
-            What::Start => {
+        match step.action {
+            Action::Start => {
                 let mut node = locked(&self.nodes[number]);
                 node.reap(clock);
                 node.start(program, clock, setup)?;
             }
-            What::Kill | What::Term => {
+            Action::Kill | Action::Term => {
                 // What it knew then is all that its next life is given.
                 let known = self.list.list();
                 locked(&self.nodes[number]).configure(self.config(number, &known))?;
-                signal(if step.what == What::Kill {
+                signal(if step.action == Action::Kill {
                     Signal::KILL
                 } else {
                     Signal::TERM
                 });
             }
-            What::Stop => {
+            Action::Stop => {
                 signal(Signal::STOP);
                 let now = clock.now();
                 locked(&self.stopped).push((number, now, Duration::MAX));
             }
-            What::Cont => {
+            Action::Cont => {
                 signal(Signal::CONT);
                 // It works off what has come meanwhile.
                 let end = clock.now() + Duration::from_millis(500);
@@ -402,90 +406,94 @@
                     .filter(|s| s.0 == number && s.2 == Duration::MAX)
                     .for_each(|s| s.2 = end);
             }
-            What::Reload => {
+            Action::Reload => {
                 // Sound again, whatever was there before.
                 let known = self.list.list();
                 locked(&self.nodes[number]).configure(self.config(number, &known))?;
                 signal(Signal::HUP);
             }
-            What::ReloadHalf => {
+            Action::ReloadHalf => {
                 let config = self.config(number, &[]);
                 locked(&self.nodes[number]).configure_half(&config)?;
                 signal(Signal::HUP);
             }
-            What::ReloadMissing => {
+            Action::ReloadMissing => {
                 // It may be missing already.
                 let _ = locked(&self.nodes[number]).remove_configuration();
                 signal(Signal::HUP);
             }
-            What::ListUp => {
+            Action::ListUp => {
                 self.list.set(Mode::Up);
                 self.list_links
                     .iter()
                     .for_each(|link| link.set(link::Health::Sound));
             }
-            What::ListBusy => self.list.set(Mode::Busy),
-            What::ListSilent => self.list.set(Mode::Silent),
-            What::ListHalf => self.list.set(Mode::Half),
-            What::ListDown => self.list_links.iter().for_each(|link| {
+            Action::ListBusy => self.list.set(Mode::Busy),
+            Action::ListSilent => self.list.set(Mode::Silent),
+            Action::ListHalf => self.list.set(Mode::Half),
+            Action::ListDown => self.list_links.iter().for_each(|link| {
                 link.set(link::Health::Refused);
                 link.reset();
             }),
-            What::ListRestart => {
+            Action::ListRestart => {
                 self.list.restart();
                 self.list_links.iter().for_each(|link| link.reset());
             }
-            What::ListCut => self.list_links[number].set(link::Health::Cut),
-            What::Drain | What::BackendKill => {
-                let state = if step.what == What::Drain {
+            Action::ListCut => self.list_links[number].set(link::Health::Cut),
+            Action::Drain | Action::BackendKill => {
+                let state = if step.action == Action::Drain {
                     "Terminating"
                 } else {
                     "Gone"
                 };
-                if step.what == What::BackendKill {
+                if step.action == Action::BackendKill {
                     self.backends[number].link.set(link::Health::Refused);
                     self.backends[number].link.reset();
                 } else {
-                    self.list.change(Entry {
+                    self.list.change(Endpoint {
                         state,
-                        ..self.entries[number].clone()
+                        ..self.endpoints[number].clone()
                     });
                 }
-                let parties = self.clone();
+                let cluster = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs(1)).await;
-                    parties.list.change(Entry {
+                    cluster.list.change(Endpoint {
                         state: "Gone",
-                        ..parties.entries[number].clone()
+                        ..cluster.endpoints[number].clone()
                     });
                 });
             }
-            What::BackendStart => {
+            Action::BackendStart => {
                 let backend = &self.backends[number];
                 backend.restart();
                 backend.link.set(link::Health::Sound);
                 locked(&self.starts).push((backend.uid.clone(), clock.now()));
                 let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
                 let boot_ms = since.unwrap_or_default().as_millis() as u64;
-                self.list.change(Entry {
+                self.list.change(Endpoint {
                     boot_ms,
-                    ..self.entries[number].clone()
+                    ..self.endpoints[number].clone()
                 });
             }
-            What::Swallow => self.backends[number].set(backend::Health::Swallows),
-            What::Fail => self.backends[number].set(backend::Health::Fails),
-            What::Work => {
+            Action::Swallow => self.backends[number].set(backend::Health::Swallows),
+            Action::Fail => self.backends[number].set(backend::Health::Fails),
+            Action::Work => {
                 self.backends[number].set(backend::Health::Works(step.size));
                 self.backends[number].link.set(link::Health::Sound);
-                self.backends[number].link.set_manner(link::Manner::Whole);
+                self.backends[number]
+                    .link
+                    .set_write_behaviour(link::WriteBehaviour::Unchanged);
             }
-            What::AnswerTwice => self.backends[number].link.set_manner(link::Manner::Twice),
-            What::AnswerInPieces => self.backends[number]
+            Action::AnswerTwice => self.backends[number]
                 .link
-                .set_manner(link::Manner::InPieces),
-            What::BackendCut => self.backends[number].link.set(link::Health::Cut),
-            What::BackendCutOut => self.backends[number].link.set(link::Health::CutOut),
-            What::BackendReset => self.backends[number].link.reset(),
+                .set_write_behaviour(link::WriteBehaviour::Duplicated),
+            Action::AnswerInPieces => self.backends[number]
+                .link
+                .set_write_behaviour(link::WriteBehaviour::InPieces),
+            Action::BackendCut => self.backends[number].link.set(link::Health::Cut),
+            Action::BackendCutOut => self.backends[number].link.set(link::Health::CutOut),
+            Action::BackendReset => self.backends[number].link.reset(),
         }
         Ok(())
     }
@@ -513,23 +521,23 @@
     fn report(
         &self,
         clients: &Clients,
-        odd: &OddClients,
-        ledger: &Ledger,
+        misbehaving: &MisbehavingClients,
+        attempt_log: &AttemptLog,
         begin: Duration,
     ) -> Report {
         let scenario = &self.scenario;
-        let lives: Vec<Life> = self
+        let incarnations: Vec<Incarnation> = self
             .nodes
             .iter()
-            .flat_map(|node| locked(node).lives())
+            .flat_map(|node| locked(node).incarnations())
             .collect();
-        let ledgers = Ledgers {
+        let records = Records {
             asked: clients.asked(),
-            odd: odd.asked(),
-            attempts: ledger.attempts(),
+            misbehaving: misbehaving.asked(),
+            attempts: attempt_log.attempts(),
             told: self.list.told(),
             changes: self.list.changes(),
-            lives,
+            incarnations,
             stopped: locked(&self.stopped).clone(),
             starts: locked(&self.starts).clone(),
         };
@@ -539,11 +547,11 @@
             window: WINDOW,
             multiple: MULTIPLE,
             fall: FALL,
-            cold_from: scenario.backend.cold_from,
-            cold: span(scenario.backend.cold_s),
+            slow_start_from: scenario.backend.slow_start_from,
+            slow_start: span(scenario.backend.slow_start_s),
             work: span(scenario.backend.work_ms / 1_000.0),
         };
-        let broken = referee::judge(&rules, &ledgers);
+        let broken = referee::judge(&rules, &records);
         let lines = self.nodes.iter().flat_map(|node| {
             let node = locked(node);
             let number = node.number;
@@ -563,13 +571,13 @@
             .filter(|line| line.contains("panicked"))
             .cloned()
             .collect();
-        let mut figures = self.figures(&ledgers, &broken, begin);
+        let mut figures = self.figures(&records, &broken, begin);
         figures.insert("panics".into(), panics.len() as f64);
         let unmet = scenario.unmet(&figures);
-        let seconds = self.seconds(&ledgers, begin);
+        let seconds = self.seconds(&records, begin);
         let mut broken: Vec<String> = broken
             .into_iter()
-            .map(|b| format!("{}: {}", b.rule, b.story))
+            .map(|b| format!("{}: {}", b.rule, b.details))
             .collect();
         broken.extend(violations);
         Report {
@@ -582,21 +590,23 @@
         }
     }
 
-    fn in_time(&self, asked: &kitefork_standin::clients::Asked) -> bool {
-        let aim = self
+    fn in_time(&self, asked: &kitefork_standin::clients::RequestRecord) -> bool {
+        let latency_objective = self
             .scenario
             .traffic
             .class
             .iter()
-            .find(|class| class.name == asked.ask.class);
-        let aim = span(aim.map_or(0.0, |class| class.aim_ms) / 1_000.0);
-        matches!(asked.answer, Answer::Whole(200, _)) && asked.ended <= asked.ask.planned + aim
+            .find(|class| class.name == asked.request.class);
+        let latency_objective =
+            span(latency_objective.map_or(0.0, |class| class.latency_objective_ms) / 1_000.0);
+        matches!(asked.answer, ClientOutcome::Answered(200, _))
+            && asked.ended <= asked.request.planned + latency_objective
     }
 
     fn figures(
         &self,
-        ledgers: &Ledgers,
-        broken: &[Broken],
+        records: &Records,
+        broken: &[Violation],
         begin: Duration,
     ) -> BTreeMap<String, f64> {
         let nodes = self.nodes.len() as f64;
@@ -609,13 +619,13 @@
         let calls = self.list.calls();
         let failed = calls
             .iter()
-            .filter(|call| call.end != CallEnd::Answered)
+            .filter(|call| call.end != CallOutcome::Answered)
             .count() as f64;
         put("calls", calls.len() as f64);
         put("calls_per_node", calls.len() as f64 / nodes);
         put(
             "calls_per_start",
-            calls.len() as f64 / ledgers.lives.len().max(1) as f64,
+            calls.len() as f64 / records.incarnations.len().max(1) as f64,
         );
         put("calls_failed", failed / calls.len().max(1) as f64);
         let mut times: Vec<Duration> = calls.iter().map(|call| call.arrived).collect();
@@ -633,23 +643,26 @@
 
         // From when a life began until it was told anything; those told of an end before don't
         // count.
-        let first = |life: &Life| {
-            let told = ledgers
+        let first = |incarnation: &Incarnation| {
+            let told = records
                 .told
                 .iter()
-                .filter(|t| t.node == life.node && t.at >= life.started)
+                .filter(|t| t.node == incarnation.node && t.at >= incarnation.started)
                 .map(|t| t.at);
-            let end = life.ended.map_or(Duration::MAX, |end| end.0);
+            let end = incarnation.ended.map_or(Duration::MAX, |end| end.0);
             told.min()
                 .filter(|at| *at <= end)
-                .map(|at| (at - life.started).as_secs_f64())
+                .map(|at| (at - incarnation.started).as_secs_f64())
         };
-        let lasting: Vec<&Life> = ledgers
-            .lives
+        let lasting: Vec<&Incarnation> = records
+            .incarnations
+            .iter()
+            .filter(|incarnation| incarnation.ended.is_none())
+            .collect();
+        let mut waits: Vec<f64> = lasting
             .iter()
-            .filter(|life| life.ended.is_none())
+            .filter_map(|incarnation| first(incarnation))
             .collect();
-        let mut waits: Vec<f64> = lasting.iter().filter_map(|life| first(life)).collect();
         waits.sort_by(f64::total_cmp);
         put("nodes_without_list", (lasting.len() - waits.len()) as f64);
         put(
@@ -672,38 +685,39 @@
         );
         put(
             "turned_away",
-            self.backends.iter().map(|b| b.turned_away() as f64).sum(),
+            self.backends.iter().map(|b| b.rejected() as f64).sum(),
         );
 
-        let share = |kept: &dyn Fn(&kitefork_standin::clients::Asked) -> bool, from: Duration| {
+        let share = |kept: &dyn Fn(&kitefork_standin::clients::RequestRecord) -> bool,
+                     from: Duration| {
             let all = || {
-                ledgers
+                records
                     .asked
                     .iter()
-                    .filter(|asked| asked.ask.planned >= from)
+                    .filter(|asked| asked.request.planned >= from)
             };
             all().filter(|asked| kept(asked)).count() as f64 / all().count().max(1) as f64
         };
         let start = Duration::ZERO;
-        put("asked", ledgers.asked.len() as f64);
+        put("asked", records.asked.len() as f64);
         put("in_time", share(&|asked| self.in_time(asked), start));
         put(
             "served",
             share(
-                &|asked| matches!(asked.answer, Answer::Whole(200, _)),
+                &|asked| matches!(asked.answer, ClientOutcome::Answered(200, _)),
                 start,
             ),
         );
         put(
             "refused",
             share(
-                &|asked| matches!(asked.answer, Answer::Whole(429 | 503, _)),
+                &|asked| matches!(asked.answer, ClientOutcome::Answered(429 | 503, _)),
                 start,
             ),
         );
         put(
             "unreachable",
-            share(&|asked| asked.answer == Answer::Unreachable, start),
+            share(&|asked| asked.answer == ClientOutcome::Unreachable, start),
         );
         let last = self
             .scenario
@@ -717,9 +731,9 @@
         );
         put(
             "attempts_per_ask",
-            ledgers.attempts.len() as f64 / ledgers.asked.len().max(1) as f64,
+            records.attempts.len() as f64 / records.asked.len().max(1) as f64,
         );
-        put("lives", ledgers.lives.len() as f64);
+        put("lives", records.incarnations.len() as f64);
         let most = locked(&self.most_memory);
         put("memory_mb_most", most.values().copied().fold(0.0, f64::max));
         put("descriptors_most", *locked(&self.most_descriptors) as f64);
@@ -732,38 +746,40 @@
         figures
     }
 
-    fn seconds(&self, ledgers: &Ledgers, begin: Duration) -> Vec<Second> {
+    fn seconds(&self, records: &Records, begin: Duration) -> Vec<Second> {
         let mut seconds = vec![Second::default(); self.scenario.length_s.ceil() as usize];
         let place = |at: Duration| at.saturating_sub(begin).as_secs() as usize;
         for call in self.list.calls() {
             if let Some(second) = seconds.get_mut(place(call.arrived)) {
                 second.calls += 1;
-                second.failed += usize::from(call.end != CallEnd::Answered);
+                second.failed += usize::from(call.end != CallOutcome::Answered);
             }
         }
-        for asked in &ledgers.asked {
-            if let Some(second) = seconds.get_mut(place(asked.ask.planned)) {
+        for asked in &records.asked {
+            if let Some(second) = seconds.get_mut(place(asked.request.planned)) {
                 second.asked += 1;
                 second.in_time += usize::from(self.in_time(asked));
-                second.refused += usize::from(matches!(asked.answer, Answer::Whole(429 | 503, _)));
+                second.refused += usize::from(matches!(
+                    asked.answer,
+                    ClientOutcome::Answered(429 | 503, _)
+                ));
             }
         }
-        for attempt in &ledgers.attempts {
+        for attempt in &records.attempts {
             if let Some(second) = seconds.get_mut(place(attempt.arrived)) {
                 second.attempts += 1;
             }
         }
         for (number, second) in seconds.iter_mut().enumerate() {
             let end = begin + Duration::from_secs(number as u64 + 1);
-            let fresh = |life: &&Life| {
-                life.started < end
-                    && life.ended.is_none_or(|at| at.0 >= end)
-                    && ledgers
-                        .told
-                        .iter()
-                        .any(|t| t.node == life.node && t.at >= life.started && t.at < end)
+            let fresh = |incarnation: &&Incarnation| {
+                incarnation.started < end
+                    && incarnation.ended.is_none_or(|at| at.0 >= end)
+                    && records.told.iter().any(|t| {
+                        t.node == incarnation.node && t.at >= incarnation.started && t.at < end
+                    })
             };
-            second.fresh = ledgers.lives.iter().filter(fresh).count();
+            second.fresh = records.incarnations.iter().filter(fresh).count();
         }
         seconds
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,9 +4,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod cluster;
 pub mod node;
 pub mod referee;
 pub mod scale;
 pub mod scenario;
 pub mod soak;
-pub mod world;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -6,8 +6,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use kitefork_testbed::cluster::{self, Programs, Report};
 use kitefork_testbed::scenario::Scenario;
-use kitefork_testbed::world::{self, Programs, Report};
 use kitefork_testbed::{scale, soak};
 
 #[derive(Parser)]
@@ -104,7 +104,7 @@
 
 fn play(scenario: &Scenario, programs: &Programs) -> Result<Report, String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
-    let report = runtime.block_on(world::run(scenario, programs));
+    let report = runtime.block_on(cluster::run(scenario, programs));
     report.map_err(|error| format!("{}: {error}", programs.node.display()))
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// Stories that are printed of a seed that fails.
-const MOST_STORIES: usize = 5;
+const MOST_VIOLATIONS: usize = 5;
 
 fn run_soak(seeds: Range<u64>, options: soak::Options, program: &Path) -> Result<bool, String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
@@ -130,13 +130,13 @@
             verdict.plan, report.figures["served"]
         );
         if !report.passed() {
-            for story in report
+            for details in report
                 .broken
                 .iter()
                 .chain(&report.panics)
-                .take(MOST_STORIES)
+                .take(MOST_VIOLATIONS)
             {
-                println!("  {story}");
+                println!("  {details}");
             }
             println!(
                 "  {} stories; again: kitefork-testbed soak --from {seed} --seeds 1 --nodes {} --quiet {}",
@@ -163,8 +163,8 @@
                 &scale::scenario(backends, round + 1),
                 &Programs::beside(program),
             )?;
-            if let Some(story) = report.broken.first().or(report.panics.first()) {
-                return Err(format!("{backends} backends: {story}"));
+            if let Some(details) = report.broken.first().or(report.panics.first()) {
+                return Err(format!("{backends} backends: {details}"));
             }
             for (name, value) in report.figures {
                 found.entry(name).or_default().push(value);
@@ -238,14 +238,14 @@
             if let Some(path) = logs {
                 write_file(&path, &report.logs.join("\n"))?;
             }
-            for story in report
+            for details in report
                 .broken
                 .iter()
                 .take(10)
                 .chain(&report.unmet)
                 .chain(&report.panics)
             {
-                println!("FAILED {story}");
+                println!("FAILED {details}");
             }
             if !report.passed() {
                 println!(
@@ -266,9 +266,9 @@
             let mut found: Vec<BTreeMap<String, Vec<f64>>> = vec![BTreeMap::new(); program.len()];
             for round in 0..rounds {
                 scenario.seed += 1;
-                for turn in 0..program.len() {
+                for iteration in 0..program.len() {
                     // In turn first and second, so that neither always has the warmer machine.
-                    let place = (turn + round as usize) % program.len();
+                    let place = (iteration + round as usize) % program.len();
                     for (name, value) in
                         play(&scenario, &Programs::beside(&program[place]))?.figures
                     {
@@ -345,7 +345,7 @@
             for step in &scenario.at {
                 println!(
                     "{:>7.2} s  {:?}, part {:?}, over {} s",
-                    step.s, step.what, step.part, step.over_s
+                    step.s, step.action, step.part, step.over_s
                 );
             }
             for expect in &scenario.expect {
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -17,7 +17,7 @@
 
 /// A life of a node: from its start until it ended.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct Incarnation {
     /// Number of the node.
     pub node: usize,
     /// When it was started.
@@ -51,7 +51,7 @@
 #[derive(Default)]
 struct Shared {
     address: Option<SocketAddr>,
-    lives: Vec<Life>,
+    incarnations: Vec<Incarnation>,
     lines: Vec<String>,
 }
 
@@ -78,14 +78,14 @@
     /// It listens now, for all that is known.
     pub fn is_up(&self) -> bool {
         self.shared()
-            .lives
+            .incarnations
             .last()
-            .is_some_and(|life| life.listens.is_some() && life.ended.is_none())
+            .is_some_and(|incarnation| incarnation.listens.is_some() && incarnation.ended.is_none())
     }
 
     /// Its lives so far.
-    pub fn lives(&self) -> Vec<Life> {
-        self.shared().lives.clone()
+    pub fn incarnations(&self) -> Vec<Incarnation> {
+        self.shared().incarnations.clone()
     }
 
     /// Its log so far.
@@ -128,7 +128,7 @@
             .kill_on_drop(true)
             .spawn()?;
         let (node, started) = (self.number, clock.now());
-        self.shared().lives.push(Life {
+        self.shared().incarnations.push(Incarnation {
             node,
             started,
             listens: None,
@@ -151,8 +151,8 @@
                 {
                     shared.address = rest.split(' ').next().and_then(|at| at.parse().ok());
                     let now = clock.now();
-                    if let Some(life) = shared.lives.last_mut() {
-                        life.listens = Some(now);
+                    if let Some(incarnation) = shared.incarnations.last_mut() {
+                        incarnation.listens = Some(now);
                     }
                 }
                 if shared.lines.len() < MOST_LINES {
@@ -180,10 +180,10 @@
             return;
         };
         let now = clock.now();
-        if let Some(life) = self.shared().lives.last_mut()
-            && life.ended.is_none()
+        if let Some(incarnation) = self.shared().incarnations.last_mut()
+            && incarnation.ended.is_none()
         {
-            life.ended = Some((now, status.code()));
+            incarnation.ended = Some((now, status.code()));
         }
     }
 
@@ -198,11 +198,14 @@
             return;
         };
         let now = clock.now();
-        if let Some(life) = self.shared().lives.last_mut()
+        if let Some(incarnation) = self.shared().incarnations.last_mut()
             && [Signal::KILL, Signal::TERM].contains(&signal)
-            && !life.told.is_some_and(|told| told.1)
+            && !incarnation.told.is_some_and(|told| told.1)
         {
-            life.told = Some((life.told.map_or(now, |told| told.0), signal == Signal::KILL));
+            incarnation.told = Some((
+                incarnation.told.map_or(now, |told| told.0),
+                signal == Signal::KILL,
+            ));
         }
         let _ = kill_process(pid, signal);
     }
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `referee`.
 
 use super::*;
-use kitefork_standin::clients::Ask;
+use kitefork_standin::clients::ClientRequest;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -12,21 +12,21 @@
         window: MS(3_000),
         multiple: 3.0,
         fall: MS(2_000),
-        cold_from: 0.3,
-        cold: MS(4_000),
+        slow_start_from: 0.3,
+        slow_start: MS(4_000),
         work: MS(10),
     }
 }
 
-fn asked(effect: Effect, answer: Answer, ended: u64) -> Asked {
-    let (txn, class, planned, patience) = ("t1".into(), "c".into(), MS(1_000), MS(500));
-    Asked {
-        ask: Ask {
+fn asked(idempotency: Idempotency, answer: ClientOutcome, ended: u64) -> RequestRecord {
+    let (txn, class, planned, client_timeout) = ("t1".into(), "c".into(), MS(1_000), MS(500));
+    RequestRecord {
+        request: ClientRequest {
             txn,
             class,
-            effect,
+            idempotency,
             planned,
-            patience,
+            client_timeout,
         },
         node: 3,
         ended: MS(ended),
@@ -34,7 +34,7 @@
     }
 }
 
-fn attempt(uid: &str, cell: u16, arrived: u64, ended: u64, end: AttemptEnd) -> Attempt {
+fn attempt(uid: &str, cell: u16, arrived: u64, ended: u64, end: AttemptOutcome) -> Attempt {
     let (txn, uid, key) = ("t1".to_string(), uid.to_string(), None);
     Attempt {
         txn,
@@ -48,17 +48,17 @@
     }
 }
 
-fn served() -> Answer {
-    Answer::Whole(200, "a:t1".into())
+fn served() -> ClientOutcome {
+    ClientOutcome::Answered(200, "a:t1".into())
 }
 
-fn found(asked: Asked, attempts: Vec<Attempt>) -> Vec<&'static str> {
-    let ledgers = Ledgers {
+fn found(asked: RequestRecord, attempts: Vec<Attempt>) -> Vec<&'static str> {
+    let records = Records {
         asked: vec![asked],
         attempts,
-        ..Ledgers::default()
+        ..Records::default()
     };
-    judge(&rules(), &ledgers)
+    judge(&rules(), &records)
         .into_iter()
         .map(|broken| broken.rule)
         .collect()
@@ -66,8 +66,8 @@
 
 #[test]
 fn every_planted_violation_is_found_and_nothing_else() {
-    use AttemptEnd::*;
-    use Effect::*;
+    use AttemptOutcome::*;
+    use Idempotency::*;
     let one = || vec![attempt("a", 1, 1_010, 1_100, Served)];
     let two = |end, cell, arrived| {
         vec![
@@ -75,68 +75,110 @@
             attempt("a", cell, arrived, arrived + 9, Served),
         ]
     };
-    let refused = || Answer::Whole(503, "refused".into());
-    for (effect, answer, ended, attempts, wanted) in [
-        (Safe, served(), 1_100, one(), vec![]),
-        (Safe, served(), 1_800, one(), vec!["answered too late"]),
-        (Safe, Answer::GaveUp, 1_570, one(), vec!["never answered"]),
-        (Safe, Answer::Broken, 1_200, vec![], vec!["never answered"]),
-        (Safe, Answer::Unreachable, 1_200, vec![], vec![]),
+    let refused = || ClientOutcome::Answered(503, "refused".into());
+    for (idempotency, answer, ended, attempts, wanted) in [
+        (Idempotent, served(), 1_100, one(), vec![]),
         (
-            Safe,
+            Idempotent,
+            served(),
+            1_800,
+            one(),
+            vec!["answered too late"],
+        ),
+        (
+            Idempotent,
+            ClientOutcome::TimedOut,
+            1_570,
+            one(),
+            vec!["never answered"],
+        ),
+        (
+            Idempotent,
+            ClientOutcome::ConnectionLost,
+            1_200,
+            vec![],
+            vec!["never answered"],
+        ),
+        (
+            Idempotent,
+            ClientOutcome::Unreachable,
+            1_200,
+            vec![],
+            vec![],
+        ),
+        (
+            Idempotent,
             served(),
             1_100,
             vec![],
             vec!["served with something that no backend made for it"],
         ),
         (
-            Safe,
-            Answer::Whole(200, "b:t1".into()),
+            Idempotent,
+            ClientOutcome::Answered(200, "b:t1".into()),
             1_100,
             one(),
             vec!["served with something that no backend made for it"],
         ),
-        (Safe, refused(), 1_100, one(), vec![]),
+        (Idempotent, refused(), 1_100, one(), vec![]),
         (
-            Unsafe,
+            NotIdempotent,
             refused(),
             1_100,
             one(),
             vec!["refused though it may have run"],
         ),
         (
-            Keyed,
+            IdempotencyKey,
             refused(),
             1_100,
             one(),
             vec!["refused though it may have run"],
         ),
         (
-            Unsafe,
+            NotIdempotent,
             refused(),
             1_100,
-            vec![attempt("a", 1, 1_010, 1_020, TurnedAway)],
+            vec![attempt("a", 1, 1_010, 1_020, Overloaded)],
             vec![],
         ),
-        (Safe, served(), 1_450, two(Broken, 1, 1_400), vec![]),
         (
-            Safe,
+            Idempotent,
             served(),
             1_450,
-            two(Broken, 1, 1_020),
+            two(ConnectionLost, 1, 1_400),
+            vec![],
+        ),
+        (
+            Idempotent,
+            served(),
+            1_450,
+            two(ConnectionLost, 1, 1_020),
             vec!["two attempts at a time"],
         ),
-        (Unsafe, served(), 1_450, two(TurnedAway, 1, 1_400), vec![]),
         (
-            Unsafe,
+            NotIdempotent,
+            served(),
+            1_450,
+            two(Overloaded, 1, 1_400),
+            vec![],
+        ),
+        (
+            NotIdempotent,
             served(),
             1_450,
-            two(Broken, 1, 1_400),
+            two(ConnectionLost, 1, 1_400),
             vec!["an unsafe request went out again"],
         ),
-        (Keyed, served(), 1_450, two(Failed, 2, 1_400), vec![]),
         (
-            Keyed,
+            IdempotencyKey,
+            served(),
+            1_450,
+            two(Failed, 2, 1_400),
+            vec![],
+        ),
+        (
+            IdempotencyKey,
             served(),
             1_450,
             two(Failed, 1, 1_400),
@@ -144,13 +186,13 @@
         ),
     ] {
         assert_eq!(
-            found(asked(effect, answer.clone(), ended), attempts.clone()),
+            found(asked(idempotency, answer.clone(), ended), attempts.clone()),
             wanted,
-            "{effect:?} {answer:?} {attempts:?}"
+            "{idempotency:?} {answer:?} {attempts:?}"
         );
     }
-    let mut late = asked(Keyed, served(), 4_500);
-    late.ask.patience = MS(5_000);
+    let mut late = asked(IdempotencyKey, served(), 4_500);
+    late.request.client_timeout = MS(5_000);
     assert_eq!(
         found(late, two(Failed, 2, 4_200)),
         ["a keyed request went out after its window"]
@@ -159,36 +201,46 @@
 
 #[test]
 fn a_killed_or_stopped_node_excuses_what_it_held_and_no_other() {
-    let life = |told, ended| Life {
+    let incarnation = |told, ended| Incarnation {
         node: 3,
         started: MS(0),
         listens: Some(MS(1)),
         told,
         ended,
     };
-    let judged = |lives: Vec<Life>, stopped| {
-        let lost = vec![asked(Effect::Safe, Answer::Broken, 1_200)];
-        let ledgers = Ledgers {
+    let judged = |incarnations: Vec<Incarnation>, stopped| {
+        let lost = vec![asked(
+            Idempotency::Idempotent,
+            ClientOutcome::ConnectionLost,
+            1_200,
+        )];
+        let records = Records {
             asked: lost,
-            lives,
+            incarnations,
             stopped,
-            ..Ledgers::default()
+            ..Records::default()
         };
-        judge(&rules(), &ledgers)
+        judge(&rules(), &records)
             .into_iter()
             .map(|b| b.rule)
             .collect::<Vec<_>>()
     };
     assert_eq!(
         judged(
-            vec![life(Some((MS(1_200), true)), Some((MS(1_201), None)))],
+            vec![incarnation(
+                Some((MS(1_200), true)),
+                Some((MS(1_201), None))
+            )],
             vec![]
         ),
         [""; 0]
     );
     assert_eq!(
         judged(
-            vec![life(Some((MS(2_200), true)), Some((MS(2_201), None)))],
+            vec![incarnation(
+                Some((MS(2_200), true)),
+                Some((MS(2_201), None))
+            )],
             vec![]
         ),
         ["never answered"]
@@ -196,33 +248,45 @@
     // SIGTERM excuses what came long after it, and only that.
     assert_eq!(
         judged(
-            vec![life(Some((MS(900), false)), Some((MS(1_201), Some(0))))],
+            vec![incarnation(
+                Some((MS(900), false)),
+                Some((MS(1_201), Some(0)))
+            )],
             vec![]
         ),
         ["never answered"]
     );
     assert_eq!(
         judged(
-            vec![life(Some((MS(200), false)), Some((MS(1_201), Some(0))))],
+            vec![incarnation(
+                Some((MS(200), false)),
+                Some((MS(1_201), Some(0)))
+            )],
             vec![]
         ),
         [""; 0]
     );
     assert_eq!(
-        judged(vec![life(None, None)], vec![(3, MS(800), MS(1_100))]),
+        judged(vec![incarnation(None, None)], vec![(3, MS(800), MS(1_100))]),
         [""; 0]
     );
     assert_eq!(
-        judged(vec![life(None, None)], vec![(4, MS(800), MS(1_100))]),
+        judged(vec![incarnation(None, None)], vec![(4, MS(800), MS(1_100))]),
         ["never answered"]
     );
-    let crashed = judged(vec![life(None, Some((MS(5_000), Some(101))))], vec![]);
+    let crashed = judged(
+        vec![incarnation(None, Some((MS(5_000), Some(101))))],
+        vec![],
+    );
     assert_eq!(
         crashed,
         ["never answered", "a node ended by itself or badly"]
     );
     let badly = judged(
-        vec![life(Some((MS(5_000), false)), Some((MS(5_100), Some(1))))],
+        vec![incarnation(
+            Some((MS(5_000), false)),
+            Some((MS(5_100), Some(1))),
+        )],
         vec![],
     );
     assert_eq!(badly, ["never answered", "a node ended by itself or badly"]);
@@ -230,31 +294,31 @@
 
 #[test]
 fn a_send_after_a_told_drain_and_a_crowd_at_a_cold_backend_are_found() {
-    let endpoint = "127.0.0.1:1".parse().unwrap();
-    let entry = |state| Entry {
+    let address = "127.0.0.1:1".parse().unwrap();
+    let entry = |state| Endpoint {
         uid: "a".into(),
-        endpoint,
+        address,
         zone: "z".into(),
         cell: 1,
         state,
         boot_ms: 0,
     };
-    let judged = |at: u64, told: u64, changes: Vec<(u64, Duration, Entry)>| {
-        let told = vec![Told {
+    let judged = |at: u64, told: u64, changes: Vec<(u64, Duration, Endpoint)>| {
+        let told = vec![Notification {
             node: 3,
             at: MS(told),
-            rev: 2,
+            revision: 2,
         }];
-        let attempts = vec![attempt("a", 1, at, at + 9, AttemptEnd::Served)];
-        let asked = vec![asked(Effect::Safe, served(), at + 10)];
-        let ledgers = Ledgers {
+        let attempts = vec![attempt("a", 1, at, at + 9, AttemptOutcome::Served)];
+        let asked = vec![asked(Idempotency::Idempotent, served(), at + 10)];
+        let records = Records {
             asked,
             attempts,
             told,
             changes,
-            ..Ledgers::default()
+            ..Records::default()
         };
-        judge(&rules(), &ledgers)
+        judge(&rules(), &records)
             .into_iter()
             .map(|b| b.rule)
             .collect::<Vec<_>>()
@@ -276,15 +340,22 @@
     // Thirty in a hundred of a hundred a second, three times, for two seconds: 180, and some for
     // chance.
     let crowd = |count: u64| {
-        let attempts = (0..count)
-            .map(|n| attempt("a", 1, 1_000 + n * 2_000 / count, 4_000, AttemptEnd::Served));
+        let attempts = (0..count).map(|n| {
+            attempt(
+                "a",
+                1,
+                1_000 + n * 2_000 / count,
+                4_000,
+                AttemptOutcome::Served,
+            )
+        });
         let starts = vec![("a".to_string(), MS(1_000))];
         judge(
             &rules(),
-            &Ledgers {
+            &Records {
                 attempts: attempts.collect(),
                 starts,
-                ..Ledgers::default()
+                ..Records::default()
             },
         )
         .len()
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::scenario::{Class, Scenario, Step, What};
+use crate::scenario::{Action, Class, Scenario, Step};
 
 /// Backends of the usual list and of the longest one.
 pub const SIZES: [usize; 2] = [200, 3_200];
@@ -12,7 +12,7 @@
 /// Seconds of traffic.
 const LENGTH_S: f64 = 25.0;
 /// Nodes of the fleet, as the node is told.
-const SIBLINGS: usize = 300;
+const PROXY_COUNT: usize = 300;
 
 /// What a figure at the longer list may be: `factor` times that at the usual one, plus `plus`, plus
 /// `per_thousand` for each thousand backends.
@@ -84,22 +84,22 @@
 pub fn scenario(backends: usize, seed: u64) -> Scenario {
     let text = format!(
         "about = \"One node, {backends} backends, a change of the list each second\"\nlength_s = {LENGTH_S}\n\
-         seed = {seed}\n[fleet]\nnodes = 1\nbackends = {backends}\nsiblings = {SIBLINGS}\n"
+         seed = {seed}\n[fleet]\nnodes = 1\nbackends = {backends}\nproxy_count = {PROXY_COUNT}\n"
     );
     let mut scenario = Scenario::parse(&text).expect("a sound scenario");
     scenario.traffic.rate = RATE;
     scenario.traffic.from_s = 1.0;
     scenario.traffic.class = vec![Class {
         name: "check".into(),
-        effect: "safe".into(),
+        idempotency: "safe".into(),
         share: 1.0,
-        aim_ms: 1_200.0,
-        deadline_ms: 5_000.0,
-        worth: 1.0,
+        latency_objective_ms: 1_200.0,
+        client_timeout_ms: 5_000.0,
+        priority_weight: 1.0,
     }];
-    let step = |s, what, part: [f64; 2], over_s| Step {
+    let step = |s, action, part: [f64; 2], over_s| Step {
         s,
-        what,
+        action,
         part,
         over_s,
         zone: None,
@@ -107,9 +107,9 @@
     };
     let changes = LENGTH_S / backends as f64;
     scenario.at = vec![
-        step(0.0, What::Start, [0.0, 1.0], 0.0),
+        step(0.0, Action::Start, [0.0, 1.0], 0.0),
         // Each is gone a second after its drain: two changes a backend.
-        step(0.5, What::Drain, [0.0, changes / 2.0], LENGTH_S),
+        step(0.5, Action::Drain, [0.0, changes / 2.0], LENGTH_S),
     ];
     scenario
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use kitefork_standin::clients::Effect;
+use kitefork_standin::clients::Idempotency;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -25,7 +25,7 @@
     pub list: List,
     /// The backends.
     #[serde(default)]
-    pub backend: Build,
+    pub backend: BackendSettings,
     /// The clients.
     #[serde(default)]
     pub traffic: Traffic,
@@ -56,7 +56,8 @@
     #[serde(default)]
     pub known: Known,
     /// Number of nodes as the settings tell it; the true one if absent.
-    pub siblings: Option<usize>,
+    #[serde(alias = "siblings")]
+    pub proxy_count: Option<usize>,
     /// Descriptors that a node may hold.
     #[serde(default = "usual_sockets")]
     pub sockets: usize,
@@ -120,30 +121,33 @@
 /// A backend's figures.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Build {
+pub struct BackendSettings {
     /// Mean work of a request, milliseconds.
     pub work_ms: f64,
     /// Work of a new connection, milliseconds.
     pub handshake_ms: f64,
     /// Requests held at most.
-    pub room: usize,
+    #[serde(alias = "room")]
+    pub capacity: usize,
     /// Connections held at most.
     pub connections: usize,
     /// Part of its speed that it starts with.
-    pub cold_from: f64,
+    #[serde(alias = "cold_from")]
+    pub slow_start_from: f64,
     /// Seconds until it is at full speed.
-    pub cold_s: f64,
+    #[serde(alias = "cold_s")]
+    pub slow_start_s: f64,
 }
 
-impl Default for Build {
-    fn default() -> Build {
-        Build {
+impl Default for BackendSettings {
+    fn default() -> BackendSettings {
+        BackendSettings {
             work_ms: 10.0,
             handshake_ms: 0.5,
-            room: 40,
+            capacity: 40,
             connections: 600,
-            cold_from: 0.31,
-            cold_s: 4.0,
+            slow_start_from: 0.31,
+            slow_start_s: 4.0,
         }
     }
 }
@@ -159,7 +163,8 @@
     /// Up to this one; to the end of the scenario if absent.
     pub to_s: Option<f64>,
     /// Clients that don't behave, a second, over all nodes.
-    pub odd_rate: f64,
+    #[serde(alias = "odd_rate")]
+    pub misbehaving_rate: f64,
     /// Seconds for which clients go on to a node that has died.
     pub notice_s: f64,
     /// Classes, with their shares.
@@ -173,17 +178,21 @@
     /// Its name.
     pub name: String,
     /// `safe`, `keyed` (within a cell) or `unsafe`.
-    pub effect: String,
+    #[serde(alias = "effect")]
+    pub idempotency: String,
     /// Its part of all requests, relative to the others'.
     #[serde(default = "whole")]
     pub share: f64,
     /// Wanted within, milliseconds.
-    pub aim_ms: f64,
+    #[serde(alias = "aim_ms")]
+    pub latency_objective_ms: f64,
     /// Given up after, milliseconds.
-    pub deadline_ms: f64,
+    #[serde(alias = "deadline_ms")]
+    pub client_timeout_ms: f64,
     /// Worth of a request.
     #[serde(default = "whole")]
-    pub worth: f64,
+    #[serde(alias = "worth")]
+    pub priority_weight: f64,
 }
 
 fn whole() -> f64 {
@@ -192,11 +201,11 @@
 
 impl Class {
     /// What repeating does, if the word is known.
-    pub fn effect(&self) -> Option<Effect> {
-        match self.effect.as_str() {
-            "safe" => Some(Effect::Safe),
-            "keyed" => Some(Effect::Keyed),
-            "unsafe" => Some(Effect::Unsafe),
+    pub fn idempotency(&self) -> Option<Idempotency> {
+        match self.idempotency.as_str() {
+            "safe" => Some(Idempotency::Idempotent),
+            "keyed" => Some(Idempotency::IdempotencyKey),
+            "unsafe" => Some(Idempotency::NotIdempotent),
             _ => None,
         }
     }
@@ -210,7 +219,7 @@
     pub s: f64,
     /// What.
     #[serde(rename = "do")]
-    pub what: What,
+    pub action: Action,
     /// To the parties of this part, from 0 to 1 by their numbers; to all if absent.
     #[serde(default = "all")]
     pub part: [f64; 2],
@@ -231,7 +240,7 @@
 /// What can happen.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum Action {
     /// Nodes start, with what they know; those that run go on.
     Start,
     /// Nodes die at once (SIGKILL).
@@ -313,7 +322,7 @@
     /// Reads a scenario and names what has no sense in it.
     pub fn parse(text: &str) -> Result<Scenario, Fault> {
         let scenario: Scenario = toml::from_str(text)?;
-        let wrong = |what: &str| Err(Fault::Sense(what.to_string()));
+        let wrong = |action: &str| Err(Fault::Sense(action.to_string()));
         let (fleet, traffic) = (&scenario.fleet, &scenario.traffic);
         if fleet.nodes == 0 || fleet.zones == 0 || fleet.nodes > 2_000 || fleet.backends > 20_000 {
             return wrong("fleet: 1 to 2,000 nodes, at least one zone, at most 20,000 backends");
@@ -321,7 +330,11 @@
         if !(scenario.length_s > 0.0 && scenario.length_s <= 3_600.0) {
             return wrong("length_s: above 0, at most 3,600");
         }
-        if let Some(class) = traffic.class.iter().find(|class| class.effect().is_none()) {
+        if let Some(class) = traffic
+            .class
+            .iter()
+            .find(|class| class.idempotency().is_none())
+        {
             return wrong(&format!(
                 "traffic.class `{}`: effect is safe, keyed or unsafe",
                 class.name
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -7,19 +7,19 @@
 use rand::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::scenario::{Class, Fleet, Known, List, Scenario, Step, Traffic, What};
-use crate::world::{Programs, Report, run};
+use crate::cluster::{Programs, Report, run};
+use crate::scenario::{Action, Class, Fleet, Known, List, Scenario, Step, Traffic};
 
 /// Seconds of traffic; troubles begin in the middle third.
 const LENGTH_S: f64 = 10.0;
 /// Requests a second for each node.
 const RATE_PER_NODE: f64 = 6.0;
 /// Clients that don't behave, a second for each node.
-const ODD_PER_NODE: f64 = 1.0;
+const MISBEHAVING_PER_NODE: f64 = 1.0;
 
 /// Something that goes wrong for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Nodes are told to end and start anew.
     Restart,
     /// Nodes are killed and start anew.
@@ -70,34 +70,34 @@
     AnswerInPieces,
 }
 
-const TROUBLES: [Trouble; 24] = [
-    Trouble::Restart,
-    Trouble::Kill,
-    Trouble::Stop,
-    Trouble::Reloads,
-    Trouble::ListDown,
-    Trouble::ListSilent,
-    Trouble::ListBusy,
-    Trouble::ListRestart,
-    Trouble::ListCut,
-    Trouble::Swallow,
-    Trouble::Fail,
-    Trouble::Reset,
-    Trouble::Cut,
-    Trouble::CutOut,
-    Trouble::Drain,
-    Trouble::Crash,
-    Trouble::SystemCalls,
-    Trouble::ClockStep,
-    Trouble::LogUnread,
-    Trouble::HeldUp,
-    Trouble::FewDescriptors,
-    Trouble::ClockOff,
-    Trouble::AnswerTwice,
-    Trouble::AnswerInPieces,
+const FAULT_KINDS: [FaultKind; 24] = [
+    FaultKind::Restart,
+    FaultKind::Kill,
+    FaultKind::Stop,
+    FaultKind::Reloads,
+    FaultKind::ListDown,
+    FaultKind::ListSilent,
+    FaultKind::ListBusy,
+    FaultKind::ListRestart,
+    FaultKind::ListCut,
+    FaultKind::Swallow,
+    FaultKind::Fail,
+    FaultKind::Reset,
+    FaultKind::Cut,
+    FaultKind::CutOut,
+    FaultKind::Drain,
+    FaultKind::Crash,
+    FaultKind::SystemCalls,
+    FaultKind::ClockStep,
+    FaultKind::LogUnread,
+    FaultKind::HeldUp,
+    FaultKind::FewDescriptors,
+    FaultKind::ClockOff,
+    FaultKind::AnswerTwice,
+    FaultKind::AnswerInPieces,
 ];
 
-impl fmt::Display for Trouble {
+impl fmt::Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(self, f)
     }
@@ -105,9 +105,9 @@
 
 /// A trouble with its time and the part of its parties that it strikes.
 #[derive(Clone, Debug)]
-pub struct Drawn {
+pub struct PlannedFault {
     /// What.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
     /// From this second on.
     pub from_s: f64,
     /// For so long.
@@ -115,7 +115,7 @@
     /// Parties, from 0 to 1 by their numbers.
     pub part: [f64; 2],
     /// Draw of its own, from 0 to 1.
-    pub dice: f64,
+    pub random: f64,
 }
 
 /// What a seed has drawn.
@@ -126,14 +126,14 @@
     /// The fleet, before any trouble.
     pub base: Scenario,
     /// The troubles.
-    pub troubles: Vec<Drawn>,
+    pub faults: Vec<PlannedFault>,
     /// Seconds before the traffic and the troubles in which nothing happens.
     pub quiet_s: f64,
 }
 
-struct Dice(Xoshiro256PlusPlus);
+struct RandomSource(Xoshiro256PlusPlus);
 
-impl Dice {
+impl RandomSource {
     fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -149,41 +149,41 @@
 
 /// Draws what a seed stands for, with so many nodes.
 pub fn draw(seed: u64, nodes: usize) -> Plan {
-    let mut dice = Dice(Xoshiro256PlusPlus::seed_from_u64(
+    let mut random = RandomSource(Xoshiro256PlusPlus::seed_from_u64(
         seed.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     ));
-    let zones = 1 + dice.below(4);
+    let zones = 1 + random.below(4);
     let fleet = Fleet {
         nodes,
-        backends: (nodes / 2 + dice.below(nodes + 1)).max(8),
+        backends: (nodes / 2 + random.below(nodes + 1)).max(8),
         zones,
-        known: dice.of(&[Known::Empty, Known::Current, Known::Stale]),
-        siblings: None,
+        known: random.of(&[Known::Empty, Known::Current, Known::Stale]),
+        proxy_count: None,
         sockets: 512,
         faults: String::new(),
         log_unread: false,
     };
     let list = List {
-        call_ms: dice.of(&[0.2, 1.0, 8.0]),
-        history: dice.of(&[0, 5, 1_000]),
-        pushed: dice.unit() < 0.4,
+        call_ms: random.of(&[0.2, 1.0, 8.0]),
+        history: random.of(&[0, 5, 1_000]),
+        pushed: random.unit() < 0.4,
         ..List::default()
     };
-    let count = 1 + dice.below(3);
+    let count = 1 + random.below(3);
     let class = (0..count)
-        .map(|number| draw_class(&mut dice, number))
+        .map(|number| draw_class(&mut random, number))
         .collect();
     let traffic = Traffic {
         rate: RATE_PER_NODE * nodes as f64,
-        odd_rate: ODD_PER_NODE * nodes as f64,
+        misbehaving_rate: MISBEHAVING_PER_NODE * nodes as f64,
         from_s: 1.5,
         to_s: Some(LENGTH_S),
-        notice_s: dice.of(&[0.2, 1.0]),
+        notice_s: random.of(&[0.2, 1.0]),
         class,
     };
     let start = Step {
         s: 0.0,
-        what: What::Start,
+        action: Action::Start,
         part: [0.0, 1.0],
         zone: None,
         over_s: 0.4,
@@ -200,36 +200,36 @@
         at: vec![start],
         expect: Vec::new(),
     };
-    let count = 2 + dice.below(2);
-    let troubles = (0..count).map(|_| draw_trouble(&mut dice)).collect();
+    let count = 2 + random.below(2);
+    let faults = (0..count).map(|_| draw_fault(&mut random)).collect();
     Plan {
         seed,
         base,
-        troubles,
+        faults,
         quiet_s: 0.0,
     }
 }
 
-fn draw_class(dice: &mut Dice, number: usize) -> Class {
-    let deadline_ms = dice.of(&[150.0, 400.0, 1_000.0, 3_000.0, 5_000.0, 30_000.0]);
+fn draw_class(random: &mut RandomSource, number: usize) -> Class {
+    let client_timeout_ms = random.of(&[150.0, 400.0, 1_000.0, 3_000.0, 5_000.0, 30_000.0]);
     Class {
         name: format!("class{number}"),
-        effect: dice.of(&["safe", "keyed", "unsafe"]).into(),
+        idempotency: random.of(&["safe", "keyed", "unsafe"]).into(),
         share: 1.0,
-        aim_ms: deadline_ms / dice.of(&[1.5, 3.0]),
-        deadline_ms,
-        worth: dice.of(&[1.0, 5.0]),
+        latency_objective_ms: client_timeout_ms / random.of(&[1.5, 3.0]),
+        client_timeout_ms,
+        priority_weight: random.of(&[1.0, 5.0]),
     }
 }
 
-fn draw_trouble(dice: &mut Dice) -> Drawn {
-    let from = dice.unit() * 0.7;
-    Drawn {
-        trouble: dice.of(&TROUBLES),
-        from_s: 2.5 + 2.5 * dice.unit(),
-        lasts_s: 0.5 + 2.5 * dice.unit(),
-        part: [from, from + 0.15 + 0.15 * dice.unit()],
-        dice: dice.unit(),
+fn draw_fault(random: &mut RandomSource) -> PlannedFault {
+    let from = random.unit() * 0.7;
+    PlannedFault {
+        kind: random.of(&FAULT_KINDS),
+        from_s: 2.5 + 2.5 * random.unit(),
+        lasts_s: 0.5 + 2.5 * random.unit(),
+        part: [from, from + 0.15 + 0.15 * random.unit()],
+        random: random.unit(),
     }
 }
 
@@ -240,12 +240,12 @@
         scenario.length_s += self.quiet_s;
         scenario.traffic.from_s += self.quiet_s;
         scenario.traffic.to_s = scenario.traffic.to_s.map(|end| end + self.quiet_s);
-        for drawn in &self.troubles {
-            let later = Drawn {
+        for drawn in &self.faults {
+            let later = PlannedFault {
                 from_s: drawn.from_s + self.quiet_s,
                 ..drawn.clone()
             };
-            later.put_into(&mut scenario);
+            later.add_to(&mut scenario);
         }
         scenario
     }
@@ -253,7 +253,7 @@
     /// The same without one trouble.
     fn without(&self, place: usize) -> Plan {
         let mut plan = self.clone();
-        plan.troubles.remove(place);
+        plan.faults.remove(place);
         plan
     }
 }
@@ -278,11 +278,11 @@
             fleet.known
         )?;
         for class in &traffic.class {
-            write!(f, " {} {} ms", class.effect, class.deadline_ms)?;
+            write!(f, " {} {} ms", class.idempotency, class.client_timeout_ms)?;
         }
-        for drawn in &self.troubles {
-            let Drawn {
-                trouble,
+        for drawn in &self.faults {
+            let PlannedFault {
+                kind,
                 from_s,
                 lasts_s,
                 part,
@@ -290,7 +290,7 @@
             } = drawn;
             write!(
                 f,
-                "; {trouble} at {from_s:.2} s for {lasts_s:.2} s of {:.2} to {:.2}",
+                "; {kind} at {from_s:.2} s for {lasts_s:.2} s of {:.2} to {:.2}",
                 part[0], part[1]
             )?;
         }
@@ -320,111 +320,113 @@
     "epoll_wait=late:120,chance:0.02",
 ];
 
-impl Drawn {
+impl PlannedFault {
     /// One of several, by this trouble's own draw.
     fn one_of<T: Copy>(&self, choices: &[T]) -> T {
-        choices[(self.dice * choices.len() as f64) as usize]
+        choices[(self.random * choices.len() as f64) as usize]
     }
 
-    fn put_into(&self, scenario: &mut Scenario) {
+    fn add_to(&self, scenario: &mut Scenario) {
         let (from, to) = (self.from_s, self.from_s + self.lasts_s);
-        let mut add = |s: f64, what: What| {
+        let mut add = |s: f64, action: Action| {
             let (part, size) = (self.part, 1.0);
             scenario.at.push(Step {
                 s,
-                what,
+                action,
                 part,
                 zone: None,
                 over_s: 0.2,
                 size,
             });
         };
-        match self.trouble {
-            Trouble::Restart => {
-                add(from, What::Term);
+        match self.kind {
+            FaultKind::Restart => {
+                add(from, Action::Term);
                 // After it, a node that has not ended by itself is killed as the platform does.
-                add(from + 6.5, What::Kill);
-                add(from + 6.8, What::Start);
+                add(from + 6.5, Action::Kill);
+                add(from + 6.8, Action::Start);
             }
-            Trouble::Kill => {
-                add(from, What::Kill);
-                add(to, What::Start);
+            FaultKind::Kill => {
+                add(from, Action::Kill);
+                add(to, Action::Start);
             }
-            Trouble::Stop => {
-                add(from, What::Stop);
-                add(from + self.lasts_s.min(1.0), What::Cont);
+            FaultKind::Stop => {
+                add(from, Action::Stop);
+                add(from + self.lasts_s.min(1.0), Action::Cont);
             }
-            Trouble::Reloads => {
-                add(from, What::ReloadHalf);
-                add(from + 0.3, What::ReloadMissing);
-                add(from + 0.6, What::Reload);
-                add(from + 0.7, What::Reload);
+            FaultKind::Reloads => {
+                add(from, Action::ReloadHalf);
+                add(from + 0.3, Action::ReloadMissing);
+                add(from + 0.6, Action::Reload);
+                add(from + 0.7, Action::Reload);
             }
-            Trouble::ListDown => {
-                add(from, What::ListDown);
-                add(to, What::ListUp);
+            FaultKind::ListDown => {
+                add(from, Action::ListDown);
+                add(to, Action::ListUp);
             }
-            Trouble::ListSilent => {
-                add(from, What::ListSilent);
-                add(to, What::ListUp);
+            FaultKind::ListSilent => {
+                add(from, Action::ListSilent);
+                add(to, Action::ListUp);
             }
-            Trouble::ListBusy => {
-                add(from, What::ListBusy);
-                add(to, What::ListUp);
+            FaultKind::ListBusy => {
+                add(from, Action::ListBusy);
+                add(to, Action::ListUp);
             }
-            Trouble::ListRestart => add(from, What::ListRestart),
-            Trouble::ListCut => {
-                add(from, What::ListCut);
-                add(to, What::ListUp);
+            FaultKind::ListRestart => add(from, Action::ListRestart),
+            FaultKind::ListCut => {
+                add(from, Action::ListCut);
+                add(to, Action::ListUp);
             }
-            Trouble::Swallow => {
-                add(from, What::Swallow);
-                add(to, What::Work);
+            FaultKind::Swallow => {
+                add(from, Action::Swallow);
+                add(to, Action::Work);
             }
-            Trouble::Fail => {
-                add(from, What::Fail);
-                add(to, What::Work);
+            FaultKind::Fail => {
+                add(from, Action::Fail);
+                add(to, Action::Work);
             }
-            Trouble::Reset => {
-                add(from, What::BackendReset);
-                add(to, What::BackendReset);
+            FaultKind::Reset => {
+                add(from, Action::BackendReset);
+                add(to, Action::BackendReset);
             }
-            Trouble::Cut => {
-                add(from, What::BackendCut);
-                add(to, What::Work);
+            FaultKind::Cut => {
+                add(from, Action::BackendCut);
+                add(to, Action::Work);
             }
-            Trouble::CutOut => {
-                add(from, What::BackendCutOut);
-                add(to, What::Work);
+            FaultKind::CutOut => {
+                add(from, Action::BackendCutOut);
+                add(to, Action::Work);
             }
-            Trouble::Drain => add(from, What::Drain),
-            Trouble::Crash => {
-                add(from, What::BackendKill);
-                add(to + 1.2, What::BackendStart);
+            FaultKind::Drain => add(from, Action::Drain),
+            FaultKind::Crash => {
+                add(from, Action::BackendKill);
+                add(to + 1.2, Action::BackendStart);
             }
-            Trouble::SystemCalls => {
+            FaultKind::SystemCalls => {
                 self.add_faults(scenario, self.one_of(&SHIM_PLANS));
             }
-            Trouble::ClockStep => {
+            FaultKind::ClockStep => {
                 self.add_faults(
                     scenario,
                     &format!("clock=step:{}", self.one_of(&CLOCK_STEPS)),
                 );
             }
-            Trouble::ClockOff => {
+            FaultKind::ClockOff => {
                 scenario.fleet.faults += &format!("clock=step:{};", self.one_of(&CLOCK_STEPS));
             }
-            Trouble::HeldUp => self.add_faults(scenario, self.one_of(&HOLD_UPS)),
-            Trouble::AnswerTwice => {
-                add(from, What::AnswerTwice);
-                add(to, What::Work);
+            FaultKind::HeldUp => self.add_faults(scenario, self.one_of(&HOLD_UPS)),
+            FaultKind::AnswerTwice => {
+                add(from, Action::AnswerTwice);
+                add(to, Action::Work);
             }
-            Trouble::AnswerInPieces => {
-                add(from, What::AnswerInPieces);
-                add(to, What::Work);
+            FaultKind::AnswerInPieces => {
+                add(from, Action::AnswerInPieces);
+                add(to, Action::Work);
+            }
+            FaultKind::LogUnread => scenario.fleet.log_unread = true,
+            FaultKind::FewDescriptors => {
+                scenario.fleet.sockets = 64 + (self.random * 64.0) as usize
             }
-            Trouble::LogUnread => scenario.fleet.log_unread = true,
-            Trouble::FewDescriptors => scenario.fleet.sockets = 64 + (self.dice * 64.0) as usize,
         }
     }
 
@@ -473,7 +475,7 @@
         return Ok(Verdict { plan, report });
     }
     'fewer: loop {
-        for place in 0..plan.troubles.len() {
+        for place in 0..plan.faults.len() {
             let fewer = plan.without(place);
             let again = run(&fewer.scenario(), programs).await?;
             if !again.passed() {
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -4,8 +4,8 @@
 
 use std::path::{Path, PathBuf};
 
+use kitefork_testbed::cluster::{self, Programs};
 use kitefork_testbed::scenario::{Expect, Scenario};
-use kitefork_testbed::world::{self, Programs};
 
 /// The program that this test run has built.
 fn program() -> PathBuf {
@@ -52,7 +52,7 @@
             most: None,
         },
     ];
-    let report = world::run(&scenario, &Programs::beside(&program()))
+    let report = cluster::run(&scenario, &Programs::beside(&program()))
         .await
         .unwrap();
     assert!(
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use kitefork_testbed::scenario::What;
+use kitefork_testbed::cluster::Programs;
+use kitefork_testbed::scenario::Action;
 use kitefork_testbed::soak;
-use kitefork_testbed::world::Programs;
 
 const NODES: usize = 12;
 
@@ -77,7 +77,7 @@
     );
     assert_eq!(later.at.len(), usual.at.len());
     for (step, moved) in usual.at.iter().zip(&later.at) {
-        let by = if step.what == What::Start && step.s == 0.0 {
+        let by = if step.action == Action::Start && step.s == 0.0 {
             0.0
         } else {
             60.0
