--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,71 +1,74 @@
-//! Backends: one core that works first come, first served, a waiting room, cold starts, a table of
-//! connections, and the troubles that real ones have.
+//! The stand-in backend: one core that serves requests in order of arrival, with a bounded queue,
+//! slow start, a bounded table of connections, and the faults of real backends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
+use hyper::header::HeaderValue;
 use hyper::service::service_fn;
-use hyper::{Request, Response};
+use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use rand::{RngCore, SeedableRng};
-use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::link::{Link, LinkedStream};
+use crate::random::RandomSource;
 use crate::{Clock, locked};
 
-/// What a backend is.
+/// Header by which a backend says that it rejected a request unexecuted.
+const REJECTED_HEADER: &str = "x-turned-away";
+
+/// What a backend can do.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSettings {
     /// Mean work of a request at full speed; each draws its own from an exponential distribution.
     pub work: Duration,
-    /// Work of a new connection; the first request on it waits behind that.
+    /// Work of a new connection; the first request on it waits for that.
     pub handshake: Duration,
-    /// Requests held at most; beyond, they are turned away unseen.
+    /// Most requests in flight; beyond, requests are rejected unexecuted.
     pub capacity: usize,
-    /// Connections held at most; beyond, requests on new ones are turned away.
+    /// Most connections; beyond, requests on new ones are rejected unexecuted.
     pub connections: usize,
-    /// Part of its speed that it starts with.
+    /// Fraction of its speed that it starts with.
     pub slow_start_from: f64,
     /// Time after a start until it is at full speed.
     pub slow_start: Duration,
 }
 
-/// How it is doing.
+/// How a backend treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub enum Health {
-    /// At this part of its speed.
+    /// It serves them at this fraction of its speed.
     Works(f64),
-    /// It takes requests and answers none.
+    /// It takes them and answers none.
     #[default]
-    Swallows,
+    Silent,
     /// It answers 500.
     Fails,
-    /// It turns all away, as one that drains does.
+    /// It rejects all of them unexecuted, as a draining backend does.
     Rejects,
 }
 
 /// How an attempt ended at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Not yet.
-    Out,
+    /// It has not ended yet.
+    InFlight,
     /// Answered with 200.
     Served,
     /// Answered with 500.
     Failed,
-    /// Turned away unseen.
+    /// Rejected with 503, unexecuted.
     Overloaded,
     /// Its connection closed before it was answered.
     ConnectionLost,
 }
 
-/// One attempt in the ledger, from its last byte on.
+/// One attempt as a backend received it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The request's `X-Txn`.
@@ -74,237 +77,264 @@
     pub key: Option<String>,
     /// The backend.
     pub uid: String,
-    /// Small group of the backend.
+    /// Cell of the backend: the group within which repeats of a key are dropped.
     pub cell: u16,
-    /// How long the node would wait, as the request told.
-    pub told: Option<Duration>,
+    /// `X-Remaining-Ms`: how much longer the client waits, as the node has it.
+    pub remaining_time: Option<Duration>,
     /// When its last byte had come.
     pub arrived: Duration,
     /// When it ended.
     pub ended: Duration,
-    /// How.
-    pub end: AttemptOutcome,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
 }
 
-/// The attempts of all backends of a run.
+/// The attempts that all backends of a run received.
 #[derive(Default)]
 pub struct AttemptLog(Mutex<Vec<Attempt>>);
 
 impl AttemptLog {
-    fn rows(&self) -> std::sync::MutexGuard<'_, Vec<Attempt>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<Attempt>> {
         locked(&self.0)
     }
 
-    /// All attempts so far.
+    /// All attempts so far, by arrival.
     pub fn attempts(&self) -> Vec<Attempt> {
-        self.rows().clone()
+        self.lock().clone()
     }
 }
 
 struct State {
     health: Health,
-    free_at: Duration,
-    held: usize,
+    /// When the core has finished all that it was given so far.
+    idle_at: Duration,
+    in_flight: usize,
     started: Duration,
-    rng: Xoshiro256PlusPlus,
+    random: RandomSource,
 }
 
 /// A backend.
 pub struct Backend {
-    /// Its name in the list.
+    /// Its name in the endpoint list.
     pub uid: String,
-    /// Its small group.
+    /// Its cell.
     pub cell: u16,
     /// Its link to the nodes.
     pub link: Arc<Link>,
     clock: Clock,
-    build: BackendSettings,
+    settings: BackendSettings,
     state: Mutex<State>,
     attempt_log: Arc<AttemptLog>,
     rejected: AtomicU64,
 }
 
-/// Ends an attempt in the ledger, whatever becomes of its connection: a dropped one was broken.
-struct Held<'a> {
+/// Writes the end of an attempt to the log when dropped, whatever becomes of its connection: hyper
+/// drops the future of a request whose connection has closed.
+struct AttemptGuard<'a> {
     backend: &'a Backend,
-    place: usize,
-    end: AttemptOutcome,
+    index: usize,
+    outcome: AttemptOutcome,
     counted: bool,
 }
 
-impl Drop for Held<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         {
-            let row = &mut self.backend.attempt_log.rows()[self.place];
-            (row.ended, row.end) = (self.backend.clock.now(), self.end);
+            let attempt = &mut self.backend.attempt_log.lock()[self.index];
+            attempt.ended = self.backend.clock.now();
+            attempt.outcome = self.outcome;
         }
         if self.counted {
-            self.backend.state().held -= 1;
+            self.backend.state().in_flight -= 1;
         }
     }
 }
 
+/// What a backend decides on a request that has come in.
+struct Decision {
+    health: Health,
+    /// When the core has finished the request, where it is executed.
+    finished_at: Duration,
+}
+
 impl Backend {
-    /// A warm backend.
+    /// A backend at full speed.
     pub fn new(
         uid: &str,
         cell: u16,
-        build: BackendSettings,
+        settings: BackendSettings,
         clock: Clock,
         attempt_log: Arc<AttemptLog>,
         seed: u64,
     ) -> Arc<Backend> {
         let state = State {
             health: Health::Works(1.0),
-            free_at: Duration::ZERO,
-            held: 0,
+            idle_at: Duration::ZERO,
+            in_flight: 0,
             started: Duration::ZERO,
-            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
+            random: RandomSource::from_seed(seed),
         };
         Arc::new(Backend {
             uid: uid.into(),
             cell,
             link: Arc::default(),
             clock,
-            build,
+            settings,
             state: Mutex::new(state),
             attempt_log,
             rejected: AtomicU64::new(0),
         })
     }
 
-    fn state(&self) -> std::sync::MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, State> {
         locked(&self.state)
     }
 
-    /// Changes how it is doing.
+    /// Changes how requests are treated that come from now on.
     pub fn set(&self, health: Health) {
         self.state().health = health;
     }
 
-    /// Its process starts anew: cold, and with nothing of what it held. Its link is to be reset
-    /// with it.
+    /// Its process starts anew: in slow start, its queue empty. The caller resets its link.
     pub fn restart(&self) {
         let now = self.clock.now();
         let mut state = self.state();
-        (state.free_at, state.started, state.health) = (now, now, Health::Works(1.0));
+        state.idle_at = now;
+        state.started = now;
+        state.health = Health::Works(1.0);
     }
 
-    /// Requests turned away for a full room or a full table of connections.
+    /// Requests rejected so far.
     pub fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::SeqCst)
     }
 
     /// Listens for nodes.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let backend = self.clone();
-        let serve = move |linked: LinkedStream| {
-            let backend = backend.clone();
-            let full = backend.link.open() > backend.build.connections;
-            {
-                let now = backend.clock.now();
-                let mut state = backend.state();
-                state.free_at = state.free_at.max(now) + backend.build.handshake;
-            }
-            tokio::spawn(async move {
-                let answer = service_fn(|request| {
-                    let backend = backend.clone();
-                    async move { backend.answer(request, full).await }
-                });
-                // A connection's end shows in the ledger of its attempts.
-                let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(linked), answer)
-                    .await;
-            });
-        };
+        let serve = move |stream: LinkedStream| backend.clone().accept(stream);
         Ok(self.link.clone().listen(serve).await?.0)
     }
 
-    /// Speed now: it grows evenly from the cold part to the whole.
+    fn accept(self: Arc<Self>, stream: LinkedStream) {
+        let table_full = self.link.open() > self.settings.connections;
+        {
+            let now = self.clock.now();
+            let mut state = self.state();
+            state.idle_at = state.idle_at.max(now) + self.settings.handshake;
+        }
+        tokio::spawn(async move {
+            let answer = service_fn(|request| {
+                let backend = self.clone();
+                async move { backend.answer(request, table_full).await }
+            });
+            // The end of a connection shows in the log of its attempts.
+            let _ = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), answer)
+                .await;
+        });
+    }
+
+    /// Fraction of the full speed that the backend has now; it grows linearly in slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
-        if state.started.is_zero() || self.build.slow_start.is_zero() {
+        let settings = &self.settings;
+        if state.started.is_zero() || settings.slow_start.is_zero() {
             return 1.0;
         }
-        let age = (now - state.started).as_secs_f64() / self.build.slow_start.as_secs_f64();
-        (self.build.slow_start_from + (1.0 - self.build.slow_start_from) * age).min(1.0)
+        let age = (now - state.started).as_secs_f64() / settings.slow_start.as_secs_f64();
+        (settings.slow_start_from + (1.0 - settings.slow_start_from) * age).min(1.0)
     }
 
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
-        full: bool,
+        table_full: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let header = |name: &str| Some(request.headers().get(name)?.to_str().ok()?.to_string());
-        let (txn, key) = (
-            header("x-txn").unwrap_or_default(),
-            header("idempotency-key"),
-        );
-        let told = header("x-remaining-ms")
-            .and_then(|ms| ms.parse().ok())
-            .map(Duration::from_millis);
-        let body = request.into_body().collect().await;
+        let (head, body) = request.into_parts();
+        let is_complete = body.collect().await.is_ok();
         let arrived = self.clock.now();
-        let mut held = {
-            let mut rows = self.attempt_log.rows();
-            let (uid, cell, end) = (self.uid.clone(), self.cell, AttemptOutcome::Out);
-            rows.push(Attempt {
-                txn: txn.clone(),
-                key,
-                uid,
-                cell,
-                told,
-                arrived,
-                ended: arrived,
-                end,
-            });
-            Held {
-                backend: &self,
-                place: rows.len() - 1,
-                end: AttemptOutcome::ConnectionLost,
-                counted: false,
-            }
-        };
-        let mut answer = Response::new(Full::from(format!("{}:{txn}", self.uid)));
-        let code = |answer: &mut Response<_>, code: u16| {
-            *answer.status_mut() = code.try_into().expect("known")
-        };
-        let (health, done) = {
-            let mut state = self.state();
-            let unseen = body.is_err() || full || state.held >= self.build.capacity;
-            let health = if unseen {
-                Health::Rejects
-            } else {
-                state.health
-            };
-            if let Health::Works(part) = health {
-                let unit = (state.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-                let work = -self.build.work.as_secs_f64() * (1.0 - unit).ln();
-                let speed = part * self.slow_start_fraction(&state, arrived);
-                state.free_at = state.free_at.max(arrived) + Duration::from_secs_f64(work / speed);
-                state.held += 1;
-                held.counted = true;
-            }
-            (health, state.free_at)
-        };
-        match health {
+        let txn = header(&head.headers, "x-txn").unwrap_or_default();
+        let text = format!("{}:{txn}", self.uid);
+        let mut attempt = self.record(&head.headers, txn, arrived);
+        let decision = self.decide(&mut attempt, arrived, is_complete && !table_full);
+        match decision.health {
             Health::Works(_) => {
-                tokio::time::sleep_until(self.clock.at(done)).await;
-                held.end = AttemptOutcome::Served;
+                tokio::time::sleep_until(self.clock.at(decision.finished_at)).await;
+                attempt.outcome = AttemptOutcome::Served;
+                Ok(response(StatusCode::OK, text))
             }
-            Health::Swallows => std::future::pending::<()>().await,
+            Health::Silent => std::future::pending().await,
             Health::Fails => {
-                held.end = AttemptOutcome::Failed;
-                code(&mut answer, 500);
+                attempt.outcome = AttemptOutcome::Failed;
+                Ok(response(StatusCode::INTERNAL_SERVER_ERROR, text))
             }
             Health::Rejects => {
                 self.rejected.fetch_add(1, Ordering::SeqCst);
-                held.end = AttemptOutcome::Overloaded;
-                code(&mut answer, 503);
-                answer
-                    .headers_mut()
-                    .insert("x-turned-away", "1".parse().expect("a header"));
+                attempt.outcome = AttemptOutcome::Overloaded;
+                let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, text);
+                let unexecuted = HeaderValue::from_static("1");
+                rejection.headers_mut().insert(REJECTED_HEADER, unexecuted);
+                Ok(rejection)
             }
         }
-        Ok(answer)
     }
+
+    /// Adds an attempt to the log; until its outcome is set, it counts as lost if dropped.
+    fn record(&self, headers: &HeaderMap, txn: String, arrived: Duration) -> AttemptGuard<'_> {
+        let remaining_time = header(headers, "x-remaining-ms")
+            .and_then(|ms| ms.parse().ok())
+            .map(Duration::from_millis);
+        let mut attempts = self.attempt_log.lock();
+        attempts.push(Attempt {
+            txn,
+            key: header(headers, "idempotency-key"),
+            uid: self.uid.clone(),
+            cell: self.cell,
+            remaining_time,
+            arrived,
+            ended: arrived,
+            outcome: AttemptOutcome::InFlight,
+        });
+        AttemptGuard {
+            backend: self,
+            index: attempts.len() - 1,
+            outcome: AttemptOutcome::ConnectionLost,
+            counted: false,
+        }
+    }
+
+    /// Rejects what can't be taken, and queues what is executed.
+    fn decide(&self, attempt: &mut AttemptGuard, now: Duration, acceptable: bool) -> Decision {
+        let mut state = self.state();
+        let health = if acceptable && state.in_flight < self.settings.capacity {
+            state.health
+        } else {
+            Health::Rejects
+        };
+        if let Health::Works(fraction) = health {
+            let work = self.settings.work.as_secs_f64() * state.random.exponential();
+            let speed = fraction * self.slow_start_fraction(&state, now);
+            state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(work / speed);
+            state.in_flight += 1;
+            attempt.counted = true;
+        }
+        Decision {
+            health,
+            finished_at: state.idle_at,
+        }
+    }
+}
+
+fn header(headers: &HeaderMap, name: &str) -> Option<String> {
+    Some(headers.get(name)?.to_str().ok()?.to_string())
+}
+
+fn response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::from(text));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,6 +1,6 @@
-//! Clients in an open loop: each request has a time at which it is meant to be sent, and goes then,
-//! whatever has become of the others. Connections are kept; a client gives up when its patience
-//! ends.
+//! Well-behaved clients in an open loop: each request has a time at which it is meant to be sent,
+//! and goes then, whatever has become of the others. Connections are reused; a client gives up at
+//! its timeout.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,56 +16,79 @@
 
 use crate::{Clock, locked};
 
-/// What repeating a request does, and so its method.
+/// What executing a request twice means, and so its method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
-    /// `GET`.
+    /// Nothing; sent as `GET`.
     Idempotent,
-    /// `POST` with a key.
+    /// Repeats of its key are dropped within a cell and a window; sent as `POST` with the key.
     IdempotencyKey,
-    /// `POST` without one.
+    /// It has its effect twice; sent as `POST` without a key.
     NotIdempotent,
 }
 
-/// A request to be asked.
+/// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its name, fresh for each.
+    /// Its name, unique in the run; sent as `X-Txn`.
     pub txn: String,
     /// Name of its class.
     pub class: String,
-    /// What repeating it does.
+    /// What executing it twice means.
     pub idempotency: Idempotency,
-    /// When it is meant to be sent.
+    /// When it is meant to be sent; its timeout counts from here.
     pub planned: Duration,
     /// How long the client waits.
     pub client_timeout: Duration,
 }
 
-/// How an ask ended.
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// With this status and body.
-    Answered(u16, String),
+    /// With a complete answer.
+    Answered {
+        /// Its HTTP status.
+        status: u16,
+        /// Its body.
+        body: String,
+    },
     /// The node could not be reached.
     Unreachable,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     ConnectionLost,
-    /// The client gave up.
+    /// The client's timeout ran out.
     TimedOut,
 }
 
-/// One ask in the ledger.
+impl ClientOutcome {
+    /// Answered with 200.
+    pub fn is_served(&self) -> bool {
+        matches!(self, ClientOutcome::Answered { status: 200, .. })
+    }
+
+    /// Answered with 429 or 503: the request was not executed, and a retry is harmless.
+    pub fn is_rejected(&self) -> bool {
+        matches!(
+            self,
+            ClientOutcome::Answered {
+                status: 429 | 503,
+                ..
+            }
+        )
+    }
+}
+
+/// A request that has ended, and how.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// What was asked.
+    /// The request.
     pub request: ClientRequest,
     /// Number of the node.
     pub node: usize,
     /// When it ended.
     pub ended: Duration,
-    /// How.
-    pub answer: ClientOutcome,
+    /// How it ended.
+    pub outcome: ClientOutcome,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -73,115 +96,116 @@
 /// All clients of a run.
 pub struct Clients {
     clock: Clock,
+    /// Idle connections by node.
     idle: Mutex<HashMap<usize, Vec<Sender>>>,
-    asked: Mutex<Vec<RequestRecord>>,
+    records: Mutex<Vec<RequestRecord>>,
 }
 
 impl Clients {
-    /// None has asked.
+    /// Clients that have sent nothing yet.
     pub fn new(clock: Clock) -> Arc<Clients> {
         Arc::new(Clients {
             clock,
             idle: Mutex::default(),
-            asked: Mutex::default(),
+            records: Mutex::default(),
         })
     }
 
-    /// All asks that have ended.
-    pub fn asked(&self) -> Vec<RequestRecord> {
-        locked(&self.asked).clone()
+    /// All requests that have ended, by their ends.
+    pub fn records(&self) -> Vec<RequestRecord> {
+        locked(&self.records).clone()
     }
 
-    /// Puts one request to a node, now.
-    pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, at: SocketAddr) {
+    /// Sends one request to a node now, and records its outcome.
+    pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
         let end = self.clock.at(request.planned + request.client_timeout);
-        let answer = match tokio::time::timeout_at(end, self.attempt(&request, node, at)).await {
-            Ok(answer) => answer,
-            Err(_) => ClientOutcome::TimedOut,
-        };
+        let answer = tokio::time::timeout_at(end, self.exchange(&request, node, address)).await;
+        let outcome = answer.unwrap_or(ClientOutcome::TimedOut);
         let ended = self.clock.now();
-        locked(&self.asked).push(RequestRecord {
+        locked(&self.records).push(RequestRecord {
             request,
             node,
             ended,
-            answer,
+            outcome,
         });
     }
 
-    fn idle(&self, node: usize) -> Option<Sender> {
+    fn take_idle(&self, node: usize) -> Option<Sender> {
         let mut idle = locked(&self.idle);
-        let kept = idle.get_mut(&node)?;
-        kept.retain(|sender| !sender.is_closed());
-        kept.pop()
+        let senders = idle.get_mut(&node)?;
+        senders.retain(|sender| !sender.is_closed());
+        senders.pop()
     }
 
     fn http_request(&self, request: &ClientRequest) -> Request<Full<Bytes>> {
-        let left = (request.planned + request.client_timeout).saturating_sub(self.clock.now());
-        let builder = Request::builder()
-            .method(if request.idempotency == Idempotency::Idempotent {
-                "GET"
-            } else {
-                "POST"
-            })
+        let deadline = request.planned + request.client_timeout;
+        let remaining = deadline.saturating_sub(self.clock.now());
+        let is_get = request.idempotency == Idempotency::Idempotent;
+        let mut builder = Request::builder()
+            .method(if is_get { "GET" } else { "POST" })
             .uri("/api")
             .header("host", "api.internal")
             .header("x-txn", &request.txn)
             .header("x-lane", &request.class)
             .header("x-org", "acme")
-            .header("x-remaining-ms", left.as_millis().to_string());
-        let builder = match request.idempotency {
-            Idempotency::IdempotencyKey => {
-                builder.header("idempotency-key", format!("k{}", request.txn))
-            }
-            _ => builder,
-        };
-        let body = if request.idempotency == Idempotency::Idempotent {
+            .header("x-remaining-ms", remaining.as_millis().to_string());
+        if request.idempotency == Idempotency::IdempotencyKey {
+            builder = builder.header("idempotency-key", format!("k{}", request.txn));
+        }
+        let body = if is_get {
             Full::default()
         } else {
             Full::from("body")
         };
-        builder.body(body).expect("sound headers")
+        builder.body(body).expect("valid headers")
     }
 
-    async fn attempt(&self, request: &ClientRequest, node: usize, at: SocketAddr) -> ClientOutcome {
-        let mut fresh = false;
+    async fn exchange(
+        &self,
+        request: &ClientRequest,
+        node: usize,
+        address: SocketAddr,
+    ) -> ClientOutcome {
+        let mut is_new = false;
         loop {
-            let mut sender = match self.idle(node) {
-                Some(sender) => sender,
-                None => {
-                    fresh = true;
-                    match open(at).await {
-                        Some(sender) => sender,
-                        None => return ClientOutcome::Unreachable,
-                    }
-                }
+            let idle = self.take_idle(node);
+            is_new |= idle.is_none();
+            let sender = match idle {
+                Some(sender) => Some(sender),
+                None => connect(address).await,
+            };
+            let Some(mut sender) = sender else {
+                return ClientOutcome::Unreachable;
             };
             match sender.send_request(self.http_request(request)).await {
-                Ok(answer) => {
-                    let status = answer.status().as_u16();
-                    let Ok(body) = answer.into_body().collect().await else {
+                Ok(response) => {
+                    let status = response.status().as_u16();
+                    let Ok(body) = response.into_body().collect().await else {
                         return ClientOutcome::ConnectionLost;
                     };
                     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
                     locked(&self.idle).entry(node).or_default().push(sender);
-                    return ClientOutcome::Answered(status, body);
+                    return ClientOutcome::Answered { status, body };
+                }
+                // The node closed an idle connection while the request was on its way, which is no
+                // fault of the node: it is sent once more.
+                Err(error) if !is_new && (error.is_canceled() || error.is_closed()) => {
+                    is_new = true;
                 }
-                // A close that crossed the request: it is sent once more on a new connection.
-                Err(error) if !fresh && (error.is_canceled() || error.is_closed()) => fresh = true,
                 Err(_) => return ClientOutcome::ConnectionLost,
             }
         }
     }
 }
 
-async fn open(at: SocketAddr) -> Option<Sender> {
-    let stream = TcpStream::connect(at).await.ok()?;
+async fn connect(address: SocketAddr) -> Option<Sender> {
+    let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .ok()?;
     tokio::spawn(async move {
-        // Its end shows at the request that is on it.
+        // The end of the connection shows at the request that is on it.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,20 +1,20 @@
-//! The list service: one queue for all calls, watches, revisions with a bounded history, and
+//! The stand-in discovery: one queue for all calls, watches, revisions with a bounded history, and
 //! outages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::channel::Channel;
+use http_body_util::channel::{Channel, Sender};
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Request, Response};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
 use tokio::sync::watch;
@@ -22,19 +22,46 @@
 use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
-/// A backend in the list.
+/// A watch that has nothing to say writes an empty line this often.
+const KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// Parts of an answer that may wait to be written.
+const BODY_BUFFER: usize = 4;
+
+/// State of an endpoint on the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointState {
+    /// It takes requests.
+    Ready,
+    /// It finishes its work and takes nothing new.
+    Draining,
+    /// It is no longer on the list.
+    Removed,
+}
+
+impl EndpointState {
+    /// The protocol's word.
+    fn wire_word(self) -> &'static str {
+        match self {
+            EndpointState::Ready => "Ready",
+            EndpointState::Draining => "Terminating",
+            EndpointState::Removed => "Gone",
+        }
+    }
+}
+
+/// A backend as the endpoint list has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// The same at every node and over restarts.
+    /// Name of the backend, the same at every node and over restarts.
     pub uid: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Its small group.
+    /// Its cell.
     pub cell: u16,
-    /// `Ready`, `Terminating` or `Gone`.
-    pub state: &'static str,
+    /// Its state.
+    pub state: EndpointState,
     /// Unix time of its last start in milliseconds; 0: long ago.
     pub boot_ms: u64,
 }
@@ -42,36 +69,44 @@
 impl Endpoint {
     /// As the protocol writes it.
     pub fn json(&self) -> Value {
-        json!({"uid": self.uid, "endpoint": self.address.to_string(), "az": self.zone, "model": "m",
-            "pod_group": self.cell, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms})
+        json!({
+            "uid": self.uid,
+            "endpoint": self.address.to_string(),
+            "az": self.zone,
+            "model": "m",
+            "pod_group": self.cell,
+            "state": self.state.wire_word(),
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        })
     }
 }
 
 /// What the service can do.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Work for each call, in turn.
+    /// Work for each call; calls are served one after the other.
     pub call: Duration,
-    /// Work for each entry of an answer.
-    pub row: Duration,
-    /// A call that would wait longer than this gets 503 then.
-    pub most_wait: Duration,
-    /// Changes that are kept for those that resume.
+    /// Work for each endpoint of an answer.
+    pub endpoint: Duration,
+    /// A call that would wait longer than this gets 503 after it.
+    pub max_wait: Duration,
+    /// Changes that are kept for watches that resume.
     pub history: usize,
 }
 
-/// How the service is doing.
+/// How the service treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
     /// It answers.
     #[default]
     Up,
     /// It answers 503 at once.
-    Busy,
+    Overloaded,
     /// It takes calls and never answers.
     Silent,
-    /// It begins an answer and ends the connection in it.
-    Half,
+    /// It ends the connection in the middle of an answer.
+    Truncates,
 }
 
 /// How a call ended.
@@ -79,302 +114,373 @@
 pub enum CallOutcome {
     /// Answered with a list or the beginning of a watch.
     Answered,
-    /// 503, or broken off.
+    /// Answered with 503, or broken off.
     Failed,
     /// Never answered.
     Unanswered,
 }
 
-/// One call in the ledger.
+/// One call of a node: a poll of the whole list, or a watch.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
     /// Number of the node whose listener it came to.
     pub node: usize,
-    /// When it had arrived whole.
+    /// When it had arrived.
     pub arrived: Duration,
     /// When it was answered.
     pub ended: Duration,
-    /// How.
-    pub end: CallOutcome,
+    /// How it ended.
+    pub outcome: CallOutcome,
 }
 
-/// News written to a node.
+/// A list or a watch event written to a node.
 #[derive(Clone, Debug)]
 pub struct Notification {
     /// Number of the node.
     pub node: usize,
     /// When it was written.
     pub at: Duration,
-    /// The version that it brought the node to.
+    /// The revision that it brought the node to.
+    pub revision: u64,
+}
+
+/// A change of one endpoint.
+#[derive(Clone, Debug)]
+pub struct EndpointChange {
+    /// The revision that it made.
     pub revision: u64,
+    /// When it was published.
+    pub at: Duration,
+    /// The endpoint after it.
+    pub endpoint: Endpoint,
 }
 
-struct Inner {
+struct State {
     mode: Mode,
     revision: u64,
     endpoints: BTreeMap<String, Endpoint>,
-    history: VecDeque<(u64, Endpoint)>,
-    free_at: Duration,
+    /// The latest changes, bounded by the capacity's `history`.
+    history: VecDeque<EndpointChange>,
+    /// When all calls that were queued so far are served.
+    idle_at: Duration,
     calls: Vec<DiscoveryCall>,
-    told: Vec<Notification>,
+    notifications: Vec<Notification>,
     bytes_written: u64,
-    /// Changes by version, kept for the referee.
-    changes: Vec<(u64, Duration, Endpoint)>,
+    /// All changes, for the referee.
+    changes: Vec<EndpointChange>,
 }
 
-/// The service; one for all nodes.
+/// What brings a node up to date.
+struct Update {
+    revision: u64,
+    endpoints: usize,
+    line: Bytes,
+}
+
+/// What a node asks for.
+struct CallQuery {
+    watch: bool,
+    /// The revision that a watch resumes after.
+    after: Option<u64>,
+}
+
+impl CallQuery {
+    fn parse(query: &str) -> CallQuery {
+        let watch = query.contains("watch=1");
+        let after = query
+            .split('&')
+            .find_map(|part| part.strip_prefix("after=")?.parse().ok());
+        CallQuery {
+            watch,
+            after: after.filter(|_| watch),
+        }
+    }
+}
+
+/// The discovery service; one for all nodes.
 pub struct DiscoveryService {
     clock: Clock,
     capacity: Capacity,
-    inner: Mutex<Inner>,
+    state: Mutex<State>,
+    /// Wakes watches.
     revision: watch::Sender<u64>,
 }
 
-type ClientOutcome = Response<BoxBody<Bytes, io::Error>>;
+type Answer = Response<BoxBody<Bytes, io::Error>>;
 
-fn status(code: u16) -> ClientOutcome {
+fn service_unavailable() -> Answer {
     let mut answer = Response::new(Empty::new().map_err(|never| match never {}).boxed());
-    *answer.status_mut() = code.try_into().expect("a known status");
+    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     answer
 }
 
 impl DiscoveryService {
-    /// A service that knows these backends.
-    pub fn new(
-        clock: Clock,
-        capacity: Capacity,
-        endpoints: Vec<Endpoint>,
-    ) -> Arc<DiscoveryService> {
-        let inner = Inner {
+    /// A service whose list has these endpoints.
+    pub fn new(clock: Clock, capacity: Capacity, endpoints: Vec<Endpoint>) -> Arc<Self> {
+        let by_uid = endpoints
+            .into_iter()
+            .map(|endpoint| (endpoint.uid.clone(), endpoint));
+        let state = State {
             mode: Mode::Up,
             revision: 1,
-            endpoints: endpoints.into_iter().map(|e| (e.uid.clone(), e)).collect(),
+            endpoints: by_uid.collect(),
             history: VecDeque::new(),
-            free_at: Duration::ZERO,
+            idle_at: Duration::ZERO,
             calls: Vec::new(),
-            told: Vec::new(),
+            notifications: Vec::new(),
             bytes_written: 0,
             changes: Vec::new(),
         };
         Arc::new(DiscoveryService {
             clock,
             capacity,
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
             revision: watch::Sender::new(1),
         })
     }
 
-    fn inner(&self) -> std::sync::MutexGuard<'_, Inner> {
-        locked(&self.inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        locked(&self.state)
     }
 
     /// Opens a listener for one node.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>, node: usize, link: Arc<Link>) -> io::Result<SocketAddr> {
         let (service, over) = (self.clone(), link.clone());
-        let serve = move |linked: LinkedStream| {
+        let serve = move |stream: LinkedStream| {
             let (service, over) = (service.clone(), over.clone());
             tokio::spawn(async move {
                 let answer = service_fn(|request| {
                     let (service, over) = (service.clone(), over.clone());
                     async move { service.answer(node, over, request).await }
                 });
-                // Its end, good or bad, is in the ledger.
+                // Its end, good or bad, shows in the outcome of its calls.
                 let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(linked), answer)
+                    .serve_connection(TokioIo::new(stream), answer)
                     .await;
             });
         };
         Ok(link.listen(serve).await?.0)
     }
 
-    /// Changes how it is doing.
+    /// Changes how calls are treated that come from now on.
     pub fn set(&self, mode: Mode) {
-        self.inner().mode = mode;
+        self.state().mode = mode;
     }
 
-    /// Its process starts anew: nobody waits in turn, and its history is gone. Links are to be
-    /// reset with it.
+    /// Its process starts anew: its queue is empty and its history gone. The caller resets its
+    /// links.
     pub fn restart(&self) {
-        let mut inner = self.inner();
-        inner.history.clear();
-        inner.free_at = self.clock.now();
+        let mut state = self.state();
+        state.history.clear();
+        state.idle_at = self.clock.now();
     }
 
     /// Publishes a change.
-    pub fn change(&self, entry: Endpoint) {
-        let mut inner = self.inner();
-        inner.revision += 1;
-        let revision = inner.revision;
-        match entry.state {
-            "Gone" => drop(inner.endpoints.remove(&entry.uid)),
-            _ => drop(inner.endpoints.insert(entry.uid.clone(), entry.clone())),
+    pub fn change(&self, endpoint: Endpoint) {
+        let mut state = self.state();
+        state.revision += 1;
+        let revision = state.revision;
+        if endpoint.state == EndpointState::Removed {
+            state.endpoints.remove(&endpoint.uid);
+        } else {
+            let uid = endpoint.uid.clone();
+            state.endpoints.insert(uid, endpoint.clone());
         }
-        inner
-            .changes
-            .push((revision, self.clock.now(), entry.clone()));
-        inner.history.push_back((revision, entry));
-        while inner.history.len() > self.capacity.history {
-            inner.history.pop_front();
+        let change = EndpointChange {
+            revision,
+            at: self.clock.now(),
+            endpoint,
+        };
+        state.changes.push(change.clone());
+        state.history.push_back(change);
+        while state.history.len() > self.capacity.history {
+            state.history.pop_front();
         }
-        drop(inner);
+        drop(state);
         self.revision.send_replace(revision);
     }
 
-    /// The list as it is now.
-    pub fn list(&self) -> Vec<Endpoint> {
-        self.inner().endpoints.values().cloned().collect()
+    /// The endpoint list as it is now.
+    pub fn endpoints(&self) -> Vec<Endpoint> {
+        self.state().endpoints.values().cloned().collect()
     }
 
     /// All calls so far.
     pub fn calls(&self) -> Vec<DiscoveryCall> {
-        self.inner().calls.clone()
+        self.state().calls.clone()
     }
 
-    /// All news written so far.
-    pub fn told(&self) -> Vec<Notification> {
-        self.inner().told.clone()
+    /// All lists and watch events written so far.
+    pub fn notifications(&self) -> Vec<Notification> {
+        self.state().notifications.clone()
     }
 
-    /// Bytes of lists and changes written to nodes so far.
+    /// Bytes of lists and watch events written to nodes so far.
     pub fn bytes_written(&self) -> u64 {
-        self.inner().bytes_written
+        self.state().bytes_written
     }
 
-    /// Version, time and entry of each change so far.
-    pub fn changes(&self) -> Vec<(u64, Duration, Endpoint)> {
-        self.inner().changes.clone()
+    /// All changes so far, by revision.
+    pub fn changes(&self) -> Vec<EndpointChange> {
+        self.state().changes.clone()
     }
 
-    /// What a node that has `after` needs: the changes since, or the whole list where these are not
-    /// kept.
-    fn update(&self, after: Option<u64>) -> (u64, usize, Bytes) {
-        let inner = self.inner();
-        let revision = inner.revision;
-        let kept = inner
+    /// The changes after a revision, or the whole list where the history does not reach back.
+    fn update(&self, after: Option<u64>) -> Update {
+        let state = self.state();
+        let revision = state.revision;
+        let oldest = state
             .history
             .front()
-            .map_or(revision + 1, |(first, _)| *first);
-        let since = after.filter(|after| *after > 0 && after + 1 >= kept && *after <= revision);
-        let (all, rows): (bool, Vec<Value>) = match since {
-            Some(after) => (
-                false,
-                inner
-                    .history
-                    .iter()
-                    .filter(|(r, _)| *r > after)
-                    .map(|(_, e)| e.json())
-                    .collect(),
-            ),
-            None => (true, inner.endpoints.values().map(Endpoint::json).collect()),
+            .map_or(revision + 1, |change| change.revision);
+        let resumes = after.filter(|after| *after > 0 && after + 1 >= oldest && *after <= revision);
+        let endpoints: Vec<Value> = match resumes {
+            Some(after) => state
+                .history
+                .iter()
+                .filter(|change| change.revision > after)
+                .map(|change| change.endpoint.json())
+                .collect(),
+            None => state.endpoints.values().map(Endpoint::json).collect(),
         };
-        let count = rows.len();
-        (
+        let count = endpoints.len();
+        let object = json!({"rev": revision, "all": resumes.is_none(), "targets": endpoints});
+        Update {
             revision,
-            count,
-            Bytes::from(json!({"rev": revision, "all": all, "targets": rows}).to_string() + "\n"),
-        )
+            endpoints: count,
+            line: Bytes::from(object.to_string() + "\n"),
+        }
     }
 
-    /// Notes news as told, unless the link says nothing: then it reaches the node at best when that
-    /// is over.
-    fn wrote(&self, node: usize, link: &Link, revision: u64) {
+    /// Records a notification, unless the link is cut: then it reaches the node at best when the
+    /// cut is over.
+    fn record_notification(&self, node: usize, link: &Link, revision: u64) {
         let at = self.clock.now();
         if link.passes_out() {
-            self.inner().told.push(Notification { node, at, revision });
+            let notification = Notification { node, at, revision };
+            self.state().notifications.push(notification);
         }
     }
 
+    /// Records a call as unanswered; gives its index.
+    fn record_call(&self, node: usize) -> usize {
+        let arrived = self.clock.now();
+        let mut state = self.state();
+        state.calls.push(DiscoveryCall {
+            node,
+            arrived,
+            ended: arrived,
+            outcome: CallOutcome::Unanswered,
+        });
+        state.calls.len() - 1
+    }
+
+    fn end_call(&self, index: usize, outcome: CallOutcome) {
+        let ended = self.clock.now();
+        let mut state = self.state();
+        let call = &mut state.calls[index];
+        call.ended = ended;
+        call.outcome = outcome;
+    }
+
     async fn answer(
         self: Arc<Self>,
         node: usize,
         link: Arc<Link>,
         request: Request<Incoming>,
-    ) -> Result<ClientOutcome, Infallible> {
-        let arrived = self.clock.now();
-        let query = request.uri().query().unwrap_or_default().to_string();
-        let place = {
-            let mut inner = self.inner();
-            inner.calls.push(DiscoveryCall {
-                node,
-                arrived,
-                ended: arrived,
-                end: CallOutcome::Unanswered,
-            });
-            inner.calls.len() - 1
-        };
-        let end = |end| {
-            let ended = self.clock.now();
-            let mut inner = self.inner();
-            let call = &mut inner.calls[place];
-            (call.ended, call.end) = (ended, end);
-        };
-        let mode = self.inner().mode;
+    ) -> Result<Answer, Infallible> {
+        let query = CallQuery::parse(request.uri().query().unwrap_or_default());
+        let call = self.record_call(node);
+        let mode = self.state().mode;
         match mode {
             Mode::Up => {}
-            Mode::Busy => {
-                end(CallOutcome::Failed);
-                return Ok(status(503));
+            Mode::Overloaded => {
+                self.end_call(call, CallOutcome::Failed);
+                return Ok(service_unavailable());
             }
             Mode::Silent => std::future::pending::<()>().await,
-            Mode::Half => {
-                let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
-                let half = self.update(None).2;
-                let _ = sender.send_data(half.slice(..half.len() / 2)).await;
-                end(CallOutcome::Failed);
-                // Gone without the last chunk: the connection closes under the answer.
-                sender.abort(io::ErrorKind::BrokenPipe.into());
-                return Ok(Response::new(body.boxed()));
-            }
+            Mode::Truncates => return Ok(self.truncated_answer(call).await),
         }
-        let watch = query.contains("watch=1");
-        let after = query
-            .split('&')
-            .find_map(|part| part.strip_prefix("after=")?.parse().ok());
-        let (done, waits) = {
-            let rows = self.update(after.filter(|_| watch)).1 as u32;
-            let mut inner = self.inner();
-            let start = inner.free_at.max(arrived);
-            let waits = start - arrived;
-            if waits <= self.capacity.most_wait {
-                inner.free_at = start + self.capacity.call + self.capacity.row * rows;
+        if !self.wait_in_queue(call, &query).await {
+            self.end_call(call, CallOutcome::Failed);
+            return Ok(service_unavailable());
+        }
+        self.end_call(call, CallOutcome::Answered);
+        let (sender, body) = Channel::<Bytes, io::Error>::new(BODY_BUFFER);
+        tokio::spawn(self.clone().write_body(node, link, query, sender));
+        Ok(Response::new(body.boxed()))
+    }
+
+    /// Half of the list, and the connection closes without the last chunk.
+    async fn truncated_answer(&self, call: usize) -> Answer {
+        let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
+        let list = self.update(None).line;
+        let _ = sender.send_data(list.slice(..list.len() / 2)).await;
+        self.end_call(call, CallOutcome::Failed);
+        sender.abort(io::ErrorKind::BrokenPipe.into());
+        Response::new(body.boxed())
+    }
+
+    /// Waits until the call is served, or until it has waited as long as a call may: then `false`.
+    async fn wait_in_queue(&self, call: usize, query: &CallQuery) -> bool {
+        let endpoints = self.update(query.after).endpoints as u32;
+        let (arrived, wait, served_at) = {
+            let mut state = self.state();
+            let arrived = state.calls[call].arrived;
+            let start = state.idle_at.max(arrived);
+            let wait = start - arrived;
+            if wait <= self.capacity.max_wait {
+                state.idle_at = start + self.capacity.call + self.capacity.endpoint * endpoints;
             }
-            (inner.free_at, waits)
+            (arrived, wait, state.idle_at)
         };
-        if waits > self.capacity.most_wait {
-            tokio::time::sleep_until(self.clock.at(arrived + self.capacity.most_wait)).await;
-            end(CallOutcome::Failed);
-            return Ok(status(503));
-        }
-        tokio::time::sleep_until(self.clock.at(done)).await;
-        end(CallOutcome::Answered);
-        let (mut sender, body) = Channel::<Bytes, io::Error>::new(4);
-        let service = self.clone();
-        tokio::spawn(async move {
-            let mut news = service.revision.subscribe();
-            news.mark_unchanged();
-            let (mut revision, _, first) = service.update(after.filter(|_| watch));
-            service.wrote(node, &link, revision);
-            service.inner().bytes_written += first.len() as u64;
-            let mut sent = sender.send_data(first).await;
-            while watch && sent.is_ok() {
-                // Only whether it has changed goes on: the guard that comes with it would hold off
-                // a change.
-                let changed = async { news.wait_for(|now| *now > revision).await.is_ok() };
-                let line = tokio::select! {
-                    // A list may have changed between the first line and here.
-                    changed = changed => {
-                        if !changed { return; }
-                        let (now, _, line) = service.update(Some(revision));
-                        revision = now;
-                        service.wrote(node, &link, revision);
-                        line
+        let is_served = wait <= self.capacity.max_wait;
+        let until = if is_served {
+            served_at
+        } else {
+            arrived + self.capacity.max_wait
+        };
+        tokio::time::sleep_until(self.clock.at(until)).await;
+        is_served
+    }
+
+    /// Writes the list or the changes, and for a watch each later change.
+    async fn write_body(
+        self: Arc<Self>,
+        node: usize,
+        link: Arc<Link>,
+        query: CallQuery,
+        mut sender: Sender<Bytes, io::Error>,
+    ) {
+        let mut changes = self.revision.subscribe();
+        changes.mark_unchanged();
+        let first = self.update(query.after);
+        let mut revision = first.revision;
+        self.record_notification(node, &link, revision);
+        self.state().bytes_written += first.line.len() as u64;
+        let mut sent = sender.send_data(first.line).await;
+        while query.watch && sent.is_ok() {
+            // The guard that `wait_for` gives is dropped at once: it would hold off a change.
+            let changed = async { changes.wait_for(|now| *now > revision).await.is_ok() };
+            let line = tokio::select! {
+                // The list may have changed between the first line and here.
+                changed = changed => {
+                    if !changed {
+                        return;
                     }
-                    () = tokio::time::sleep(Duration::from_secs(2)) => Bytes::from_static(b"\n"),
-                };
-                service.inner().bytes_written += line.len() as u64;
-                sent = sender.send_data(line).await;
-            }
-        });
-        Ok(Response::new(body.boxed()))
+                    let update = self.update(Some(revision));
+                    revision = update.revision;
+                    self.record_notification(node, &link, revision);
+                    update.line
+                }
+                () = tokio::time::sleep(KEEP_ALIVE) => Bytes::from_static(b"\n"),
+            };
+            self.state().bytes_written += line.len() as u64;
+            sent = sender.send_data(line).await;
+        }
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,32 +1,37 @@
-//! Stand-ins for the parties that the node meets, by the platform's published protocol, on
-//! loopback.
+//! Stand-ins for what the node meets, by the platform's published protocol, on loopback: clients,
+//! backends, discovery, and the links to them.
 //!
 //! They are written on an independent HTTP library, so that two different parsers meet. Each keeps
-//! an exact ledger of what reached it and when; times count from the world's start. Nothing here
-//! decides whether the node did well: that is the referee's, on the ledgers alone.
+//! an exact log of what reached it and when; times count from the start of the run. Nothing here
+//! decides whether the node did well: that is the testbed's referee, on the logs alone.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod backend;
 pub mod clients;
 pub mod discovery;
 pub mod link;
 pub mod misbehaving;
+pub mod random;
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A lock is poisoned only by a panic, and that ends the run.
+/// Locks a mutex.
+///
+/// # Panics
+///
+/// If another thread has panicked with the lock: that ends the run.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("a part of the rig has panicked")
+    mutex.lock().expect("a part of the testbed has panicked")
 }
 
-/// The clock that all ledgers of a run share.
+/// The clock that all logs of a run share.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts now.
+    /// A clock that starts now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
@@ -36,7 +41,7 @@
         self.0.elapsed()
     }
 
-    /// That time as the runtime's clock has it.
+    /// That time on the runtime's clock.
     pub fn at(&self, time: Duration) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + time)
     }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,5 +1,5 @@
-//! The link between a party and those that come to it: a listener whose connections can be cut,
-//! reset and refused while the run goes on.
+//! The link between a stand-in server and the nodes: a listener whose connections can be cut, reset
+//! and refused while the run goes on.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,65 +17,80 @@
 
 use crate::locked;
 
-/// Connections that wait to be accepted.
-const QUEUE: u32 = 1024;
-/// A port on which nobody can listen yet is tried again after this.
+/// Connections that may wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// A port that is still listened on is tried again after this.
 const LISTEN_RETRY: Duration = Duration::from_millis(5);
 
-/// How a link is doing.
+/// What a link does with bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Health {
     /// Bytes pass.
     #[default]
     Sound,
-    /// Nothing is said and nothing arrives, either way; what was written comes when the cut is
-    /// over, as TCP sends again what was not acknowledged.
+    /// No bytes pass, either way; what was written arrives when the cut is over, as TCP sends
+    /// again what was not acknowledged.
     Cut,
-    /// What comes in arrives, what goes out does not.
+    /// Bytes from the node pass, bytes to it do not.
     CutOut,
     /// New connections are refused.
     Refused,
 }
 
-/// How what this side says is written.
+/// How the stand-in's bytes are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WriteBehaviour {
-    /// As it is.
+    /// As they are.
     #[default]
     Unchanged,
-    /// All of it twice, the second time right behind the first.
+    /// All of them twice, the second time right behind the first.
     Duplicated,
     /// A few bytes at a time, with a pause behind each.
     InPieces,
 }
 
-/// Bytes of a piece, and the pause behind it.
+/// Bytes of a piece.
 const PIECE: usize = 7;
+/// Pause behind a piece.
 const PIECE_PAUSE: Duration = Duration::from_millis(1);
 
+/// The tasks that wait to read from and to write to a connection.
+#[derive(Debug, Default)]
+struct ConnectionWakers {
+    read: Option<Waker>,
+    write: Option<Waker>,
+}
+
+/// A direction of a connection, as the stand-in sees it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    Read,
+    Write,
+}
+
 /// One link; all its connections share its health.
 #[derive(Debug, Default)]
 pub struct Link {
     health: Mutex<Health>,
     behaviour: Mutex<WriteBehaviour>,
-    /// For each connection, who waits to read on it and who to write.
-    wakers: Mutex<BTreeMap<usize, [Option<Waker>; 2]>>,
+    /// The tasks that wait, by number of the connection.
+    wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
     changed: Notify,
-    /// Connections older than this are reset.
+    /// Resets so far; each strikes the connections that were open.
     resets: AtomicU64,
     open: AtomicUsize,
     accepted: AtomicUsize,
 }
 
 impl Link {
-    /// Changes how it is doing, for open connections too.
+    /// Changes the health, for open connections too.
     pub fn set(&self, health: Health) {
         *locked(&self.health) = health;
         self.changed.notify_one();
         self.wake();
     }
 
-    /// Changes how what this side says is written, on open connections too.
+    /// Changes how the stand-in's bytes are written, on open connections too.
     pub fn set_write_behaviour(&self, behaviour: WriteBehaviour) {
         *locked(&self.behaviour) = behaviour;
     }
@@ -90,7 +105,7 @@
         let wakers = std::mem::take(&mut *locked(&self.wakers));
         wakers
             .into_values()
-            .flatten()
+            .flat_map(|waiting| [waiting.read, waiting.write])
             .flatten()
             .for_each(Waker::wake);
     }
@@ -105,7 +120,7 @@
         self.accepted.load(Ordering::SeqCst)
     }
 
-    /// What this side says arrives.
+    /// Whether the stand-in's bytes reach the node.
     pub fn passes_out(&self) -> bool {
         !matches!(self.health(), Health::Cut | Health::CutOut)
     }
@@ -115,6 +130,10 @@
     }
 
     /// Listens on a port of its own; each connection is handed to `serve`.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub async fn listen(
         self: Arc<Self>,
         serve: impl Fn(LinkedStream) + Send + 'static,
@@ -123,41 +142,52 @@
         // refuses, and one that connects to its own port would even reach itself.
         let port = Port::reserve("127.1.0.1:0".parse().expect("an address"))?;
         let address = port.address;
-        let mut listener = Some(port.listen()?);
-        let task = tokio::spawn(async move {
-            loop {
-                if self.health() == Health::Refused {
-                    // Who connects now is refused, as nobody listens; the port stays reserved.
-                    listener = None;
-                    self.changed.notified().await;
-                    continue;
-                }
-                let bound = match listener.take() {
-                    Some(bound) => bound,
-                    // A process that is being started may still hold the listener from before.
-                    None => match port.listen() {
-                        Ok(bound) => bound,
-                        Err(_) => {
-                            tokio::time::sleep(LISTEN_RETRY).await;
-                            continue;
-                        }
-                    },
-                };
-                tokio::select! {
-                    accepted = bound.accept() => if let Ok((stream, _)) = accepted {
-                        let _ = stream.set_nodelay(true);
-                        self.open.fetch_add(1, Ordering::SeqCst);
-                        let number = self.accepted.fetch_add(1, Ordering::SeqCst);
-                        let born = self.resets.load(Ordering::SeqCst);
-                        serve(LinkedStream { stream, link: self.clone(), number, born, pause: None });
-                    },
-                    () = self.changed.notified() => {}
-                }
-                listener = Some(bound);
-            }
-        });
+        let listener = port.listen()?;
+        let task = tokio::spawn(self.accept_connections(port, listener, serve));
         Ok((address, task))
     }
+
+    async fn accept_connections(
+        self: Arc<Self>,
+        port: Port,
+        listener: TcpListener,
+        serve: impl Fn(LinkedStream),
+    ) {
+        let mut open_listener = Some(listener);
+        loop {
+            if self.health() == Health::Refused {
+                // Without a listener the kernel refuses connections; the port stays reserved.
+                open_listener = None;
+                self.changed.notified().await;
+                continue;
+            }
+            let listener = match open_listener.take() {
+                Some(listener) => listener,
+                None => port.listen_when_free().await,
+            };
+            tokio::select! {
+                accepted = listener.accept() => if let Ok((stream, _)) = accepted {
+                    serve(self.clone().linked(stream));
+                },
+                () = self.changed.notified() => {}
+            }
+            open_listener = Some(listener);
+        }
+    }
+
+    fn linked(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
+        let _ = stream.set_nodelay(true);
+        self.open.fetch_add(1, Ordering::SeqCst);
+        let number = self.accepted.fetch_add(1, Ordering::SeqCst);
+        let resets_before = self.resets.load(Ordering::SeqCst);
+        LinkedStream {
+            stream,
+            link: self,
+            number,
+            resets_before,
+            pause: None,
+        }
+    }
 }
 
 /// A port that belongs to one link for good. A socket that is bound and never listens holds it:
@@ -180,7 +210,18 @@
 
     /// A listener on the port. Fails while another one is open.
     fn listen(&self) -> io::Result<TcpListener> {
-        bind(self.address)?.listen(QUEUE)
+        bind(self.address)?.listen(ACCEPT_BACKLOG)
+    }
+
+    /// A listener on the port, as soon as no other one is open: a process that is being started may
+    /// still hold the one from before.
+    async fn listen_when_free(&self) -> TcpListener {
+        loop {
+            if let Ok(listener) = self.listen() {
+                return listener;
+            }
+            tokio::time::sleep(LISTEN_RETRY).await;
+        }
     }
 }
 
@@ -197,8 +238,9 @@
     stream: TcpStream,
     link: Arc<Link>,
     number: usize,
-    born: u64,
-    /// Behind a piece: until when no other one is written.
+    /// Resets of the link before this connection was accepted.
+    resets_before: u64,
+    /// The pause behind the last piece.
     pause: Option<Pin<Box<Sleep>>>,
 }
 
@@ -211,19 +253,24 @@
 
 impl LinkedStream {
     /// Whether bytes pass now; if they don't, the task is woken when that may have changed.
-    fn passes(&self, context: &Context<'_>, writes: bool) -> Poll<io::Result<()>> {
-        // Kept before the look, so that a change in between is not missed.
+    fn poll_permitted(&self, context: &Context<'_>, direction: Direction) -> Poll<io::Result<()>> {
+        // Registered before the health is read, so that a change in between is not missed.
         let mut wakers = locked(&self.link.wakers);
-        wakers.entry(self.number).or_default()[usize::from(writes)] = Some(context.waker().clone());
+        let waiting = wakers.entry(self.number).or_default();
+        let waker = Some(context.waker().clone());
+        match direction {
+            Direction::Read => waiting.read = waker,
+            Direction::Write => waiting.write = waker,
+        }
         drop(wakers);
-        if self.link.resets.load(Ordering::SeqCst) > self.born {
+        if self.link.resets.load(Ordering::SeqCst) > self.resets_before {
             let _ = self.stream.set_zero_linger();
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         match self.link.health() {
             Health::Cut => Poll::Pending,
-            Health::CutOut if writes => Poll::Pending,
-            _ => Poll::Ready(Ok(())),
+            Health::CutOut if direction == Direction::Write => Poll::Pending,
+            Health::Sound | Health::CutOut | Health::Refused => Poll::Ready(Ok(())),
         }
     }
 }
@@ -234,7 +281,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        std::task::ready!(self.passes(context, false))?;
+        std::task::ready!(self.poll_permitted(context, Direction::Read))?;
         Pin::new(&mut self.stream).poll_read(context, buffer)
     }
 }
@@ -245,7 +292,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.passes(context, true))?;
+        std::task::ready!(self.poll_permitted(context, Direction::Write))?;
         let behaviour = *locked(&self.link.behaviour);
         match behaviour {
             WriteBehaviour::Unchanged => Pin::new(&mut self.stream).poll_write(context, bytes),
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -1,3 +1,5 @@
+//! Unit tests of `link`.
+
 use super::*;
 use std::sync::atomic::AtomicBool;
 
@@ -5,11 +7,11 @@
 
 async fn echo() -> (Arc<Link>, SocketAddr) {
     let link = Arc::new(Link::default());
-    let serve = |mut linked: LinkedStream| {
+    let serve = |mut stream: LinkedStream| {
         tokio::spawn(async move {
             let mut byte = [0];
-            while linked.read_exact(&mut byte).await.is_ok()
-                && linked.write_all(&byte).await.is_ok()
+            while stream.read_exact(&mut byte).await.is_ok()
+                && stream.write_all(&byte).await.is_ok()
             {}
         });
     };
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -1,6 +1,5 @@
-//! Clients that don't behave: they leave early, end their sending alone, send slowly, stop in the
-//! middle, say nothing, or send several requests at once. Written on bare sockets, as no HTTP
-//! library does that.
+//! Misbehaving clients: they disconnect early, half-close, trickle, stop in the middle of a
+//! request, say nothing, or pipeline. They write to bare sockets, as no HTTP library does that.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,11 +10,11 @@
 
 use crate::{Clock, locked};
 
-/// What a client does.
+/// How a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     /// It closes its connection this long after its request.
-    Leaves(Duration),
+    Disconnects(Duration),
     /// It ends its sending behind its request and waits for the answer.
     HalfCloses,
     /// It sends its request in pieces with pauses.
@@ -28,7 +27,7 @@
     Pipelines,
 }
 
-/// The manners that need no figure.
+/// The behaviours that have no parameter.
 pub const BEHAVIOURS: [Behaviour; 5] = [
     Behaviour::HalfCloses,
     Behaviour::Trickles,
@@ -37,29 +36,34 @@
     Behaviour::Pipelines,
 ];
 
-/// Pieces of a request that trickles, and the pause between them.
+/// Pieces of a request that trickles.
 const PIECES: usize = 5;
+/// Pause behind each piece.
 const PAUSE: Duration = Duration::from_millis(60);
+/// A client waits at least this long for what it is owed ...
+const MIN_WAIT: Duration = Duration::from_secs(3);
+/// ... and this much longer, so that a late answer is still seen and can be judged.
+const WAIT_MARGIN: Duration = Duration::from_secs(1);
 
-/// What such a client asks.
+/// A request of a misbehaving client.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRequest {
-    /// Its request's name; a second one has a `b` behind it.
+    /// Its name, unique in the run; a pipelined second request has a `b` behind it.
     pub txn: String,
-    /// Name of its class, whose requests are safe to repeat or keyed.
+    /// Name of its class, whose requests are idempotent or have an idempotency key.
     pub class: String,
-    /// It is sent as `POST` with a key.
-    pub keyed: bool,
-    /// How long it waits.
+    /// It is sent as `POST` with an idempotency key.
+    pub has_key: bool,
+    /// How long the client waits.
     pub client_timeout: Duration,
-    /// What it does.
+    /// What the client does.
     pub behaviour: Behaviour,
 }
 
-/// One such client in the ledger.
+/// What became of a misbehaving client.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRecord {
-    /// What it asked, and how.
+    /// What it sent, and how.
     pub request: MisbehavingRequest,
     /// Number of the node.
     pub node: usize,
@@ -68,97 +72,91 @@
     /// When its last byte was sent.
     pub sent: Duration,
     /// When it closed, or ended its sending.
-    pub left: Option<Duration>,
-    /// When the node had ended the connection or given a whole answer.
+    pub disconnected: Option<Duration>,
+    /// When the node had ended the connection or given all answers.
     pub ended: Option<Duration>,
-    /// Whole answers that it got.
+    /// Complete answers that it got.
     pub answers: usize,
 }
 
-/// All of them.
+/// All misbehaving clients of a run.
 pub struct MisbehavingClients {
     clock: Clock,
-    asked: Mutex<Vec<MisbehavingRecord>>,
+    records: Mutex<Vec<MisbehavingRecord>>,
 }
 
 impl MisbehavingClients {
-    /// None has asked.
+    /// Clients that have sent nothing yet.
     pub fn new(clock: Clock) -> Arc<MisbehavingClients> {
         Arc::new(MisbehavingClients {
             clock,
-            asked: Mutex::default(),
+            records: Mutex::default(),
         })
     }
 
-    /// All that have ended.
-    pub fn asked(&self) -> Vec<MisbehavingRecord> {
-        locked(&self.asked).clone()
+    /// All clients that have ended.
+    pub fn records(&self) -> Vec<MisbehavingRecord> {
+        locked(&self.records).clone()
     }
 
     /// Plays one client to its end.
-    pub async fn play(self: Arc<Self>, request: MisbehavingRequest, node: usize, at: SocketAddr) {
-        let now = self.clock.now();
-        let row = MisbehavingRecord {
+    pub async fn play(
+        self: Arc<Self>,
+        request: MisbehavingRequest,
+        node: usize,
+        address: SocketAddr,
+    ) {
+        let mut record = MisbehavingRecord {
             request,
             node,
             connected: None,
-            sent: now,
-            left: None,
+            sent: self.clock.now(),
+            disconnected: None,
             ended: None,
             answers: 0,
         };
-        let row = self.talk(row, at).await;
-        locked(&self.asked).push(row);
+        if let Ok(stream) = TcpStream::connect(address).await {
+            self.converse(&mut record, stream).await;
+        }
+        locked(&self.records).push(record);
     }
 
-    async fn talk(&self, mut row: MisbehavingRecord, at: SocketAddr) -> MisbehavingRecord {
-        let Ok(mut stream) = TcpStream::connect(at).await else {
-            return row;
-        };
-        row.connected = Some(self.clock.now());
+    async fn converse(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
+        record.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
-        let text = request_bytes(&row.request, "");
-        let sent = match row.request.behaviour {
-            Behaviour::Silent => Ok(()),
-            Behaviour::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
-            Behaviour::Trickles => trickle(&mut stream, &text).await,
-            Behaviour::Pipelines => {
-                let both = [text, request_bytes(&row.request, "b")].concat();
-                stream.write_all(&both).await
-            }
-            Behaviour::Leaves(_) | Behaviour::HalfCloses => stream.write_all(&text).await,
-        };
-        row.sent = self.clock.now();
+        let sent = send(&record.request, &mut stream).await;
+        record.sent = self.clock.now();
         if sent.is_err() {
-            row.ended = Some(row.sent);
-            return row;
+            record.ended = Some(record.sent);
+            return;
         }
-        match row.request.behaviour {
-            Behaviour::Leaves(wait) => {
+        match record.request.behaviour {
+            Behaviour::Disconnects(wait) => {
                 tokio::time::sleep(wait).await;
                 drop(stream);
-                row.left = Some(self.clock.now());
-                return row;
+                record.disconnected = Some(self.clock.now());
+                return;
             }
             Behaviour::HalfCloses => {
                 let _ = stream.shutdown().await;
-                row.left = Some(self.clock.now());
+                record.disconnected = Some(self.clock.now());
             }
-            _ => {}
+            Behaviour::Trickles
+            | Behaviour::StopsMidway
+            | Behaviour::Silent
+            | Behaviour::Pipelines => {}
         }
-        self.read_answers(&mut row, stream).await;
-        row
+        self.read_answers(record, stream).await;
     }
 
-    /// Reads until the answers that are owed have come, the node ends, or far more than patience is
-    /// over.
-    async fn read_answers(&self, row: &mut MisbehavingRecord, mut stream: TcpStream) {
-        let wanted = if row.request.behaviour == Behaviour::Pipelines {
-            2
-        } else {
-            1
+    /// Reads until the answers that are owed have come, the node ends the connection, or the client
+    /// has waited well past its timeout.
+    async fn read_answers(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
+        let wanted = match record.request.behaviour {
+            Behaviour::Pipelines => 2,
+            _ => 1,
         };
-        let limit = row.request.client_timeout.max(Duration::from_secs(3)) + Duration::from_secs(1);
+        let limit = record.request.client_timeout.max(MIN_WAIT) + WAIT_MARGIN;
         let mut bytes = Vec::new();
         let read = async {
             let mut piece = [0; 4096];
@@ -167,39 +165,45 @@
                     Ok(0) | Err(_) => return,
                     Ok(count) => bytes.extend_from_slice(&piece[..count]),
                 }
-                if whole_answers(&bytes) >= wanted {
+                if count_complete_answers(&bytes) >= wanted {
                     return;
                 }
             }
         };
         if tokio::time::timeout(limit, read).await.is_ok() {
-            row.ended = Some(self.clock.now());
+            record.ended = Some(self.clock.now());
+        }
+        record.answers = count_complete_answers(&bytes);
+    }
+}
+
+async fn send(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
+    let text = request_bytes(request, "");
+    match request.behaviour {
+        Behaviour::Silent => Ok(()),
+        Behaviour::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
+        Behaviour::Trickles => trickle(stream, &text).await,
+        Behaviour::Pipelines => {
+            let both = [text, request_bytes(request, "b")].concat();
+            stream.write_all(&both).await
         }
-        row.answers = whole_answers(&bytes);
+        Behaviour::Disconnects(_) | Behaviour::HalfCloses => stream.write_all(&text).await,
     }
 }
 
-fn request_bytes(request: &MisbehavingRequest, second: &str) -> Vec<u8> {
-    let MisbehavingRequest {
-        txn,
-        class,
-        keyed,
-        client_timeout,
-        ..
-    } = request;
-    let (method, key, body) = if *keyed {
-        (
-            "POST",
-            format!("Idempotency-Key: k{txn}{second}\r\nContent-Length: 4\r\n"),
-            "body",
-        )
+fn request_bytes(request: &MisbehavingRequest, suffix: &str) -> Vec<u8> {
+    let txn = format!("{}{suffix}", request.txn);
+    let class = &request.class;
+    let remaining_ms = request.client_timeout.as_millis();
+    let (method, key, body) = if request.has_key {
+        let key = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
+        ("POST", key, "body")
     } else {
         ("GET", String::new(), "")
     };
     format!(
-        "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}{second}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
-         X-Remaining-Ms: {}\r\n{key}\r\n{body}",
-        client_timeout.as_millis()
+        "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
+         X-Remaining-Ms: {remaining_ms}\r\n{key}\r\n{body}"
     )
     .into_bytes()
 }
@@ -212,10 +216,14 @@
     Ok(())
 }
 
-/// Whole answers at the head of these bytes; each tells its length.
-fn whole_answers(mut bytes: &[u8]) -> usize {
+/// Complete answers at the head of these bytes; each has a `Content-Length`.
+fn count_complete_answers(mut bytes: &[u8]) -> usize {
+    const HEAD_END: &[u8] = b"\r\n\r\n";
     let mut count = 0;
-    while let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
+    while let Some(end) = bytes
+        .windows(HEAD_END.len())
+        .position(|window| window == HEAD_END)
+    {
         let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
         let length = head
             .split("content-length: ")
@@ -224,7 +232,7 @@
         let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) else {
             break;
         };
-        let Some(rest) = bytes.get(end + 4 + length..) else {
+        let Some(rest) = bytes.get(end + HEAD_END.len() + length..) else {
             break;
         };
         count += 1;
--- /dev/null
+++ b/crates/testbed/src/cluster/actions.rs
@@ -0,0 +1,188 @@
+//! Does the actions of a scenario to nodes, discovery and backends.
+
+use std::io;
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use kitefork_standin::backend::{self, Backend};
+use kitefork_standin::discovery::{Endpoint, EndpointState, Mode};
+use kitefork_standin::link::{self, WriteBehaviour};
+use kitefork_standin::locked;
+use rustix::process::Signal;
+
+use super::Cluster;
+use super::timeline::Event;
+use crate::referee::{BackendStart, Pause};
+use crate::scenario::{Action, Target};
+
+/// A node that goes on after a stop works off what came meanwhile, for this long.
+const CATCH_UP: Duration = Duration::from_millis(500);
+/// A backend that drains or has died is removed from the list after this.
+const REMOVAL_DELAY: Duration = Duration::from_secs(1);
+
+impl Cluster {
+    /// Does one event.
+    pub(super) fn apply(self: &Arc<Self>, event: &Event) -> io::Result<()> {
+        match event.action.target() {
+            Target::Nodes => self.apply_to_node(event.action, event.number),
+            Target::Discovery => {
+                self.apply_to_discovery(event.action);
+                Ok(())
+            }
+            Target::Backends => {
+                self.apply_to_backend(event);
+                Ok(())
+            }
+        }
+    }
+
+    fn apply_to_node(&self, action: Action, number: usize) -> io::Result<()> {
+        match action {
+            Action::Start => self.start_node(number)?,
+            Action::Kill => self.stop_node(number, Signal::KILL)?,
+            Action::Term => self.stop_node(number, Signal::TERM)?,
+            Action::Stop => self.pause_node(number),
+            Action::Cont => self.resume_node(number),
+            Action::Reload => {
+                // Valid again, whatever was there before.
+                self.configure_with_current_list(number)?;
+                self.signal(number, Signal::HUP);
+            }
+            Action::ReloadHalf => {
+                let config = self.node_config(number, &[]);
+                locked(&self.nodes[number]).configure_half(&config)?;
+                self.signal(number, Signal::HUP);
+            }
+            Action::ReloadMissing => {
+                // It may be missing already.
+                let _ = locked(&self.nodes[number]).remove_configuration();
+                self.signal(number, Signal::HUP);
+            }
+            Action::DiscoveryCut => self.discovery_links[number].set(link::Health::Cut),
+            _ => unreachable!("{action:?} is not done to nodes"),
+        }
+        Ok(())
+    }
+
+    fn signal(&self, number: usize, signal: Signal) {
+        locked(&self.nodes[number]).signal(signal, self.clock);
+    }
+
+    fn start_node(&self, number: usize) -> io::Result<()> {
+        let mut node = locked(&self.nodes[number]);
+        node.reap(self.clock);
+        node.start(&self.process, self.clock)
+    }
+
+    /// Ends a node's process. Its next incarnation is given the list of this moment.
+    fn stop_node(&self, number: usize, signal: Signal) -> io::Result<()> {
+        self.configure_with_current_list(number)?;
+        self.signal(number, signal);
+        Ok(())
+    }
+
+    fn configure_with_current_list(&self, number: usize) -> io::Result<()> {
+        let config = self.node_config(number, &self.discovery.endpoints());
+        locked(&self.nodes[number]).configure(config)
+    }
+
+    fn pause_node(&self, number: usize) {
+        self.signal(number, Signal::STOP);
+        locked(&self.pauses).push(Pause {
+            node: number,
+            from: self.clock.now(),
+            until: Duration::MAX,
+        });
+    }
+
+    fn resume_node(&self, number: usize) {
+        self.signal(number, Signal::CONT);
+        let until = self.clock.now() + CATCH_UP;
+        let mut pauses = locked(&self.pauses);
+        let open = |pause: &&mut Pause| pause.node == number && pause.until == Duration::MAX;
+        for pause in pauses.iter_mut().filter(open) {
+            pause.until = until;
+        }
+    }
+
+    fn apply_to_discovery(&self, action: Action) {
+        let links = || self.discovery_links.iter();
+        match action {
+            Action::DiscoveryUp => {
+                self.discovery.set(Mode::Up);
+                links().for_each(|link| link.set(link::Health::Sound));
+            }
+            Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
+            Action::DiscoverySilent => self.discovery.set(Mode::Silent),
+            Action::DiscoveryTruncates => self.discovery.set(Mode::Truncates),
+            Action::DiscoveryDown => links().for_each(|link| {
+                link.set(link::Health::Refused);
+                link.reset();
+            }),
+            Action::DiscoveryRestart => {
+                self.discovery.restart();
+                links().for_each(|link| link.reset());
+            }
+            _ => unreachable!("{action:?} is not done to discovery"),
+        }
+    }
+
+    fn apply_to_backend(self: &Arc<Self>, event: &Event) {
+        let backend = &self.backends[event.number];
+        let link = &backend.link;
+        match event.action {
+            Action::Drain => {
+                self.list_as(event.number, EndpointState::Draining);
+                self.remove_later(event.number);
+            }
+            Action::BackendKill => {
+                link.set(link::Health::Refused);
+                link.reset();
+                self.remove_later(event.number);
+            }
+            Action::BackendStart => self.start_backend(event.number, backend),
+            Action::BackendSilent => backend.set(backend::Health::Silent),
+            Action::BackendFails => backend.set(backend::Health::Fails),
+            Action::BackendWorks => {
+                backend.set(backend::Health::Works(event.size));
+                link.set(link::Health::Sound);
+                link.set_write_behaviour(WriteBehaviour::Unchanged);
+            }
+            Action::AnswerTwice => link.set_write_behaviour(WriteBehaviour::Duplicated),
+            Action::AnswerInPieces => link.set_write_behaviour(WriteBehaviour::InPieces),
+            Action::BackendCut => link.set(link::Health::Cut),
+            Action::BackendCutOut => link.set(link::Health::CutOut),
+            Action::BackendReset => link.reset(),
+            action => unreachable!("{action:?} is not done to backends"),
+        }
+    }
+
+    fn list_as(&self, number: usize, state: EndpointState) {
+        self.discovery.change(Endpoint {
+            state,
+            ..self.endpoints[number].clone()
+        });
+    }
+
+    fn remove_later(self: &Arc<Self>, number: usize) {
+        let cluster = self.clone();
+        tokio::spawn(async move {
+            tokio::time::sleep(REMOVAL_DELAY).await;
+            cluster.list_as(number, EndpointState::Removed);
+        });
+    }
+
+    fn start_backend(&self, number: usize, backend: &Backend) {
+        backend.restart();
+        backend.link.set(link::Health::Sound);
+        locked(&self.backend_starts).push(BackendStart {
+            uid: backend.uid.clone(),
+            at: self.clock.now(),
+        });
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        self.discovery.change(Endpoint {
+            boot_ms: since_epoch.unwrap_or_default().as_millis() as u64,
+            ..self.endpoints[number].clone()
+        });
+    }
+}
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -1,156 +1,148 @@
-//! The load of a run: the front that admits nodes, clients that behave and those that don't.
+//! The load of a run: well-behaved clients and misbehaving ones, each from a Poisson process, over
+//! the nodes that the front has admitted.
 
-use super::*;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
 
-/// Admits nodes once they say that they are well, and notices late that one has died.
-pub(super) async fn front(cluster: Arc<Cluster>) {
-    let notice = span(cluster.scenario.traffic.notice_s);
-    let mut died: BTreeMap<usize, Duration> = BTreeMap::new();
-    let mut iteration = 0u32;
-    loop {
-        for number in 0..cluster.nodes.len() {
-            let (up, address) = {
-                let mut node = locked(&cluster.nodes[number]);
-                node.reap(cluster.clock);
-                (node.is_up(), node.address())
-            };
-            let now = cluster.clock.now();
-            let admitted = cluster.admitted[number].load(Ordering::SeqCst);
-            if !up && admitted && now >= *died.entry(number).or_insert(now) + notice {
-                cluster.admitted[number].store(false, Ordering::SeqCst);
-            }
-            if up {
-                died.remove(&number);
-            }
-            if let Some(address) = address.filter(|_| up && !admitted) {
-                let cluster = cluster.clone();
-                tokio::spawn(async move {
-                    if is_well(address).await {
-                        cluster.admitted[number].store(true, Ordering::SeqCst);
-                    }
-                });
-            }
-        }
-        iteration += 1;
-        if iteration.is_multiple_of(10) {
-            cluster.sample();
+use kitefork_standin::clients::{ClientRequest, Clients, Idempotency};
+use kitefork_standin::locked;
+use kitefork_standin::misbehaving::{
+    BEHAVIOURS, Behaviour, MisbehavingClients, MisbehavingRequest,
+};
+use kitefork_standin::random::RandomSource;
+use tokio::task::JoinSet;
+
+use super::Cluster;
+use crate::scenario::{Class, Scenario, Traffic, seconds};
+
+/// Tells the draws of the misbehaving clients from those of the others.
+const MISBEHAVING_SEED: u64 = 0x0dd;
+
+/// Times of a Poisson process within the traffic of a scenario.
+struct PoissonProcess {
+    rate: f64,
+    at: Duration,
+    end: Duration,
+}
+
+impl PoissonProcess {
+    fn new(rate: f64, scenario: &Scenario, begin: Duration) -> PoissonProcess {
+        let traffic = &scenario.traffic;
+        PoissonProcess {
+            rate,
+            at: begin + seconds(traffic.from_s),
+            end: begin + seconds(traffic.to_s.unwrap_or(scenario.length_s)),
         }
-        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+
+    /// The next time, if the traffic goes on until then.
+    fn next(&mut self, random: &mut RandomSource) -> Option<Duration> {
+        self.at += seconds(random.exponential() / self.rate);
+        (self.at < self.end).then_some(self.at)
     }
 }
 
-/// Clients that don't behave, from a process of Poisson, over the nodes that the front has
-/// admitted.
-pub(super) async fn misbehaving_traffic(
-    cluster: Arc<Cluster>,
-    misbehaving: Arc<MisbehavingClients>,
-    begin: Duration,
-) {
+/// A node that takes requests.
+struct ReadyNode {
+    number: usize,
+    address: SocketAddr,
+}
+
+impl Cluster {
+    /// One of the admitted nodes; `None` if there are none, or it has no address yet.
+    fn draw_node(&self, random: &mut RandomSource) -> Option<ReadyNode> {
+        let ready = self.admitted_nodes();
+        let number = ready.get(random.below(ready.len())).copied()?;
+        let address = locked(&self.nodes[number]).address()?;
+        Some(ReadyNode { number, address })
+    }
+}
+
+/// Sends requests in an open loop.
+pub(super) async fn traffic(cluster: Arc<Cluster>, clients: Arc<Clients>, begin: Duration) {
     let traffic = &cluster.scenario.traffic;
-    let classes: Vec<&Class> = traffic
-        .class
-        .iter()
-        .filter(|class| class.idempotency() != Some(Idempotency::NotIdempotent))
-        .collect();
-    if traffic.misbehaving_rate <= 0.0 || classes.is_empty() {
+    if traffic.rate <= 0.0 {
         return;
     }
-    let mut rng = Xoshiro256PlusPlus::seed_from_u64(cluster.scenario.seed ^ 0x0dd);
-    let mut unit = move || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    let end = begin + span(traffic.to_s.unwrap_or(cluster.scenario.length_s));
-    let mut at = begin + span(traffic.from_s);
-    let mut playing = tokio::task::JoinSet::new();
+    let mut random = RandomSource::from_seed(cluster.scenario.seed);
+    let mut process = PoissonProcess::new(traffic.rate, &cluster.scenario, begin);
     for number in 0u64.. {
-        at += span(-(1.0 - unit()).ln() / traffic.misbehaving_rate);
-        if at >= end {
-            break;
-        }
-        tokio::time::sleep_until(cluster.clock.at(at)).await;
-        let class = classes[(unit() * classes.len() as f64) as usize];
-        let leave = span(unit() * class.client_timeout_ms / 2_000.0);
-        let behaviour = match (unit() * 2.0 * misbehaving::BEHAVIOURS.len() as f64) as usize {
-            place if place < misbehaving::BEHAVIOURS.len() => misbehaving::BEHAVIOURS[place],
-            _ => Behaviour::Leaves(leave),
+        let Some(planned) = process.next(&mut random) else {
+            return;
         };
-        let ready: Vec<usize> = (0..cluster.nodes.len())
-            .filter(|n| cluster.admitted[*n].load(Ordering::SeqCst))
-            .collect();
-        let Some(node) = ready.get((unit() * ready.len() as f64) as usize).copied() else {
-            continue;
+        tokio::time::sleep_until(cluster.clock.at(planned)).await;
+        let Some(class) = draw_class(traffic, &mut random) else {
+            return;
         };
-        let Some(address) = locked(&cluster.nodes[node]).address() else {
+        let Some(node) = cluster.draw_node(&mut random) else {
             continue;
         };
-        let request = MisbehavingRequest {
-            txn: format!("odd{number}"),
+        let request = ClientRequest {
+            txn: format!("t{number}"),
             class: class.name.clone(),
-            keyed: class.idempotency() == Some(Idempotency::IdempotencyKey),
-            client_timeout: span(class.client_timeout_ms / 1_000.0),
-            behaviour,
+            idempotency: class.idempotency,
+            planned,
+            client_timeout: class.client_timeout(),
         };
-        playing.spawn(misbehaving.clone().play(request, node, address));
+        tokio::spawn(clients.clone().send(request, node.number, node.address));
     }
-    while playing.join_next().await.is_some() {}
 }
 
-async fn is_well(address: SocketAddr) -> bool {
-    let ask = async {
-        let mut stream = TcpStream::connect(address).await?;
-        stream
-            .write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-            .await?;
-        let mut head = [0; 12];
-        stream.read_exact(&mut head).await?;
-        io::Result::Ok(head.ends_with(b"200"))
-    };
-    matches!(
-        tokio::time::timeout(Duration::from_millis(500), ask).await,
-        Ok(Ok(true))
-    )
+/// A class by the classes' shares; `None` if there are no classes.
+fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
+    let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
+    let mut rest = random.unit() * shares;
+    let drawn = traffic.class.iter().find(|class| {
+        rest -= class.share;
+        rest < 0.0
+    });
+    // Rounding may leave a rest behind the last class.
+    drawn.or(traffic.class.last())
 }
 
-/// Asks in an open loop, from a process of Poisson, over the nodes that the front has admitted.
-pub(super) async fn traffic(cluster: Arc<Cluster>, clients: Arc<Clients>, begin: Duration) {
-    let traffic = &cluster.scenario.traffic;
-    if traffic.rate <= 0.0 {
+/// Plays misbehaving clients, and waits for the ends of all.
+pub(super) async fn misbehaving_traffic(
+    cluster: Arc<Cluster>,
+    clients: Arc<MisbehavingClients>,
+    begin: Duration,
+) {
+    let scenario = &cluster.scenario;
+    let rate = scenario.traffic.misbehaving_rate;
+    let may_repeat = |class: &&Class| class.idempotency != Idempotency::NotIdempotent;
+    let classes: Vec<&Class> = scenario.traffic.class.iter().filter(may_repeat).collect();
+    if rate <= 0.0 || classes.is_empty() {
         return;
     }
-    let mut rng = Xoshiro256PlusPlus::seed_from_u64(cluster.scenario.seed);
-    let mut unit = move || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
-    let end = begin + span(traffic.to_s.unwrap_or(cluster.scenario.length_s));
-    let mut at = begin + span(traffic.from_s);
+    let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED);
+    let mut process = PoissonProcess::new(rate, scenario, begin);
+    let mut playing = JoinSet::new();
     for number in 0u64.. {
-        at += span(-(1.0 - unit()).ln() / traffic.rate);
-        if at >= end {
-            return;
-        }
-        tokio::time::sleep_until(cluster.clock.at(at)).await;
-        let mut left = unit() * shares;
-        let class = traffic.class.iter().find(|class| {
-            left -= class.share;
-            left < 0.0
-        });
-        let Some(class) = class.or(traffic.class.last()) else {
-            return;
-        };
-        let ready: Vec<usize> = (0..cluster.nodes.len())
-            .filter(|n| cluster.admitted[*n].load(Ordering::SeqCst))
-            .collect();
-        let place = (unit() * ready.len() as f64) as usize;
-        let Some(node) = ready.get(place).copied() else {
-            continue;
+        let Some(at) = process.next(&mut random) else {
+            break;
         };
-        let Some(address) = locked(&cluster.nodes[node]).address() else {
+        tokio::time::sleep_until(cluster.clock.at(at)).await;
+        let class = random.choose(&classes);
+        let behaviour = draw_behaviour(class, &mut random);
+        let Some(node) = cluster.draw_node(&mut random) else {
             continue;
         };
-        let request = ClientRequest {
-            txn: format!("t{number}"),
+        let request = MisbehavingRequest {
+            txn: format!("odd{number}"),
             class: class.name.clone(),
-            idempotency: class.idempotency().unwrap_or(Idempotency::Idempotent),
-            planned: at,
-            client_timeout: span(class.client_timeout_ms / 1_000.0),
+            has_key: class.idempotency == Idempotency::IdempotencyKey,
+            client_timeout: class.client_timeout(),
+            behaviour,
         };
-        tokio::spawn(clients.clone().send(request, node, address));
+        playing.spawn(clients.clone().play(request, node.number, node.address));
     }
+    while playing.join_next().await.is_some() {}
+}
+
+/// Half of the clients disconnect, within half of their timeout; the others do one of the rest.
+fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
+    let wait = seconds(random.unit() * class.client_timeout_ms / 2_000.0);
+    let index = random.below(2 * BEHAVIOURS.len());
+    let behaviour = BEHAVIOURS.get(index).copied();
+    behaviour.unwrap_or(Behaviour::Disconnects(wait))
 }
--- /dev/null
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -0,0 +1,146 @@
+//! The configuration of a node, in the platform's JSON.
+
+use std::io;
+
+use kitefork_standin::clients::Idempotency;
+use kitefork_standin::discovery::Endpoint;
+use kitefork_standin::locked;
+use serde_json::{Value, json};
+
+use super::{
+    ANSWER_SLACK, Cluster, DRAIN_GRACE, KEY_WINDOW, OVERLOAD_MULTIPLE, OVERLOAD_TIME, zone,
+};
+use crate::scenario::{Class, Known};
+
+/// Spreads the seeds of nodes.
+const NODE_SEED_MULTIPLIER: u64 = 7_919;
+/// In a stale list, so many of ten endpoints have a name that no backend has.
+const STALE_OF_TEN: usize = 3;
+
+impl Cluster {
+    /// Writes the configurations with which nodes start first.
+    pub(super) fn configure_nodes(&self) -> io::Result<()> {
+        let known = self.first_known();
+        for (number, node) in self.nodes.iter().enumerate() {
+            let config = self.node_config(number, &known);
+            locked(node).configure(config)?;
+        }
+        Ok(())
+    }
+
+    /// The list that nodes are given at their first start.
+    fn first_known(&self) -> Vec<Endpoint> {
+        match self.scenario.fleet.known {
+            Known::Empty => Vec::new(),
+            Known::Current => self.endpoints.clone(),
+            Known::Stale => self.endpoints.iter().enumerate().map(aged).collect(),
+        }
+    }
+
+    /// The configuration of a node that knows this list.
+    pub(super) fn node_config(&self, number: usize, known: &[Endpoint]) -> Value {
+        let scenario = &self.scenario;
+        let seed = scenario
+            .seed
+            .wrapping_mul(NODE_SEED_MULTIPLIER)
+            .wrapping_add(number as u64);
+        let targets: Vec<Value> = known.iter().map(Endpoint::json).collect();
+        json!({
+            "name": format!("n{number}"),
+            "discovery": self.discovery_addresses[number].to_string(),
+            "seed": format!("{seed:016x}"),
+            "limits": {"sockets": scenario.fleet.sockets, "memory_mb": 64},
+            "known": {"rev": 0, "all": true, "targets": targets},
+            "settings": self.settings(number),
+        })
+    }
+
+    fn settings(&self, number: usize) -> Value {
+        let fleet = &self.scenario.fleet;
+        let zones: Vec<String> = (0..fleet.zones).map(|zone| format!("z{zone}")).collect();
+        let membership = if self.scenario.discovery.pushed {
+            "automatic"
+        } else {
+            "subscribe"
+        };
+        json!({
+            "azs": zones,
+            "kinds": ["m"],
+            "membershipMode": membership,
+            "tickNs": 1_000_000,
+            "me": number,
+            "zone": zone(&self.scenario, number),
+            "siblings": fleet.proxy_count.unwrap_or(fleet.nodes),
+            "grades": self.grades(),
+            "tenants": [{"name": "acme", "quotaPerS": 1e9}],
+            "limits": {
+                "cancel": true,
+                "maxAttempts": 5,
+                "maxRetryAfterNs": 500_000_000,
+                "connectTimeoutNs": 100_000_000,
+                "connIdleNs": 10_000_000_000u64,
+            },
+            "rules": self.platform_rules(),
+        })
+    }
+
+    fn grades(&self) -> Vec<Value> {
+        let classes = &self.scenario.traffic.class;
+        if classes.is_empty() {
+            // The node wants at least one class, also where there is no traffic.
+            return vec![grade(&Class {
+                name: "check".into(),
+                idempotency: Idempotency::Idempotent,
+                share: 1.0,
+                latency_objective_ms: 300.0,
+                client_timeout_ms: 1_000.0,
+                priority_weight: 1.0,
+            })];
+        }
+        classes.iter().map(grade).collect()
+    }
+
+    fn platform_rules(&self) -> Value {
+        let backend = &self.scenario.backend;
+        json!({
+            "coldFrom": backend.slow_start_from,
+            "coldNs": nanoseconds(backend.slow_start_s * 1e3).max(1),
+            "drainGraceNs": DRAIN_GRACE.as_nanos() as u64,
+            "fallNs": OVERLOAD_TIME.as_nanos() as u64,
+            "tipMultiple": OVERLOAD_MULTIPLE,
+            "answerSlackNs": ANSWER_SLACK.as_nanos() as u64,
+            "askWithinNs": 10_000_000_000u64,
+        })
+    }
+}
+
+/// An endpoint of a stale list: of some, the address belongs to another backend by now.
+fn aged((number, endpoint): (usize, &Endpoint)) -> Endpoint {
+    let mut aged = endpoint.clone();
+    if number % 10 < STALE_OF_TEN {
+        aged.uid = format!("old-{number:04}");
+    }
+    aged
+}
+
+/// A class as the platform's settings write it.
+fn grade(class: &Class) -> Value {
+    let effect = match class.idempotency {
+        Idempotency::Idempotent => "repeatable",
+        Idempotency::IdempotencyKey => "by_key",
+        Idempotency::NotIdempotent => "once",
+    };
+    json!({
+        "name": class.name,
+        "effect": effect,
+        "keyScope": "cell",
+        "windowNs": KEY_WINDOW.as_nanos() as u64,
+        "goalTimeNs": nanoseconds(class.latency_objective_ms),
+        "giveUpNs": nanoseconds(class.client_timeout_ms),
+        "importance": class.priority_weight,
+    })
+}
+
+fn nanoseconds(ms: f64) -> u64 {
+    (ms * 1e6) as u64
+}
--- /dev/null
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -0,0 +1,54 @@
+//! When each step of a scenario happens to which node or backend.
+
+use std::time::Duration;
+
+use super::zone;
+use crate::scenario::{Action, Scenario, Step, Target, seconds};
+
+/// One action, done to one node or backend.
+#[derive(Clone, Debug)]
+pub(super) struct Event {
+    /// When, from the begin of the run.
+    pub at: Duration,
+    /// What.
+    pub action: Action,
+    /// To the node or backend of this number.
+    pub number: usize,
+    /// A figure that some actions take.
+    pub size: f64,
+}
+
+/// All events of a scenario, by time.
+pub(super) fn events(scenario: &Scenario) -> Vec<Event> {
+    let mut events: Vec<Event> = scenario
+        .at
+        .iter()
+        .flat_map(|step| events_of(scenario, step))
+        .collect();
+    events.sort_by_key(|event| event.at);
+    events
+}
+
+fn events_of(scenario: &Scenario, step: &Step) -> Vec<Event> {
+    let count = match step.action.target() {
+        Target::Nodes => scenario.fleet.nodes,
+        Target::Discovery => 1,
+        Target::Backends => scenario.fleet.backends,
+    };
+    let [from, to] = step.part.map(|end| (end * count as f64).round() as usize);
+    let in_zone = |number: &usize| {
+        step.zone
+            .is_none_or(|wanted| zone(scenario, *number) == wanted)
+    };
+    let chosen: Vec<usize> = (from..to).filter(in_zone).collect();
+    let event = |(index, number): (usize, &usize)| {
+        let delay_s = step.over_s * index as f64 / chosen.len() as f64;
+        Event {
+            at: seconds(step.at_s + delay_s),
+            action: step.action,
+            number: *number,
+            size: step.size,
+        }
+    };
+    chosen.iter().enumerate().map(event).collect()
+}
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,21 +1,44 @@
-//! One process of the program: its configuration, its signals, its log.
+//! One process of the program: its configuration, its signals, its log, and what it uses.
 
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
 use kitefork_standin::{Clock, locked};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
-use tokio::io::{AsyncBufReadExt, BufReader};
-use tokio::process::{Child, Command};
+use tokio::io::{AsyncBufReadExt, BufReader, Lines};
+use tokio::process::{Child, ChildStderr, Command};
 
 /// Lines of a node's log that are kept.
-const MOST_LINES: usize = 20_000;
+const MAX_LINES: usize = 20_000;
+/// Where a node listens at its first start; it keeps the port that it is given then.
+const ANY_PORT: &str = "127.0.0.1:0";
+/// Begin of the line that a node logs when it listens.
+const START_LINE: &str = "kitefork: start ";
 
-/// A life of a node: from its start until it ended.
+/// The signal that ends a process.
+#[derive(Clone, Copy, Debug)]
+pub struct StopSignal {
+    /// When the first one was sent.
+    pub at: Duration,
+    /// Whether the last one was SIGKILL; else SIGTERM.
+    pub is_kill: bool,
+}
+
+/// The end of a process.
+#[derive(Clone, Copy, Debug)]
+pub struct Exit {
+    /// When it was seen.
+    pub at: Duration,
+    /// The exit code; `None` if a signal ended the process.
+    pub code: Option<i32>,
+}
+
+/// One life of a process under the same number: from its start to its end.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
     /// Number of the node.
@@ -24,145 +47,158 @@
     pub started: Duration,
     /// When it said that it listens.
     pub listens: Option<Duration>,
-    /// When it was told to end, and whether by SIGKILL.
-    pub told: Option<(Duration, bool)>,
-    /// When it had ended, and its exit code; none if a signal ended it.
-    pub ended: Option<(Duration, Option<i32>)>,
+    /// The signal that was to end it, if one was sent.
+    pub stop_signal: Option<StopSignal>,
+    /// Its end, if it has ended.
+    pub exit: Option<Exit>,
 }
 
-/// How nodes are started.
+/// How the processes of nodes are started.
 #[derive(Clone, Debug, Default)]
-pub struct Setup {
-    /// Variables of the environment.
+pub struct ProcessSettings {
+    /// Path of the program.
+    pub program: PathBuf,
+    /// Variables of the environment, names and values.
     pub variables: Vec<(String, String)>,
     /// Nobody reads the log after its first line.
     pub log_unread: bool,
 }
 
-/// A node, over all its lives.
+/// A node, over all its incarnations.
 pub struct Node {
     /// Its number.
     pub number: usize,
     config: PathBuf,
     child: Option<Child>,
-    shared: Arc<Mutex<Shared>>,
+    observed: Arc<Mutex<Observed>>,
 }
 
+/// What is known of a node from its log and its process.
 #[derive(Default)]
-struct Shared {
+struct Observed {
     address: Option<SocketAddr>,
     incarnations: Vec<Incarnation>,
     lines: Vec<String>,
 }
 
+impl Observed {
+    fn add_line(&mut self, line: String, now: Duration) {
+        if line.contains(START_LINE)
+            && let Some(rest) = line.split(" listen=").nth(1)
+        {
+            self.address = rest
+                .split(' ')
+                .next()
+                .and_then(|address| address.parse().ok());
+            if let Some(incarnation) = self.incarnations.last_mut() {
+                incarnation.listens = Some(now);
+            }
+        }
+        if self.lines.len() < MAX_LINES {
+            self.lines.push(line);
+        }
+    }
+}
+
 impl Node {
-    /// A node that has not started.
+    /// A node that has not started; its configuration is written to `folder`.
     pub fn new(number: usize, folder: &Path) -> Node {
         Node {
             number,
             config: folder.join(format!("n{number}.json")),
             child: None,
-            shared: Arc::default(),
+            observed: Arc::default(),
         }
     }
 
-    fn shared(&self) -> std::sync::MutexGuard<'_, Shared> {
-        locked(&self.shared)
+    fn observed(&self) -> MutexGuard<'_, Observed> {
+        locked(&self.observed)
     }
 
-    /// Where it listens, once it has said so; the same in all its lives.
+    /// Where it listens, once it has said so; the same in all its incarnations.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.shared().address
+        self.observed().address
     }
 
     /// It listens now, for all that is known.
     pub fn is_up(&self) -> bool {
-        self.shared()
-            .incarnations
-            .last()
-            .is_some_and(|incarnation| incarnation.listens.is_some() && incarnation.ended.is_none())
+        let observed = self.observed();
+        let last = observed.incarnations.last();
+        last.is_some_and(|last| last.listens.is_some() && last.exit.is_none())
     }
 
-    /// Its lives so far.
+    /// Its incarnations so far.
     pub fn incarnations(&self) -> Vec<Incarnation> {
-        self.shared().incarnations.clone()
+        self.observed().incarnations.clone()
     }
 
     /// Its log so far.
     pub fn lines(&self) -> Vec<String> {
-        self.shared().lines.clone()
+        self.observed().lines.clone()
     }
 
     /// Writes its configuration.
-    pub fn configure(&self, mut config: Value) -> std::io::Result<()> {
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be written.
+    pub fn configure(&self, mut config: Value) -> io::Result<()> {
         let address = self
             .address()
-            .map_or("127.0.0.1:0".to_string(), |at| at.to_string());
+            .map_or(ANY_PORT.to_string(), |address| address.to_string());
         config["listen"] = Value::from(address);
         std::fs::write(&self.config, config.to_string())
     }
 
-    /// Writes the first half of its configuration.
-    pub fn configure_half(&self, config: &Value) -> std::io::Result<()> {
+    /// Writes the first half of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be written.
+    pub fn configure_half(&self, config: &Value) -> io::Result<()> {
         let text = config.to_string();
         std::fs::write(&self.config, &text[..text.len() / 2])
     }
 
-    /// Takes its configuration away.
-    pub fn remove_configuration(&self) -> std::io::Result<()> {
+    /// Removes its configuration.
+    ///
+    /// # Errors
+    ///
+    /// If there is none.
+    pub fn remove_configuration(&self) -> io::Result<()> {
         std::fs::remove_file(&self.config)
     }
 
-    /// Starts the program, unless it runs, with these variables in its environment.
-    pub fn start(&mut self, program: &Path, clock: Clock, setup: &Setup) -> std::io::Result<()> {
+    /// Starts a process, unless one runs.
+    ///
+    /// # Errors
+    ///
+    /// If the program can't be started.
+    pub fn start(&mut self, settings: &ProcessSettings, clock: Clock) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
         }
-        let mut child = Command::new(program)
+        let variables = settings.variables.iter();
+        let mut child = Command::new(&settings.program)
             .env_clear()
             .env("BALANCER_CONFIG", &self.config)
-            .envs(setup.variables.iter().map(|(name, value)| (name, value)))
+            .envs(variables.map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let (node, started) = (self.number, clock.now());
-        self.shared().incarnations.push(Incarnation {
-            node,
-            started,
+        let incarnation = Incarnation {
+            node: self.number,
+            started: clock.now(),
             listens: None,
-            told: None,
-            ended: None,
-        });
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let shared = self.shared.clone();
-        let unread = setup.log_unread;
-        tokio::spawn(async move {
-            let mut reads = true;
-            while reads && let Ok(Some(line)) = lines.next_line().await {
-                // The first line alone, then nobody reads; the pipe stays open.
-                reads = !unread;
-                let mut shared = locked(&shared);
-                if let Some(rest) = line
-                    .split(" listen=")
-                    .nth(1)
-                    .filter(|_| line.contains("kitefork: start "))
-                {
-                    shared.address = rest.split(' ').next().and_then(|at| at.parse().ok());
-                    let now = clock.now();
-                    if let Some(incarnation) = shared.incarnations.last_mut() {
-                        incarnation.listens = Some(now);
-                    }
-                }
-                if shared.lines.len() < MOST_LINES {
-                    shared.lines.push(line);
-                }
-            }
-            if unread {
-                std::future::pending::<()>().await;
-            }
-        });
+            stop_signal: None,
+            exit: None,
+        };
+        self.observed().incarnations.push(incarnation);
+        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let observed = self.observed.clone();
+        tokio::spawn(read_log(lines, observed, clock, settings.log_unread));
         self.child = Some(child);
         Ok(())
     }
@@ -174,20 +210,21 @@
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Notes that it has ended, if it has.
+    /// Notes that its process has ended, if it has.
     pub fn reap(&mut self, clock: Clock) {
         let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) else {
             return;
         };
-        let now = clock.now();
-        if let Some(incarnation) = self.shared().incarnations.last_mut()
-            && incarnation.ended.is_none()
+        let at = clock.now();
+        if let Some(incarnation) = self.observed().incarnations.last_mut()
+            && incarnation.exit.is_none()
         {
-            incarnation.ended = Some((now, status.code()));
+            let code = status.code();
+            incarnation.exit = Some(Exit { at, code });
         }
     }
 
-    /// Sends its process a signal; none if it is gone.
+    /// Sends its process a signal; none if it has ended.
     pub fn signal(&mut self, signal: Signal, clock: Clock) {
         self.reap(clock);
         let Some(child) = self.child.as_ref() else {
@@ -197,20 +234,25 @@
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
-        let now = clock.now();
-        if let Some(incarnation) = self.shared().incarnations.last_mut()
-            && [Signal::KILL, Signal::TERM].contains(&signal)
-            && !incarnation.told.is_some_and(|told| told.1)
-        {
-            incarnation.told = Some((
-                incarnation.told.map_or(now, |told| told.0),
-                signal == Signal::KILL,
-            ));
+        if [Signal::KILL, Signal::TERM].contains(&signal) {
+            self.note_stop_signal(clock.now(), signal == Signal::KILL);
         }
         let _ = kill_process(pid, signal);
     }
 
-    /// Most memory it has had, in MB, while it runs.
+    fn note_stop_signal(&self, now: Duration, is_kill: bool) {
+        let mut observed = self.observed();
+        let Some(incarnation) = observed.incarnations.last_mut() else {
+            return;
+        };
+        let earlier = incarnation.stop_signal;
+        if !earlier.is_some_and(|earlier| earlier.is_kill) {
+            let at = earlier.map_or(now, |earlier| earlier.at);
+            incarnation.stop_signal = Some(StopSignal { at, is_kill });
+        }
+    }
+
+    /// The most memory that its process has had, in MB, while it runs.
     pub fn memory_mb(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
@@ -218,7 +260,7 @@
         Some(line.split_whitespace().nth(1)?.parse::<f64>().ok()? / 1024.0)
     }
 
-    /// Seconds of a core that it has used, while it runs.
+    /// Seconds of a core that its process has used, while it runs.
     pub fn cpu_s(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         // The kernel's scheduler counts nanoseconds; the node has one thread.
@@ -226,9 +268,28 @@
         Some(stat.split_whitespace().next()?.parse::<f64>().ok()? / 1e9)
     }
 
-    /// Descriptors that it holds, while it runs.
+    /// Descriptors that its process holds, while it runs.
     pub fn descriptors(&self) -> Option<usize> {
         let id = self.child.as_ref()?.id()?;
         Some(std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count())
     }
 }
+
+/// Reads the log of a process; where it is to stay unread, only its first line.
+async fn read_log(
+    mut lines: Lines<BufReader<ChildStderr>>,
+    observed: Arc<Mutex<Observed>>,
+    clock: Clock,
+    unread: bool,
+) {
+    while let Ok(Some(line)) = lines.next_line().await {
+        locked(&observed).add_line(line, clock.now());
+        if unread {
+            break;
+        }
+    }
+    if unread {
+        // The pipe stays open, so that the process blocks on it instead of seeing it closed.
+        std::future::pending::<()>().await;
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -0,0 +1,72 @@
+//! What is owed to misbehaving clients.
+
+use std::time::Duration;
+
+use kitefork_standin::backend::Attempt;
+use kitefork_standin::misbehaving::{Behaviour, MisbehavingRecord};
+
+use super::{OBSERVATION_DELAY, Records, Rule};
+
+/// An attempt may begin this long after its client has disconnected.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// Within this a client that stops in the middle of a request gets an error or a close.
+const HALF_REQUEST_LIMIT: Duration = Duration::from_secs(3);
+
+/// The rules that the treatment of a misbehaving client breaks.
+pub(super) fn broken_rules(
+    records: &Records,
+    record: &MisbehavingRecord,
+    attempts: &[&Attempt],
+) -> Vec<Rule> {
+    let Some(connected) = record.connected else {
+        return Vec::new();
+    };
+    let mut broken = Vec::new();
+    let begins_after = |disconnected: Duration| {
+        let limit = disconnected + DISCONNECT_SLACK + OBSERVATION_DELAY;
+        attempts.iter().any(|attempt| attempt.arrived > limit)
+    };
+    if record.disconnected.is_some_and(begins_after) {
+        broken.push(Rule::AttemptAfterDisconnect);
+    }
+    if !is_excused(records, record, connected) {
+        broken.extend(missing_answer(record));
+    }
+    broken
+}
+
+/// The client's node was killed, shut down, ended or was stopped near the time of the client.
+fn is_excused(records: &Records, record: &MisbehavingRecord, connected: Duration) -> bool {
+    let wait = record.request.client_timeout.max(HALF_REQUEST_LIMIT);
+    let end = record.sent.max(connected) + wait;
+    let is_near = |at: Duration| at + wait >= connected && at <= end + OBSERVATION_DELAY;
+    let disturbed = records
+        .incarnations
+        .iter()
+        .filter(|incarnation| incarnation.node == record.node)
+        .any(|incarnation| {
+            let signal = incarnation.stop_signal.map(|signal| signal.at);
+            let exit = incarnation.exit.map(|exit| exit.at);
+            signal.is_some_and(is_near) || exit.is_some_and(is_near)
+        });
+    let stopped = records.pauses.iter().any(|pause| {
+        pause.node == record.node
+            && pause.from <= end + OBSERVATION_DELAY
+            && pause.until + OBSERVATION_DELAY >= connected
+    });
+    disturbed || stopped
+}
+
+fn missing_answer(record: &MisbehavingRecord) -> Option<Rule> {
+    match record.request.behaviour {
+        Behaviour::HalfCloses | Behaviour::Trickles | Behaviour::Pipelines => {
+            (record.answers == 0).then_some(Rule::ReadButNotAnswered)
+        }
+        Behaviour::StopsMidway => {
+            let limit = record.sent + HALF_REQUEST_LIMIT + OBSERVATION_DELAY;
+            let in_time = record.ended.is_some_and(|ended| ended <= limit);
+            (!in_time).then_some(Rule::HalfRequestIgnored)
+        }
+        Behaviour::Disconnects(_) | Behaviour::Silent => None,
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/referee/requests.rs
@@ -0,0 +1,156 @@
+//! The rules for requests of well-behaved clients.
+
+use std::time::Duration;
+
+use kitefork_standin::backend::{Attempt, AttemptOutcome};
+use kitefork_standin::clients::{ClientOutcome, Idempotency, RequestRecord};
+
+use super::{OBSERVATION_DELAY, Records, Rule, Rules};
+use crate::node::Incarnation;
+
+/// The time left that a backend is notified of may exceed the client's by this.
+const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
+/// Requests that come this long after SIGTERM find a process that may have ended.
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(700);
+
+/// The rules that the outcome and the attempts of a request break.
+pub(super) fn broken_rules(
+    rules: &Rules,
+    records: &Records,
+    record: &RequestRecord,
+    attempts: &[&Attempt],
+) -> Vec<Rule> {
+    let mut broken = Vec::new();
+    let deadline = record.request.planned + record.request.client_timeout;
+    broken.extend(wrong_answer(record, attempts));
+    broken.extend(missing_answer(rules, records, record));
+    broken.extend(concurrent_attempts(attempts));
+    broken.extend(forbidden_repeats(
+        rules,
+        record.request.idempotency,
+        attempts,
+    ));
+    broken.extend(excessive_remaining_time(deadline, attempts));
+    broken
+}
+
+/// Whether a backend may have executed the attempt.
+fn may_be_executed(attempt: &Attempt) -> bool {
+    attempt.outcome != AttemptOutcome::Overloaded
+}
+
+/// An answer 200 is that of a backend for the request, and what may have been executed is not
+/// rejected.
+fn wrong_answer(record: &RequestRecord, attempts: &[&Attempt]) -> Option<Rule> {
+    let ClientOutcome::Answered { status, body } = &record.outcome else {
+        return None;
+    };
+    match status {
+        200 => {
+            let is_source = |attempt: &&Attempt| {
+                attempt.outcome == AttemptOutcome::Served
+                    && *body == format!("{}:{}", attempt.uid, attempt.txn)
+            };
+            (!attempts.iter().any(is_source)).then_some(Rule::AnswerOfNoBackend)
+        }
+        429 | 503 => {
+            let is_idempotent = record.request.idempotency == Idempotency::Idempotent;
+            let executed = attempts.iter().any(|attempt| may_be_executed(attempt));
+            (!is_idempotent && executed).then_some(Rule::RejectedThoughExecuted)
+        }
+        _ => None,
+    }
+}
+
+/// A final answer comes, and in time, unless what happened to the node excuses it.
+fn missing_answer(rules: &Rules, records: &Records, record: &RequestRecord) -> Option<Rule> {
+    let end = record.request.planned + record.request.client_timeout + rules.answer_slack;
+    let broken = match record.outcome {
+        ClientOutcome::Answered { .. } if record.ended > end + OBSERVATION_DELAY => {
+            Rule::AnsweredTooLate
+        }
+        ClientOutcome::ConnectionLost | ClientOutcome::TimedOut => Rule::NeverAnswered,
+        ClientOutcome::Answered { .. } | ClientOutcome::Unreachable => return None,
+    };
+    (!is_excused(records, record, end)).then_some(broken)
+}
+
+/// The request's node was killed, shut down some time before, or stopped while the request was
+/// there.
+fn is_excused(records: &Records, record: &RequestRecord, end: Duration) -> bool {
+    let planned = record.request.planned;
+    let died = records
+        .incarnations
+        .iter()
+        .filter(|incarnation| incarnation.node == record.node)
+        .any(|incarnation| died_meanwhile(incarnation, planned, end));
+    let stopped = records
+        .pauses
+        .iter()
+        .any(|pause| pause.node == record.node && pause.from <= end && pause.until >= planned);
+    died || stopped
+}
+
+/// The process was killed while a request was there, or ended and had long been told to.
+fn died_meanwhile(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
+    let Some(signal) = incarnation.stop_signal else {
+        return false;
+    };
+    let is_between = |at: Duration| planned <= at + OBSERVATION_DELAY && at <= end;
+    let killed = signal.is_kill && is_between(signal.at);
+    let came_late = planned + OBSERVATION_DELAY > signal.at + SHUTDOWN_NOTICE;
+    let ended = incarnation.exit.is_some_and(|exit| is_between(exit.at));
+    killed || came_late && ended
+}
+
+/// There is one attempt at a time.
+fn concurrent_attempts(attempts: &[&Attempt]) -> Option<Rule> {
+    let overlaps = |pair: &[&Attempt]| pair[0].ended > pair[1].arrived + OBSERVATION_DELAY;
+    attempts
+        .windows(2)
+        .any(overlaps)
+        .then_some(Rule::ConcurrentAttempts)
+}
+
+/// After an attempt that may have been executed, another one goes out only as the class allows.
+fn forbidden_repeats(rules: &Rules, idempotency: Idempotency, attempts: &[&Attempt]) -> Vec<Rule> {
+    let first = attempts.iter().position(|attempt| may_be_executed(attempt));
+    let Some(index) = first else {
+        return Vec::new();
+    };
+    let (first, later) = (attempts[index], &attempts[index + 1..]);
+    let mut broken = Vec::new();
+    match idempotency {
+        Idempotency::Idempotent => {}
+        Idempotency::NotIdempotent => {
+            if !later.is_empty() {
+                broken.push(Rule::RepeatedNotIdempotent);
+            }
+        }
+        Idempotency::IdempotencyKey => {
+            if later.iter().any(|attempt| attempt.cell != first.cell) {
+                broken.push(Rule::KeyLeftCell);
+            }
+            let end = first.arrived + rules.key_window + OBSERVATION_DELAY;
+            if later.iter().any(|attempt| attempt.arrived > end) {
+                broken.push(Rule::KeyAfterWindow);
+            }
+        }
+    }
+    broken
+}
+
+/// The time left that a backend is notified of is at most what the client has left, with slack.
+fn excessive_remaining_time(deadline: Duration, attempts: &[&Attempt]) -> Option<Rule> {
+    let is_excessive = |attempt: &&Attempt| {
+        let left = deadline.saturating_sub(attempt.arrived);
+        let limit = left + REMAINING_TIME_SLACK + OBSERVATION_DELAY;
+        attempt
+            .remaining_time
+            .is_some_and(|remaining| remaining > limit)
+    };
+    attempts
+        .iter()
+        .any(is_excessive)
+        .then_some(Rule::RemainingTimeTooLong)
+}
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -1,197 +1,181 @@
-//! Unit tests of `referee`.
+//! Unit tests of `referee`: each rule's planted violation is found, and nothing else.
 
 use super::*;
+use kitefork_standin::backend::AttemptOutcome::{self, ConnectionLost, Failed, Overloaded, Served};
+use kitefork_standin::clients::ClientOutcome;
 use kitefork_standin::clients::ClientRequest;
+use kitefork_standin::clients::Idempotency::{self, IdempotencyKey, Idempotent, NotIdempotent};
+use kitefork_standin::discovery::{Endpoint, EndpointState};
+use kitefork_standin::misbehaving::{Behaviour, MisbehavingRequest};
+
+use crate::node::{Exit, StopSignal};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn rules() -> Rules {
     Rules {
-        slack: MS(70),
-        grace: MS(300),
-        window: MS(3_000),
-        multiple: 3.0,
-        fall: MS(2_000),
+        answer_slack: MS(70),
+        drain_grace: MS(300),
+        key_window: MS(3_000),
+        overload_multiple: 3.0,
+        overload_time: MS(2_000),
         slow_start_from: 0.3,
         slow_start: MS(4_000),
         work: MS(10),
     }
 }
 
-fn asked(idempotency: Idempotency, answer: ClientOutcome, ended: u64) -> RequestRecord {
-    let (txn, class, planned, client_timeout) = ("t1".into(), "c".into(), MS(1_000), MS(500));
+/// A request of node 3 that was meant to be sent at 1,000 ms and may last 500 ms.
+fn record(idempotency: Idempotency, outcome: ClientOutcome, ended: u64) -> RequestRecord {
     RequestRecord {
         request: ClientRequest {
-            txn,
-            class,
+            txn: "t1".into(),
+            class: "c".into(),
             idempotency,
-            planned,
-            client_timeout,
+            planned: MS(1_000),
+            client_timeout: MS(500),
         },
         node: 3,
         ended: MS(ended),
-        answer,
+        outcome,
     }
 }
 
-fn attempt(uid: &str, cell: u16, arrived: u64, ended: u64, end: AttemptOutcome) -> Attempt {
-    let (txn, uid, key) = ("t1".to_string(), uid.to_string(), None);
+fn attempt(uid: &str, cell: u16, arrived: u64, ended: u64, outcome: AttemptOutcome) -> Attempt {
     Attempt {
-        txn,
-        key,
-        uid,
+        txn: "t1".into(),
+        key: None,
+        uid: uid.into(),
         cell,
-        told: None,
+        remaining_time: None,
         arrived: MS(arrived),
         ended: MS(ended),
-        end,
+        outcome,
+    }
+}
+
+fn answered(status: u16, body: &str) -> ClientOutcome {
+    ClientOutcome::Answered {
+        status,
+        body: body.into(),
     }
 }
 
 fn served() -> ClientOutcome {
-    ClientOutcome::Answered(200, "a:t1".into())
+    answered(200, "a:t1")
 }
 
-fn found(asked: RequestRecord, attempts: Vec<Attempt>) -> Vec<&'static str> {
-    let records = Records {
-        asked: vec![asked],
+fn rejected() -> ClientOutcome {
+    answered(503, "refused")
+}
+
+/// An attempt that is served.
+fn one() -> Vec<Attempt> {
+    vec![attempt("a", 1, 1_010, 1_100, Served)]
+}
+
+/// An attempt in cell 2 with this outcome, and one that is served.
+fn two(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
+    vec![
+        attempt("b", 2, 1_010, 1_300, outcome),
+        attempt("a", cell, arrived, arrived + 9, Served),
+    ]
+}
+
+fn broken_rules(records: &Records) -> Vec<&'static str> {
+    let violations = judge(&rules(), records).into_iter();
+    violations
+        .map(|violation| violation.rule().text())
+        .collect()
+}
+
+fn found(request: RequestRecord, attempts: Vec<Attempt>) -> Vec<&'static str> {
+    broken_rules(&Records {
+        requests: vec![request],
         attempts,
         ..Records::default()
-    };
-    judge(&rules(), &records)
-        .into_iter()
-        .map(|broken| broken.rule)
-        .collect()
+    })
+}
+
+struct Case {
+    idempotency: Idempotency,
+    outcome: ClientOutcome,
+    ended: u64,
+    attempts: Vec<Attempt>,
+    wanted: &'static [&'static str],
+}
+
+fn case(
+    idempotency: Idempotency,
+    outcome: ClientOutcome,
+    ended: u64,
+    attempts: Vec<Attempt>,
+    wanted: &'static [&'static str],
+) -> Case {
+    Case {
+        idempotency,
+        outcome,
+        ended,
+        attempts,
+        wanted,
+    }
+}
+
+#[rustfmt::skip]
+fn answer_cases() -> Vec<Case> {
+    const FOREIGN: &[&str] = &["served with something that no backend made for it"];
+    const EXECUTED: &[&str] = &["refused though it may have run"];
+    let unseen = vec![attempt("a", 1, 1_010, 1_020, Overloaded)];
+    vec![
+        case(Idempotent, served(), 1_100, one(), &[]),
+        case(Idempotent, served(), 1_800, one(), &["answered too late"]),
+        case(Idempotent, ClientOutcome::TimedOut, 1_570, one(), &["never answered"]),
+        case(Idempotent, ClientOutcome::ConnectionLost, 1_200, vec![], &["never answered"]),
+        case(Idempotent, ClientOutcome::Unreachable, 1_200, vec![], &[]),
+        case(Idempotent, served(), 1_100, vec![], FOREIGN),
+        case(Idempotent, answered(200, "b:t1"), 1_100, one(), FOREIGN),
+        case(Idempotent, rejected(), 1_100, one(), &[]),
+        case(NotIdempotent, rejected(), 1_100, one(), EXECUTED),
+        case(IdempotencyKey, rejected(), 1_100, one(), EXECUTED),
+        case(NotIdempotent, rejected(), 1_100, unseen, &[]),
+    ]
+}
+
+#[rustfmt::skip]
+fn repeat_cases() -> Vec<Case> {
+    const CONCURRENT: &[&str] = &["two attempts at a time"];
+    const REPEATED: &[&str] = &["an unsafe request went out again"];
+    const LEFT_CELL: &[&str] = &["a keyed request left its cell"];
+    vec![
+        case(Idempotent, served(), 1_450, two(ConnectionLost, 1, 1_400), &[]),
+        case(Idempotent, served(), 1_450, two(ConnectionLost, 1, 1_020), CONCURRENT),
+        case(NotIdempotent, served(), 1_450, two(Overloaded, 1, 1_400), &[]),
+        case(NotIdempotent, served(), 1_450, two(ConnectionLost, 1, 1_400), REPEATED),
+        case(IdempotencyKey, served(), 1_450, two(Failed, 2, 1_400), &[]),
+        case(IdempotencyKey, served(), 1_450, two(Failed, 1, 1_400), LEFT_CELL),
+    ]
 }
 
 #[test]
 fn every_planted_violation_is_found_and_nothing_else() {
-    use AttemptOutcome::*;
-    use Idempotency::*;
-    let one = || vec![attempt("a", 1, 1_010, 1_100, Served)];
-    let two = |end, cell, arrived| {
-        vec![
-            attempt("b", 2, 1_010, 1_300, end),
-            attempt("a", cell, arrived, arrived + 9, Served),
-        ]
-    };
-    let refused = || ClientOutcome::Answered(503, "refused".into());
-    for (idempotency, answer, ended, attempts, wanted) in [
-        (Idempotent, served(), 1_100, one(), vec![]),
-        (
-            Idempotent,
-            served(),
-            1_800,
-            one(),
-            vec!["answered too late"],
-        ),
-        (
-            Idempotent,
-            ClientOutcome::TimedOut,
-            1_570,
-            one(),
-            vec!["never answered"],
-        ),
-        (
-            Idempotent,
-            ClientOutcome::ConnectionLost,
-            1_200,
-            vec![],
-            vec!["never answered"],
-        ),
-        (
-            Idempotent,
-            ClientOutcome::Unreachable,
-            1_200,
-            vec![],
-            vec![],
-        ),
-        (
-            Idempotent,
-            served(),
-            1_100,
-            vec![],
-            vec!["served with something that no backend made for it"],
-        ),
-        (
-            Idempotent,
-            ClientOutcome::Answered(200, "b:t1".into()),
-            1_100,
-            one(),
-            vec!["served with something that no backend made for it"],
-        ),
-        (Idempotent, refused(), 1_100, one(), vec![]),
-        (
-            NotIdempotent,
-            refused(),
-            1_100,
-            one(),
-            vec!["refused though it may have run"],
-        ),
-        (
-            IdempotencyKey,
-            refused(),
-            1_100,
-            one(),
-            vec!["refused though it may have run"],
-        ),
-        (
-            NotIdempotent,
-            refused(),
-            1_100,
-            vec![attempt("a", 1, 1_010, 1_020, Overloaded)],
-            vec![],
-        ),
-        (
-            Idempotent,
-            served(),
-            1_450,
-            two(ConnectionLost, 1, 1_400),
-            vec![],
-        ),
-        (
-            Idempotent,
-            served(),
-            1_450,
-            two(ConnectionLost, 1, 1_020),
-            vec!["two attempts at a time"],
-        ),
-        (
-            NotIdempotent,
-            served(),
-            1_450,
-            two(Overloaded, 1, 1_400),
-            vec![],
-        ),
-        (
-            NotIdempotent,
-            served(),
-            1_450,
-            two(ConnectionLost, 1, 1_400),
-            vec!["an unsafe request went out again"],
-        ),
-        (
-            IdempotencyKey,
-            served(),
-            1_450,
-            two(Failed, 2, 1_400),
-            vec![],
-        ),
-        (
-            IdempotencyKey,
-            served(),
-            1_450,
-            two(Failed, 1, 1_400),
-            vec!["a keyed request left its cell"],
-        ),
-    ] {
+    for case in answer_cases().into_iter().chain(repeat_cases()) {
+        let Case {
+            idempotency,
+            outcome,
+            ended,
+            attempts,
+            wanted,
+        } = case;
         assert_eq!(
-            found(asked(idempotency, answer.clone(), ended), attempts.clone()),
+            found(
+                record(idempotency, outcome.clone(), ended),
+                attempts.clone()
+            ),
             wanted,
-            "{idempotency:?} {answer:?} {attempts:?}"
+            "{idempotency:?} {outcome:?} {attempts:?}"
         );
     }
-    let mut late = asked(IdempotencyKey, served(), 4_500);
+    let mut late = record(IdempotencyKey, served(), 4_500);
     late.request.client_timeout = MS(5_000);
     assert_eq!(
         found(late, two(Failed, 2, 4_200)),
@@ -200,165 +184,190 @@
 }
 
 #[test]
-fn a_killed_or_stopped_node_excuses_what_it_held_and_no_other() {
-    let incarnation = |told, ended| Incarnation {
+fn more_time_than_the_client_has_left_is_found() {
+    for (remaining, wanted) in [
+        (790, &[][..]),
+        (
+            791,
+            &["a backend was told more time than the client has left"],
+        ),
+    ] {
+        let mut attempts = one();
+        attempts[0].remaining_time = Some(MS(remaining));
+        let request = record(Idempotent, served(), 1_100);
+        assert_eq!(found(request, attempts), wanted, "{remaining}");
+    }
+}
+
+/// An incarnation of node 3; each time in milliseconds.
+fn incarnation(stop: Option<(u64, bool)>, exit: Option<(u64, Option<i32>)>) -> Incarnation {
+    Incarnation {
         node: 3,
         started: MS(0),
         listens: Some(MS(1)),
-        told,
-        ended,
-    };
-    let judged = |incarnations: Vec<Incarnation>, stopped| {
-        let lost = vec![asked(
-            Idempotency::Idempotent,
-            ClientOutcome::ConnectionLost,
-            1_200,
-        )];
+        stop_signal: stop.map(|(at, is_kill)| StopSignal {
+            at: MS(at),
+            is_kill,
+        }),
+        exit: exit.map(|(at, code)| Exit { at: MS(at), code }),
+    }
+}
+
+/// The rules that are broken where the node's client gets no answer.
+fn broken_by_loss(incarnation: Incarnation, pauses: Vec<Pause>) -> Vec<&'static str> {
+    broken_rules(&Records {
+        requests: vec![record(Idempotent, ClientOutcome::ConnectionLost, 1_200)],
+        incarnations: vec![incarnation],
+        pauses,
+        ..Records::default()
+    })
+}
+
+#[test]
+fn a_killed_or_stopped_node_excuses_what_it_held_and_no_other() {
+    const NEVER: &[&str] = &["never answered"];
+    const BADLY: &[&str] = &["never answered", "a node ended by itself or badly"];
+    for (stop, exit, wanted) in [
+        (Some((1_200, true)), Some((1_201, None)), &[][..]),
+        (Some((2_200, true)), Some((2_201, None)), NEVER),
+        // SIGTERM excuses what came long after it, and only that.
+        (Some((900, false)), Some((1_201, Some(0))), NEVER),
+        (Some((200, false)), Some((1_201, Some(0))), &[]),
+        (None, Some((5_000, Some(101))), BADLY),
+        (Some((5_000, false)), Some((5_100, Some(1))), BADLY),
+    ] {
+        let found = broken_by_loss(incarnation(stop, exit), vec![]);
+        assert_eq!(found, wanted, "{stop:?} {exit:?}");
+    }
+    for (node, wanted) in [(3, &[][..]), (4, NEVER)] {
+        let pause = Pause {
+            node,
+            from: MS(800),
+            until: MS(1_100),
+        };
+        let found = broken_by_loss(incarnation(None, None), vec![pause]);
+        assert_eq!(found, wanted, "pause of {node}");
+    }
+}
+
+/// A client of node 3 that connects at 1,000 ms, has sent at 1,010 ms, and gets this.
+fn misbehaving(behaviour: Behaviour, answers: usize, ended: Option<u64>) -> MisbehavingRecord {
+    MisbehavingRecord {
+        request: MisbehavingRequest {
+            txn: "t1".into(),
+            class: "c".into(),
+            has_key: false,
+            client_timeout: MS(500),
+            behaviour,
+        },
+        node: 3,
+        connected: Some(MS(1_000)),
+        sent: MS(1_010),
+        disconnected: None,
+        ended: ended.map(MS),
+        answers,
+    }
+}
+
+#[test]
+fn what_is_owed_to_misbehaving_clients_and_missing_is_found() {
+    const UNANSWERED: &[&str] = &["a request that was read was never answered"];
+    const IGNORED: &[&str] = &["a client that stopped midway got neither error nor close in time"];
+    for (record, wanted) in [
+        (misbehaving(Behaviour::HalfCloses, 1, Some(1_100)), &[][..]),
+        (misbehaving(Behaviour::HalfCloses, 0, None), UNANSWERED),
+        (misbehaving(Behaviour::Trickles, 0, None), UNANSWERED),
+        (misbehaving(Behaviour::Pipelines, 0, None), UNANSWERED),
+        (misbehaving(Behaviour::Silent, 0, None), &[]),
+        (misbehaving(Behaviour::StopsMidway, 0, Some(4_160)), &[]),
+        (misbehaving(Behaviour::StopsMidway, 0, Some(4_161)), IGNORED),
+        (misbehaving(Behaviour::StopsMidway, 0, None), IGNORED),
+    ] {
         let records = Records {
-            asked: lost,
-            incarnations,
-            stopped,
+            misbehaving: vec![record.clone()],
             ..Records::default()
         };
-        judge(&rules(), &records)
-            .into_iter()
-            .map(|b| b.rule)
-            .collect::<Vec<_>>()
-    };
-    assert_eq!(
-        judged(
-            vec![incarnation(
-                Some((MS(1_200), true)),
-                Some((MS(1_201), None))
-            )],
-            vec![]
-        ),
-        [""; 0]
-    );
-    assert_eq!(
-        judged(
-            vec![incarnation(
-                Some((MS(2_200), true)),
-                Some((MS(2_201), None))
-            )],
-            vec![]
-        ),
-        ["never answered"]
-    );
-    // SIGTERM excuses what came long after it, and only that.
-    assert_eq!(
-        judged(
-            vec![incarnation(
-                Some((MS(900), false)),
-                Some((MS(1_201), Some(0)))
-            )],
-            vec![]
-        ),
-        ["never answered"]
-    );
-    assert_eq!(
-        judged(
-            vec![incarnation(
-                Some((MS(200), false)),
-                Some((MS(1_201), Some(0)))
-            )],
-            vec![]
-        ),
-        [""; 0]
-    );
-    assert_eq!(
-        judged(vec![incarnation(None, None)], vec![(3, MS(800), MS(1_100))]),
-        [""; 0]
-    );
-    assert_eq!(
-        judged(vec![incarnation(None, None)], vec![(4, MS(800), MS(1_100))]),
-        ["never answered"]
-    );
-    let crashed = judged(
-        vec![incarnation(None, Some((MS(5_000), Some(101))))],
-        vec![],
-    );
-    assert_eq!(
-        crashed,
-        ["never answered", "a node ended by itself or badly"]
-    );
-    let badly = judged(
-        vec![incarnation(
-            Some((MS(5_000), false)),
-            Some((MS(5_100), Some(1))),
-        )],
-        vec![],
-    );
-    assert_eq!(badly, ["never answered", "a node ended by itself or badly"]);
+        assert_eq!(broken_rules(&records), wanted, "{record:?}");
+    }
 }
 
 #[test]
-fn a_send_after_a_told_drain_and_a_crowd_at_a_cold_backend_are_found() {
-    let address = "127.0.0.1:1".parse().unwrap();
-    let entry = |state| Endpoint {
-        uid: "a".into(),
-        address,
-        zone: "z".into(),
-        cell: 1,
-        state,
-        boot_ms: 0,
-    };
-    let judged = |at: u64, told: u64, changes: Vec<(u64, Duration, Endpoint)>| {
-        let told = vec![Notification {
-            node: 3,
-            at: MS(told),
-            revision: 2,
-        }];
-        let attempts = vec![attempt("a", 1, at, at + 9, AttemptOutcome::Served)];
-        let asked = vec![asked(Idempotency::Idempotent, served(), at + 10)];
+fn an_attempt_for_a_client_that_has_disconnected_is_found() {
+    let behaviour = Behaviour::Disconnects(MS(50));
+    let mut record = misbehaving(behaviour, 0, None);
+    record.disconnected = Some(MS(1_060));
+    for (arrived, wanted) in [
+        (1_310, &[][..]),
+        (1_311, &["an attempt began after its client had left"]),
+    ] {
         let records = Records {
-            asked,
-            attempts,
-            told,
-            changes,
+            misbehaving: vec![record.clone()],
+            attempts: vec![attempt("a", 1, arrived, 1_400, ConnectionLost)],
             ..Records::default()
         };
-        judge(&rules(), &records)
-            .into_iter()
-            .map(|b| b.rule)
-            .collect::<Vec<_>>()
+        assert_eq!(broken_rules(&records), wanted, "{arrived}");
+    }
+}
+
+fn change(revision: u64, at: u64, state: EndpointState) -> EndpointChange {
+    EndpointChange {
+        revision,
+        at: MS(at),
+        endpoint: Endpoint {
+            uid: "a".into(),
+            address: "127.0.0.1:1".parse().unwrap(),
+            zone: "z".into(),
+            cell: 1,
+            state,
+            boot_ms: 0,
+        },
+    }
+}
+
+/// The rules broken by an attempt at a time, where the node is notified of revision 2 at another.
+fn broken_by_send(at: u64, notified: u64, changes: &[EndpointChange]) -> Vec<&'static str> {
+    broken_rules(&Records {
+        requests: vec![record(Idempotent, served(), at + 10)],
+        attempts: vec![attempt("a", 1, at, at + 9, Served)],
+        notifications: vec![Notification {
+            node: 3,
+            at: MS(notified),
+            revision: 2,
+        }],
+        endpoint_changes: changes.to_vec(),
+        ..Records::default()
+    })
+}
+
+/// Violations by so many attempts in the two seconds after the start of a backend.
+fn overloads(attempts: u64) -> usize {
+    let arrivals = (0..attempts).map(|number| 1_000 + number * 2_000 / attempts);
+    let attempts = arrivals.map(|arrived| attempt("a", 1, arrived, 4_000, Served));
+    let records = Records {
+        attempts: attempts.collect(),
+        backend_starts: vec![BackendStart {
+            uid: "a".into(),
+            at: MS(1_000),
+        }],
+        ..Records::default()
     };
-    let drain = vec![(2, MS(500), entry("Terminating"))];
-    assert_eq!(judged(1_100, 900, drain.clone()), [""; 0]);
-    assert_eq!(
-        judged(1_100, 600, drain.clone()),
-        ["sent after a drain was told"]
-    );
-    let back = [drain, vec![(3, MS(1_000), entry("Ready"))]].concat();
-    assert_eq!(judged(1_100, 600, back.clone()), [""; 0]);
+    judge(&rules(), &records).len()
+}
+
+#[test]
+fn a_send_after_a_known_drain_and_an_overload_in_slow_start_are_found() {
+    const AFTER_DRAIN: [&str; 1] = ["sent after a drain was told"];
+    let mut changes = vec![change(2, 500, EndpointState::Draining)];
+    assert_eq!(broken_by_send(1_100, 900, &changes), [""; 0]);
+    assert_eq!(broken_by_send(1_100, 600, &changes), AFTER_DRAIN);
+    changes.push(change(3, 1_000, EndpointState::Ready));
+    assert_eq!(broken_by_send(1_100, 600, &changes), [""; 0]);
     // A second start, or another drain, after the attempt.
-    for state in ["Ready", "Terminating"] {
-        let again = [back.clone(), vec![(4, MS(5_000), entry(state))]].concat();
-        assert_eq!(judged(1_100, 600, again.clone()), [""; 0]);
-        assert_eq!(judged(950, 450, again), ["sent after a drain was told"]);
+    for state in [EndpointState::Ready, EndpointState::Draining] {
+        let again = [&changes[..], &[change(4, 5_000, state)]].concat();
+        assert_eq!(broken_by_send(1_100, 600, &again), [""; 0]);
+        assert_eq!(broken_by_send(950, 450, &again), AFTER_DRAIN);
     }
-    // Thirty in a hundred of a hundred a second, three times, for two seconds: 180, and some for
-    // chance.
-    let crowd = |count: u64| {
-        let attempts = (0..count).map(|n| {
-            attempt(
-                "a",
-                1,
-                1_000 + n * 2_000 / count,
-                4_000,
-                AttemptOutcome::Served,
-            )
-        });
-        let starts = vec![("a".to_string(), MS(1_000))];
-        judge(
-            &rules(),
-            &Records {
-                attempts: attempts.collect(),
-                starts,
-                ..Records::default()
-            },
-        )
-        .len()
-    };
-    assert_eq!((crowd(180), crowd(300)), (0, 1));
+    // Three tenths of a hundred a second, times three, for two seconds: 180, and some for chance.
+    assert_eq!((overloads(180), overloads(300)), (0, 1));
 }
--- /dev/null
+++ b/crates/testbed/src/report/figures.rs
@@ -0,0 +1,161 @@
+//! The figures of a run. Scenarios bound them by these names, so that the names stay.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use kitefork_standin::clients::{ClientOutcome, RequestRecord};
+use kitefork_standin::discovery::CallOutcome;
+
+use super::Measurements;
+use crate::node::Incarnation;
+use crate::scenario::seconds;
+
+/// Length of the interval in which the most calls to discovery are counted.
+const CALL_BURST: Duration = Duration::from_millis(100);
+
+#[derive(Default)]
+struct Figures(BTreeMap<String, f64>);
+
+impl Figures {
+    fn put(&mut self, name: &str, value: f64) {
+        self.0.insert(name.to_string(), value);
+    }
+}
+
+/// All figures that are counted in the records of a run.
+pub(super) fn count(measurements: &Measurements) -> BTreeMap<String, f64> {
+    let mut figures = Figures::default();
+    put_calls(&mut figures, measurements);
+    put_list_delays(&mut figures, measurements);
+    put_connections(&mut figures, measurements);
+    put_requests(&mut figures, measurements);
+    put_resources(&mut figures, measurements);
+    figures.0
+}
+
+/// A ratio whose denominator is a count; that of nothing is 0.
+fn ratio(part: f64, count: usize) -> f64 {
+    part / count.max(1) as f64
+}
+
+/// Calls to discovery.
+fn put_calls(figures: &mut Figures, measurements: &Measurements) {
+    let calls = &measurements.discovery_calls;
+    let count = calls.len() as f64;
+    let failed = calls
+        .iter()
+        .filter(|call| call.outcome != CallOutcome::Answered)
+        .count();
+    let starts = measurements.records.incarnations.len();
+    let mut times: Vec<Duration> = calls.iter().map(|call| call.arrived).collect();
+    times.sort_unstable();
+    figures.put("calls", count);
+    figures.put(
+        "calls_per_node",
+        count / measurements.scenario.fleet.nodes as f64,
+    );
+    figures.put("calls_per_start", ratio(count, starts));
+    figures.put("calls_failed", ratio(failed as f64, calls.len()));
+    figures.put("calls_worst_100ms", largest_burst(&times) as f64);
+}
+
+/// The most calls that came within [`CALL_BURST`]; the times are in order.
+fn largest_burst(times: &[Duration]) -> usize {
+    let burst = |(index, from): (usize, &Duration)| {
+        let end = *from + CALL_BURST;
+        times[index..].iter().take_while(|at| **at < end).count()
+    };
+    times.iter().enumerate().map(burst).max().unwrap_or(0)
+}
+
+/// From the start of a process to the first list, for processes that run to the end.
+fn put_list_delays(figures: &mut Figures, measurements: &Measurements) {
+    let incarnations = measurements.records.incarnations.iter();
+    let running: Vec<&Incarnation> = incarnations
+        .filter(|incarnation| incarnation.exit.is_none())
+        .collect();
+    let mut delays: Vec<f64> = running
+        .iter()
+        .filter_map(|incarnation| list_delay_s(measurements, incarnation))
+        .collect();
+    delays.sort_by(f64::total_cmp);
+    let or_nan = |delay: Option<&f64>| delay.copied().unwrap_or(f64::NAN);
+    let scenario = measurements.scenario;
+    let floor_s = scenario.discovery.call_ms / 1e3 * scenario.fleet.nodes as f64;
+    let without = running.len() - delays.len();
+    figures.put("nodes_without_list", without as f64);
+    figures.put("list_median_s", or_nan(delays.get(delays.len() / 2)));
+    figures.put("list_last_s", or_nan(delays.last()));
+    figures.put("list_floor_s", floor_s);
+}
+
+/// Seconds from the start of a process until it was notified of anything.
+fn list_delay_s(measurements: &Measurements, incarnation: &Incarnation) -> Option<f64> {
+    let started = incarnation.started;
+    let notifications = measurements.records.notifications.iter();
+    let first = notifications
+        .filter(|notification| notification.node == incarnation.node && notification.at >= started)
+        .map(|notification| notification.at)
+        .min()?;
+    Some((first - started).as_secs_f64())
+}
+
+/// Connections to backends, and what backends rejected.
+fn put_connections(figures: &mut Figures, measurements: &Measurements) {
+    let accepted = measurements.accepted_connections.iter();
+    let accepted: Vec<f64> = accepted.map(|count| *count as f64).collect();
+    let sum: f64 = accepted.iter().sum();
+    let mean = ratio(sum, accepted.len());
+    let largest = accepted.iter().copied().fold(0.0, f64::max);
+    figures.put("connections", sum);
+    figures.put("connections_worst", largest / mean.max(1e-9));
+    figures.put("turned_away", measurements.rejected_attempts as f64);
+}
+
+/// What became of requests.
+fn put_requests(figures: &mut Figures, measurements: &Measurements) {
+    let records = measurements.records;
+    let requests = &records.requests;
+    let share_since = |from: Duration, kept: &dyn Fn(&RequestRecord) -> bool| {
+        let all: Vec<&RequestRecord> = requests
+            .iter()
+            .filter(|record| record.request.planned >= from)
+            .collect();
+        let count = all.iter().filter(|record| kept(record)).count();
+        ratio(count as f64, all.len())
+    };
+    let share = |kept: &dyn Fn(&RequestRecord) -> bool| share_since(Duration::ZERO, kept);
+    let is_in_time = |record: &RequestRecord| measurements.is_in_time(record);
+    let is_unreachable = |record: &RequestRecord| record.outcome == ClientOutcome::Unreachable;
+    let steps_end = measurements.begin + last_step_end(measurements);
+    let attempts = records.attempts.len() as f64;
+    figures.put("asked", requests.len() as f64);
+    figures.put("in_time", share(&is_in_time));
+    figures.put("served", share(&|record| record.outcome.is_served()));
+    figures.put("refused", share(&|record| record.outcome.is_rejected()));
+    figures.put("unreachable", share(&is_unreachable));
+    figures.put("in_time_after", share_since(steps_end, &is_in_time));
+    figures.put("attempts_per_ask", ratio(attempts, requests.len()));
+    figures.put("lives", records.incarnations.len() as f64);
+}
+
+/// When the last step of the scenario is over.
+fn last_step_end(measurements: &Measurements) -> Duration {
+    let steps = measurements.scenario.at.iter();
+    seconds(
+        steps
+            .map(|step| step.at_s + step.over_s)
+            .fold(0.0, f64::max),
+    )
+}
+
+/// What processes used, and what discovery wrote to them.
+fn put_resources(figures: &mut Figures, measurements: &Measurements) {
+    let usage = &measurements.usage;
+    let memory = usage.max_memory_mb.values().copied();
+    let cpu_s: f64 = usage.cpu_s.values().sum();
+    figures.put("memory_mb_most", memory.fold(0.0, f64::max));
+    figures.put("descriptors_most", usage.max_descriptors as f64);
+    figures.put("list_kb", measurements.discovery_bytes as f64 / 1e3);
+    figures.put("cpu_s_mean", ratio(cpu_s, usage.cpu_s.len()));
+}
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,11 +1,14 @@
-//! Scenario files: a fleet, what happens to it and when, and bounds on what is counted.
+//! Scenario files: a fleet, what happens to it and when, and bounds on the figures of the report.
+//! Spellings of earlier versions are accepted as aliases.
+
+mod validation;
 
-use std::collections::BTreeMap;
 use std::time::Duration;
 
 use kitefork_standin::clients::Idempotency;
 use serde::Deserialize;
-use thiserror::Error;
+
+pub use validation::{ScenarioError, UnmetExpectation};
 
 /// A scenario. `docs/testbed.md` documents each key.
 #[derive(Clone, Debug, Deserialize)]
@@ -13,35 +16,35 @@
 pub struct Scenario {
     /// One line that says what it shows.
     pub about: String,
-    /// Of all draws.
-    #[serde(default = "one")]
+    /// Seed of all random draws.
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Seconds from the first event to the end.
     pub length_s: f64,
-    /// The parties.
+    /// How many processes and stand-ins there are.
     pub fleet: Fleet,
-    /// The list service.
-    #[serde(default)]
-    pub list: List,
+    /// The discovery service.
+    #[serde(default, alias = "list")]
+    pub discovery: Discovery,
     /// The backends.
     #[serde(default)]
-    pub backend: BackendSettings,
+    pub backend: BackendFigures,
     /// The clients.
     #[serde(default)]
     pub traffic: Traffic,
     /// What happens, in any order.
     #[serde(default)]
     pub at: Vec<Step>,
-    /// What decides the verdict, beside broken rules.
+    /// Bounds that decide the verdict, beside violations.
     #[serde(default)]
     pub expect: Vec<Expect>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// How many of each, and what nodes know at their start.
+/// How many nodes and backends there are, and what nodes get at their start.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -49,17 +52,17 @@
     pub nodes: usize,
     /// Backends.
     pub backends: usize,
-    /// Zones, over which both are dealt in turn.
-    #[serde(default = "one_zone")]
+    /// Zones, over which nodes and backends are dealt in turn.
+    #[serde(default = "default_zones")]
     pub zones: usize,
-    /// The list that a node is given at its first start.
+    /// The endpoint list that a node is given at its first start.
     #[serde(default)]
     pub known: Known,
-    /// Number of nodes as the settings tell it; the true one if absent.
+    /// Number of nodes as the settings have it; the true one if absent.
     #[serde(alias = "siblings")]
     pub proxy_count: Option<usize>,
     /// Descriptors that a node may hold.
-    #[serde(default = "usual_sockets")]
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
     /// A plan of the fault shim that is preloaded into each node; none if empty.
     #[serde(default)]
@@ -69,15 +72,15 @@
     pub log_unread: bool,
 }
 
-fn usual_sockets() -> usize {
+fn default_sockets() -> usize {
     512
 }
 
-fn one_zone() -> usize {
+fn default_zones() -> usize {
     1
 }
 
-/// What a node knows at its first start. After that it is given what the list was when it ended.
+/// What a node knows at its first start. After that it is given the list of the moment it ended.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Known {
@@ -86,52 +89,54 @@
     /// The list as it is.
     #[default]
     Current,
-    /// A list in which three in ten have gone since, and their addresses belong to others.
+    /// A list in which three in ten have been removed since, and their addresses belong to others.
     Stale,
 }
 
-/// The list service's figures.
+/// Figures of the discovery service.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct List {
+pub struct Discovery {
     /// Work of a call, milliseconds.
     pub call_ms: f64,
-    /// Work of an entry, microseconds.
-    pub row_us: f64,
+    /// Work of an endpoint in an answer, microseconds.
+    #[serde(alias = "row_us")]
+    pub endpoint_us: f64,
     /// Longest wait in its queue, milliseconds.
-    pub most_wait_ms: f64,
-    /// Changes kept for those that resume.
+    #[serde(alias = "most_wait_ms")]
+    pub max_wait_ms: f64,
+    /// Changes kept for watches that resume.
     pub history: usize,
-    /// Nodes are told that lists are pushed to them.
+    /// The settings say that lists are pushed to nodes.
     pub pushed: bool,
 }
 
-impl Default for List {
-    fn default() -> List {
-        List {
+impl Default for Discovery {
+    fn default() -> Discovery {
+        Discovery {
             call_ms: 1.0,
-            row_us: 0.0,
-            most_wait_ms: 1_000.0,
+            endpoint_us: 0.0,
+            max_wait_ms: 1_000.0,
             history: 1_000,
             pushed: false,
         }
     }
 }
 
-/// A backend's figures.
+/// Figures of a backend.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct BackendSettings {
+pub struct BackendFigures {
     /// Mean work of a request, milliseconds.
     pub work_ms: f64,
     /// Work of a new connection, milliseconds.
     pub handshake_ms: f64,
-    /// Requests held at most.
+    /// Most requests in flight.
     #[serde(alias = "room")]
     pub capacity: usize,
-    /// Connections held at most.
+    /// Most connections.
     pub connections: usize,
-    /// Part of its speed that it starts with.
+    /// Fraction of its speed that it starts with.
     #[serde(alias = "cold_from")]
     pub slow_start_from: f64,
     /// Seconds until it is at full speed.
@@ -139,9 +144,9 @@
     pub slow_start_s: f64,
 }
 
-impl Default for BackendSettings {
-    fn default() -> BackendSettings {
-        BackendSettings {
+impl Default for BackendFigures {
+    fn default() -> BackendFigures {
+        BackendFigures {
             work_ms: 10.0,
             handshake_ms: 0.5,
             capacity: 40,
@@ -152,7 +157,7 @@
     }
 }
 
-/// What clients ask.
+/// What clients send.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Traffic {
@@ -162,7 +167,7 @@
     pub from_s: f64,
     /// Up to this one; to the end of the scenario if absent.
     pub to_s: Option<f64>,
-    /// Clients that don't behave, a second, over all nodes.
+    /// Misbehaving clients a second, over all nodes.
     #[serde(alias = "odd_rate")]
     pub misbehaving_rate: f64,
     /// Seconds for which clients go on to a node that has died.
@@ -177,37 +182,52 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// `safe`, `keyed` (within a cell) or `unsafe`.
-    #[serde(alias = "effect")]
-    pub idempotency: String,
-    /// Its part of all requests, relative to the others'.
-    #[serde(default = "whole")]
+    /// What executing one of its requests twice means.
+    #[serde(alias = "effect", with = "IdempotencyWord")]
+    pub idempotency: Idempotency,
+    /// Its share of all requests, relative to the others'.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// Wanted within, milliseconds.
+    /// An answer within this time has its full weight, milliseconds.
     #[serde(alias = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// Given up after, milliseconds.
+    /// How long clients wait, milliseconds.
     #[serde(alias = "deadline_ms")]
     pub client_timeout_ms: f64,
-    /// Worth of a request.
-    #[serde(default = "whole")]
-    #[serde(alias = "worth")]
+    /// What an answer counts.
+    #[serde(alias = "worth", default = "default_priority_weight")]
     pub priority_weight: f64,
 }
 
-fn whole() -> f64 {
+/// How scenario files write [`Idempotency`].
+#[derive(Deserialize)]
+#[serde(remote = "Idempotency", rename_all = "snake_case")]
+enum IdempotencyWord {
+    #[serde(alias = "safe")]
+    Idempotent,
+    #[serde(alias = "keyed")]
+    IdempotencyKey,
+    #[serde(alias = "unsafe")]
+    NotIdempotent,
+}
+
+fn default_share() -> f64 {
+    1.0
+}
+
+fn default_priority_weight() -> f64 {
     1.0
 }
 
 impl Class {
-    /// What repeating does, if the word is known.
-    pub fn idempotency(&self) -> Option<Idempotency> {
-        match self.idempotency.as_str() {
-            "safe" => Some(Idempotency::Idempotent),
-            "keyed" => Some(Idempotency::IdempotencyKey),
-            "unsafe" => Some(Idempotency::NotIdempotent),
-            _ => None,
-        }
+    /// How long clients wait.
+    pub fn client_timeout(&self) -> Duration {
+        seconds(self.client_timeout_ms / 1_000.0)
+    }
+
+    /// An answer within this time has its full weight.
+    pub fn latency_objective(&self) -> Duration {
+        seconds(self.latency_objective_ms / 1_000.0)
     }
 }
 
@@ -216,27 +236,33 @@
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// When, in seconds.
-    pub s: f64,
+    #[serde(rename = "s")]
+    pub at_s: f64,
     /// What.
     #[serde(rename = "do")]
     pub action: Action,
-    /// To the parties of this part, from 0 to 1 by their numbers; to all if absent.
-    #[serde(default = "all")]
+    /// Range of the nodes or backends that it concerns, from 0 to 1 by their numbers; all if
+    /// absent.
+    #[serde(default = "default_part")]
     pub part: [f64; 2],
-    /// Only to those of this zone.
+    /// Only those of this zone.
     pub zone: Option<usize>,
     /// Seconds over which it is spread evenly.
     #[serde(default)]
     pub over_s: f64,
-    /// A figure that some of them take: a part of the speed.
-    #[serde(default = "whole")]
+    /// A figure that some actions take: a fraction of the speed.
+    #[serde(default = "default_size")]
     pub size: f64,
 }
 
-fn all() -> [f64; 2] {
+fn default_part() -> [f64; 2] {
     [0.0, 1.0]
 }
 
+fn default_size() -> f64 {
+    1.0
+}
+
 /// What can happen.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
@@ -245,156 +271,125 @@
     Start,
     /// Nodes die at once (SIGKILL).
     Kill,
-    /// Nodes are told to end (SIGTERM).
+    /// Nodes shut down gracefully (SIGTERM).
     Term,
-    /// Nodes stand still (SIGSTOP).
+    /// Nodes are stopped (SIGSTOP).
     Stop,
     /// Nodes go on (SIGCONT).
     Cont,
     /// Nodes read their configuration anew (SIGHUP).
     Reload,
-    /// The same, with a file that is written half.
+    /// The same, with a file that is half written.
     ReloadHalf,
     /// The same, with no file.
     ReloadMissing,
-    /// The list service answers, over sound links.
-    ListUp,
-    /// It answers 503.
-    ListBusy,
-    /// It takes calls and never answers.
-    ListSilent,
-    /// It breaks off in its answers.
-    ListHalf,
-    /// Its process is gone: connections reset, new ones refused.
-    ListDown,
-    /// It starts anew, its history gone: watches are reset.
-    ListRestart,
-    /// The links of nodes to it say nothing.
-    ListCut,
-    /// Backends leave: told draining, and gone a second later.
+    /// Discovery answers, over sound links.
+    #[serde(alias = "list-up")]
+    DiscoveryUp,
+    /// Discovery answers 503.
+    #[serde(alias = "list-busy")]
+    DiscoveryOverloaded,
+    /// Discovery takes calls and never answers.
+    #[serde(alias = "list-silent")]
+    DiscoverySilent,
+    /// Discovery ends connections in the middle of answers.
+    #[serde(alias = "list-half")]
+    DiscoveryTruncates,
+    /// The process of discovery is gone: connections are reset, new ones refused.
+    #[serde(alias = "list-down")]
+    DiscoveryDown,
+    /// Discovery starts anew without its history: watches are reset.
+    #[serde(alias = "list-restart")]
+    DiscoveryRestart,
+    /// The links of nodes to discovery are cut.
+    #[serde(alias = "list-cut")]
+    DiscoveryCut,
+    /// Backends drain, and are removed from the list a second later.
     Drain,
-    /// Backends die and are told gone a second later.
+    /// Backends die, and are removed from the list a second later.
     BackendKill,
-    /// Backends start anew, cold, and are told ready.
+    /// Backends start anew, in slow start, and are listed as ready.
     BackendStart,
     /// Backends take requests and answer none.
-    Swallow,
+    #[serde(alias = "swallow")]
+    BackendSilent,
     /// Backends answer 500.
-    Fail,
+    #[serde(alias = "fail")]
+    BackendFails,
     /// Backends work at `size` of their speed, over sound links.
-    Work,
-    /// All that backends say comes twice.
+    #[serde(alias = "work")]
+    BackendWorks,
+    /// All bytes of backends come twice.
     AnswerTwice,
-    /// What backends say comes a few bytes at a time.
+    /// Bytes of backends come a few at a time.
     AnswerInPieces,
-    /// The links to backends say nothing.
+    /// The links to backends are cut.
     BackendCut,
-    /// What backends say does not arrive, what nodes say does.
+    /// Bytes of backends don't arrive, bytes of nodes do.
     BackendCutOut,
     /// The connections of backends are reset under their requests.
     BackendReset,
 }
 
-/// A bound on a counted figure.
+/// What an action is done to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Target {
+    /// Nodes, or their links to discovery, by number.
+    Nodes,
+    /// The one discovery service.
+    Discovery,
+    /// Backends, or the links to them, by number.
+    Backends,
+}
+
+impl Action {
+    /// What the action is done to.
+    pub fn target(self) -> Target {
+        match self {
+            Action::Start
+            | Action::Kill
+            | Action::Term
+            | Action::Stop
+            | Action::Cont
+            | Action::Reload
+            | Action::ReloadHalf
+            | Action::ReloadMissing
+            | Action::DiscoveryCut => Target::Nodes,
+            Action::DiscoveryUp
+            | Action::DiscoveryOverloaded
+            | Action::DiscoverySilent
+            | Action::DiscoveryTruncates
+            | Action::DiscoveryDown
+            | Action::DiscoveryRestart => Target::Discovery,
+            Action::Drain
+            | Action::BackendKill
+            | Action::BackendStart
+            | Action::BackendSilent
+            | Action::BackendFails
+            | Action::BackendWorks
+            | Action::AnswerTwice
+            | Action::AnswerInPieces
+            | Action::BackendCut
+            | Action::BackendCutOut
+            | Action::BackendReset => Target::Backends,
+        }
+    }
+}
+
+/// A bound on a figure of the report.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Which; `kitefork-testbed run` prints all.
+    /// Name of the figure; `kitefork-testbed run` prints all.
     pub figure: String,
-    /// At least this.
+    /// It is at least this.
     pub least: Option<f64>,
-    /// At most this.
+    /// It is at most this.
     pub most: Option<f64>,
 }
 
-/// A file that is no scenario.
-#[derive(Debug, Error)]
-pub enum Fault {
-    /// It can't be read as one; the text names line and column.
-    #[error("{0}")]
-    Form(#[from] toml::de::Error),
-    /// It can be read and has no sense.
-    #[error("{0}")]
-    Sense(String),
-}
-
-impl Scenario {
-    /// Reads a scenario and names what has no sense in it.
-    pub fn parse(text: &str) -> Result<Scenario, Fault> {
-        let scenario: Scenario = toml::from_str(text)?;
-        let wrong = |action: &str| Err(Fault::Sense(action.to_string()));
-        let (fleet, traffic) = (&scenario.fleet, &scenario.traffic);
-        if fleet.nodes == 0 || fleet.zones == 0 || fleet.nodes > 2_000 || fleet.backends > 20_000 {
-            return wrong("fleet: 1 to 2,000 nodes, at least one zone, at most 20,000 backends");
-        }
-        if !(scenario.length_s > 0.0 && scenario.length_s <= 3_600.0) {
-            return wrong("length_s: above 0, at most 3,600");
-        }
-        if let Some(class) = traffic
-            .class
-            .iter()
-            .find(|class| class.idempotency().is_none())
-        {
-            return wrong(&format!(
-                "traffic.class `{}`: effect is safe, keyed or unsafe",
-                class.name
-            ));
-        }
-        if traffic.rate > 0.0 && traffic.class.is_empty() {
-            return wrong("traffic: a rate and no class");
-        }
-        for step in &scenario.at {
-            if !(0.0..=1.0).contains(&step.part[0])
-                || !(0.0..=1.0).contains(&step.part[1])
-                || step.s < 0.0
-            {
-                return wrong(&format!(
-                    "at {} s: parts lie between 0 and 1, times are 0 or more",
-                    step.s
-                ));
-            }
-            if !(step.size > 0.0 && step.size.is_finite()) {
-                return wrong(&format!("at {} s: size must be above 0", step.s));
-            }
-        }
-        if let Some(expect) = scenario
-            .expect
-            .iter()
-            .find(|e| e.least.is_none() && e.most.is_none())
-        {
-            return wrong(&format!(
-                "expect `{}`: neither least nor most",
-                expect.figure
-            ));
-        }
-        Ok(scenario)
-    }
-
-    /// What of the expectations does not hold; a figure that was not counted is one of them.
-    pub fn unmet(&self, figures: &BTreeMap<String, f64>) -> Vec<String> {
-        let check = |expect: &Expect| {
-            let Some(found) = figures.get(&expect.figure).copied() else {
-                return Some(format!("{} was not counted", expect.figure));
-            };
-            let low = expect.least.is_some_and(|least| found < least);
-            let high = expect.most.is_some_and(|most| found > most);
-            (low || high || found.is_nan()).then(|| {
-                let bound = |word: &str, bound: Option<f64>| {
-                    bound.map_or(String::new(), |b| format!(" {word} {b}"))
-                };
-                let (least, most) = (
-                    bound("at least", expect.least),
-                    bound("at most", expect.most),
-                );
-                format!("{} is {found:.3}, wanted{least}{most}", expect.figure)
-            })
-        };
-        self.expect.iter().filter_map(check).collect()
-    }
-}
-
-/// Seconds as a span; 0 for what is none.
-pub fn span(seconds: f64) -> Duration {
+/// Seconds as a duration; zero for what is none, as a negative number.
+pub fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
--- /dev/null
+++ b/crates/testbed/src/soak/plan.rs
@@ -0,0 +1,200 @@
+//! What a seed stands for. The order of the draws is part of that: another order gives every seed
+//! another plan.
+
+use std::fmt;
+
+use kitefork_standin::clients::Idempotency;
+use kitefork_standin::random::RandomSource;
+
+use super::fault::{FaultKind, PlannedFault};
+use crate::scenario::{Action, Class, Discovery, Fleet, Known, Scenario, Step, Traffic};
+
+/// Seconds from the start to the end of the traffic.
+const LENGTH_S: f64 = 10.0;
+/// Seconds behind the traffic, for the last answers.
+const SETTLING_S: f64 = 2.0;
+/// The traffic begins at this second.
+const TRAFFIC_FROM_S: f64 = 1.5;
+/// Requests a second for each node.
+const RATE_PER_NODE: f64 = 6.0;
+/// Misbehaving clients a second for each node.
+const MISBEHAVING_PER_NODE: f64 = 1.0;
+/// Least number of backends.
+const MIN_BACKENDS: usize = 8;
+/// Descriptors of a node, unless a fault leaves it fewer.
+const SOCKETS: usize = 512;
+/// Spreads neighbouring seeds: 2^64 divided by the golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// What a seed has drawn.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The seed.
+    pub seed: u64,
+    /// The fleet, before any fault.
+    pub base: Scenario,
+    /// The faults.
+    pub faults: Vec<PlannedFault>,
+    /// Seconds before the traffic and the faults in which nothing happens.
+    pub quiet_s: f64,
+}
+
+/// Draws the plan of a seed for so many nodes.
+pub fn draw(seed: u64, nodes: usize) -> Plan {
+    let mut random = RandomSource::from_seed(seed.wrapping_mul(SEED_MULTIPLIER));
+    let fleet = draw_fleet(&mut random, nodes);
+    let discovery = draw_discovery(&mut random);
+    let traffic = draw_traffic(&mut random, nodes);
+    let start = Step {
+        at_s: 0.0,
+        action: Action::Start,
+        part: [0.0, 1.0],
+        zone: None,
+        over_s: 0.4,
+        size: 1.0,
+    };
+    let base = Scenario {
+        about: format!("soak, seed {seed}"),
+        seed,
+        length_s: LENGTH_S + SETTLING_S,
+        fleet,
+        discovery,
+        backend: Default::default(),
+        traffic,
+        at: vec![start],
+        expect: Vec::new(),
+    };
+    let count = 2 + random.below(2);
+    let faults = (0..count).map(|_| draw_fault(&mut random)).collect();
+    Plan {
+        seed,
+        base,
+        faults,
+        quiet_s: 0.0,
+    }
+}
+
+fn draw_fleet(random: &mut RandomSource, nodes: usize) -> Fleet {
+    let zones = 1 + random.below(4);
+    let backends = (nodes / 2 + random.below(nodes + 1)).max(MIN_BACKENDS);
+    Fleet {
+        nodes,
+        backends,
+        zones,
+        known: random.choose(&[Known::Empty, Known::Current, Known::Stale]),
+        proxy_count: None,
+        sockets: SOCKETS,
+        faults: String::new(),
+        log_unread: false,
+    }
+}
+
+fn draw_discovery(random: &mut RandomSource) -> Discovery {
+    let call_ms = random.choose(&[0.2, 1.0, 8.0]);
+    let history = random.choose(&[0, 5, 1_000]);
+    let pushed = random.unit() < 0.4;
+    Discovery {
+        call_ms,
+        history,
+        pushed,
+        ..Discovery::default()
+    }
+}
+
+fn draw_traffic(random: &mut RandomSource, nodes: usize) -> Traffic {
+    let count = 1 + random.below(3);
+    let class = (0..count)
+        .map(|number| draw_class(random, number))
+        .collect();
+    Traffic {
+        rate: RATE_PER_NODE * nodes as f64,
+        misbehaving_rate: MISBEHAVING_PER_NODE * nodes as f64,
+        from_s: TRAFFIC_FROM_S,
+        to_s: Some(LENGTH_S),
+        notice_s: random.choose(&[0.2, 1.0]),
+        class,
+    }
+}
+
+fn draw_class(random: &mut RandomSource, number: usize) -> Class {
+    const IDEMPOTENCIES: [Idempotency; 3] = [
+        Idempotency::Idempotent,
+        Idempotency::IdempotencyKey,
+        Idempotency::NotIdempotent,
+    ];
+    let client_timeout_ms = random.choose(&[150.0, 400.0, 1_000.0, 3_000.0, 5_000.0, 30_000.0]);
+    let idempotency = random.choose(&IDEMPOTENCIES);
+    Class {
+        name: format!("class{number}"),
+        idempotency,
+        share: 1.0,
+        latency_objective_ms: client_timeout_ms / random.choose(&[1.5, 3.0]),
+        client_timeout_ms,
+        priority_weight: random.choose(&[1.0, 5.0]),
+    }
+}
+
+fn draw_fault(random: &mut RandomSource) -> PlannedFault {
+    let from = random.unit() * 0.7;
+    let kind = random.choose(&FaultKind::ALL);
+    let from_s = 2.5 + 2.5 * random.unit();
+    let lasts_s = 0.5 + 2.5 * random.unit();
+    let part = [from, from + 0.15 + 0.15 * random.unit()];
+    PlannedFault {
+        kind,
+        from_s,
+        lasts_s,
+        part,
+        draw: random.unit(),
+    }
+}
+
+impl Plan {
+    /// The scenario of the fleet with its faults.
+    pub fn scenario(&self) -> Scenario {
+        let mut scenario = self.base.clone();
+        scenario.length_s += self.quiet_s;
+        scenario.traffic.from_s += self.quiet_s;
+        scenario.traffic.to_s = scenario.traffic.to_s.map(|end| end + self.quiet_s);
+        for fault in &self.faults {
+            let later = PlannedFault {
+                from_s: fault.from_s + self.quiet_s,
+                ..fault.clone()
+            };
+            later.add_to(&mut scenario);
+        }
+        scenario
+    }
+
+    /// The same without one fault.
+    pub(super) fn without(&self, index: usize) -> Plan {
+        let mut plan = self.clone();
+        plan.faults.remove(index);
+        plan
+    }
+}
+
+impl fmt::Display for Plan {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Scenario {
+            fleet,
+            discovery,
+            traffic,
+            ..
+        } = &self.base;
+        write!(
+            f,
+            "seed {}: {} nodes, {} backends, {} zones, ",
+            self.seed, fleet.nodes, fleet.backends, fleet.zones
+        )?;
+        let source = if discovery.pushed { "pushed" } else { "polled" };
+        write!(f, "{source}, known {:?};", fleet.known)?;
+        for class in &traffic.class {
+            write!(f, " {:?} {} ms", class.idempotency, class.client_timeout_ms)?;
+        }
+        for fault in &self.faults {
+            write!(f, "; {fault}")?;
+        }
+        Ok(())
+    }
+}
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -23,7 +23,8 @@
     program
 }
 
-async fn play(name: &str, nodes: usize) {
+/// A scenario file of the repository, with so many nodes and the rest in proportion.
+fn read_scenario(name: &str, nodes: usize) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
         .join(name)
@@ -37,9 +38,14 @@
     let last = scenario
         .at
         .iter()
-        .map(|step| step.s + step.over_s)
+        .map(|step| step.at_s + step.over_s)
         .fold(0.0, f64::max);
     scenario.length_s = scenario.length_s.min(last + 9.0);
+    scenario
+}
+
+async fn play(name: &str, nodes: usize) {
+    let mut scenario = read_scenario(name, nodes);
     scenario.expect = vec![
         Expect {
             figure: "nodes_without_list".into(),
@@ -58,7 +64,7 @@
     assert!(
         report.passed(),
         "{name}: {:#?} {:#?} {:#?}",
-        report.broken,
+        report.violations,
         report.unmet,
         report.panics
     );
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A few fixed seeds of the soak, each with overlapping troubles over a dozen real processes.
+//! A few fixed seeds of the soak, each with overlapping faults over a dozen real processes.
 
 use std::path::{Path, PathBuf};
 
@@ -36,7 +36,7 @@
     assert!(
         report.passed(),
         "{plan}\n{:#?}\n{:#?}",
-        report.broken.first(),
+        report.violations.first(),
         report.panics.first()
     );
     assert!(
@@ -77,12 +77,15 @@
     );
     assert_eq!(later.at.len(), usual.at.len());
     for (step, moved) in usual.at.iter().zip(&later.at) {
-        let by = if step.action == Action::Start && step.s == 0.0 {
+        let by = if step.action == Action::Start && step.at_s == 0.0 {
             0.0
         } else {
             60.0
         };
-        assert!((moved.s - step.s - by).abs() < 1e-9, "{step:?} {moved:?}");
+        assert!(
+            (moved.at_s - step.at_s - by).abs() < 1e-9,
+            "{step:?} {moved:?}"
+        );
     }
 }
 
