--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -37,6 +37,8 @@
     pub slow_start_from: f64,
     /// Time after a start until it is at full speed.
     pub slow_start: Duration,
+    /// Seed of its draws.
+    pub seed: u64,
 }
 
 /// How a backend treats requests.
@@ -165,14 +167,13 @@
         settings: BackendSettings,
         clock: Clock,
         attempt_log: Arc<AttemptLog>,
-        seed: u64,
     ) -> Arc<Backend> {
         let state = State {
             health: Health::Works(1.0),
             idle_at: Duration::ZERO,
             in_flight: 0,
             started: Duration::ZERO,
-            random: RandomSource::from_seed(seed),
+            random: RandomSource::from_seed(settings.seed),
         };
         Arc::new(Backend {
             uid: uid.into(),
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,6 +1,9 @@
 //! The stand-in discovery: one queue for all calls, watches, revisions with a bounded history, and
 //! outages.
 
+mod call;
+mod endpoint;
+
 use std::collections::{BTreeMap, VecDeque};
 use std::convert::Infallible;
 use std::io;
@@ -19,6 +22,9 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
+pub use call::{CallOutcome, Capacity, DiscoveryCall, Mode, Notification};
+pub use endpoint::{Endpoint, EndpointChange, EndpointState};
+
 use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
@@ -27,134 +33,6 @@
 /// Parts of an answer that may wait to be written.
 const BODY_BUFFER: usize = 4;
 
-/// State of an endpoint on the list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointState {
-    /// It takes requests.
-    Ready,
-    /// It finishes its work and takes nothing new.
-    Draining,
-    /// It is no longer on the list.
-    Removed,
-}
-
-impl EndpointState {
-    /// The protocol's word.
-    fn wire_word(self) -> &'static str {
-        match self {
-            EndpointState::Ready => "Ready",
-            EndpointState::Draining => "Terminating",
-            EndpointState::Removed => "Gone",
-        }
-    }
-}
-
-/// A backend as the endpoint list has it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Endpoint {
-    /// Name of the backend, the same at every node and over restarts.
-    pub uid: String,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Its zone.
-    pub zone: String,
-    /// Its cell.
-    pub cell: u16,
-    /// Its state.
-    pub state: EndpointState,
-    /// Unix time of its last start in milliseconds; 0: long ago.
-    pub boot_ms: u64,
-}
-
-impl Endpoint {
-    /// As the protocol writes it.
-    pub fn json(&self) -> Value {
-        json!({
-            "uid": self.uid,
-            "endpoint": self.address.to_string(),
-            "az": self.zone,
-            "model": "m",
-            "pod_group": self.cell,
-            "state": self.state.wire_word(),
-            "capacity_hint": 1.0,
-            "boot_ms": self.boot_ms,
-        })
-    }
-}
-
-/// What the service can do.
-#[derive(Clone, Copy, Debug)]
-pub struct Capacity {
-    /// Work for each call; calls are served one after the other.
-    pub call: Duration,
-    /// Work for each endpoint of an answer.
-    pub endpoint: Duration,
-    /// A call that would wait longer than this gets 503 after it.
-    pub max_wait: Duration,
-    /// Changes that are kept for watches that resume.
-    pub history: usize,
-}
-
-/// How the service treats calls.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Mode {
-    /// It answers.
-    #[default]
-    Up,
-    /// It answers 503 at once.
-    Overloaded,
-    /// It takes calls and never answers.
-    Silent,
-    /// It ends the connection in the middle of an answer.
-    Truncates,
-}
-
-/// How a call ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallOutcome {
-    /// Answered with a list or the beginning of a watch.
-    Answered,
-    /// Answered with 503, or broken off.
-    Failed,
-    /// Never answered.
-    Unanswered,
-}
-
-/// One call of a node: a poll of the whole list, or a watch.
-#[derive(Clone, Debug)]
-pub struct DiscoveryCall {
-    /// Number of the node whose listener it came to.
-    pub node: usize,
-    /// When it had arrived.
-    pub arrived: Duration,
-    /// When it was answered.
-    pub ended: Duration,
-    /// How it ended.
-    pub outcome: CallOutcome,
-}
-
-/// A list or a watch event written to a node.
-#[derive(Clone, Debug)]
-pub struct Notification {
-    /// Number of the node.
-    pub node: usize,
-    /// When it was written.
-    pub at: Duration,
-    /// The revision that it brought the node to.
-    pub revision: u64,
-}
-
-/// A change of one endpoint.
-#[derive(Clone, Debug)]
-pub struct EndpointChange {
-    /// The revision that it made.
-    pub revision: u64,
-    /// When it was published.
-    pub at: Duration,
-    /// The endpoint after it.
-    pub endpoint: Endpoint,
-}
-
 struct State {
     mode: Mode,
     revision: u64,
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_says_nothing_and_heals_and_a_reset_and_a_refusal_are_told() {
+async fn a_cut_passes_nothing_and_heals_and_a_reset_and_a_closed_port_are_seen() {
     let (link, address) = echo().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let mut byte = [0];
@@ -39,8 +39,8 @@
         assert_eq!(byte, *b"b");
     }
     link.reset();
-    let told = stream.read_exact(&mut byte).await.unwrap_err().kind();
-    assert_eq!(told, io::ErrorKind::ConnectionReset);
+    let error = stream.read_exact(&mut byte).await.unwrap_err().kind();
+    assert_eq!(error, io::ErrorKind::ConnectionReset);
     link.set(Health::Refused);
     while TcpStream::connect(address).await.is_ok() {}
     link.set(Health::Sound);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn what_is_said_comes_twice_or_in_pieces() {
+async fn bytes_come_twice_or_in_pieces() {
     let (link, address) = echo().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     for (behaviour, wanted) in [
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_refuses_keeps_its_port_while_processes_are_started() {
+async fn a_link_that_refuses_connections_keeps_its_port_while_processes_are_started() {
     let stop = Arc::new(AtomicBool::new(false));
     let starters = start_processes(&stop);
     let mut links = Vec::new();
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -134,19 +134,7 @@
     ) -> io::Result<Cluster> {
         let attempt_log = Arc::new(AttemptLog::default());
         let backends = new_backends(scenario, clock, &attempt_log);
-        let mut endpoints = Vec::new();
-        for (number, backend) in backends.iter().enumerate() {
-            let address = backend.serve().await?;
-            let zone = format!("z{}", zone(scenario, number));
-            endpoints.push(Endpoint {
-                uid: backend.uid.clone(),
-                address,
-                zone,
-                cell: backend.cell,
-                state: EndpointState::Ready,
-                boot_ms: 0,
-            });
-        }
+        let endpoints = serve_backends(scenario, &backends).await?;
         let capacity = discovery_capacity(scenario);
         let discovery = DiscoveryService::new(clock, capacity, endpoints.clone());
         let nodes = 0..scenario.fleet.nodes;
@@ -236,16 +224,37 @@
         connections: figures.connections,
         slow_start_from: figures.slow_start_from,
         slow_start: seconds(figures.slow_start_s),
+        seed: 0,
     };
     let new_backend = |number: usize| {
         let uid = format!("s-{number:04}");
         let cell = (number / CELL_SIZE) as u16;
         let seed = scenario.seed.wrapping_mul(BACKEND_SEED_MULTIPLIER) + number as u64;
-        Backend::new(&uid, cell, settings, clock, log.clone(), seed)
+        let settings = BackendSettings { seed, ..settings };
+        Backend::new(&uid, cell, settings, clock, log.clone())
     };
     (0..scenario.fleet.backends).map(new_backend).collect()
 }
 
+/// Starts the backends' listeners; gives the backends as discovery lists them at first.
+async fn serve_backends(
+    scenario: &Scenario,
+    backends: &[Arc<Backend>],
+) -> io::Result<Vec<Endpoint>> {
+    let mut endpoints = Vec::new();
+    for (number, backend) in backends.iter().enumerate() {
+        endpoints.push(Endpoint {
+            uid: backend.uid.clone(),
+            address: backend.serve().await?,
+            zone: format!("z{}", zone(scenario, number)),
+            cell: backend.cell,
+            state: EndpointState::Ready,
+            boot_ms: 0,
+        });
+    }
+    Ok(endpoints)
+}
+
 fn discovery_capacity(scenario: &Scenario) -> Capacity {
     let figures = &scenario.discovery;
     Capacity {
--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -50,10 +50,8 @@
     for line in lines.take(MAX_VIOLATIONS) {
         println!("  {line}");
     }
-    println!(
-        "  {} violations; again: kitefork-testbed soak --from {seed} --seeds 1 --nodes {} --quiet {}",
-        report.violations.len(),
-        options.nodes,
-        options.quiet_s
-    );
+    let count = report.violations.len();
+    let again = format!("kitefork-testbed soak --from {seed} --seeds 1");
+    let Options { nodes, quiet_s, .. } = options;
+    println!("  {count} violations; again: {again} --nodes {nodes} --quiet {quiet_s}");
 }
