--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -4,6 +4,7 @@
 //! The plan stands in `KITEFORK_FAULTS`, the seed of its draws in `KITEFORK_FAULT_SEED`. Without a
 //! plan each call goes through unchanged. This crate is the only one of the workspace with `unsafe`
 //! code; nothing of it is part of the shipped programs.
+#![deny(missing_docs)]
 
 pub mod plan;
 
@@ -18,9 +19,12 @@
 
 use crate::plan::{Call, Fault, Plan};
 
+/// Environment variable that has the plan.
 const PLAN_VARIABLE: &str = "KITEFORK_FAULTS";
+/// Environment variable that has the seed of the plan's draws; 1 if absent.
 const SEED_VARIABLE: &str = "KITEFORK_FAULT_SEED";
 
+/// The plan of this process, and when the process began.
 struct Shim {
     plan: Mutex<Plan>,
     started_ms: u64,
@@ -28,7 +32,7 @@
 
 static SHIM: OnceLock<Option<Shim>> = OnceLock::new();
 
-/// Monotonic milliseconds, past the intercepted calls.
+/// Milliseconds of the monotonic clock, by a system call that is not intercepted.
 fn monotonic_ms() -> u64 {
     let mut time = timespec {
         tv_sec: 0,
@@ -45,7 +49,8 @@
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-/// A plan that can't be read would make a test pass for the wrong reason, so the process ends.
+/// Reads the plan of this process, if it has one. A plan that can't be read would make a test pass
+/// for the wrong reason, so the process ends.
 fn start() -> Option<Shim> {
     let text = std::env::var(PLAN_VARIABLE).ok()?;
     let seed = std::env::var(SEED_VARIABLE)
@@ -64,7 +69,8 @@
     }
 }
 
-fn strike(call: Call) -> Option<Fault> {
+/// The fault of a call that is made now, if the plan has one for it.
+fn inject_fault(call: Call) -> Option<Fault> {
     let shim = SHIM.get_or_init(start).as_ref()?;
     let elapsed = monotonic_ms().saturating_sub(shim.started_ms);
     // A signal handler may come here while the lock is held by its own thread: its call goes
@@ -74,11 +80,11 @@
         Err(std::sync::TryLockError::Poisoned(poisoned)) => PoisonError::into_inner(poisoned),
         Err(std::sync::TryLockError::WouldBlock) => return None,
     };
-    plan.strike(call, elapsed)
+    plan.inject(call, elapsed)
 }
 
-/// The next definition of a symbol behind this library's own; looked up once.
-fn next(cache: &AtomicUsize, name: &CStr) -> usize {
+/// Address of the next definition of a symbol behind this library's own; looked up once.
+fn next_symbol(cache: &AtomicUsize, name: &CStr) -> usize {
     let known = cache.load(Ordering::Relaxed);
     if known != 0 {
         return known;
@@ -90,11 +96,12 @@
     found
 }
 
-fn fail(errno: c_int) {
+fn set_errno(errno: c_int) {
     // SAFETY: the address is this thread's own errno.
     unsafe { *libc::__errno_location() = errno };
 }
 
+/// Sleeps by a system call that is not intercepted.
 fn sleep(ms: u64) {
     let time = timespec {
         tv_sec: (ms / 1_000) as i64,
@@ -110,12 +117,12 @@
     };
 }
 
-/// Defines a call that a plan may strike. The last argument names the length that `short` cuts, if
-/// it has one.
+/// Defines a call into which a plan may inject faults. The last argument names the length that
+/// `short` cuts, if it has one.
 macro_rules! intercept {
     ($call:expr, $name:literal,
         fn $function:ident($($argument:ident: $type:ty),*) -> $result:ty $(, $length:ident)?) => {
-        /// Intercepted; behaves as the C library's function unless the plan strikes.
+        /// Intercepted; behaves as the C library's function unless the plan has a fault for it.
         ///
         /// # Safety
         ///
@@ -123,10 +130,10 @@
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $function($($argument: $type),*) -> $result {
             static NEXT: AtomicUsize = AtomicUsize::new(0);
-            let struck = strike($call);
-            match struck {
+            let fault = inject_fault($call);
+            match fault {
                 Some(Fault::Errno(errno)) => {
-                    fail(errno);
+                    set_errno(errno);
                     return -1;
                 }
                 Some(Fault::Short) => {
@@ -134,7 +141,7 @@
                     // SAFETY: as below.
                     return unsafe {
                         std::mem::transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(
-                            next(&NEXT, $name))($($argument),*)
+                            next_symbol(&NEXT, $name))($($argument),*)
                     };
                 }
                 Some(Fault::Sleep(ms)) => sleep(ms),
@@ -144,9 +151,9 @@
             // arguments are the caller's, which holds to that function's contract.
             let result = unsafe {
                 std::mem::transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(
-                    next(&NEXT, $name))($($argument),*)
+                    next_symbol(&NEXT, $name))($($argument),*)
             };
-            if let Some(Fault::Late(ms)) = struck
+            if let Some(Fault::Late(ms)) = fault
                 && result > 0
             {
                 sleep(ms);
@@ -187,7 +194,7 @@
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) } as c_int;
     if result == 0
         && clock == libc::CLOCK_REALTIME
-        && let Some(Fault::Step(seconds)) = strike(Call::Clock)
+        && let Some(Fault::Step(seconds)) = inject_fault(Call::Clock)
     {
         // SAFETY: as above.
         unsafe { (*time).tv_sec += seconds };
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -7,8 +7,8 @@
 //! | --- | --- |
 //! | `CALL` | one of the calls below |
 //! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`, `step:SECONDS` |
-//! | `every:N` | the rule strikes each N-th call (default 1) |
-//! | `chance:P` | instead, the rule strikes with probability P, drawn from the plan's seed |
+//! | `every:N` | the fault is injected into each N-th call (default 1) |
+//! | `chance:P` | instead, it is injected with probability P, drawn from the plan's seed |
 //! | `from:MS`, `to:MS` | the rule is in force in this span since the start of the process |
 //!
 //! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, and
@@ -41,7 +41,7 @@
     Clock,
 }
 
-/// What happens to a struck call.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// It returns -1 with this errno.
@@ -50,8 +50,7 @@
     Short,
     /// It begins this many milliseconds later.
     Sleep(u64),
-    /// Where it has something to tell (its result is over 0), it returns this many milliseconds
-    /// later.
+    /// Where its result is over 0, it returns this many milliseconds later.
     Late(u64),
     /// The clock is off by this many seconds.
     Step(i64),
@@ -60,24 +59,34 @@
 /// One rule of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The call that it strikes.
+    /// The call that the fault is injected into.
     pub call: Call,
-    /// How.
+    /// The fault.
     pub fault: Fault,
     every: u64,
     chance: Option<f64>,
     from_ms: u64,
     to_ms: u64,
+    /// Calls so far while the rule was in force.
     seen: u64,
 }
 
 /// Why a plan can't be read.
 #[derive(Debug, PartialEq, Eq)]
-pub struct PlanError(String);
+pub enum PlanError {
+    /// A part of a rule is unknown or has no sense.
+    UnknownPart {
+        /// The part.
+        part: String,
+        /// The whole rule.
+        rule: String,
+    },
+}
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "fault plan: {}", self.0)
+        let PlanError::UnknownPart { part, rule } = self;
+        write!(f, "fault plan: `{part}` in `{rule}`")
     }
 }
 
@@ -87,11 +96,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     rules: Vec<Rule>,
+    /// State of the generator.
     random: u64,
 }
 
-/// Multiplier and increment of the linear congruential generator of Knuth's MMIX.
+/// Multiplier of the linear congruential generator of Knuth's MMIX.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+/// Increment of the same generator.
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
 impl Plan {
@@ -112,25 +123,26 @@
         })
     }
 
-    /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule
-    /// strikes it.
-    pub fn strike(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
+    /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule in
+    /// force has one for it; the first of several. Each rule counts or draws for itself.
+    pub fn inject(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
         let random = &mut self.random;
         let in_force = |rule: &&mut Rule| {
             rule.call == call && (rule.from_ms..rule.to_ms).contains(&elapsed_ms)
         };
-        let mut struck = None;
+        let mut injected = None;
         for rule in self.rules.iter_mut().filter(in_force) {
-            if rule.strikes(random) {
-                struck = struck.or(Some(rule.fault));
+            if rule.injects(random) {
+                injected = injected.or(Some(rule.fault));
             }
         }
-        struck
+        injected
     }
 }
 
 impl Rule {
-    fn strikes(&mut self, random: &mut u64) -> bool {
+    /// Counts a call; whether the fault is injected into it.
+    fn injects(&mut self, random: &mut u64) -> bool {
         self.seen += 1;
         match self.chance {
             Some(chance) => draw(random) < chance,
@@ -148,7 +160,10 @@
 }
 
 fn parse_rule(text: &str) -> Result<Rule, PlanError> {
-    let unknown = |part: &str| PlanError(format!("`{part}` in `{text}`"));
+    let unknown = |part: &str| PlanError::UnknownPart {
+        part: part.into(),
+        rule: text.into(),
+    };
     let (head, options) = text.split_once(',').unwrap_or((text, ""));
     let (call, fault) = head.split_once('=').ok_or_else(|| unknown(head))?;
     let mut rule = Rule {
@@ -162,12 +177,12 @@
     };
     for option in options.split(',').filter(|option| !option.is_empty()) {
         let (name, value) = option.split_once(':').ok_or_else(|| unknown(option))?;
-        let whole = || value.parse::<u64>().map_err(|_| unknown(option));
+        let integer = || value.parse::<u64>().map_err(|_| unknown(option));
         match name {
-            "every" => rule.every = whole()?.max(1),
+            "every" => rule.every = integer()?.max(1),
             "chance" => rule.chance = Some(value.parse().map_err(|_| unknown(option))?),
-            "from" => rule.from_ms = whole()?,
-            "to" => rule.to_ms = whole()?,
+            "from" => rule.from_ms = integer()?,
+            "to" => rule.to_ms = integer()?,
             _ => return Err(unknown(option)),
         }
     }
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -3,24 +3,24 @@
 use kitefork_fault_shim::plan::{Call, Fault, Plan};
 
 #[test]
-fn each_nth_call_is_struck_and_no_other_call() {
+fn a_fault_is_injected_into_each_nth_call_and_no_other_call() {
     let mut plan = Plan::parse("accept=ENFILE,every:3;send=short", 1).unwrap();
-    let struck: Vec<bool> = (0..6)
-        .map(|_| plan.strike(Call::Accept, 0).is_some())
+    let injected: Vec<bool> = (0..6)
+        .map(|_| plan.inject(Call::Accept, 0).is_some())
         .collect();
-    assert_eq!(struck, [false, false, true, false, false, true]);
-    assert_eq!(plan.strike(Call::Send, 0), Some(Fault::Short));
-    assert_eq!(plan.strike(Call::Recv, 0), None);
+    assert_eq!(injected, [false, false, true, false, false, true]);
+    assert_eq!(plan.inject(Call::Send, 0), Some(Fault::Short));
+    assert_eq!(plan.inject(Call::Recv, 0), None);
 }
 
 #[test]
 fn a_rule_holds_only_in_its_span() {
     let mut plan = Plan::parse("clock=step:-3600,from:100,to:200", 1).unwrap();
-    let struck: Vec<_> = [99, 100, 199, 200]
-        .map(|ms| plan.strike(Call::Clock, ms))
+    let injected: Vec<_> = [99, 100, 199, 200]
+        .map(|ms| plan.inject(Call::Clock, ms))
         .into();
     assert_eq!(
-        struck,
+        injected,
         [
             None,
             Some(Fault::Step(-3600)),
@@ -33,20 +33,20 @@
 #[test]
 fn a_call_may_begin_or_return_late() {
     let mut plan = Plan::parse("send=sleep:20;epoll_wait=late:300", 1).unwrap();
-    assert_eq!(plan.strike(Call::Send, 0), Some(Fault::Sleep(20)));
-    assert_eq!(plan.strike(Call::EpollWait, 0), Some(Fault::Late(300)));
+    assert_eq!(plan.inject(Call::Send, 0), Some(Fault::Sleep(20)));
+    assert_eq!(plan.inject(Call::EpollWait, 0), Some(Fault::Late(300)));
 }
 
 #[test]
 fn a_chance_follows_from_the_seed() {
-    let struck = |seed| {
+    let injected = |seed| {
         let mut plan = Plan::parse("send=ENOBUFS,chance:0.25", seed).unwrap();
         (0..1000)
-            .filter(|_| plan.strike(Call::Send, 0).is_some())
+            .filter(|_| plan.inject(Call::Send, 0).is_some())
             .count()
     };
-    assert_eq!(struck(7), struck(7));
-    assert!((200..300).contains(&struck(7)) && (200..300).contains(&struck(8)));
+    assert_eq!(injected(7), injected(7));
+    assert!((200..300).contains(&injected(7)) && (200..300).contains(&injected(8)));
 }
 
 #[test]
