--- /dev/null
+++ b/crates/node/tests/common/messages.rs
@@ -0,0 +1,90 @@
+//! Messages and configurations, in the platform's words.
+
+use std::net::SocketAddr;
+
+use super::StandIn;
+
+/// An endpoint as discovery writes it; `state` is the platform's word.
+pub fn endpoint_json(uid: &str, address: SocketAddr, state: &str) -> String {
+    format!(
+        r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":1,
+            "state":"{state}","boot_ms":0}}"#
+    )
+}
+
+/// The head of discovery's answer to a watch.
+pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Discovery's answer to a watch, up to one object with these changes.
+pub fn changes(revision: u32, endpoints: &[String]) -> String {
+    WATCH.to_string() + &more_changes(revision, endpoints)
+}
+
+/// One more object of a watch that has begun.
+pub fn more_changes(revision: u32, endpoints: &[String]) -> String {
+    let line = format!(
+        r#"{{"rev":{revision},"all":false,"targets":[{}]}}"#,
+        endpoints.join(",")
+    )
+    .replace('\n', "");
+    chunk(&(line + "\n"))
+}
+
+/// One piece of an answer in chunks.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// The configuration of a node with one backend in its list.
+pub fn default_config(discovery: &StandIn, backend: &StandIn) -> String {
+    format!(
+        r#"{{"name":"t1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f","limits":{{"sockets":128}},
+        "known":{{"rev":7,"all":true,"targets":[{}]}},
+        "settings":{{"azs":["a"],"kinds":["m"],"membershipMode":"subscribe","tickNs":5000000,
+          "grades":[{{"name":"report","effect":"by_key","keyScope":"cell","windowNs":3000000000,
+            "goalTimeNs":300000000,"giveUpNs":5000000000,"importance":1.0,"lateValue":0.3}}],
+          "tenants":[{{"name":"acme","quotaPerS":9.0}}],
+          "limits":{{"cancel":true,"maxAttempts":5,"maxRetryAfterNs":2000000000}},
+          "rules":{{"coldFrom":0.3,"coldNs":8800000000,"drainGraceNs":1500000000,"fallNs":2000000000,
+            "tipMultiple":3.0,"answerSlackNs":20000000}}}}}}"#,
+        discovery.address(),
+        endpoint_json("s-1", backend.address(), "Ready")
+    )
+}
+
+/// A configuration with one more backend, at the head of its list.
+pub fn with_backend(config: String, uid: &str, at: SocketAddr) -> String {
+    config.replace(
+        r#""targets":["#,
+        &format!(r#""targets":[{},"#, endpoint_json(uid, at, "Ready")),
+    )
+}
+
+/// A configuration whose one ready backend is here, and whose connections have time to come up.
+pub fn slow_to_connect(config: String, at: SocketAddr) -> String {
+    let config = config.replace("Ready", "Terminating");
+    with_backend(config, "s-0", at).replace(
+        r#""maxAttempts":5"#,
+        r#""maxAttempts":5,"connectTimeoutNs":20000000000"#,
+    )
+}
+
+/// A health check of the node.
+pub const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
+
+/// The value of a header that must be there.
+pub fn header<'a>(head: &'a str, name: &str) -> &'a str {
+    let rest = head
+        .split(&format!("{name}: "))
+        .nth(1)
+        .unwrap_or_else(|| panic!("no {name} in {head}"));
+    rest.split('\r').next().unwrap_or(rest)
+}
+
+/// A request as clients send it, with the time that the client still waits in milliseconds.
+pub fn report(id: &str, client_timeout_ms: u32) -> String {
+    format!(
+        "POST /api?n={id} HTTP/1.1\r\nHost: api.internal\r\nX-Txn: {id}\r\nX-Lane: report\r\nX-Org: acme\r\n\
+         X-Remaining-Ms: {client_timeout_ms}\r\nIdempotency-Key: k{id}\r\nContent-Length: 4\r\n\r\nbody"
+    )
+}
--- a/crates/node/tests/terms/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use crate::common::{Line, World, changes, entry, more_changes, pass};
+use crate::common::{Connection, TestNode, changes, endpoint_json, more_changes, pass};
 
 fn unix_ms() -> i64 {
     SystemTime::now()
@@ -11,36 +11,36 @@
         .as_millis() as i64
 }
 
-/// A backend's entry with the moment of its start.
-fn started(world: &World, uid: &str, boot_ms: i64) -> String {
-    entry(uid, world.backend.address(), "Ready")
+/// An endpoint with the moment of its start.
+fn started(node: &TestNode, uid: &str, boot_ms: i64) -> String {
+    endpoint_json(uid, node.backend.address(), "Ready")
         .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
 }
 
 /// A node whose wall clock follows a plan, and its watch, on which its list has come.
-fn followed(plan: &str) -> (World, Line) {
-    let world = World::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| config);
-    let mut watch = world.discovery.wait();
+fn followed(plan: &str) -> (TestNode, Connection) {
+    let node = TestNode::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| config);
+    let mut watch = node.discovery.wait();
     watch.expect("\r\n\r\n");
     watch.send(&changes(
         8,
-        &[entry("s-1", world.backend.address(), "Ready")],
+        &[endpoint_json("s-1", node.backend.address(), "Ready")],
     ));
-    (world, watch)
+    (node, watch)
 }
 
 /// A node whose wall clock follows a plan, and that starts with a list on which `s-2` has just
 /// started.
-fn started_with(plan: &str, boot_ms: i64) -> World {
-    World::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| {
+fn started_with(plan: &str, boot_ms: i64) -> TestNode {
+    TestNode::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| {
         let fresh = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
         fresh.replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
     })
 }
 
 /// The age in milliseconds that the node takes a backend to have when its list says this.
-fn age_ms(world: &mut World, uid: &str) -> i64 {
-    let lines = world.expect_log(&format!("uid={uid} "));
+fn age_ms(node: &mut TestNode, uid: &str) -> i64 {
+    let lines = node.expect_log(&format!("uid={uid} "));
     let line = lines
         .lines()
         .rfind(|line| line.contains(&format!("uid={uid} ")))
@@ -58,26 +58,26 @@
 const HOUR_MS: i64 = 3_600_000;
 
 #[test]
-fn a_start_told_anew_on_an_open_watch_is_recent_whatever_the_clocks_say() {
+fn a_start_notified_on_an_open_watch_is_recent_whatever_the_clocks_say() {
     // The node's clock is ahead from its start on; the machines' clocks are set back while it runs.
     for (plan, machines) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
-        let (mut world, mut watch) = followed(plan);
+        let (mut node, mut watch) = followed(plan);
         let boot = unix_ms() + machines - 500;
-        watch.send(&more_changes(9, &[started(&world, "s-2", boot)]));
-        let age = age_ms(&mut world, "s-2");
+        watch.send(&more_changes(9, &[started(&node, "s-2", boot)]));
+        let age = age_ms(&mut node, "s-2");
         assert!((0..=6_000).contains(&age), "{plan} {machines}: {age} ms");
     }
 }
 
 #[test]
-fn a_start_that_lies_ahead_is_not_later_than_the_moment_it_was_heard() {
+fn a_start_that_lies_ahead_is_not_later_than_the_moment_it_was_received() {
     for (plan, machines) in [("clock=step:-3600", 0), ("", HOUR_MS)] {
-        let (mut world, mut watch) = followed(plan);
+        let (mut node, mut watch) = followed(plan);
         watch.send(&more_changes(
             9,
-            &[started(&world, "s-2", unix_ms() + machines)],
+            &[started(&node, "s-2", unix_ms() + machines)],
         ));
-        let age = age_ms(&mut world, "s-2");
+        let age = age_ms(&mut node, "s-2");
         assert!((0..=100).contains(&age), "{plan} {machines}: {age} ms");
     }
 }
@@ -85,12 +85,12 @@
 #[test]
 fn a_clock_that_is_stepped_while_the_node_runs_makes_no_backend_old() {
     for step in [3, -3, 3_600, -3_600] {
-        let (mut world, mut watch) = followed(&format!("clock=step:{step},from:200"));
+        let (mut node, mut watch) = followed(&format!("clock=step:{step},from:200"));
         pass(400);
         // All machines read one clock.
         let boot = unix_ms() + step * 1_000 - 1_000;
-        watch.send(&more_changes(9, &[started(&world, "s-2", boot)]));
-        let age = age_ms(&mut world, "s-2");
+        watch.send(&more_changes(9, &[started(&node, "s-2", boot)]));
+        let age = age_ms(&mut node, "s-2");
         assert!((0..=1_500).contains(&age), "{step}: {age} ms");
     }
 }
@@ -98,13 +98,13 @@
 #[test]
 fn a_clock_that_is_seconds_ahead_from_the_start_on_makes_no_backend_older() {
     for step in [2, 5] {
-        let (mut world, mut watch) = followed(&format!("clock=step:{step}"));
+        let (mut node, mut watch) = followed(&format!("clock=step:{step}"));
         for (rev, uid, told_after) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
             watch.send(&more_changes(
                 rev,
-                &[started(&world, uid, unix_ms() - told_after)],
+                &[started(&node, uid, unix_ms() - told_after)],
             ));
-            let age = age_ms(&mut world, uid);
+            let age = age_ms(&mut node, uid);
             assert!(
                 (0..=told_after + 100).contains(&age),
                 "{step} s ahead, told after {told_after}: {age} ms"
@@ -121,31 +121,31 @@
         ("clock=step:-3600", 500),
         ("", HOUR_MS),
     ] {
-        let mut world = started_with(plan, unix_ms() - at_least_so_old);
-        let age = age_ms(&mut world, "s-2");
+        let mut node = started_with(plan, unix_ms() - at_least_so_old);
+        let age = age_ms(&mut node, "s-2");
         assert!(
             (0..=100).contains(&age),
             "{plan} {at_least_so_old}: {age} ms"
         );
     }
     // A clock that is an hour off can't explain this.
-    let mut world = started_with("clock=step:3600", unix_ms() - 3 * HOUR_MS);
-    assert_eq!(age_ms(&mut world, "s-2"), -1);
+    let mut node = started_with("clock=step:3600", unix_ms() - 3 * HOUR_MS);
+    assert_eq!(age_ms(&mut node, "s-2"), -1);
 }
 
 #[test]
-fn a_sound_clock_is_believed() {
-    let (mut world, mut watch) = followed("");
-    // The first start that is told soon shows that the clock is not ahead.
-    watch.send(&more_changes(9, &[started(&world, "s-4", unix_ms())]));
+fn a_correct_clock_is_believed() {
+    let (mut node, mut watch) = followed("");
+    // The first start that is notified soon shows that the clock is not ahead.
+    watch.send(&more_changes(9, &[started(&node, "s-4", unix_ms())]));
     watch.send(&more_changes(
         10,
-        &[started(&world, "s-2", unix_ms() - 3_000)],
+        &[started(&node, "s-2", unix_ms() - 3_000)],
     ));
-    let age = age_ms(&mut world, "s-2");
+    let age = age_ms(&mut node, "s-2");
     assert!((2_900..=3_500).contains(&age), "{age} ms");
     // Told again, it is as old as it was: nothing has started anew.
     pass(Duration::from_millis(100).as_millis() as u64);
-    watch.send(&more_changes(11, &[started(&world, "s-3", 0)]));
-    assert_eq!(age_ms(&mut world, "s-3"), -1, "long ago has no age");
+    watch.send(&more_changes(11, &[started(&node, "s-3", 0)]));
+    assert_eq!(age_ms(&mut node, "s-3"), -1, "long ago has no age");
 }
--- a/crates/node/tests/terms/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-use super::{EchoBackend, ask, world_of};
-use crate::common::{Line, World, report, slow_to_connect};
+use super::{EchoBackend, node_with_echo_backend, send_requests};
+use crate::common::{Connection, TestNode, report, slow_to_connect};
 
-fn world(plan: &str) -> (World, EchoBackend) {
-    world_of(|config| World::with_faults(plan, config))
+fn node(plan: &str) -> (TestNode, EchoBackend) {
+    node_with_echo_backend(|config| TestNode::with_faults(plan, config))
 }
 
 #[test]
@@ -18,8 +18,8 @@
         "recv=short,every:2",
         "epoll_wait=EINTR,every:3",
     ] {
-        let (world, backend) = world(plan);
-        let served = ask(&world, 120);
+        let (node, backend) = node(plan);
+        let served = send_requests(&node, 120);
         assert_eq!((served, backend.served()), (120, 120), "{plan}");
     }
 }
@@ -42,8 +42,8 @@
         "connect=ENOBUFS,chance:0.5",
         "poll=ENOMEM,chance:0.3",
     ] {
-        let (world, backend) = world(plan);
-        let served = ask(&world, 120);
+        let (node, backend) = node(plan);
+        let served = send_requests(&node, 120);
         assert!(
             served >= 114,
             "{plan}: {served} of 120 served, {} at the backend",
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_accept_that_fails_for_a_moment_holds_up_no_other_client() {
+fn an_accept_that_fails_for_a_moment_blocks_no_other_client() {
     for errno in [
         "ENFILE",
         "ENOBUFS",
@@ -72,12 +72,12 @@
         "ECONNRESET",
         "EINTR",
     ] {
-        let (world, _backend) = world(&format!("accept={errno},every:5"));
-        let mut idle = world.client();
+        let (node, _backend) = node(&format!("accept={errno},every:5"));
+        let mut idle = node.client();
         idle.send(crate::common::HEALTH).expect("ok\n");
         let since = Instant::now();
         for number in 0..100 {
-            let mut client = world.client();
+            let mut client = node.client();
             let name = format!("r{number}");
             client
                 .send(&report(&name, 3_000))
@@ -88,7 +88,7 @@
             "{errno}: {:?}",
             since.elapsed()
         );
-        assert!(!idle.has_ended(), "{errno}: an idle session was given up");
+        assert!(!idle.is_closed(), "{errno}: an idle session was given up");
     }
 }
 
@@ -100,17 +100,17 @@
         "socket=ENFILE",
         "epoll_ctl=ENOMEM",
     ] {
-        let party = crate::common::Party::new();
-        let address = party.address();
-        let world = World::with_faults(&format!("{fault},from:300,to:700"), |config| {
+        let stand_in = crate::common::StandIn::new();
+        let address = stand_in.address();
+        let node = TestNode::with_faults(&format!("{fault},from:300,to:700"), |config| {
             slow_to_connect(config, address).replace(r#""maxAttempts":5"#, r#""maxAttempts":1"#)
         });
-        let _backend = EchoBackend::serve(party);
-        let mut client = world.client();
+        let _backend = EchoBackend::serve(stand_in);
+        let mut client = node.client();
         client.send(crate::common::HEALTH).expect("ok\n");
         crate::common::pass(400);
         client.send(&report("once", 3_000)).expect("\r\n\r\nonce");
-        let log = world.last_log();
+        let log = node.last_log();
         assert!(!log.contains("ejected"), "{fault}: {log}");
     }
 }
@@ -124,16 +124,16 @@
         "connect=EADDRNOTAVAIL",
         "socket=ENOBUFS",
     ] {
-        let (world, _backend) = world(&format!("{fault},from:300,to:1300"));
-        assert_eq!(ask(&world, 5), 5, "{fault}");
-        let mut clients: Vec<Line> = (0..5).map(|_| world.client()).collect();
+        let (node, _backend) = node(&format!("{fault},from:300,to:1300"));
+        assert_eq!(send_requests(&node, 5), 5, "{fault}");
+        let mut clients: Vec<Connection> = (0..5).map(|_| node.client()).collect();
         crate::common::pass(400);
         for (number, client) in clients.iter_mut().enumerate() {
             client.send(&report(&format!("s{number}"), 4_000));
         }
-        let before = world.cpu();
+        let before = node.cpu();
         crate::common::pass(700);
-        let used = world.cpu() - before;
+        let used = node.cpu() - before;
         assert!(
             used < Duration::from_millis(200),
             "{fault}: {used:?} of a core in 0.7 s"
@@ -161,60 +161,60 @@
         "connect=ECONNREFUSED,chance:0.3",
         "connect=EHOSTUNREACH,chance:0.3",
     ] {
-        let (world, _backend) = world(plan);
+        let (node, _backend) = node(plan);
         let answered = (0..120).filter(|number| {
-            let mut client = world.client();
+            let mut client = node.client();
             client.send(&report(&format!("r{number}"), 3_000));
-            client.expect_or_end("\r\n\r\n").is_some()
+            client.expect_or_close("\r\n\r\n").is_some()
         });
         let answered = answered.count();
         assert!(answered >= 90, "{plan}: {answered} of 120 answered");
-        assert!(world.is_running(), "{plan}");
+        assert!(node.is_running(), "{plan}");
     }
 }
 
 #[test]
-fn a_signal_whose_wake_up_is_lost_is_taken_all_the_same() {
+fn a_signal_whose_wake_up_is_lost_is_handled_all_the_same() {
     // The handler wakes the loop by a byte on a socket; the machine has no memory for it.
-    let mut world = World::with_faults("send=ENOBUFS", |config| config);
-    world.reload(|config| config.replace(r#""seed":"8c1f""#, r#""seed":"zz""#));
-    world.expect_log("reload-failed");
-    world.terminate();
-    assert!(world.wait_exit().success());
+    let mut node = TestNode::with_faults("send=ENOBUFS", |config| config);
+    node.reload(|config| config.replace(r#""seed":"8c1f""#, r#""seed":"zz""#));
+    node.expect_log("reload-failed");
+    node.terminate();
+    assert!(node.wait_exit().success());
 }
 
 #[test]
 fn a_process_out_of_descriptors_for_a_moment_answers_all_the_same() {
     for plan in ["accept=EMFILE,chance:0.1", "socket=EMFILE,chance:0.3"] {
-        let (world, _backend) = world(plan);
-        assert_eq!(ask(&world, 60), 60, "{plan}");
+        let (node, _backend) = node(plan);
+        assert_eq!(send_requests(&node, 60), 60, "{plan}");
     }
 }
 
 #[test]
 fn a_configuration_that_gives_an_io_error_changes_nothing_and_is_read_again() {
-    let (mut world, backend) = world_of(|config| World::with(config));
-    world.reload_unreadable();
-    let log = world.expect_log("reload-failed");
+    let (mut node, backend) = node_with_echo_backend(|config| TestNode::with(config));
+    node.reload_unreadable();
+    let log = node.expect_log("reload-failed");
     assert!(log.contains("os error 5"), "{log}");
-    assert_eq!(ask(&world, 10), 10);
+    assert_eq!(send_requests(&node, 10), 10);
     assert_eq!(backend.served(), 10);
-    world.reload_sound();
-    world.expect_log("reload discovery=");
+    node.reload_sound();
+    node.expect_log("reload discovery=");
 }
 
 #[test]
-fn a_configuration_that_never_ends_or_never_comes_holds_up_nobody() {
+fn a_configuration_that_never_ends_or_never_comes_blocks_nobody() {
     for put in [
-        |world: &World| world.reload_from("/dev/zero"),
-        World::reload_from_pipe,
+        |node: &TestNode| node.reload_from("/dev/zero"),
+        TestNode::reload_from_pipe,
     ] {
-        let (mut world, backend) = world_of(|config| World::with(config));
-        put(&world);
-        world.expect_log("reload-failed");
-        assert_eq!((ask(&world, 10), backend.served()), (10, 10));
-        world.reload_sound();
-        world.expect_log("reload discovery=");
+        let (mut node, backend) = node_with_echo_backend(|config| TestNode::with(config));
+        put(&node);
+        node.expect_log("reload-failed");
+        assert_eq!((send_requests(&node, 10), backend.served()), (10, 10));
+        node.reload_sound();
+        node.expect_log("reload discovery=");
     }
 }
 
@@ -222,29 +222,29 @@
 fn a_request_that_cannot_be_read_for_a_moment_when_the_node_stops_accepting_is_answered() {
     // The node stops accepting 0.6 s after SIGTERM, in the span in which nothing can be read.
     let started = Instant::now();
-    let (world, _backend) = world("recv=ENOMEM,from:1500,to:1900");
-    let mut client = world.client();
+    let (node, _backend) = node("recv=ENOMEM,from:1500,to:1900");
+    let mut client = node.client();
     client.send(&report("first", 3_000)).expect("\r\n\r\nfirst");
-    let mut idle = world.client();
+    let mut idle = node.client();
     idle.send(crate::common::HEALTH).expect("ok\n");
     wait_until(started, Duration::from_millis(1_150));
-    world.terminate();
+    node.terminate();
     wait_until(started, Duration::from_millis(1_650));
     client.send(&report("second", 3_000));
     let head = client
-        .expect_or_end("\r\n\r\n")
+        .expect_or_close("\r\n\r\n")
         .expect("an answer, not a close");
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     client.expect("second");
-    // What has asked nothing is not waited for.
-    idle.expect_end();
-    client.expect_end();
+    // A client that has sent nothing is not waited for.
+    idle.expect_close();
+    client.expect_close();
     assert!(
         started.elapsed() < Duration::from_millis(3_000),
         "{:?}",
         started.elapsed()
     );
-    assert_eq!(world.wait_exit().code(), Some(0));
+    assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 fn wait_until(started: Instant, time: Duration) {
--- /dev/null
+++ b/crates/node/tests/protocol_rules/log.rs
@@ -0,0 +1,26 @@
+//! The log never blocks the loop: lines that its buffer can't take are dropped and counted.
+
+use super::{EchoBackend, node_with_echo_backend, send_requests};
+use crate::common::TestNode;
+
+#[test]
+fn a_log_that_nobody_reads_blocks_no_request_and_says_later_what_it_dropped() {
+    let (mut node, backend) = node_with_echo_backend(|config| {
+        TestNode::with_environment(config, &[("BALANCER_TRACE", "1")])
+    });
+    // Each request traces some hundred bytes; a pipe holds 64 KiB.
+    assert_eq!(send_requests(&node, 600), 600);
+    assert_eq!(backend.served(), 600);
+    let lines = node.expect_log("accepted id=");
+    assert!(lines.contains("kitefork: trace"), "{lines}");
+    node.expect_log("log-dropped lines=");
+}
+
+#[test]
+fn a_log_whose_reader_has_closed_blocks_no_request() {
+    let (mut node, _backend): (TestNode, EchoBackend) = node_with_echo_backend(|config| {
+        TestNode::with_environment(config, &[("BALANCER_TRACE", "1")])
+    });
+    node.drop_log();
+    assert_eq!(send_requests(&node, 100), 100);
+}
--- a/crates/node/tests/terms/unframed.rs
+++ b/crates/node/tests/protocol_rules/unframed.rs
@@ -1,13 +1,13 @@
 //! An answer with neither length nor chunks ends with its connection. An orderly end makes it
 //! whole; a reset is no end.
 
-use crate::common::{Line, World, report};
+use crate::common::{Connection, TestNode, report};
 
 /// A request whose class must not be repeated, out at the backend.
-fn out(world: &World) -> (Line, Line) {
-    let mut client = world.client();
+fn with_attempt_in_flight(node: &TestNode) -> (Connection, Connection) {
+    let mut client = node.client();
     client.send(&report("r1", 5_000).replace("Idempotency-Key: kr1\r\n", ""));
-    let mut backend = world.backend.wait();
+    let mut backend = node.backend.wait();
     backend.expect("body");
     (client, backend)
 }
@@ -22,8 +22,8 @@
 #[test]
 fn an_answer_with_no_length_that_comes_whole_is_forwarded() {
     for body in ["", "played", &"x".repeat(300_000)] {
-        let world = World::with(unsafe_class);
-        let (mut client, mut backend) = out(&world);
+        let node = TestNode::with(unsafe_class);
+        let (mut client, mut backend) = with_attempt_in_flight(&node);
         backend.send("HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n").send(body);
         backend.close();
         let head = client.expect("\r\n\r\n");
@@ -39,10 +39,10 @@
 #[test]
 fn an_answer_with_no_length_that_is_reset_on_the_way_is_not_forwarded() {
     for body in ["", "played", &"x".repeat(300_000)] {
-        let world = World::with(unsafe_class);
-        let (mut client, mut backend) = out(&world);
+        let node = TestNode::with(unsafe_class);
+        let (mut client, mut backend) = with_attempt_in_flight(&node);
         backend.send("HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n").send(body);
-        world.turn();
+        node.wait_for_iteration();
         backend.reset();
         let head = client.expect("\r\n\r\n");
         assert!(head.starts_with("HTTP/1.1 502 "), "{head}");
--- a/crates/node/tests/crossings/held_up.rs
+++ b/crates/node/tests/races/delays.rs
@@ -1,12 +1,14 @@
-//! A process that is held up between two of its calls: what it has read before is old when it acts
-//! on it. The fault shim holds it up for 0.4 s in a span of its life in which the test plays what
-//! crosses.
+//! A process that is delayed between two of its calls: what it has read before is old when it acts
+//! on it. The fault shim delays it for 0.4 s in a span of its life in which the test plays the event
+//! that races.
 
 use std::time::{Duration, Instant};
 
-use crate::common::{Line, Party, World, and, changes, entry, pass, report, until};
+use crate::common::{
+    Connection, StandIn, TestNode, changes, endpoint_json, pass, report, until, with_backend,
+};
 
-/// The span in which calls are held up: it begins long after the world stands.
+/// The span in which calls are delayed: it begins long after the node is up.
 const SPAN: &str = "from:1500,to:2600";
 /// So many requests allow more than one retry.
 const RETRY_SHARE: usize = 20;
@@ -14,38 +16,38 @@
 /// Before the span, and so close to it that a silent attempt is not called off until then.
 const BEFORE_SPAN: Duration = Duration::from_millis(1_200);
 
-/// A world with two backends, to each of which the node has an idle connection.
+/// A node with two backends, to each of which it has an idle connection.
 struct TwoBackends {
-    world: World,
-    lines: Vec<Line>,
-    other: Party,
+    node: TestNode,
+    connections: Vec<Connection>,
+    other: StandIn,
     started: Instant,
 }
 
 impl TwoBackends {
     fn start(plan: &str, change: impl Fn(String) -> String) -> TwoBackends {
-        let other = Party::new();
-        let world = World::with_faults(plan, |config| {
+        let other = StandIn::new();
+        let node = TestNode::with_faults(plan, |config| {
             // A request that has waited for the span still has time for a second attempt.
             let config = config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":4000000000"#);
-            change(and(config, "s-0", other.address()))
+            change(with_backend(config, "s-0", other.address()))
         });
         let started = Instant::now();
-        let (mut one, mut two) = (world.client(), world.client());
-        let find = || until(|| world.backend.poll().or_else(|| other.poll()));
+        let (mut one, mut two) = (node.client(), node.client());
+        let find = || until(|| node.backend.poll().or_else(|| other.poll()));
         one.send(&report("warm1", 5000));
         let mut first = find();
         // The first one is busy, so this goes to the second.
         two.send(&report("warm2", 5000));
         let mut second = find();
-        for (line, client) in [(&mut first, &mut one), (&mut second, &mut two)] {
-            line.expect("body");
-            line.serve("200 OK", "warm");
+        for (connection, client) in [(&mut first, &mut one), (&mut second, &mut two)] {
+            connection.expect("body");
+            connection.serve("200 OK", "warm");
             client.expect("warm");
         }
         let mut two_backends = TwoBackends {
-            world,
-            lines: vec![first, second],
+            node,
+            connections: vec![first, second],
             other,
             started,
         };
@@ -54,65 +56,65 @@
             let (mut busy, idle) = two_backends.send(&mut one, &format!("warm{number}"));
             busy.serve("200 OK", "warm");
             one.expect("\r\n\r\nwarm");
-            two_backends.lines = vec![busy, idle];
+            two_backends.connections = vec![busy, idle];
         }
         two_backends
     }
 
     /// Sends a request on a connection that is there, and takes the lines apart: the one that it
-    /// came to, whole, and the other one.
-    fn send(&mut self, client: &mut Line, id: &str) -> (Line, Line) {
+    /// came to, complete, and the other one.
+    fn send(&mut self, client: &mut Connection, id: &str) -> (Connection, Connection) {
         client.send(&report(id, 5000));
-        let place = until(|| self.lines.iter().position(Line::has_bytes));
-        let mut busy = self.lines.remove(place);
+        let place = until(|| self.connections.iter().position(Connection::has_bytes));
+        let mut busy = self.connections.remove(place);
         assert!(busy.expect("body").contains(&format!("x-txn: {id}\r\n")));
-        (busy, self.lines.remove(0))
+        (busy, self.connections.remove(0))
     }
 
-    /// Until this time of the world.
+    /// Until this time after the start.
     fn wait_until(&self, time: Duration) {
         pass(time.saturating_sub(self.started.elapsed()).as_millis() as u64);
     }
 }
 
 #[test]
-fn a_client_that_leaves_behind_the_wait_for_events_gets_no_second_attempt() {
+fn a_client_that_disconnects_behind_the_wait_for_events_gets_no_second_attempt() {
     let mut two = TwoBackends::start(&format!("epoll_wait=late:400,{SPAN}"), |config| config);
     two.wait_until(BEFORE_SPAN);
-    let mut client = two.world.client();
+    let mut client = two.node.client();
     let (mut busy, mut idle) = two.send(&mut client, "left");
     two.wait_until(IN_SPAN);
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
     // The node's wait has the answer, and only it.
     pass(50);
     client.close();
-    two.world.turn();
-    assert!(!idle.has_ended(), "the client had left over 0.3 s before");
-    assert!(two.other.is_quiet() && two.world.backend.is_quiet());
+    two.node.wait_for_iteration();
+    assert!(!idle.is_closed(), "the client had left over 0.3 s before");
+    assert!(two.other.is_quiet() && two.node.backend.is_quiet());
 }
 
 #[test]
-fn a_drain_that_is_told_while_an_answer_is_read_forbids_the_next_attempt() {
+fn a_drain_that_arrives_while_an_answer_is_read_forbids_the_next_attempt() {
     let short_grace = |config: String| config.replace("1500000000", "100000000");
     let mut two = TwoBackends::start(&format!("recv=sleep:400,{SPAN}"), short_grace);
-    let mut watch = two.world.discovery.wait();
+    let mut watch = two.node.discovery.wait();
     watch.expect("\r\n\r\n");
     two.wait_until(BEFORE_SPAN);
-    let mut client = two.world.client();
+    let mut client = two.node.client();
     let (mut busy, mut idle) = two.send(&mut client, "moved");
     two.wait_until(IN_SPAN);
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
     pass(50);
-    let drain = |uid, at| entry(uid, at, "Terminating");
+    let drain = |uid, at| endpoint_json(uid, at, "Terminating");
     watch.send(&changes(
         8,
         &[
             drain("s-0", two.other.address()),
-            drain("s-1", two.world.backend.address()),
+            drain("s-1", two.node.backend.address()),
         ],
     ));
     assert_eq!(
-        idle.expect_end(),
+        idle.expect_close(),
         "",
         "it was told to leave over 0.3 s before"
     );
--- a/crates/node/tests/crossings/end.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -1,31 +1,33 @@
-//! Crossings with the end of a node, and with what its queues and pools hold.
+//! Races with the node's shutdown, and with what its queues and pools have.
 
 use std::io::Write;
 
-use super::{all_busy, few_sockets, pushed, serve_next, short, warmed};
+use super::{all_busy, few_sockets, pushed, serve_next, short, with_idle_connection};
 use crate::common::{
-    HEALTH, Line, Party, World, changes, entry, header, pass, report, until, usual,
+    Connection, HEALTH, StandIn, TestNode, changes, default_config, endpoint_json, header, pass,
+    report, until,
 };
 use crate::{payout, with_payouts};
 
-/// The name of the request that comes on this connection of the node's, unless it ends without one.
-fn sent(line: &mut Line) -> Option<String> {
-    line.expect_or_end("body")
+/// The name of the request that comes on this connection, unless it ends without one.
+fn sent(connection: &mut Connection) -> Option<String> {
+    connection
+        .expect_or_close("body")
         .map(|head| header(&head, "x-txn").to_string())
 }
 
 #[test]
 fn sigterm_before_the_node_is_ready_is_followed_and_not_lost() {
-    let (discovery, backend) = (Party::new(), Party::new());
-    let (mut node, mut config) = World::held_back(&[]);
-    let pid = rustix::process::Pid::from_child(&node);
+    let (discovery, backend) = (StandIn::new(), StandIn::new());
+    let (mut process, mut config) = TestNode::waiting_for_configuration(&[]);
+    let pid = rustix::process::Pid::from_child(&process);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
-    let text = short(usual(&discovery, &backend), "100000000");
+    let text = short(default_config(&discovery, &backend), "100000000");
     config.write_all(text.as_bytes()).unwrap();
     drop(config);
     let mut log = String::new();
-    std::io::Read::read_to_string(&mut node.stderr.take().unwrap(), &mut log).unwrap();
-    assert_eq!(node.wait().unwrap().code(), Some(0), "{log}");
+    std::io::Read::read_to_string(&mut process.stderr.take().unwrap(), &mut log).unwrap();
+    assert_eq!(process.wait().unwrap().code(), Some(0), "{log}");
     assert!(
         log.contains("start name=t1") && log.contains("sigterm connections=0"),
         "{log}"
@@ -33,28 +35,28 @@
 }
 
 #[test]
-fn sigterm_twice_and_sighup_in_one_turn_lose_no_req_and_no_message_that_is_half_there() {
-    let mut world = World::with(|config| short(config, "2000000000"));
-    let (mut out, mut half) = (world.client(), world.client());
+fn sigterm_twice_and_sighup_in_one_iteration_lose_no_request_and_no_message_that_is_half_there() {
+    let mut node = TestNode::with(|config| short(config, "2000000000"));
+    let (mut out, mut half) = (node.client(), node.client());
     out.send(&report("out", 2000));
-    let mut backend = world.backend.wait();
+    let mut backend = node.backend.wait();
     backend.expect("body");
     let request = report("half", 2000);
     let (first, rest) = request.split_at(request.len() - 2);
     half.send(HEALTH).expect("ok\n");
     half.send(first);
-    world.stall();
-    world.terminate();
-    world.reload(str::to_string);
-    world.terminate();
-    world.go_on();
-    world.expect_log("sigterm connections=2");
-    // The rest of the half one comes when the node has long been told to end.
+    node.stall();
+    node.terminate();
+    node.reload(str::to_string);
+    node.terminate();
+    node.resume();
+    node.expect_log("sigterm connections=2");
+    // The rest of the half one comes long after SIGTERM.
     half.send(rest);
     for (client, body) in [(&mut out, "first"), (&mut half, "second")] {
         backend.serve("200 OK\r\nConnection: close", body);
         if body == "first" {
-            backend = world.backend.wait();
+            backend = node.backend.wait();
             assert_eq!(sent(&mut backend).as_deref(), Some("half"));
         }
         let answer = client.expect(&format!("\r\n\r\n{body}"));
@@ -62,45 +64,45 @@
             answer.starts_with("HTTP/1.1 200 ") && answer.contains("connection: close"),
             "{answer}"
         );
-        assert_eq!(client.expect_end(), "");
+        assert_eq!(client.expect_close(), "");
     }
-    assert_eq!(world.wait_exit().code(), Some(0));
+    assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 #[test]
-fn an_answer_that_its_client_reads_late_is_whole_though_the_node_was_told_to_end() {
-    let mut world = World::with(|config| short(config, "2000000000"));
-    let mut client = world.client();
+fn an_answer_that_its_client_reads_late_is_complete_though_the_node_shuts_down() {
+    let mut node = TestNode::with(|config| short(config, "2000000000"));
+    let mut client = node.client();
     client.send(&report("long", 2000));
-    let mut backend = world.backend.wait();
+    let mut backend = node.backend.wait();
     backend.expect("body");
     // More than the sockets hold.
     let long = "z".repeat(1_900_000) + "whole";
     backend.serve("200 OK", &long);
-    world.terminate();
-    world.expect_log("sigterm");
-    let answer = client.expect_end();
+    node.terminate();
+    node.expect_log("sigterm");
+    let answer = client.expect_close();
     assert!(
         answer.ends_with("zwhole")
             && answer.contains(&format!("content-length: {}\r\n", long.len()))
     );
-    assert_eq!(world.wait_exit().code(), Some(0));
+    assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 #[test]
 fn a_client_that_goes_on_sending_up_to_the_end_has_an_answer_or_a_close_before_it_was_read() {
-    let mut world = World::with(|config| short(config, "300000000"));
-    let mut client = world.client();
+    let mut node = TestNode::with(|config| short(config, "300000000"));
+    let mut client = node.client();
     client.send(HEALTH).expect("ok\n");
-    world.terminate();
-    world.expect_log("sigterm");
+    node.terminate();
+    node.expect_log("sigterm");
     let mut answered = 0;
     // Each connection takes one more, which is answered, and ends.
     for id in 0..10_000 {
         client.send(&report(&format!("on{id}"), 250));
-        if let Some(mut line) = world.backend.poll() {
-            line.expect("body");
-            line.serve("200 OK\r\nConnection: close", "served");
+        if let Some(mut connection) = node.backend.poll() {
+            connection.expect("body");
+            connection.serve("200 OK\r\nConnection: close", "served");
         }
         let answer = client.expect("\r\n\r\n");
         assert!(
@@ -108,27 +110,27 @@
             "{answer}"
         );
         answered += 1;
-        client.expect_end();
-        let Some(next) = world.try_client() else {
+        client.expect_close();
+        let Some(next) = node.try_client() else {
             break;
         };
         client = next;
     }
     assert!(answered > 0);
-    assert_eq!(world.wait_exit().code(), Some(0));
+    assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 #[test]
-fn clients_that_leave_the_accept_queue_while_no_descriptor_is_free_are_not_sent_on_for() {
-    let mut world = World::with(few_sockets);
-    let busy = all_busy(&world);
-    let mut waiting: Vec<Line> = (0..6).map(|_| world.client()).collect();
+fn requests_of_clients_that_leave_the_accept_queue_while_no_descriptor_is_free_are_not_forwarded() {
+    let mut node = TestNode::with(few_sockets);
+    let busy = all_busy(&node);
+    let mut waiting: Vec<Connection> = (0..6).map(|_| node.client()).collect();
     for (n, client) in waiting.iter_mut().enumerate() {
         client.send(&report(&format!("late{n}"), 60_000));
     }
-    world.expect_log("client-connections-full");
-    // Every second one of those that wait goes, by a close or by a reset; then all the others make
-    // room.
+    node.expect_log("client-connections-full");
+    // Every second one of those that wait disconnects, by a close or by a reset; then all the others
+    // are evicted.
     for n in [4, 2, 0] {
         let client = waiting.remove(n);
         if n == 2 {
@@ -141,8 +143,8 @@
     // What the backend gets from now on; those out have ended with their clients.
     let mut left: Vec<&str> = vec!["late1", "late3", "late5"];
     while !left.is_empty() {
-        let mut line = world.backend.wait();
-        let Some(name) = sent(&mut line) else {
+        let mut connection = node.backend.wait();
+        let Some(name) = sent(&mut connection) else {
             continue;
         };
         assert!(
@@ -150,7 +152,7 @@
             "{name} was sent on"
         );
         left.retain(|wanted| *wanted != name);
-        line.serve("200 OK\r\nConnection: close", &name);
+        connection.serve("200 OK\r\nConnection: close", &name);
     }
     for (client, id) in waiting.iter_mut().zip(["late1", "late3", "late5"]) {
         client.expect(&format!("\r\n\r\n{id}"));
@@ -158,13 +160,12 @@
 }
 
 #[test]
-fn a_full_accept_queue_of_clients_of_which_half_left_in_a_stall_leads_to_sends_for_the_others_only()
-{
-    let world = World::with(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
-    world.stall();
+fn of_a_full_accept_queue_whose_clients_half_left_in_a_stall_only_the_others_are_forwarded() {
+    let node = TestNode::with(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
+    node.stall();
     let mut stay = Vec::new();
     for n in 0..120 {
-        let mut client = world.client();
+        let mut client = node.client();
         client.send(&report(
             &format!("{}{n}", if n % 2 == 0 { "left" } else { "stay" }),
             60_000,
@@ -175,12 +176,12 @@
             _ => stay.push(client),
         }
     }
-    world.go_on();
+    node.resume();
     for _ in &stay {
-        let mut line = world.backend.wait();
-        let name = sent(&mut line).expect("a request");
+        let mut connection = node.backend.wait();
+        let name = sent(&mut connection).expect("a request");
         assert!(name.starts_with("stay"), "{name} was sent on");
-        line.serve("200 OK\r\nConnection: close", "served");
+        connection.serve("200 OK\r\nConnection: close", "served");
     }
     for mut client in stay {
         client.expect("\r\n\r\nserved");
@@ -188,62 +189,69 @@
 }
 
 #[test]
-fn an_unsafe_req_whose_idle_connection_is_reset_under_it_runs_once_and_is_no_refusal() {
-    let world = World::with(|config| with_payouts(config, &[]));
-    let (mut client, mut backend) = warmed(&world, "w");
+fn a_not_idempotent_request_whose_idle_connection_is_reset_under_it_runs_once_and_is_not_rejected()
+{
+    let node = TestNode::with(|config| with_payouts(config, &[]));
+    let (mut client, mut backend) = with_idle_connection(&node, "w");
     client.send(&payout("once"));
     backend.expect("x-txn: once\r\n");
     backend.reset();
     let answer = client.expect("\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
     client.send(HEALTH).expect("ok\n");
-    assert!(world.backend.is_quiet());
+    assert!(node.backend.is_quiet());
 }
 
 #[test]
-fn half_an_object_and_sighup_in_one_turn_take_nothing_of_it_along() {
-    let mut world = World::start();
-    let (next, other) = (Party::new(), Party::new());
-    let mut watch = world.discovery.wait();
-    let whole = changes(8, &[entry("s-1", world.backend.address(), "Terminating")]);
-    world.stall();
+fn half_an_object_and_sighup_in_one_iteration_take_nothing_of_it_along() {
+    let mut node = TestNode::start();
+    let (next, other) = (StandIn::new(), StandIn::new());
+    let mut watch = node.discovery.wait();
+    let whole = changes(
+        8,
+        &[endpoint_json("s-1", node.backend.address(), "Terminating")],
+    );
+    node.stall();
     watch.send(&whole[..whole.len() - 20]);
-    let old = world.discovery.address().to_string();
-    world.reload(|config| config.replace(&old, &next.address().to_string()));
-    world.go_on();
+    let old = node.discovery.address().to_string();
+    node.reload(|config| config.replace(&old, &next.address().to_string()));
+    node.resume();
     let mut moved = next.wait();
     moved.expect("after=7 ");
-    watch.expect_end();
+    watch.expect_close();
     // The end of the old object here would be none of this one's.
-    moved.send(&changes(9, &[entry("s-2", other.address(), "Ready")]));
-    world.expect_log("reload discovery=");
-    let mut client = world.client();
+    moved.send(&changes(
+        9,
+        &[endpoint_json("s-2", other.address(), "Ready")],
+    ));
+    node.expect_log("reload discovery=");
+    let mut client = node.client();
     for id in ["h1", "h2"] {
         client.send(&report(id, 5000));
-        let mut line = until(|| world.backend.poll().or_else(|| other.poll()));
-        line.expect("body");
-        line.serve("200 OK\r\nConnection: close", id);
+        let mut connection = until(|| node.backend.poll().or_else(|| other.poll()));
+        connection.expect("body");
+        connection.serve("200 OK\r\nConnection: close", id);
         client.expect(&format!("\r\n\r\n{id}"));
     }
 }
 
 #[test]
 fn reloads_while_pushes_fail_start_no_second_row_of_calls() {
-    let mut world = World::with(pushed);
+    let mut node = TestNode::with(pushed);
     for _ in 0..8 {
-        world.discovery.wait().close();
+        node.discovery.wait().close();
     }
     for _ in 0..10 {
-        world.reload(str::to_string);
-        world.discovery.wait().close();
+        node.reload(str::to_string);
+        node.discovery.wait().close();
         // Rows that keep step would look like one.
         pass(30);
     }
-    world.expect_log("reload discovery=");
+    node.expect_log("reload discovery=");
     // The row of calls is at its longest pause by now, a quarter of the grace.
     let since = std::time::Instant::now();
     for _ in 0..6 {
-        world.discovery.wait().close();
+        node.discovery.wait().close();
     }
     assert!(
         since.elapsed().as_millis() > 1_000,
@@ -253,12 +261,12 @@
 }
 
 #[test]
-fn a_node_that_discovery_says_nothing_to_serves_within_ten_seconds_and_says_that_it_is_blind() {
-    let mut world = World::with(pushed);
+fn a_node_that_discovery_says_nothing_to_serves_within_ten_seconds_and_logs_its_stale_list() {
+    let mut node = TestNode::with(pushed);
     let since = std::time::Instant::now();
-    let mut client = world.client();
+    let mut client = node.client();
     client.send(HEALTH).expect("discovery has not spoken\n");
-    world.expect_log("serving-stale-list ");
+    node.expect_log("serving-stale-list ");
     client.send(HEALTH).expect("ok\n");
     assert!(since.elapsed().as_secs() < 10, "{:?}", since.elapsed());
 }
@@ -266,16 +274,16 @@
 // ---- A connection that closes at any byte ----
 
 #[test]
-fn an_answer_that_is_cut_at_any_byte_is_a_failure_that_ran_once_and_a_whole_one_passes() {
-    let world = World::with(|config| with_payouts(config, &[]));
+fn an_answer_that_is_cut_at_any_byte_is_a_failure_that_ran_once_and_a_complete_one_passes() {
+    let node = TestNode::with(|config| with_payouts(config, &[]));
     let whole =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npai\r\n1\r\nd\r\n0\r\n\r\n";
-    let ways: [fn(Line); 2] = [Line::close, Line::reset];
+    let ways: [fn(Connection); 2] = [Connection::close, Connection::reset];
     for cut in 0..=whole.len() {
         for (way, end) in ways.iter().enumerate() {
-            let mut client = world.client();
+            let mut client = node.client();
             client.send(&payout(&format!("cut{cut}-{way}")));
-            let mut backend = world.backend.wait();
+            let mut backend = node.backend.wait();
             backend.expect("body");
             backend.send(&whole[..cut]);
             if cut == whole.len() {
@@ -287,24 +295,24 @@
                 assert!(answer.starts_with("HTTP/1.1 502 "), "{answer} at {cut}");
             }
             client.send(HEALTH).expect("\n");
-            assert!(world.backend.is_quiet(), "it went out again, cut at {cut}");
+            assert!(node.backend.is_quiet(), "it went out again, cut at {cut}");
         }
     }
 }
 
 #[test]
-fn a_request_that_is_cut_at_any_byte_goes_nowhere_and_holds_up_nobody() {
-    let world = World::start();
+fn a_request_that_is_cut_at_any_byte_goes_nowhere_and_blocks_nobody() {
+    let node = TestNode::start();
     let whole = report("cut", 5000);
-    let ways: [fn(Line); 2] = [Line::close, Line::reset];
+    let ways: [fn(Connection); 2] = [Connection::close, Connection::reset];
     for cut in 0..whole.len() {
-        let mut client = world.client();
+        let mut client = node.client();
         client.send(&whole[..cut]);
         ways[cut % 2](client);
     }
-    world.turn();
-    serve_next(&world, "next");
-    assert!(world.backend.is_quiet());
+    node.wait_for_iteration();
+    serve_next(&node, "next");
+    assert!(node.backend.is_quiet());
 }
 
 // ---- Settings of other customers ----
@@ -409,28 +417,27 @@
         ),
     ];
     let play = |(name, old, new): &Change, mode: &str| {
-        let mut world = World::with(|config| {
+        let mut node = TestNode::with(|config| {
             assert!(config.contains(old), "{name}");
             config.replace(old, new).replace("subscribe", mode)
         });
         // Discovery turns its first call down.
-        world
-            .discovery
+        node.discovery
             .wait()
             .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-        let mut client = world.client();
+        let mut client = node.client();
         client.send(&report("any", 5000));
-        let mut backend = world.backend.wait();
+        let mut backend = node.backend.wait();
         backend.expect("body");
         backend.serve("200 OK", "served");
         assert!(
             client.expect("served").starts_with("HTTP/1.1 200 "),
             "{name}"
         );
-        world.terminate();
-        world.expect_log("sigterm");
+        node.terminate();
+        node.expect_log("sigterm");
         drop((client, backend));
-        assert_eq!(world.wait_exit().code(), Some(0), "{name}");
+        assert_eq!(node.wait_exit().code(), Some(0), "{name}");
     };
     // Side by side: each takes the time in which a node that ends still takes clients.
     std::thread::scope(|scope| {
