--- /dev/null
+++ b/crates/node/tests/service/settings.rs
@@ -0,0 +1,97 @@
+//! Whatever the settings allow, the node starts, serves and ends.
+
+use crate::common::{TestNode, report};
+
+/// A configuration that differs from the default one in one place.
+struct Variant {
+    name: &'static str,
+    /// Part of the default configuration ...
+    old: &'static str,
+    /// ... and what takes its place.
+    new: String,
+}
+
+#[rustfmt::skip]
+const VARIANTS: [(&str, &str, &str); 16] = [
+    ("deadlines of 150 ms", "5000000000", "150000000"),
+    ("deadlines of 30 s", "5000000000", "30000000000"),
+    ("eight zones", r#""azs":["a"]"#, r#""azs":["b","c","d","e","f","g","h","a"],"zone":7"#),
+    ("one attempt", r#""maxAttempts":5"#, r#""maxAttempts":1"#),
+    ("nothing cancelled", r#""cancel":true"#, r#""cancel":false"#),
+    ("no Retry-After", r#","maxRetryAfterNs":2000000000"#, ""),
+    ("ticks of 1 us", r#""tickNs":5000000"#, r#""tickNs":1000"#),
+    ("ticks of 1 s", r#""tickNs":5000000"#, r#""tickNs":1000000000"#),
+    ("idle for 4 ms", r#""cancel":true"#, r#""cancel":true,"connIdleNs":4000000"#),
+    ("one queued", r#""cancel":true"#, r#""cancel":true,"mostHeld":1"#),
+    ("no time for repeats", r#""windowNs":3000000000"#, r#""windowNs":0"#),
+    ("no grace", r#""drainGraceNs":1500000000"#, r#""drainGraceNs":0"#),
+    ("no slow start", r#""coldNs":8800000000"#, r#""coldNs":0"#),
+    ("no priority weight", r#""importance":1.0"#, r#""importance":0"#),
+    ("300 nodes", r#""azs":["a"]"#, r#""azs":["a"],"siblings":300,"me":299"#),
+    ("the least descriptors", r#""sockets":128"#, r#""sockets":32"#),
+];
+
+/// The variants whose text is computed.
+fn computed_variants() -> Vec<Variant> {
+    let names: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
+    let variant = |name, old, new| Variant { name, old, new };
+    vec![
+        variant(
+            "forty tenants",
+            r#"{"name":"acme","quotaPerS":9.0}"#,
+            format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, names.join(",")),
+        ),
+        variant("the longest deadlines", "5000000000", u64::MAX.to_string()),
+        variant(
+            "the longest time between polls",
+            r#""coldFrom""#,
+            format!(r#""askWithinNs":{},"coldFrom""#, u64::MAX),
+        ),
+        variant(
+            "the most memory",
+            r#""sockets":128"#,
+            format!(r#""sockets":128,"memory_mb":{}"#, u64::MAX >> 1),
+        ),
+    ]
+}
+
+fn play(variant: &Variant, mode: &str) {
+    let Variant { name, old, new } = variant;
+    let mut node = TestNode::with(|config| {
+        assert!(config.contains(old), "{name}");
+        config.replace(old, new).replace("subscribe", mode)
+    });
+    // Discovery rejects its first call.
+    node.discovery
+        .wait()
+        .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+    let mut client = node.client();
+    client.send(&report("any", 5000));
+    let mut backend = node.backend.wait();
+    backend.expect("body");
+    backend.serve("200 OK", "served");
+    assert!(
+        client.expect("served").starts_with("HTTP/1.1 200 "),
+        "{name}"
+    );
+    node.terminate();
+    node.expect_log("sigterm");
+    drop((client, backend));
+    assert_eq!(node.wait_exit().code(), Some(0), "{name}");
+}
+
+#[test]
+fn whatever_the_settings_allow_starts_serves_and_ends() {
+    let fixed = VARIANTS.map(|(name, old, new)| Variant {
+        name,
+        old,
+        new: new.to_string(),
+    });
+    let variants: Vec<Variant> = fixed.into_iter().chain(computed_variants()).collect();
+    // Side by side: each takes the time in which a node that ends still takes clients.
+    std::thread::scope(|scope| {
+        for variant in &variants {
+            scope.spawn(|| ["subscribe", "automatic"].map(|mode| play(variant, mode)));
+        }
+    });
+}
