--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -99,15 +99,15 @@
 fn a_clock_that_is_seconds_ahead_from_the_start_on_makes_no_backend_older() {
     for step in [2, 5] {
         let (mut node, mut watch) = followed(&format!("clock=step:{step}"));
-        for (rev, uid, told_after) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
+        for (revision, uid, delay_ms) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
             watch.send(&more_changes(
-                rev,
-                &[started(&node, uid, unix_ms() - told_after)],
+                revision,
+                &[started(&node, uid, unix_ms() - delay_ms)],
             ));
             let age = age_ms(&mut node, uid);
             assert!(
-                (0..=told_after + 100).contains(&age),
-                "{step} s ahead, told after {told_after}: {age} ms"
+                (0..=delay_ms + 100).contains(&age),
+                "{step} s ahead, notified after {delay_ms} ms: {age} ms"
             );
         }
     }
@@ -144,7 +144,7 @@
     ));
     let age = age_ms(&mut node, "s-2");
     assert!((2_900..=3_500).contains(&age), "{age} ms");
-    // Told again, it is as old as it was: nothing has started anew.
+    // Notified again, it is as old as it was: nothing has started anew.
     pass(Duration::from_millis(100).as_millis() as u64);
     watch.send(&more_changes(11, &[started(&node, "s-3", 0)]));
     assert_eq!(age_ms(&mut node, "s-3"), -1, "long ago has no age");
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -15,7 +15,7 @@
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining <= left + REMAINING_TIME_SLACK,
-        "told {remaining:?}, left {left:?}"
+        "passed on {remaining:?}, left {left:?}"
     );
 }
 
@@ -112,6 +112,6 @@
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining + REMAINING_TIME_SLACK >= CLIENT_TIMEOUT.saturating_sub(sent.elapsed()),
-        "told only {remaining:?}"
+        "passed on only {remaining:?}"
     );
 }
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -88,7 +88,7 @@
             "{errno}: {:?}",
             since.elapsed()
         );
-        assert!(!idle.is_closed(), "{errno}: an idle session was given up");
+        assert!(!idle.is_closed(), "{errno}: an idle connection was closed");
     }
 }
 
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -1,6 +1,6 @@
 //! Races on connections to backends and of clients.
 
-use super::{MOST_SESSIONS, few_sockets, with_idle_connection};
+use super::{MAX_CLIENT_CONNECTIONS, few_sockets, with_idle_connection};
 use crate::common::{
     Connection, HEALTH, StandIn, TestNode, WATCH, endpoint_json, more_changes, pass, report,
     slow_to_connect, until,
@@ -85,8 +85,8 @@
 fn a_connection_on_which_a_request_has_come_is_not_evicted_for_a_new_client() {
     let node = TestNode::with(few_sockets);
     let before = node.descriptors();
-    let mut clients: Vec<Connection> = (0..MOST_SESSIONS).map(|_| node.client()).collect();
-    until(|| (node.descriptors() >= before + MOST_SESSIONS).then_some(()));
+    let mut clients: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
+    until(|| (node.descriptors() >= before + MAX_CLIENT_CONNECTIONS).then_some(()));
     node.stall();
     let mut new = node.client();
     clients[0].send(&report("asks", 5000));
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -1,6 +1,5 @@
 //! A process that is delayed between two of its calls: what it has read before is old when it acts
-//! on it. The fault shim delays it for 0.4 s in a span of its life in which the test plays the event
-//! that races.
+//! on it. The fault shim delays it for 0.4 s in a span in which the test plays the event that races.
 
 use std::time::{Duration, Instant};
 
@@ -116,7 +115,7 @@
     assert_eq!(
         idle.expect_close(),
         "",
-        "it was told to leave over 0.3 s before"
+        "its backend drained over 0.3 s before"
     );
     let head = client.expect("\r\n\r\n");
     assert!(
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -75,7 +75,7 @@
     let node = TestNode::with(|config| with_backend(config, "s-0", other.address()));
     let mut client = node.client();
     client.send(&report("left", 5000));
-    // Whichever it is sent to turns it away.
+    // Whichever it is sent to rejects it.
     let (mut first, second) = until(|| {
         let one = node.backend.poll().map(|connection| (connection, &other));
         one.or_else(|| other.poll().map(|connection| (connection, &node.backend)))
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -8,12 +8,12 @@
 #[test]
 fn where_deadlines_are_short_the_last_answers_come_before_sigkill_may() {
     let node = TestNode::with(|config| short(config, "150000000"));
-    let (mut client, mut held) = (node.client(), node.client());
+    let (mut client, mut queued) = (node.client(), node.client());
     client.send(&report("silent", 5000));
     let mut backend = node.backend.wait();
     backend.expect("body");
     // One that waits: the backend takes one attempt.
-    held.send(&report("held", 5000));
+    queued.send(&report("queued", 5000));
     node.wait_for_iteration();
     node.terminate();
     let since = Instant::now();
@@ -22,13 +22,13 @@
         answer.starts_with("HTTP/1.1 50") && !answer.contains(" 503 "),
         "{answer}"
     );
-    assert!(held.expect("\r\n\r\n").starts_with("HTTP/1.1 503 "));
+    assert!(queued.expect("\r\n\r\n").starts_with("HTTP/1.1 503 "));
     assert!(
         since.elapsed() < Duration::from_millis(150 + 700),
         "{:?}",
         since.elapsed()
     );
-    drop((client, held));
+    drop((client, queued));
     assert_eq!(node.wait_exit().code(), Some(0));
     assert!(
         since.elapsed() < Duration::from_millis(150 + 700),
--- a/crates/node/tests/races/mod.rs
+++ b/crates/node/tests/races/mod.rs
@@ -1,6 +1,6 @@
 //! Races: two events that meet in one iteration of the node's loop. Each is forced: the node is
-//! stopped, the events are put on the sockets in the order that hurts, and the node goes on. The list
-//! of all races is in `docs/design/`.
+//! stopped, the events are put on the sockets in the order that hurts, and the node goes on. The
+//! list of all races is in `docs/design/`.
 
 mod connections;
 mod delays;
@@ -40,7 +40,7 @@
 
 /// Clients that a node of few sockets holds: 64 descriptors less 20, of which a quarter is kept for
 /// backends.
-const MOST_SESSIONS: usize = 33;
+const MAX_CLIENT_CONNECTIONS: usize = 33;
 
 /// As many clients as it holds, each with a request out or waiting.
 fn all_busy(node: &TestNode) -> Vec<Connection> {
@@ -49,7 +49,7 @@
         client.send(&report(&format!("busy{n}"), 60_000));
         client
     };
-    (0..MOST_SESSIONS).map(send_requests).collect()
+    (0..MAX_CLIENT_CONNECTIONS).map(send_requests).collect()
 }
 
 fn short(config: String, deadline: &str) -> String {
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -129,8 +129,8 @@
         client.send(&report(&format!("late{n}"), 60_000));
     }
     node.expect_log("client-connections-full");
-    // Every second one of those that wait disconnects, by a close or by a reset; then all the others
-    // are evicted.
+    // Every second one of those that wait disconnects, by a close or by a reset; then all the
+    // others are evicted.
     for n in [4, 2, 0] {
         let client = waiting.remove(n);
         if n == 2 {
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -4,8 +4,8 @@
 
 use super::{pushed, serve_next};
 use crate::common::{
-    HEALTH, StandIn, TestNode, WATCH, changes, chunk, endpoint_json, more_changes, pass, report,
-    until,
+    Connection, HEALTH, StandIn, TestNode, WATCH, changes, chunk, endpoint_json, more_changes,
+    pass, report, until,
 };
 
 #[test]
@@ -98,10 +98,11 @@
 }
 
 /// One object of a watch as a printer would lay it out, with braces and line ends in its strings.
-fn indented(rev: u32, entries: &[String]) -> String {
-    let odd = r#""note":"}]\"\\n{","#;
-    let text = format!("{{\n  \"rev\": {rev},\n  {odd}\n\n  \"all\": false,\n  \"targets\": [\n");
-    text + &entries.join(",\n") + "\n  ]\n}\n"
+fn indented(revision: u32, endpoints: &[String]) -> String {
+    let note = r#""note":"}]\"\\n{","#;
+    let text =
+        format!("{{\n  \"rev\": {revision},\n  {note}\n\n  \"all\": false,\n  \"targets\": [\n");
+    text + &endpoints.join(",\n") + "\n  ]\n}\n"
 }
 
 #[test]
@@ -170,58 +171,49 @@
     serve_next(&node, "next");
 }
 
+/// Eight requests of a client, all of which come to this backend on one connection; gives that.
+fn serve_eight(client: &mut Connection, backend: &StandIn) -> Connection {
+    let mut connection = None;
+    for id in ["o1", "o2", "o3", "o4", "o5", "o6", "o7", "o8"] {
+        client.send(&report(id, 5000));
+        let connection = connection.get_or_insert_with(|| backend.wait());
+        connection.expect("body");
+        connection.serve("200 OK", id);
+        client.expect(&format!("\r\n\r\n{id}"));
+    }
+    connection.expect("eight requests were served")
+}
+
 #[test]
 fn a_list_that_is_behind_brings_no_drained_backend_back_and_a_newer_one_or_a_newer_start_does() {
     let mut node = TestNode::start();
     let other = StandIn::new();
-    let (here, there) = (node.backend.address(), other.address());
+    let address = node.backend.address();
+    let here = |state| endpoint_json("s-1", address, state);
+    let there = |state| endpoint_json("s-2", other.address(), state);
     let mut watch = node.discovery.wait();
-    watch.send(&changes(
-        9,
-        &[
-            endpoint_json("s-1", here, "Terminating"),
-            endpoint_json("s-2", there, "Ready"),
-        ],
-    ));
+    watch.send(&changes(9, &[here("Terminating"), there("Ready")]));
     watch.close();
-    let whole = |rev: u32, entries: &[String]| changes(rev, entries).replace("false", "true ");
-    let both = [
-        endpoint_json("s-1", here, "Ready"),
-        endpoint_json("s-2", there, "Ready"),
-    ];
     // Another replica, which is behind.
     let mut behind = node.discovery.wait();
     behind.expect("after=9 ");
-    behind.send(&whole(8, &both));
+    let list = changes(8, &[here("Ready"), there("Ready")]).replace("false", "true ");
+    behind.send(&list);
     node.expect_log("older-list rev=8 known=9");
     let mut client = node.client();
-    let mut backend = None;
-    for id in ["o1", "o2", "o3", "o4", "o5", "o6", "o7", "o8"] {
-        client.send(&report(id, 5000));
-        let backend = backend.get_or_insert_with(|| other.wait());
-        backend.expect("body");
-        backend.serve("200 OK", id);
-        client.expect(&format!("\r\n\r\n{id}"));
-    }
+    let mut backend = serve_eight(&mut client, &other);
     assert!(node.backend.is_quiet());
     // It goes on from its own count. Idle connections end once a drain is taken.
-    let leaving = endpoint_json("s-2", there, "Terminating");
-    behind.send(&more_changes(
-        9,
-        &[endpoint_json("s-1", here, "Ready"), leaving],
-    ));
-    backend.unwrap().expect_close();
+    behind.send(&more_changes(9, &[here("Ready"), there("Terminating")]));
+    backend.expect_close();
     client.send(&report("newer", 5000));
     let mut backend = until(|| node.backend.poll());
     backend.expect("body");
     backend.serve("200 OK", "served");
     client.expect("served");
     // One that has started anew is back whatever the count says.
-    let started = endpoint_json("s-2", there, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":9");
-    behind.send(&more_changes(
-        7,
-        &[endpoint_json("s-1", here, "Terminating"), started],
-    ));
+    let started = there("Ready").replace("\"boot_ms\":0", "\"boot_ms\":9");
+    behind.send(&more_changes(7, &[here("Terminating"), started]));
     backend.expect_close();
     client.send(&report("started", 5000));
     until(|| other.poll()).expect("x-txn: started\r\n");
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -93,7 +93,7 @@
     let mut watch = node.discovery.wait();
     watch.send(WATCH);
     let mut client = node.client();
-    for (rev, old, new) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
+    for (revision, old, new) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
         client.send(&report(new, 5000));
         let mut backend = node.backend.wait();
         backend.expect("body");
@@ -101,7 +101,7 @@
         client.expect(new);
         let address = node.backend.address();
         watch.send(&more_changes(
-            rev,
+            revision,
             &[
                 endpoint_json(old, address, "Gone"),
                 endpoint_json(new, address, "Ready"),
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -103,7 +103,7 @@
     first.send(&report("x0", 5000));
     let mut backend = node.backend.wait();
     backend.expect("body");
-    // Silent ones take all that clients may have; a connection with a request is none of those closed.
+    // Silent ones take all that clients may have; one with a request is none of those closed.
     let mut flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     flood[99].send(HEALTH).expect("ok\n");
     assert!(
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -1,6 +1,6 @@
 //! Requests and answers pass unchanged; what can't be forwarded is answered by the node.
 
-use crate::common::{HEALTH, StandIn, TestNode, changes, endpoint_json, report};
+use crate::common::{Connection, HEALTH, StandIn, TestNode, changes, endpoint_json, report};
 use crate::service::payouts::{check, payout, with_payouts};
 
 #[test]
@@ -47,36 +47,28 @@
     }
 }
 
+/// What the node can't forward: the request, the status of its answer, and whether the connection
+/// ends with that.
+#[rustfmt::skip]
+fn invalid_requests() -> [(String, u16, bool); 9] {
+    let report = report("c", 99);
+    [
+        (report.replace("/api", "/other"), 404, false),
+        (report.replace("POST", "DELETE"), 405, false),
+        (report.replace("X-Org: acme", "X-Org: nobody"), 400, false),
+        (report.replace("X-Txn: c\r\n", ""), 400, false),
+        (report.replace(": 4", ": 4\r\nTransfer-Encoding: chunked"), 400, true),
+        (report.replace(": 4", ": 4\r\nContent-Length: 5"), 400, true),
+        (report.replace(": 4", ": 70000"), 413, true),
+        (report.replace("acme", &"x".repeat(17_000)), 431, true),
+        ("nonsense\r\n\r\n".to_string(), 400, true),
+    ]
+}
+
 #[test]
 fn what_can_not_be_a_request_is_answered_by_its_status_and_reaches_no_backend() {
     let node = TestNode::start();
-    for (request, status, ends) in [
-        (report("c", 99).replace("/api", "/other"), 404, false),
-        (report("c", 99).replace("POST", "DELETE"), 405, false),
-        (
-            report("c", 99).replace("X-Org: acme", "X-Org: nobody"),
-            400,
-            false,
-        ),
-        (report("c", 99).replace("X-Txn: c\r\n", ""), 400, false),
-        (
-            report("c", 99).replace(": 4", ": 4\r\nTransfer-Encoding: chunked"),
-            400,
-            true,
-        ),
-        (
-            report("c", 99).replace(": 4", ": 4\r\nContent-Length: 5"),
-            400,
-            true,
-        ),
-        (report("c", 99).replace(": 4", ": 70000"), 413, true),
-        (
-            report("c", 99).replace("acme", &"x".repeat(17_000)),
-            431,
-            true,
-        ),
-        ("nonsense\r\n\r\n".to_string(), 400, true),
-    ] {
+    for (request, status, ends) in invalid_requests() {
         let mut client = node.client();
         client.send(&request);
         let answer = client.expect("\r\n\r\n");
@@ -136,54 +128,60 @@
     client.expect("played");
 }
 
+/// A configuration without the backend that is in each by default.
+fn without_usual_backend(config: String) -> String {
+    let from = config.find(r#"{"uid":"s-1""#).unwrap();
+    let end = from + config[from..].find('}').unwrap();
+    config[..from].trim_end_matches(',').to_string() + &config[end + 1..]
+}
+
+/// A backend serves five checks, the first of which has been sent; then the client sends `last`.
+fn serve_five_checks(client: &mut Connection, backend: &mut Connection, last: &str) {
+    for (id, next) in [
+        ("c0", check("c1")),
+        ("c1", check("c2")),
+        ("c2", check("c3")),
+        ("c3", check("c4")),
+        ("c4", last.to_string()),
+    ] {
+        let head = backend.expect("\r\n\r\n");
+        assert!(head.contains(&format!("x-txn: {id}\r\n")));
+        backend.serve("200 OK", id);
+        client.expect(&format!("\r\n\r\n{id}"));
+        client.send(&next);
+    }
+}
+
 #[test]
 fn a_silent_backend_costs_a_payout_and_a_check_is_retried_elsewhere() {
-    let swallows = StandIn::new();
+    let falls_silent = StandIn::new();
+    // Only the silent one is known at first, so that it is what both classes meet.
     let node = TestNode::with(|config| {
-        // Only the swallowing one is known at first, so that it is what both classes meet.
-        let known = with_payouts(config, &[("s-0", swallows.address())]);
-        let position = known.find(r#"{"uid":"s-1""#).unwrap();
-        let end = position + known[position..].find('}').unwrap();
-        known[..position].trim_end_matches(',').to_string() + &known[end + 1..]
+        without_usual_backend(with_payouts(config, &[("s-0", falls_silent.address())]))
     });
     let mut discovery = node.discovery.wait();
     discovery.expect("\r\n\r\n");
     let mut client = node.client();
     // It works at first: five requests pay for one retry.
     client.send(&check("c0"));
-    let mut silent = swallows.wait();
-    for id in ["c0", "c1", "c2", "c3", "c4"] {
-        assert!(
-            silent
-                .expect("\r\n\r\n")
-                .contains(&format!("x-txn: {id}\r\n"))
-        );
-        silent.serve("200 OK", id);
-        client.expect(&format!("\r\n\r\n{id}"));
-        client.send(&if id == "c4" {
-            payout("p1")
-        } else {
-            check(&format!("c{}", id[1..].parse::<u8>().unwrap() + 1))
-        });
-    }
+    let mut silent = falls_silent.wait();
+    serve_five_checks(&mut client, &mut silent, &payout("p1"));
     assert!(silent.expect("body").contains("x-txn: p1\r\n"));
-    // What may have run is a failure and never a refusal, and its connection is given up.
+    // What may have been executed fails and is never rejected, and its connection is closed.
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 504 "));
     silent.expect_close();
     client.send(&check("c5"));
-    let mut silent = swallows.wait();
+    let mut silent = falls_silent.wait();
     silent.expect("\r\n\r\n");
-    discovery.send(&changes(
-        8,
-        &[endpoint_json("s-1", node.backend.address(), "Ready")],
-    ));
-    // Its attempt is called off: the connection closes, and only then does it go elsewhere.
+    let usual = endpoint_json("s-1", node.backend.address(), "Ready");
+    discovery.send(&changes(8, &[usual]));
+    // Its attempt is cancelled: the connection closes, and only then does it go elsewhere.
     silent.expect_close();
     let mut backend = node.backend.wait();
     assert!(backend.expect("\r\n\r\n").contains("x-txn: c5\r\n"));
     backend.serve("200 OK", "eligible");
     client.expect("eligible");
-    assert!(swallows.is_quiet());
+    assert!(falls_silent.is_quiet());
 }
 
 #[test]
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -90,8 +90,8 @@
         client.send(&report("t1", 5000));
         let mut backend = node.backend.wait();
         backend.expect("body");
-        backend.serve("200 OK", "told");
-        client.expect("told");
+        backend.serve("200 OK", "served");
+        client.expect("served");
         let log = node.last_log();
         for part in [
             "endpoint b=0 uid=s-1 at=127.0.0.1:",
--- a/crates/node/tests/service/payouts.rs
+++ b/crates/node/tests/service/payouts.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{endpoint_json, report};
 
-/// More backends beside the usual one, and a class that must never be executed twice, whose requests
-/// carry no key.
+/// More backends beside the usual one, and a class that must never be executed twice, whose
+/// requests carry no key.
 pub fn with_payouts(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
     let more: Vec<String> = backends
         .iter()
