--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -149,7 +149,7 @@
         self.state().mode = mode;
     }
 
-    /// Its process starts anew: its queue is empty and its history gone. The caller resets its
+    /// Its process starts anew: its queue and its history are empty. The caller resets its
     /// links.
     pub fn restart(&self) {
         let mut state = self.state();
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -27,7 +27,7 @@
 pub enum Health {
     /// Bytes pass.
     #[default]
-    Sound,
+    Healthy,
     /// No bytes pass, either way; what was written arrives when the cut is over, as TCP sends
     /// again what was not acknowledged.
     Cut,
@@ -270,7 +270,7 @@
         match self.link.health() {
             Health::Cut => Poll::Pending,
             Health::CutOut if direction == Direction::Write => Poll::Pending,
-            Health::Sound | Health::CutOut | Health::Refused => Poll::Ready(Ok(())),
+            Health::Healthy | Health::CutOut | Health::Refused => Poll::Ready(Ok(())),
         }
     }
 }
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -34,7 +34,7 @@
             stream.read_exact(&mut byte),
         );
         assert!(silent.await.is_err(), "{cut:?}");
-        link.set(Health::Sound);
+        link.set(Health::Healthy);
         stream.read_exact(&mut byte).await.unwrap();
         assert_eq!(byte, *b"b");
     }
@@ -43,7 +43,7 @@
     assert_eq!(error, io::ErrorKind::ConnectionReset);
     link.set(Health::Refused);
     while TcpStream::connect(address).await.is_ok() {}
-    link.set(Health::Sound);
+    link.set(Health::Healthy);
     while TcpStream::connect(address).await.is_err() {}
 }
 
@@ -101,7 +101,7 @@
             io::ErrorKind::AddrInUse,
             "{address}"
         );
-        link.set(Health::Sound);
+        link.set(Health::Healthy);
         while TcpStream::connect(address).await.is_err() {}
     }
 }
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -110,7 +110,7 @@
         match action {
             Action::DiscoveryUp => {
                 self.discovery.set(Mode::Up);
-                links().for_each(|link| link.set(link::Health::Sound));
+                links().for_each(|link| link.set(link::Health::Healthy));
             }
             Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
             Action::DiscoverySilent => self.discovery.set(Mode::Silent),
@@ -145,7 +145,7 @@
             Action::BackendFails => backend.set(backend::Health::Fails),
             Action::BackendWorks => {
                 backend.set(backend::Health::Works(event.size));
-                link.set(link::Health::Sound);
+                link.set(link::Health::Healthy);
                 link.set_write_behaviour(WriteBehaviour::Unchanged);
             }
             Action::AnswerTwice => link.set_write_behaviour(WriteBehaviour::Duplicated),
@@ -174,7 +174,7 @@
 
     fn start_backend(&self, number: usize, backend: &Backend) {
         backend.restart();
-        backend.link.set(link::Health::Sound);
+        backend.link.set(link::Health::Healthy);
         locked(&self.backend_starts).push(BackendStart {
             uid: backend.uid.clone(),
             at: self.clock.now(),
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -43,7 +43,7 @@
     File {
         /// Its path.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A file is no scenario.
@@ -62,13 +62,13 @@
     Program {
         /// The program.
         program: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The report can't be written as JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A play whose figures are compared was not sound.
+    /// A play whose figures are compared had a violation or a panic.
     #[error("{backends} backends: {violation}")]
     Unsound {
         /// Backends of the play.
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -132,7 +132,7 @@
     violations
 }
 
-/// A process ends only if it is told to, and with exit code 0 if it is not killed.
+/// A process ends only after a signal, and with exit code 0 unless it is killed.
 fn bad_exit(incarnation: &Incarnation) -> Option<Violation> {
     let exit = incarnation.exit?;
     let is_bad = match incarnation.stop_signal {
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -91,7 +91,7 @@
     died || stopped
 }
 
-/// The process was killed while a request was there, or ended and had long been told to.
+/// The process was killed while a request was there, or ended well after SIGTERM.
 fn died_meanwhile(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
     let Some(signal) = incarnation.stop_signal else {
         return false;
--- a/crates/testbed/src/referee/violation.rs
+++ b/crates/testbed/src/referee/violation.rs
@@ -38,9 +38,9 @@
     HalfRequestIgnored,
     /// Nothing new goes to a backend after the grace of its drain.
     SentAfterDrain,
-    /// All nodes together leave a backend in slow start within what it can take.
+    /// All nodes together send a backend in slow start no more than it can take.
     SlowStartOverload,
-    /// A process ends only if it is told to, and then well.
+    /// A process ends only after a signal, and with exit code 0 unless killed.
     BadExit,
     /// The node itself found a rule broken.
     FoundByNode,
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -75,7 +75,7 @@
     /// Expectations that do not hold.
     #[serde(serialize_with = "as_texts")]
     pub unmet: Vec<UnmetExpectation>,
-    /// Lines of logs that tell of a panic.
+    /// Lines of logs that report a panic.
     pub panics: Vec<String>,
     /// All that the nodes wrote to their logs, in the order of the nodes.
     #[serde(skip)]
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -283,7 +283,7 @@
     ReloadHalf,
     /// The same, with no file.
     ReloadMissing,
-    /// Discovery answers, over sound links.
+    /// Discovery answers, over healthy links.
     #[serde(alias = "list-up")]
     DiscoveryUp,
     /// Discovery answers 503.
@@ -295,7 +295,7 @@
     /// Discovery ends connections in the middle of answers.
     #[serde(alias = "list-half")]
     DiscoveryTruncates,
-    /// The process of discovery is gone: connections are reset, new ones refused.
+    /// The process of discovery has died: connections are reset, new ones refused.
     #[serde(alias = "list-down")]
     DiscoveryDown,
     /// Discovery starts anew without its history: watches are reset.
@@ -316,7 +316,7 @@
     /// Backends answer 500.
     #[serde(alias = "fail")]
     BackendFails,
-    /// Backends work at `size` of their speed, over sound links.
+    /// Backends work at `size` of their speed, over healthy links.
     #[serde(alias = "work")]
     BackendWorks,
     /// All bytes of backends come twice.
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -15,7 +15,7 @@
 /// The result of a seed.
 #[derive(Debug)]
 pub struct Verdict {
-    /// The smallest plan that still fails, or the whole one where none does.
+    /// The smallest plan that still fails, or the full one where none does.
     pub plan: Plan,
     /// Its report.
     pub report: Report,
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -13,9 +13,9 @@
     Kill,
     /// Nodes are stopped, and go on after a second at most.
     Stop,
-    /// Configurations in quick succession: half a file, none, a sound one.
+    /// Configurations in quick succession: half a file, none, a valid one.
     Reloads,
-    /// Discovery is gone.
+    /// The process of discovery has died.
     DiscoveryDown,
     /// Discovery takes calls and never answers.
     DiscoverySilent,
@@ -51,7 +51,7 @@
     FewDescriptors,
     /// Nodes' wall clocks are off from their start to their end.
     ClockOff,
-    /// Backends say everything twice.
+    /// All bytes of backends come twice.
     AnswerTwice,
     /// Backends answer a few bytes at a time.
     AnswerInPieces,
