--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -119,10 +119,7 @@
     }
     let sockets: usize = limit("sockets", 1024)?;
     if sockets < LEAST_SOCKETS {
-        return Err(root.invalid_at(
-            "limits.sockets",
-            format!("must be {LEAST_SOCKETS} or more"),
-        ));
+        return Err(root.invalid_at("limits.sockets", format!("must be {LEAST_SOCKETS} or more")));
     }
     Ok(Config {
         name: told("BALANCER_NAME", "name")?,
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -95,7 +95,7 @@
             ParseError::HeadTooLarge,
         ),
         (
-            &"A: b\r\n".repeat(MOST_HEADERS + 1),
+            &"A: b\r\n".repeat(MAX_HEADERS + 1),
             ParseError::HeadTooLarge,
         ),
     ] {
