--- a/crates/node/src/http1/error.rs
+++ b/crates/node/src/http1/error.rs
@@ -1,12 +1,41 @@
 //! What can be wrong with a message.
 
-/// Why a message can't be read.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+use thiserror::Error;
+
+/// Why a message can't be parsed. The name of a variant, its `Debug` form, appears in the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ParseError {
+    /// The message breaks the grammar, or its framing is ambiguous.
+    #[error("malformed message")]
     Malformed,
+    /// The head or the trailers are longer than [`MAX_HEAD`](super::MAX_HEAD), or there are too
+    /// many headers.
+    #[error("head too large")]
     HeadTooLarge,
+    /// The body is longer than the parser accepts.
+    #[error("body too large")]
     BodyTooLarge,
+    /// The version is neither HTTP/1.0 nor HTTP/1.1.
+    #[error("unsupported HTTP version")]
     UnsupportedVersion,
-    /// The budget for what is buffered is spent.
+    /// The memory that all buffers share is used up: nothing is wrong with the message itself.
+    #[error("buffer budget spent")]
     BufferBudgetSpent,
 }
+
+impl ParseError {
+    /// HTTP status that answers a request with this error.
+    #[cfg_attr(
+        not(test),
+        expect(dead_code, reason = "callers still have a mapping of their own")
+    )]
+    pub fn status(self) -> u16 {
+        match self {
+            ParseError::Malformed => 400,
+            ParseError::HeadTooLarge => 431,
+            ParseError::BodyTooLarge => 413,
+            ParseError::UnsupportedVersion => 505,
+            ParseError::BufferBudgetSpent => 503,
+        }
+    }
+}
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -1,149 +1,245 @@
-//! The head of a message: its first line and its headers.
+//! The head of a message: its start line and its headers (RFC 9112, sections 2 to 5).
 
-use super::{MAX_HEADERS, ParseError};
+use super::ParseError;
 
+/// Most headers of a message.
+pub(super) const MAX_HEADERS: usize = 100;
+
+/// Headers that concern one connection only, whatever `Connection` lists (RFC 9110, section 7.6.1).
+/// The proxy writes its own `Content-Length`, and `Expect` is answered by the proxy.
+const HOP_BY_HOP: [&str; 10] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "content-length",
+    "expect",
+    "proxy-authenticate",
+];
+
+/// Which messages a parser reads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum MessageKind {
+    Request,
+    Response,
+}
+
+/// The start line of a message. Its `Debug` form appears in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Start {
-    Request { method: String, target: String },
-    Response { status: u16 },
+    /// A request line.
+    Request {
+        /// The method, as it came.
+        method: String,
+        /// The request target in origin form: it begins with `/`.
+        target: String,
+    },
+    /// A status line; its reason phrase is dropped.
+    Response {
+        /// The status, three digits.
+        status: u16,
+    },
+}
+
+/// One header.
+#[derive(Debug, Clone)]
+struct Header {
+    /// In lower case.
+    name: String,
+    /// Without surrounding white space.
+    value: String,
 }
 
-/// A message's head.
+/// The head of a message.
 #[derive(Debug, Clone)]
 pub struct Head {
+    /// The start line.
     pub start: Start,
-    /// Names in lower case.
-    pub headers: Vec<(String, String)>,
-    /// The connection may carry another message after this one.
+    headers: Vec<Header>,
+    /// Whether the connection may carry another message after this one.
     pub keep_alive: bool,
 }
 
 impl Head {
-    /// The value of a header that stands there once; twice is `Err`.
-    pub fn unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
-        let mut found = self
-            .headers
-            .iter()
-            .filter(|h| h.0 == name)
-            .map(|h| h.1.as_str());
-        let first = found.next();
-        if found.next().is_some() {
-            Err(ParseError::Malformed)
-        } else {
-            Ok(first)
+    /// Parses a head whose last line has its CRLF and which has no empty line after it.
+    ///
+    /// # Errors
+    ///
+    /// [`ParseError::Malformed`] if it breaks the grammar or a request of HTTP/1.1 has not exactly
+    /// one `Host`, [`ParseError::UnsupportedVersion`], and [`ParseError::HeadTooLarge`] for more
+    /// than [`MAX_HEADERS`] headers.
+    pub(super) fn parse(bytes: &[u8], kind: MessageKind) -> Result<Head, ParseError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| ParseError::Malformed)?;
+        let mut lines = text.split_terminator("\r\n");
+        if lines.clone().any(has_control_character) {
+            return Err(ParseError::Malformed);
         }
+        let start_line = StartLine::parse(lines.next().unwrap_or_default(), kind)?;
+        let mut head = Head {
+            start: start_line.start,
+            headers: parse_headers(lines)?,
+            keep_alive: false,
+        };
+        head.keep_alive = head.allows_reuse(start_line.version);
+        let needs_host = kind == MessageKind::Request && start_line.version == Version::Http11;
+        if needs_host && head.unique("host")?.is_none() {
+            return Err(ParseError::Malformed);
+        }
+        Ok(head)
     }
 
-    fn lists(&self, name: &str, token: &str) -> bool {
-        let values = self.headers.iter().filter(|h| h.0 == name);
-        values
-            .flat_map(|h| h.1.split(','))
-            .any(|t| t.trim().eq_ignore_ascii_case(token))
+    /// The value of a header that may occur once only; `None` if it does not occur.
+    ///
+    /// # Errors
+    ///
+    /// [`ParseError::Malformed`] if it occurs more than once.
+    pub fn unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
+        let mut values = self.values(name);
+        let first = values.next();
+        if values.next().is_some() {
+            return Err(ParseError::Malformed);
+        }
+        Ok(first)
     }
 
-    /// The client waits for leave to send its body.
+    /// Whether the client waits for `100 Continue` before it sends its body.
     pub fn expects_continue(&self) -> bool {
         self.lists("expect", "100-continue")
     }
 
-    /// The headers that concern both ends, not one connection.
+    /// Names and values of the headers that concern both ends, not one connection.
     pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &str)> {
-        const HOP: [&str; 10] = [
-            "connection",
-            "keep-alive",
-            "proxy-connection",
-            "te",
-            "trailer",
-            "transfer-encoding",
-            "upgrade",
-            "content-length",
-            "expect",
-            "proxy-authenticate",
-        ];
-        let passes =
-            |h: &&(String, String)| !HOP.contains(&h.0.as_str()) && !self.lists("connection", &h.0);
         self.headers
             .iter()
-            .filter(passes)
-            .map(|h| (h.0.as_str(), h.1.as_str()))
+            .filter(|header| self.is_end_to_end(header))
+            .map(|header| (header.name.as_str(), header.value.as_str()))
+    }
+
+    fn is_end_to_end(&self, header: &Header) -> bool {
+        !HOP_BY_HOP.contains(&header.name.as_str()) && !self.lists("connection", &header.name)
+    }
+
+    fn allows_reuse(&self, version: Version) -> bool {
+        if self.lists("connection", "close") {
+            false
+        } else {
+            version == Version::Http11 || self.lists("connection", "keep-alive")
+        }
+    }
+
+    fn values<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
+        self.headers
+            .iter()
+            .filter(move |header| header.name == name)
+            .map(|header| header.value.as_str())
+    }
+
+    /// Whether `token` is one of the comma-separated tokens of a header.
+    fn lists(&self, name: &str, token: &str) -> bool {
+        self.values(name)
+            .flat_map(|value| value.split(','))
+            .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 }
 
-fn is_token(text: &str) -> bool {
-    !text.is_empty()
-        && text
-            .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Version {
+    Http10,
+    Http11,
+}
+
+impl Version {
+    fn parse(text: &str) -> Result<Version, ParseError> {
+        match text {
+            "HTTP/1.1" => Ok(Version::Http11),
+            "HTTP/1.0" => Ok(Version::Http10),
+            other if other.starts_with("HTTP/") => Err(ParseError::UnsupportedVersion),
+            _ => Err(ParseError::Malformed),
+        }
+    }
 }
 
-pub(super) fn parse_head(bytes: &[u8], request: bool) -> Result<Head, ParseError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| ParseError::Malformed)?;
-    // Neither a lone CR or LF nor another control character may pass: others may take it for a
-    // line's end.
-    let mut lines = text.split_terminator("\r\n");
-    if lines
-        .clone()
-        .any(|line| line.bytes().any(|b| b.is_ascii_control() && b != b'\t'))
-    {
-        return Err(ParseError::Malformed);
+struct StartLine {
+    start: Start,
+    version: Version,
+}
+
+impl StartLine {
+    fn parse(line: &str, kind: MessageKind) -> Result<StartLine, ParseError> {
+        match kind {
+            MessageKind::Request => StartLine::parse_request(line),
+            MessageKind::Response => StartLine::parse_status(line),
+        }
     }
-    let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
-    let mut part = || parts.next().unwrap_or_default();
-    let (first, second, third) = (part(), part(), part());
-    let (start, version) = if request {
-        let sound = is_token(first) && second.starts_with('/') && !third.contains(' ');
-        if !sound {
+
+    fn parse_request(line: &str) -> Result<StartLine, ParseError> {
+        let mut parts = line.splitn(3, ' ');
+        let mut part = || parts.next().unwrap_or_default();
+        let (method, target, version) = (part(), part(), part());
+        if !is_token(method) || !target.starts_with('/') || version.contains(' ') {
             return Err(ParseError::Malformed);
         }
-        (
-            Start::Request {
-                method: first.into(),
-                target: second.into(),
-            },
-            third,
-        )
-    } else {
-        let digits = second.len() == 3 && second.bytes().all(|b| b.is_ascii_digit());
-        let status = second
-            .parse()
-            .ok()
-            .filter(|_| digits)
-            .ok_or(ParseError::Malformed)?;
-        (Start::Response { status }, first)
-    };
-    let modern = match version {
-        "HTTP/1.1" => true,
-        "HTTP/1.0" => false,
-        other if other.starts_with("HTTP/") => return Err(ParseError::UnsupportedVersion),
-        _ => return Err(ParseError::Malformed),
-    };
+        let start = Start::Request {
+            method: method.into(),
+            target: target.into(),
+        };
+        let version = Version::parse(version)?;
+        Ok(StartLine { start, version })
+    }
+
+    fn parse_status(line: &str) -> Result<StartLine, ParseError> {
+        let mut parts = line.splitn(3, ' ');
+        let mut part = || parts.next().unwrap_or_default();
+        let (version, status) = (part(), part());
+        if status.len() != 3 || !status.bytes().all(|byte| byte.is_ascii_digit()) {
+            return Err(ParseError::Malformed);
+        }
+        let status = status.parse().map_err(|_| ParseError::Malformed)?;
+        let version = Version::parse(version)?;
+        Ok(StartLine {
+            start: Start::Response { status },
+            version,
+        })
+    }
+}
+
+fn parse_headers<'a>(lines: impl Iterator<Item = &'a str>) -> Result<Vec<Header>, ParseError> {
     let mut headers = Vec::new();
     for line in lines {
-        // A name that isn't a token also covers folded lines and a space before the colon.
-        let (name, value) = line
-            .split_once(':')
-            .filter(|(name, _)| is_token(name))
-            .ok_or(ParseError::Malformed)?;
+        let header = parse_header(line)?;
         if headers.len() == MAX_HEADERS {
             return Err(ParseError::HeadTooLarge);
         }
-        headers.push((
-            name.to_ascii_lowercase(),
-            value.trim_matches([' ', '\t']).to_string(),
-        ));
+        headers.push(header);
     }
-    let mut head = Head {
-        start,
-        headers,
-        keep_alive: modern,
-    };
-    if head.lists("connection", "close") {
-        head.keep_alive = false;
-    } else if head.lists("connection", "keep-alive") {
-        head.keep_alive = true;
-    }
-    if request && modern && head.unique("host")?.is_none() {
-        return Err(ParseError::Malformed);
-    }
-    Ok(head)
+    Ok(headers)
+}
+
+fn parse_header(line: &str) -> Result<Header, ParseError> {
+    // A name that is no token also covers folded lines and white space before the colon.
+    let (name, value) = line
+        .split_once(':')
+        .filter(|(name, _)| is_token(name))
+        .ok_or(ParseError::Malformed)?;
+    Ok(Header {
+        name: name.to_ascii_lowercase(),
+        value: value.trim_matches([' ', '\t']).to_string(),
+    })
+}
+
+/// A lone CR or LF, or another control character, must not pass: other implementations may take it
+/// for the end of a line.
+fn has_control_character(line: &str) -> bool {
+    line.bytes()
+        .any(|byte| byte.is_ascii_control() && byte != b'\t')
+}
+
+/// Whether `text` is a token (RFC 9110, section 5.6.2).
+fn is_token(text: &str) -> bool {
+    let is_token_byte =
+        |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+    !text.is_empty() && text.bytes().all(is_token_byte)
 }
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -1,70 +1,111 @@
-//! The parser: one message after the other out of the bytes that have come.
+//! The parser: a state machine that is fed the bytes of a connection and yields one message after
+//! the other.
+//!
+//! ```text
+//! Head -> Length -------------------------------------------> Done
+//!      -> ChunkSize -> ChunkData -> ChunkEnd -> ChunkSize ...
+//!                   -> Trailers ----------------------------> Done
+//!      -> UntilClose -- end of input -----------------------> Done
+//!      -> Done (no body)                  Done -- take_message -> Head
+//! ```
 
-use super::chunked::{chunk_size, find, line};
-use super::head::parse_head;
-use super::{Head, MAX_ANSWER, MAX_BODY, MAX_CHUNK_LINE, MAX_HEAD, MAX_INTERIM, ParseError, Start};
+use super::chunked::{MAX_CHUNK_LINE, chunk_size};
+use super::framing::BodyFraming;
+use super::head::MessageKind;
+use super::lines::{CRLF, find, first_line};
+use super::{Head, MAX_ANSWER, MAX_BODY, MAX_HEAD, ParseError, Start};
 use crate::ring_buffer::{Body, BufferBudget};
 
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// Most interim responses (1xx) before a final one: without a limit a backend could send them
+/// forever.
+const MAX_INTERIM_RESPONSES: u32 = 16;
+
+/// What of a message comes next.
 enum State {
+    /// The head. The first `scanned` bytes of the input have been searched for its end.
     Head { scanned: usize },
-    Length(usize),
+    /// The rest of a body of known length.
+    Length { remaining: usize },
+    /// The line that gives the size of the next chunk.
     ChunkSize,
-    Chunk(usize),
+    /// The rest of a chunk.
+    ChunkData { remaining: usize },
+    /// The CRLF after a chunk.
     ChunkEnd,
-    Trailer(usize),
-    UntilEnd,
+    /// The trailers and the empty line after them; `length` bytes of them have been read.
+    Trailers { length: usize },
+    /// A body that ends with the connection.
+    UntilClose,
+    /// Nothing: the message is complete.
     Done,
 }
 
-/// Reads one message after the other.
+/// How far one state got, with the bytes of the input that it has consumed.
+enum Step {
+    /// The parser has gone on to another state, which may find more in the rest of the input.
+    Advanced(usize),
+    /// The state needs input that has not come yet.
+    NeedsInput(usize),
+}
+
+/// Parses one message after the other.
 pub struct Parser {
-    requests: bool,
-    /// Longest body; a stream that is emptied as it comes has none.
-    most_body: usize,
-    /// An answer may end with its connection.
-    open_ended: bool,
-    interim: u32,
+    kind: MessageKind,
+    /// Longest body in bytes. A body that is emptied while it comes may be longer in all.
+    max_body: usize,
+    allow_close_delimited: bool,
+    interim_responses: u32,
     state: State,
+    /// The head of the message that is being read, once it is complete.
     pub head: Option<Head>,
+    /// What of the body has come.
     pub body: Body,
 }
 
 impl Parser {
+    /// A parser of requests.
     pub fn requests() -> Parser {
-        let state = State::Head { scanned: 0 };
-        Parser {
-            requests: true,
-            most_body: MAX_BODY,
-            open_ended: false,
-            interim: 0,
-            state,
-            head: None,
-            body: Body::default(),
-        }
+        Parser::new(MessageKind::Request, MAX_BODY)
     }
 
+    /// A parser of responses.
     pub fn responses() -> Parser {
+        Parser::new(MessageKind::Response, MAX_ANSWER)
+    }
+
+    fn new(kind: MessageKind, max_body: usize) -> Parser {
         Parser {
-            requests: false,
-            most_body: MAX_ANSWER,
-            ..Parser::requests()
+            kind,
+            max_body,
+            allow_close_delimited: false,
+            interim_responses: 0,
+            state: State::Head { scanned: 0 },
+            head: None,
+            body: Body::default(),
         }
     }
 
+    /// Limits bodies to `most_body` bytes.
     pub fn with_most_body(self, most_body: usize) -> Parser {
-        Parser { most_body, ..self }
+        Parser {
+            max_body: most_body,
+            ..self
+        }
     }
 
-    /// Takes an answer that ends with its connection too. A cut can't be told from its end, so this
-    /// is only for what shows by itself whether it is whole.
+    /// Accepts responses that end with their connection. A broken connection can't be told from the
+    /// end of such a response, so this is only for content that shows by itself whether it is
+    /// complete.
     pub fn allow_close_delimited(self) -> Parser {
         Parser {
-            open_ended: true,
+            allow_close_delimited: true,
             ..self
         }
     }
 
-    /// Bodies are counted on a budget.
+    /// Counts bodies on a budget.
     pub fn with_budget(self, budget: &BufferBudget) -> Parser {
         Parser {
             body: Body::with_budget(budget),
@@ -72,172 +113,210 @@
         }
     }
 
-    /// Takes what it can of `input`; tells how much, and stops at the end of a message.
+    /// Consumes what it can of `input` and returns how many bytes that were; it stops at the end of
+    /// a message. What is not consumed must be fed again, with more behind it.
+    ///
+    /// # Errors
+    ///
+    /// If the message can't be parsed. The parser is of no use afterwards.
     pub fn feed(&mut self, input: &[u8]) -> Result<usize, ParseError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[used..];
-            match self.state {
-                State::Done => return Ok(used),
-                State::Head { scanned } => {
-                    // Empty lines before a request line are passed over.
-                    if self.requests && rest.starts_with(b"\r\n") {
-                        used += 2;
-                        self.state = State::Head { scanned: 0 };
-                        continue;
-                    }
-                    let from = scanned.min(rest.len()).saturating_sub(3);
-                    let Some(end) = find(&rest[from..], b"\r\n\r\n").map(|at| from + at + 4) else {
-                        if rest.len() > MAX_HEAD {
-                            return Err(ParseError::HeadTooLarge);
-                        }
-                        self.state = State::Head {
-                            scanned: rest.len(),
-                        };
-                        return Ok(used);
-                    };
-                    if end > MAX_HEAD {
-                        return Err(ParseError::HeadTooLarge);
-                    }
-                    let head = parse_head(&rest[..end - 2], self.requests)?;
-                    used += end;
-                    // An interim answer is not the answer.
-                    if matches!(head.start, Start::Response { status: 100..=199 }) {
-                        self.interim += 1;
-                        if self.interim > MAX_INTERIM {
-                            return Err(ParseError::Malformed);
-                        }
-                        self.state = State::Head { scanned: 0 };
-                        continue;
-                    }
-                    self.state = self.framing(&head)?;
-                    self.head = Some(head);
-                }
-                State::Length(left) | State::Chunk(left) => {
-                    let count = left.min(rest.len());
-                    self.take(&rest[..count])?;
-                    used += count;
-                    let chunked = matches!(self.state, State::Chunk(_));
-                    self.state = match (left - count, chunked) {
-                        (0, true) => State::ChunkEnd,
-                        (0, false) => State::Done,
-                        (more, true) => State::Chunk(more),
-                        (more, false) => State::Length(more),
-                    };
-                    if count < left {
-                        return Ok(used);
-                    }
-                }
-                State::ChunkSize => {
-                    let Some(line) = line(rest, MAX_CHUNK_LINE)? else {
-                        return Ok(used);
-                    };
-                    used += line.len() + 2;
-                    self.state = match chunk_size(line)? {
-                        0 => State::Trailer(0),
-                        size => State::Chunk(size),
-                    };
-                }
-                State::ChunkEnd => {
-                    if rest.len() < 2 {
-                        return Ok(used);
-                    }
-                    if !rest.starts_with(b"\r\n") {
-                        return Err(ParseError::Malformed);
-                    }
-                    used += 2;
-                    self.state = State::ChunkSize;
-                }
-                State::Trailer(read) => {
-                    let Some(line) = line(rest, MAX_HEAD)? else {
-                        return Ok(used);
-                    };
-                    used += line.len() + 2;
-                    if read + line.len() > MAX_HEAD {
-                        return Err(ParseError::HeadTooLarge);
-                    }
-                    self.state = if line.is_empty() {
-                        State::Done
-                    } else {
-                        State::Trailer(read + line.len() + 2)
-                    };
-                }
-                State::UntilEnd => {
-                    self.take(rest)?;
-                    return Ok(input.len());
-                }
+            match self.step(&input[consumed..])? {
+                Step::Advanced(count) => consumed += count,
+                Step::NeedsInput(count) => return Ok(consumed + count),
             }
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.body.len() + bytes.len() > self.most_body {
-            return Err(ParseError::BodyTooLarge);
-        }
-        if self.body.extend(bytes) {
-            Ok(())
-        } else {
-            Err(ParseError::BufferBudgetSpent)
-        }
-    }
-
-    /// How the body is framed. Both length and chunks, lengths that differ, or codings other than
-    /// chunks are refused: they are how requests are smuggled past a proxy.
-    fn framing(&self, head: &Head) -> Result<State, ParseError> {
-        let length = head.unique("content-length")?;
-        match (head.unique("transfer-encoding")?, length) {
-            (Some(_), Some(_)) => Err(ParseError::Malformed),
-            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(State::ChunkSize),
-            (Some(_), None) => Err(ParseError::Malformed),
-            (None, Some(length)) => {
-                if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-                    return Err(ParseError::Malformed);
-                }
-                match length.parse::<usize>() {
-                    Ok(0) => Ok(State::Done),
-                    Ok(size) if size <= self.most_body => Ok(State::Length(size)),
-                    _ => Err(ParseError::BodyTooLarge),
-                }
-            }
-            (None, None) => match head.start {
-                Start::Request { .. } | Start::Response { status: 204 | 304 } => Ok(State::Done),
-                Start::Response { .. } if self.open_ended => Ok(State::UntilEnd),
-                Start::Response { .. } => Err(ParseError::Malformed),
-            },
-        }
-    }
-
-    /// The message is whole.
+    /// Whether the message is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.state, State::Done)
     }
 
-    /// Nothing of a message has come yet.
+    /// Whether nothing of a message has come yet.
     pub fn is_at_start(&self) -> bool {
         matches!(self.state, State::Head { scanned: 0 })
     }
 
-    /// The head has come and the body has not begun.
+    /// Whether the head has come and the body has not begun.
     pub fn awaits_body(&self) -> bool {
-        self.body.is_empty() && matches!(self.state, State::Length(_) | State::ChunkSize)
+        self.body.is_empty() && matches!(self.state, State::Length { .. } | State::ChunkSize)
     }
 
-    /// The other side has ended its sending: tells whether that completes the message.
+    /// The peer has ended its sending; returns whether the message is complete.
     pub fn end_of_input(&mut self) -> bool {
-        if matches!(self.state, State::UntilEnd) {
+        if matches!(self.state, State::UntilClose) {
             self.state = State::Done;
         }
         self.is_done()
     }
 
-    /// Hands out a whole message and starts on the next.
+    /// Takes a complete message out and starts on the next one; `None` while it is not complete.
     pub fn take_message(&mut self) -> Option<(Head, Body)> {
-        let head = if self.is_done() {
-            self.head.take()
-        } else {
-            None
-        }?;
-        (self.state, self.interim) = (State::Head { scanned: 0 }, 0);
+        if !self.is_done() {
+            return None;
+        }
+        let head = self.head.take()?;
+        self.state = State::Head { scanned: 0 };
+        self.interim_responses = 0;
         Some((head, self.body.take()))
     }
+
+    fn step(&mut self, input: &[u8]) -> Result<Step, ParseError> {
+        match self.state {
+            State::Head { scanned } => self.read_head(input, scanned),
+            State::Length { remaining } => self.read_length(input, remaining),
+            State::ChunkSize => self.read_chunk_size(input),
+            State::ChunkData { remaining } => self.read_chunk_data(input, remaining),
+            State::ChunkEnd => self.read_chunk_end(input),
+            State::Trailers { length } => self.read_trailer(input, length),
+            State::UntilClose => self.read_until_close(input),
+            State::Done => Ok(Step::NeedsInput(0)),
+        }
+    }
+
+    fn advance(&mut self, state: State, consumed: usize) -> Result<Step, ParseError> {
+        self.state = state;
+        Ok(Step::Advanced(consumed))
+    }
+
+    fn read_head(&mut self, input: &[u8], scanned: usize) -> Result<Step, ParseError> {
+        // Empty lines before a request line are ignored (RFC 9112, section 2.2).
+        if self.kind == MessageKind::Request && input.starts_with(CRLF) {
+            return self.advance(State::Head { scanned: 0 }, CRLF.len());
+        }
+        let Some(end) = find_head_end(input, scanned) else {
+            if input.len() > MAX_HEAD {
+                return Err(ParseError::HeadTooLarge);
+            }
+            self.state = State::Head {
+                scanned: input.len(),
+            };
+            return Ok(Step::NeedsInput(0));
+        };
+        if end > MAX_HEAD {
+            return Err(ParseError::HeadTooLarge);
+        }
+        let head = Head::parse(&input[..end - CRLF.len()], self.kind)?;
+        let next = if matches!(head.start, Start::Response { status: 100..=199 }) {
+            self.count_interim_response()?;
+            State::Head { scanned: 0 }
+        } else {
+            let next = self.body_state(&head)?;
+            self.head = Some(head);
+            next
+        };
+        self.advance(next, end)
+    }
+
+    fn count_interim_response(&mut self) -> Result<(), ParseError> {
+        self.interim_responses += 1;
+        if self.interim_responses > MAX_INTERIM_RESPONSES {
+            return Err(ParseError::Malformed);
+        }
+        Ok(())
+    }
+
+    fn body_state(&self, head: &Head) -> Result<State, ParseError> {
+        match BodyFraming::of(head, self.max_body)? {
+            BodyFraming::Empty => Ok(State::Done),
+            BodyFraming::Length(remaining) => Ok(State::Length { remaining }),
+            BodyFraming::Chunked => Ok(State::ChunkSize),
+            BodyFraming::UntilClose if self.allow_close_delimited => Ok(State::UntilClose),
+            BodyFraming::UntilClose => Err(ParseError::Malformed),
+        }
+    }
+
+    fn read_length(&mut self, input: &[u8], remaining: usize) -> Result<Step, ParseError> {
+        let count = self.append_up_to(remaining, input)?;
+        if count == remaining {
+            return self.advance(State::Done, count);
+        }
+        self.state = State::Length {
+            remaining: remaining - count,
+        };
+        Ok(Step::NeedsInput(count))
+    }
+
+    fn read_chunk_size(&mut self, input: &[u8]) -> Result<Step, ParseError> {
+        let Some(line) = first_line(input, MAX_CHUNK_LINE)? else {
+            return Ok(Step::NeedsInput(0));
+        };
+        let next = match chunk_size(line)? {
+            0 => State::Trailers { length: 0 },
+            remaining => State::ChunkData { remaining },
+        };
+        self.advance(next, line.len() + CRLF.len())
+    }
+
+    fn read_chunk_data(&mut self, input: &[u8], remaining: usize) -> Result<Step, ParseError> {
+        let count = self.append_up_to(remaining, input)?;
+        if count == remaining {
+            return self.advance(State::ChunkEnd, count);
+        }
+        self.state = State::ChunkData {
+            remaining: remaining - count,
+        };
+        Ok(Step::NeedsInput(count))
+    }
+
+    fn read_chunk_end(&mut self, input: &[u8]) -> Result<Step, ParseError> {
+        if input.len() < CRLF.len() {
+            return Ok(Step::NeedsInput(0));
+        }
+        if !input.starts_with(CRLF) {
+            return Err(ParseError::Malformed);
+        }
+        self.advance(State::ChunkSize, CRLF.len())
+    }
+
+    /// Trailers are dropped, but limited in length as a head is.
+    fn read_trailer(&mut self, input: &[u8], length: usize) -> Result<Step, ParseError> {
+        let Some(line) = first_line(input, MAX_HEAD)? else {
+            return Ok(Step::NeedsInput(0));
+        };
+        if length + line.len() > MAX_HEAD {
+            return Err(ParseError::HeadTooLarge);
+        }
+        let consumed = line.len() + CRLF.len();
+        let next = if line.is_empty() {
+            State::Done
+        } else {
+            State::Trailers {
+                length: length + consumed,
+            }
+        };
+        self.advance(next, consumed)
+    }
+
+    fn read_until_close(&mut self, input: &[u8]) -> Result<Step, ParseError> {
+        self.append(input)?;
+        Ok(Step::NeedsInput(input.len()))
+    }
+
+    /// Appends at most `limit` bytes of `input` to the body; returns how many.
+    fn append_up_to(&mut self, limit: usize, input: &[u8]) -> Result<usize, ParseError> {
+        let count = limit.min(input.len());
+        self.append(&input[..count])?;
+        Ok(count)
+    }
+
+    fn append(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
+        if self.body.len() + bytes.len() > self.max_body {
+            return Err(ParseError::BodyTooLarge);
+        }
+        if !self.body.extend(bytes) {
+            return Err(ParseError::BufferBudgetSpent);
+        }
+        Ok(())
+    }
+}
+
+/// Where the head ends, its empty line included. The first `scanned` bytes hold no end, but may hold
+/// the beginning of one.
+fn find_head_end(input: &[u8], scanned: usize) -> Option<usize> {
+    let from = scanned.min(input.len()).saturating_sub(HEAD_END.len() - 1);
+    let start = from + find(&input[from..], HEAD_END)?;
+    Some(start + HEAD_END.len())
 }
--- a/crates/node/src/http1/writer.rs
+++ b/crates/node/src/http1/writer.rs
@@ -1,23 +1,27 @@
-//! Writes messages.
+//! Serialises messages.
 
-/// Writes a message: its first line, its headers and a body of known length.
+/// Bytes set aside for the start line and the headers: enough for the usual ones.
+const HEAD_CAPACITY: usize = 512;
+
+/// Serialises a message: its start line, its headers, and its body with a `Content-Length`. Without
+/// a body no length is written.
 pub fn write<'a>(
-    first: &str,
+    start_line: &str,
     headers: impl IntoIterator<Item = (&'a str, &'a str)>,
     body: Option<&[u8]>,
 ) -> Vec<u8> {
-    let mut out = Vec::with_capacity(512 + body.map_or(0, <[u8]>::len));
-    out.extend_from_slice(first.as_bytes());
-    out.extend_from_slice(b"\r\n");
+    let mut message = Vec::with_capacity(HEAD_CAPACITY + body.map_or(0, <[u8]>::len));
+    message.extend_from_slice(start_line.as_bytes());
+    message.extend_from_slice(b"\r\n");
     for (name, value) in headers {
         for part in [name, ": ", value, "\r\n"] {
-            out.extend_from_slice(part.as_bytes());
+            message.extend_from_slice(part.as_bytes());
         }
     }
     if let Some(body) = body {
-        out.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
+        message.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
     }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body.unwrap_or_default());
-    out
+    message.extend_from_slice(b"\r\n");
+    message.extend_from_slice(body.unwrap_or_default());
+    message
 }
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -1,5 +1,6 @@
 //! Unit tests of `http1`.
 
+use super::head::MAX_HEADERS;
 use super::*;
 
 /// Feeds byte by byte, as the worst of networks would, then in one piece: both must agree.
@@ -8,13 +9,13 @@
     input: &str,
 ) -> Result<Option<(Head, String)>, ParseError> {
     let run = |mut parser: Parser, step: usize| {
-        let (mut held, mut fed) = (Vec::new(), 0);
+        let (mut buffered, mut fed) = (Vec::new(), 0);
         while fed < input.len() && !parser.is_done() {
-            let upto = (fed + step).min(input.len());
-            held.extend_from_slice(&input.as_bytes()[fed..upto]);
-            fed = upto;
-            let used = parser.feed(&held)?;
-            held.drain(..used);
+            let end = (fed + step).min(input.len());
+            buffered.extend_from_slice(&input.as_bytes()[fed..end]);
+            fed = end;
+            let used = parser.feed(&buffered)?;
+            buffered.drain(..used);
         }
         Ok(parser
             .take_message()
@@ -23,7 +24,7 @@
     let (slow, fast) = (run(parser(), 1), run(parser(), input.len()));
     let plain = |found: &Result<Option<(Head, String)>, ParseError>| match found {
         Ok(message) => Ok(message.as_ref().map(|m| m.1.clone())),
-        Err(bad) => Err(*bad),
+        Err(error) => Err(*error),
     };
     assert_eq!(plain(&slow), plain(&fast), "{input:?}");
     fast
@@ -65,8 +66,8 @@
 }
 
 #[test]
-fn refuses_what_two_readers_could_read_in_two_ways() {
-    for (headers, bad) in [
+fn rejects_what_two_implementations_could_read_in_two_ways() {
+    for (headers, error) in [
         (
             "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
             ParseError::Malformed,
@@ -100,9 +101,9 @@
         ),
     ] {
         let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
-        assert_eq!(found.err(), Some(bad), "{headers:.60}");
+        assert_eq!(found.err(), Some(error), "{headers:.60}");
     }
-    for (first, bad) in [
+    for (start_line, error) in [
         ("GET /api HTTP/2.0", ParseError::UnsupportedVersion),
         ("GET /api", ParseError::Malformed),
         ("GET  /api HTTP/1.1", ParseError::Malformed),
@@ -110,9 +111,9 @@
         ("G(T /api HTTP/1.1", ParseError::Malformed),
     ] {
         assert_eq!(
-            request(&format!("{first}\r\nHost: a\r\n\r\n")).err(),
-            Some(bad),
-            "{first}"
+            request(&format!("{start_line}\r\nHost: a\r\n\r\n")).err(),
+            Some(error),
+            "{start_line}"
         );
     }
     let chunks = "POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn passes_on_what_concerns_both_ends_only() {
+fn forwards_end_to_end_headers_only() {
     let (head, _) = request(
         "GET / HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: x\r\n\r\n",
     )
@@ -149,3 +150,16 @@
     );
     assert!(write("X", [], Some(b"abc")).ends_with(b"content-length: 3\r\n\r\nabc"));
 }
+
+#[test]
+fn each_error_has_its_status() {
+    for (error, status) in [
+        (ParseError::Malformed, 400),
+        (ParseError::HeadTooLarge, 431),
+        (ParseError::BodyTooLarge, 413),
+        (ParseError::UnsupportedVersion, 505),
+        (ParseError::BufferBudgetSpent, 503),
+    ] {
+        assert_eq!(error.status(), status, "{error:?}");
+    }
+}
