--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,5 +1,17 @@
-//! What the node is told at its start: environment and configuration file. The environment wins, so
-//! that an address can be changed without touching the file.
+//! Configuration of the node: environment variables and the configuration file. The environment
+//! wins, so that an address can be changed without touching the file.
+//!
+//! | key of the file | variable | unit, default |
+//! |---|---|---|
+//! | `name` | `BALANCER_NAME` | |
+//! | `listen`, `discovery` | `BALANCER_LISTEN`, `BALANCER_DISCOVERY` | address and port |
+//! | `seed` | | hexadecimal, 64 bits |
+//! | `limits.sockets` | | file descriptors, 1024 |
+//! | `limits.memory_mb` | | MiB, 192 |
+//! | `known` | | a message of discovery; an empty list |
+//! | `settings` | | see `kitefork_settings` |
+//! | | `BALANCER_CONFIG` | path of the file |
+//! | | `BALANCER_TRACE` | `1` turns the trace on |
 
 use std::fs::{File, OpenOptions};
 use std::io::Read as _;
@@ -13,27 +25,39 @@
 
 use crate::discovery::Update;
 
-/// Longest configuration file that is read: several times a list of thousands of backends.
-const MOST_BYTES: u64 = 32 << 20;
-/// With fewer descriptors a node can't hold a client and a backend beside what it needs for itself.
-const LEAST_SOCKETS: usize = 32;
+/// Longest configuration file in bytes: several times an endpoint list of thousands of backends.
+const MAX_FILE_BYTES: u64 = 32 << 20;
+/// Fewest file descriptors: with fewer the node can't hold a client connection and an upstream
+/// connection beside the descriptors that it needs for itself.
+const MIN_SOCKETS: usize = 32;
+/// File descriptors where the file gives no limit.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Memory where the file gives no limit, in MiB.
+const DEFAULT_MEMORY_MB: usize = 192;
 
+/// Configuration of a node.
 pub struct Config {
+    /// Name of the node.
     pub name: String,
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
+    /// Seed of the decisions' random source.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may hold.
     pub sockets: usize,
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The list as this node last had it; may be old.
+    /// The endpoint list as this node last had it; may be stale.
     pub known: Update,
+    /// The settings of the deployment.
     pub deployment: Deployment,
-    /// Every event and decision goes to the log.
+    /// Whether every event and decision is written to the log.
     pub trace: bool,
 }
 
-/// Why the node's configuration can't be loaded: one line that names the key or the variable.
+/// Why the configuration can't be loaded. Its text is one line that names the key or the variable.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The variable that names the file is not set.
@@ -42,18 +66,21 @@
     /// The file can't be read.
     #[error("BALANCER_CONFIG: {0}")]
     Unreadable(#[from] std::io::Error),
-    /// What the file says makes no sense.
+    /// The content of the file is invalid.
     #[error("configuration: {0}")]
     Invalid(#[from] ConfigError),
 }
 
-/// Where the configuration file, read anew, has discovery. The whole file must make sense. The
-/// environment does not win here: it can't change in a running process and still has the address
-/// from the start. It never waits: a pipe that has nothing to say now can't be read.
+/// Reads the configuration file again and returns the address of discovery that it gives. The whole
+/// file must be valid.
+///
+/// `BALANCER_DISCOVERY` does not win here: the environment of a running process can't change, so the
+/// variable still holds the address from the start. The call never blocks: a pipe without data is
+/// an error.
 ///
 /// # Errors
 ///
-/// As [`load`].
+/// Those of [`load`].
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, LoadError> {
     let env = |name: &str| env(name).filter(|_| name != "BALANCER_DISCOVERY");
     load_with(env, OFlags::NONBLOCK).map(|config| config.discovery)
@@ -63,7 +90,7 @@
 ///
 /// # Errors
 ///
-/// If the file can't be read, is too long, or a key is missing or makes no sense.
+/// If the file can't be read or is too long, or if a key is missing or its value is invalid.
 pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, LoadError> {
     load_with(env, OFlags::empty())
 }
@@ -80,63 +107,103 @@
 
 fn read_bounded(file: File) -> std::io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    file.take(MOST_BYTES + 1).read_to_end(&mut text)?;
-    if text.len() as u64 > MOST_BYTES {
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut text)?;
+    if text.len() as u64 > MAX_FILE_BYTES {
         return Err(std::io::Error::other("the file is too long"));
     }
     Ok(text)
 }
 
 fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-    let tree = Document::parse(text)?;
-    let root = tree.root();
-    let told = |variable: &str, key: &str| match env(variable) {
-        Some(value) => Ok(value),
-        None => Ok::<_, ConfigError>(root.get(key)?.string()?.to_string()),
-    };
-    let address = |variable: &str, key: &str| {
-        let value = told(variable, key)?;
-        value
-            .parse()
-            .map_err(|_| root.invalid_at(key, format!("`{value}` is not an address and a port")))
-    };
-    let limit = |key, default| match root.find("limits") {
-        Some(limits) => limits.get_or(key, default, JsonValue::small_integer),
-        None => Ok(default),
+    let document = Document::parse(text)?;
+    let source = Source {
+        root: document.root(),
+        env,
     };
-    let seed = root.get("seed")?;
-    let deployment = kitefork_settings::read(&root.get("settings")?)?;
-    if deployment
-        .settings
-        .classes
-        .iter()
-        .any(|class| class.streamed)
-    {
-        return Err(root.invalid_at(
-            "settings.grades",
-            "streamed classes are not carried by this node",
-        ));
-    }
-    let sockets: usize = limit("sockets", 1024)?;
-    if sockets < LEAST_SOCKETS {
-        return Err(root.invalid_at("limits.sockets", format!("must be {LEAST_SOCKETS} or more")));
-    }
+    // The order decides which of several errors is reported.
+    let seed = source.root.get("seed")?;
+    let deployment = source.deployment()?;
+    let sockets = source.sockets()?;
     Ok(Config {
-        name: told("BALANCER_NAME", "name")?,
-        listen: address("BALANCER_LISTEN", "listen")?,
-        discovery: address("BALANCER_DISCOVERY", "discovery")?,
-        seed: u64::from_str_radix(seed.string()?, 16)
-            .map_err(|_| seed.invalid("must be hexadecimal"))?,
+        name: source.text("BALANCER_NAME", "name")?,
+        listen: source.address("BALANCER_LISTEN", "listen")?,
+        discovery: source.address("BALANCER_DISCOVERY", "discovery")?,
+        seed: parse_seed(&seed)?,
         sockets,
-        memory_mb: limit("memory_mb", 192)?,
-        known: root
-            .find("known")
-            .map_or(Ok(Update::default()), |known| Update::read(&known))?,
+        memory_mb: source.limit("memory_mb", DEFAULT_MEMORY_MB)?,
+        known: source.known()?,
         deployment,
-        trace: env("BALANCER_TRACE").is_some_and(|value| value == "1"),
+        trace: source.trace(),
     })
 }
 
+fn parse_seed(seed: &JsonValue) -> Result<u64, ConfigError> {
+    u64::from_str_radix(seed.string()?, 16).map_err(|_| seed.invalid("must be hexadecimal"))
+}
+
+/// Where values come from: the parsed file and the environment.
+struct Source<'a, Env> {
+    root: JsonValue<'a>,
+    env: Env,
+}
+
+impl<Env: Fn(&str) -> Option<String>> Source<'_, Env> {
+    /// The value of a variable; where it is not set, the text under a key.
+    fn text(&self, variable: &str, key: &str) -> Result<String, ConfigError> {
+        match (self.env)(variable) {
+            Some(value) => Ok(value),
+            None => Ok(self.root.get(key)?.string()?.to_string()),
+        }
+    }
+
+    fn address(&self, variable: &str, key: &str) -> Result<SocketAddr, ConfigError> {
+        let value = self.text(variable, key)?;
+        value.parse().map_err(|_| {
+            self.root
+                .invalid_at(key, format!("`{value}` is not an address and a port"))
+        })
+    }
+
+    fn limit(&self, key: &str, default: usize) -> Result<usize, ConfigError> {
+        match self.root.find("limits") {
+            Some(limits) => limits.get_or(key, default, JsonValue::small_integer),
+            None => Ok(default),
+        }
+    }
+
+    fn sockets(&self) -> Result<usize, ConfigError> {
+        let sockets = self.limit("sockets", DEFAULT_SOCKETS)?;
+        if sockets < MIN_SOCKETS {
+            let problem = format!("must be {MIN_SOCKETS} or more");
+            return Err(self.root.invalid_at("limits.sockets", problem));
+        }
+        Ok(sockets)
+    }
+
+    fn deployment(&self) -> Result<Deployment, ConfigError> {
+        let deployment = kitefork_settings::read(&self.root.get("settings")?)?;
+        let classes = &deployment.settings.classes;
+        if classes.iter().any(|class| class.streamed) {
+            return Err(self.root.invalid_at(
+                "settings.grades",
+                "streamed classes are not carried by this node",
+            ));
+        }
+        Ok(deployment)
+    }
+
+    fn known(&self) -> Result<Update, ConfigError> {
+        match self.root.find("known") {
+            Some(known) => Update::read(&known),
+            None => Ok(Update::default()),
+        }
+    }
+
+    fn trace(&self) -> bool {
+        (self.env)("BALANCER_TRACE").is_some_and(|value| value == "1")
+    }
+}
+
 #[cfg(test)]
 #[path = "config_tests.rs"]
 pub mod tests;
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// A valid configuration file.
 pub const CONFIG: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
         "seed":"8c1f30d27a5be964","limits":{"sockets":256},"known":{"rev":41,"all":true,"targets":[
           {"uid":"s-1","endpoint":"127.0.0.1:2","az":"b","model":"m2","pod_group":3,"state":"Ready",
@@ -32,8 +33,8 @@
 }
 
 #[test]
-fn a_fault_names_its_key() {
-    for (old, new, wanted) in [
+fn an_error_names_its_key() {
+    for (old, new, expected) in [
         ("\"seed\"", "\"sead\"", "`seed`"),
         ("8c1f", "zz", "`seed`"),
         ("127.0.0.1:1\"", "nowhere\"", "`discovery`"),
@@ -71,9 +72,9 @@
             "`settings.rules.drainCloseNs`",
         ),
     ] {
-        let fault = read(CONFIG.replace(old, new).as_bytes(), |_| None)
+        let error = read(CONFIG.replace(old, new).as_bytes(), |_| None)
             .err()
             .unwrap();
-        assert!(fault.to_string().contains(wanted), "{fault}");
+        assert!(error.to_string().contains(expected), "{error}");
     }
 }
