--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,7 +1,8 @@
-//! Log lines: one stable word for each kind of event, then its details. Each kind is limited, so
-//! that a storm neither fills the disk nor costs the CPU that reqs need.
+//! The log on standard error: one stable word for each kind of event, then its details. Each kind is
+//! limited, so that a storm of events neither fills the disk nor takes the CPU that requests need.
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,73 +12,107 @@
 use crate::clock::SECOND;
 use crate::net;
 
+/// Span over which the lines of a kind are counted.
 const WINDOW: Nanos = 10 * SECOND;
-const MOST: u32 = 10;
 
+/// Most lines of one kind in a window: enough to see what goes on, at most one a second.
+const MAX_LINES_PER_WINDOW: u32 = 10;
+
+/// Writes log lines, and limits how many of each kind.
 #[derive(Default)]
 pub struct Log {
-    kinds: BTreeMap<&'static str, (Nanos, u32)>,
+    kinds: BTreeMap<&'static str, KindWindow>,
 }
 
-impl Log {
-    pub fn line(&mut self, now: Nanos, kind: &'static str, details: impl std::fmt::Display) {
-        if let Some(held_back) = self.admit(now, kind) {
-            let more = if held_back > 0 {
-                format!(" held_back={held_back}")
-            } else {
-                String::new()
-            };
-            write(&format!("kitefork: {kind} {details}{more}\n"));
+/// Lines of one kind in the current window.
+struct KindWindow {
+    started_at: Nanos,
+    /// Lines that were to be written, the suppressed ones included.
+    lines: u32,
+}
+
+impl KindWindow {
+    fn starting_at(now: Nanos) -> KindWindow {
+        KindWindow {
+            started_at: now,
+            lines: 0,
         }
     }
 
-    /// Whether a line may go out, and how many of its kind were held back before it.
-    fn admit(&mut self, now: Nanos, kind: &'static str) -> Option<u32> {
-        let (since, count) = self.kinds.entry(kind).or_insert((now, 0));
-        let held_back = if now >= *since + WINDOW {
-            let over = count.saturating_sub(MOST);
-            (*since, *count) = (now, 0);
-            over
+    /// Starts a new window if this one is over; returns how many lines were suppressed in the old
+    /// one.
+    fn roll_over(&mut self, now: Nanos) -> u32 {
+        if now < self.started_at + WINDOW {
+            return 0;
+        }
+        let suppressed = self.lines.saturating_sub(MAX_LINES_PER_WINDOW);
+        *self = KindWindow::starting_at(now);
+        suppressed
+    }
+}
+
+impl Log {
+    /// Writes the line `kitefork: KIND DETAILS`, unless its kind has had its lines for now. The
+    /// first line after suppressed ones ends with `held_back=COUNT`.
+    pub fn line(&mut self, now: Nanos, kind: &'static str, details: impl fmt::Display) {
+        let Some(suppressed) = self.admit(now, kind) else {
+            return;
+        };
+        let suffix = if suppressed > 0 {
+            format!(" held_back={suppressed}")
         } else {
-            0
+            String::new()
         };
-        *count = count.saturating_add(1);
-        (*count <= MOST).then_some(held_back)
+        write(&format!("kitefork: {kind} {details}{suffix}\n"));
+    }
+
+    /// Counts a line. If it may be written, returns how many of its kind were suppressed in the
+    /// window before.
+    fn admit(&mut self, now: Nanos, kind: &'static str) -> Option<u32> {
+        let window = self
+            .kinds
+            .entry(kind)
+            .or_insert_with(|| KindWindow::starting_at(now));
+        let suppressed = window.roll_over(now);
+        window.lines = window.lines.saturating_add(1);
+        (window.lines <= MAX_LINES_PER_WINDOW).then_some(suppressed)
     }
 }
 
-/// Longest line: a pipe that has any room takes so much without blocking (`PIPE_BUF`).
-const LONGEST: usize = 4096;
+/// Longest line in bytes: a pipe that is ready to be written to takes this many without blocking
+/// (`PIPE_BUF`, see pipe(7)).
+const MAX_LINE: usize = 4096;
 
-/// Lines for which standard error had no room, since one last had.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped since standard error was last ready.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a line if standard error has room for it now; else it is dropped and counted. A log that
-/// nobody reads must not hold up the loop, and one whose reader has gone must not end the node.
+/// Writes a line if standard error is ready now; otherwise the line is dropped and counted. A log
+/// that nobody reads must not block the event loop.
 fn write(line: &str) {
     let stderr = std::io::stderr();
-    let has_room = || net::is_ready(&stderr, PollFlags::OUT).unwrap_or(false);
-    let dropped = DROPPED.load(Ordering::Relaxed);
-    if dropped > 0 && has_room() {
+    let is_ready = || net::is_ready(&stderr, PollFlags::OUT).unwrap_or(false);
+    let dropped = DROPPED_LINES.load(Ordering::Relaxed);
+    if dropped > 0 && is_ready() {
         write_now(&format!("kitefork: log-dropped lines={dropped}\n"));
-        DROPPED.store(0, Ordering::Relaxed);
+        DROPPED_LINES.store(0, Ordering::Relaxed);
     }
-    if has_room() {
+    if is_ready() {
         write_now(line);
     } else {
-        DROPPED.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 fn write_now(line: &str) {
     let mut stderr = std::io::stderr();
-    // A reader that has gone is no fault of the node's.
-    let _ = if line.len() > LONGEST {
-        let end = line.floor_char_boundary(LONGEST - 1);
+    let written = if line.len() > MAX_LINE {
+        let end = line.floor_char_boundary(MAX_LINE - 1);
         stderr.write_all(format!("{}\n", &line[..end]).as_bytes())
     } else {
         stderr.write_all(line.as_bytes())
     };
+    // A reader that has closed the pipe must not end the node, and there is nobody left to tell.
+    let _ = written;
 }
 
 /// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
@@ -90,28 +125,31 @@
 }
 
 impl Trace {
+    /// A trace that is on or off; `unix_zero` is the Unix time at the clock's zero.
     pub fn new(on: bool, unix_zero: Nanos) -> Trace {
         Trace {
             unix_zero: on.then_some(unix_zero),
         }
     }
 
+    /// Whether lines are written.
     pub fn is_on(self) -> bool {
         self.unix_zero.is_some()
     }
 
-    pub fn line(self, now: Nanos, details: std::fmt::Arguments) {
+    /// Writes a line if the trace is on.
+    pub fn line(self, now: Nanos, details: fmt::Arguments) {
         if let Some(line) = self.format(now, details) {
             write(&line);
         }
     }
 
-    fn format(self, now: Nanos, details: std::fmt::Arguments) -> Option<String> {
-        let at = self.unix_zero? + now;
+    fn format(self, now: Nanos, details: fmt::Arguments) -> Option<String> {
+        let unix_time = self.unix_zero? + now;
+        let seconds = unix_time / SECOND;
+        let microseconds = unix_time % SECOND / 1_000;
         Some(format!(
-            "kitefork: trace t={}.{:06} {details}\n",
-            at / SECOND,
-            at % SECOND / 1_000
+            "kitefork: trace t={seconds}.{microseconds:06} {details}\n"
         ))
     }
 }
--- a/crates/node/src/log_tests.rs
+++ b/crates/node/src/log_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_trace_is_off_unless_asked_for_and_tells_unix_time() {
+fn a_trace_is_off_unless_enabled_and_has_unix_time() {
     assert_eq!(Trace::new(false, 5).format(SECOND, format_args!("x")), None);
     let line = Trace::new(true, 3 * SECOND + 250_000).format(SECOND, format_args!("send id={}", 7));
     assert_eq!(
@@ -13,11 +13,14 @@
 }
 
 #[test]
-fn a_storm_of_one_kind_is_held_back_and_counted() {
+fn a_storm_of_one_kind_is_suppressed_and_counted() {
     let mut log = Log::default();
     let shown = (0..100)
         .filter(|_| log.admit(SECOND, "a").is_some())
         .count();
-    assert_eq!((shown, log.admit(SECOND, "b")), (MOST as usize, Some(0)));
+    assert_eq!(
+        (shown, log.admit(SECOND, "b")),
+        (MAX_LINES_PER_WINDOW as usize, Some(0))
+    );
     assert_eq!(log.admit(SECOND + WINDOW, "a"), Some(90));
 }
