--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets: non-blocking, closed on exec, without Nagle's delay.
+//! Stream sockets: non-blocking, closed on exec, and without Nagle's algorithm.
 
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
@@ -14,75 +14,90 @@
 
 use crate::errno::{self, ErrorClass};
 
-const FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
+/// Flags of every socket: the event loop must never block, and no child process inherits one.
+const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
-/// Clients that the kernel lets wait to be accepted.
+/// Connections that the kernel queues until they are accepted.
 pub const ACCEPT_BACKLOG: i32 = 1024;
 
-fn stream(address: SocketAddr) -> Result<OwnedFd, Errno> {
+fn stream_socket(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let family = if address.is_ipv4() {
         AddressFamily::INET
     } else {
         AddressFamily::INET6
     };
-    socket_with(family, SocketType::STREAM, FLAGS, None)
+    socket_with(family, SocketType::STREAM, SOCKET_FLAGS, None)
 }
 
+/// A socket that listens on `address`.
+///
+/// # Errors
+///
+/// Those of socket(2), setsockopt(2), bind(2) and listen(2).
 pub fn listener(address: SocketAddr) -> Result<OwnedFd, Errno> {
-    let socket = stream(address)?;
-    // A node that starts again must not wait for the old one's connections to fade.
+    let socket = stream_socket(address)?;
+    // A restarted node must not wait until the old one's connections have left TIME_WAIT.
     sockopt::set_socket_reuseaddr(&socket, true)?;
     bind(&socket, &address)?;
     listen(&socket, ACCEPT_BACKLOG)?;
     Ok(socket)
 }
 
-/// At the start of the process a call that the machine can't do for a moment is tried this often
-/// ...
-const START_TRIES: u32 = 50;
-/// ... with this pause.
-const START_PAUSE: Duration = Duration::from_millis(10);
-
-/// Calls again while the machine lacks something for a moment. Only for the start: it waits.
+/// How often a call is attempted at the start of the process ...
+const MAX_START_ATTEMPTS: u32 = 50;
+/// ... and the pause between two attempts: a shortage that lasts longer than half a second is
+/// reported.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Repeats a call while the machine lacks a resource for a moment. Blocks between attempts, so it is
+/// for the start of the process only.
+///
+/// # Errors
+///
+/// Any error of `call` that is no passing shortage, and the error of the last attempt.
 pub fn retry_at_start<T>(mut call: impl FnMut() -> Result<T, Errno>) -> Result<T, Errno> {
-    for _ in 1..START_TRIES {
+    for _ in 1..MAX_START_ATTEMPTS {
         match call() {
             Err(error) if errno::of_connect(error) == ErrorClass::RetryLater => {}
             other => return other,
         }
-        std::thread::sleep(START_PAUSE);
+        std::thread::sleep(START_RETRY_INTERVAL);
     }
     call()
 }
 
-/// The next client.
+/// Accepts the next client connection.
+///
+/// # Errors
+///
+/// Those of accept(2), among them that none is queued.
 pub fn accept(listener: &OwnedFd) -> Result<OwnedFd, Errno> {
-    let socket = accept_with(listener, FLAGS)?;
-    // One that its client has reset meanwhile is no failure of ours; reading it will tell.
+    let socket = accept_with(listener, SOCKET_FLAGS)?;
+    // Fails if the client has reset the connection meanwhile, which the first read reports.
     let _ = sockopt::set_tcp_nodelay(&socket, true);
     Ok(socket)
 }
 
-/// Whether the other side has ended its sending or reset the connection, whatever still lies
-/// unread. Where that can't be told for a moment: no.
+/// Whether the peer has ended its sending or reset the connection, whatever is still unread. False
+/// where the kernel can't say for a moment.
 pub fn has_peer_closed(socket: &OwnedFd) -> bool {
     is_ready(socket, PollFlags::RDHUP).unwrap_or(false)
 }
 
-/// What lies in a connection that nobody has read.
+/// What a connection has received that was not read yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
     /// Bytes.
     Bytes,
-    /// Nothing; the other side may still send.
+    /// Nothing; the peer may still send.
     Nothing,
     /// An end or a reset.
     End,
-    /// The machine could not say.
+    /// The kernel could not say.
     Unknown,
 }
 
-/// Looks what lies in a connection, and leaves it there.
+/// Peeks at what a connection has received, and leaves it there.
 pub fn unread(socket: &OwnedFd) -> Unread {
     loop {
         return match rustix::net::recv(socket, &mut [0], RecvFlags::PEEK) {
@@ -98,31 +113,44 @@
     }
 }
 
-/// Whether a client waits to be accepted.
+/// Whether a client connection is queued to be accepted.
+///
+/// # Errors
+///
+/// Those of poll(2).
 pub fn has_client(listener: &OwnedFd) -> Result<bool, Errno> {
     is_ready(listener, PollFlags::IN)
 }
 
-/// Whether any of these, an error or an end is to be seen on a descriptor, without waiting for it.
+/// Whether a descriptor has any of the events, an error or a hang-up now. Does not block.
+///
+/// # Errors
+///
+/// Those of poll(2).
 pub fn is_ready(socket: impl AsFd, wanted: PollFlags) -> Result<bool, Errno> {
-    let mut look = [PollFd::new(&socket, wanted)];
-    let none = Timespec {
+    const NO_WAIT: Timespec = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    poll(&mut look, Some(&none))?;
-    Ok(look[0]
+    let mut polled = [PollFd::new(&socket, wanted)];
+    poll(&mut polled, Some(&NO_WAIT))?;
+    Ok(polled[0]
         .revents()
         .intersects(wanted | PollFlags::HUP | PollFlags::ERR))
 }
 
-/// Starts a connection; it is up once the socket can be written to.
+/// Starts to connect; the connection is established once the socket is writable.
+///
+/// # Errors
+///
+/// Those of socket(2) and connect(2), unless the connection goes on being established.
 pub fn dial(address: SocketAddr) -> Result<OwnedFd, Errno> {
-    let socket = stream(address)?;
+    let socket = stream_socket(address)?;
+    // Without it the connection only has more latency.
     let _ = sockopt::set_tcp_nodelay(&socket, true);
     match connect(&socket, &address) {
         Ok(()) => Ok(socket),
-        // Interrupted, a connection attempt goes on like one that is not awaited.
+        // An interrupted connect(2) goes on in the background, as a non-blocking one does.
         Err(error) => match errno::of_connect(error) {
             ErrorClass::WouldBlock | ErrorClass::RetryNow => Ok(socket),
             _ => Err(error),
@@ -130,21 +158,25 @@
     }
 }
 
-/// The events that the loop is given for a socket.
+/// The events for which a socket is registered with epoll.
 #[derive(Debug, Default)]
-pub struct Registration(Option<EventFlags>);
+pub struct Registration {
+    /// `None`: not registered yet.
+    registered: Option<EventFlags>,
+}
 
 impl Registration {
-    /// What is registered; nothing before the first success.
+    /// The registered events; none before the first success.
     pub fn flags(&self) -> EventFlags {
-        self.0.unwrap_or(EventFlags::empty())
+        self.registered.unwrap_or(EventFlags::empty())
     }
 
-    /// Registers what is wanted, if anything else is registered.
+    /// Registers the wanted events, unless just these are registered.
     ///
     /// # Errors
     ///
-    /// What was registered before stays; the machine may lack memory for a moment.
+    /// Those of epoll_ctl(2): the machine may lack memory for a moment. The old registration stays
+    /// in force.
     pub fn set(
         &mut self,
         epoll: &OwnedFd,
@@ -152,12 +184,12 @@
         token: EventData,
         wanted: EventFlags,
     ) -> Result<(), Errno> {
-        match self.0 {
+        match self.registered {
             Some(flags) if flags == wanted => return Ok(()),
             Some(_) => epoll::modify(epoll, socket, token, wanted)?,
             None => epoll::add(epoll, socket, token, wanted)?,
         }
-        self.0 = Some(wanted);
+        self.registered = Some(wanted);
         Ok(())
     }
 }
