--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -1,258 +1,164 @@
-//! One ring buffer for each direction of a connection: starts small, grows to its cap, and gives
-//! its memory back when it has run empty.
+//! Buffers between sockets and codecs: a ring buffer for each direction of a connection, bodies of
+//! messages, and the budget on which both are counted.
+
+mod body;
+mod budget;
+
+pub use body::Body;
+pub use budget::BufferBudget;
 
-use std::cell::Cell;
-use std::ops::Deref;
 use std::os::fd::AsFd;
-use std::rc::Rc;
 
 use rustix::net::{RecvFlags, SendFlags};
 
 use crate::errno::{self, ErrorClass};
 
-const START: usize = 2 * 1024;
-
-/// Bytes that all buffers together may hold. Buffers count themselves; bodies that come are turned
-/// down while it is spent. Guards against memory that grows with connections times the worst that
-/// each can hold.
-#[derive(Clone)]
-pub struct BufferBudget(Rc<Cell<isize>>);
-
-impl Default for BufferBudget {
-    /// As good as none.
-    fn default() -> BufferBudget {
-        BufferBudget::new(usize::MAX)
-    }
-}
-
-impl BufferBudget {
-    pub fn new(bytes: usize) -> BufferBudget {
-        BufferBudget(Rc::new(Cell::new(
-            bytes.min(isize::MAX as usize / 2) as isize
-        )))
-    }
-
-    pub fn is_spent(&self) -> bool {
-        self.0.get() <= 0
-    }
-
-    fn change(&self, before: usize, after: usize) {
-        self.0.set(self.0.get() + before as isize - after as isize);
-    }
-}
-
-/// A body on the budget.
-#[derive(Default)]
-pub struct Body {
-    bytes: Vec<u8>,
-    budget: BufferBudget,
-}
-
-impl Body {
-    pub fn with_budget(budget: &BufferBudget) -> Body {
-        Body {
-            bytes: Vec::new(),
-            budget: budget.clone(),
-        }
-    }
-
-    /// Appends, unless the budget is spent.
-    #[must_use]
-    pub fn extend(&mut self, more: &[u8]) -> bool {
-        if self.budget.is_spent() && !more.is_empty() {
-            return false;
-        }
-        self.budget.change(0, more.len());
-        self.bytes.extend_from_slice(more);
-        true
-    }
-
-    /// The first `count` bytes, out of it.
-    pub fn split_front(&mut self, count: usize) -> Vec<u8> {
-        self.budget.change(count, 0);
-        self.bytes.drain(..count).collect()
-    }
-
-    /// All of it, which leaves it empty.
-    pub fn take(&mut self) -> Body {
-        Body {
-            bytes: std::mem::take(&mut self.bytes),
-            budget: self.budget.clone(),
-        }
-    }
-}
-
-impl Deref for Body {
-    type Target = [u8];
-
-    fn deref(&self) -> &[u8] {
-        &self.bytes
-    }
-}
-
-impl Drop for Body {
-    fn drop(&mut self) {
-        self.budget.change(self.bytes.len(), 0);
-    }
-}
+/// Size of a ring buffer when it is first used, in bytes. Up to this size it keeps its memory when it
+/// has run empty, so that small messages on a kept connection allocate nothing.
+const INITIAL_SIZE: usize = 2 * 1024;
 
+/// A first-in, first-out buffer of bytes: it starts small, grows to its maximum, and gives memory
+/// that it has grown by back when it has run empty.
 pub struct RingBuffer {
     budget: BufferBudget,
-    store: Vec<u8>,
-    head: usize,
+    storage: Vec<u8>,
+    /// Index of the first byte in the storage.
+    start: usize,
     len: usize,
-    cap: usize,
+    max_size: usize,
 }
 
-/// What reading a socket came to.
+/// How reading from a socket went.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes have come.
+    /// Bytes were read.
     Data,
-    /// Nothing there now.
+    /// There is nothing to read now.
     WouldBlock,
-    /// The ring is at its cap.
+    /// The buffer is full and at its maximum.
     BufferFull,
-    /// The machine lacks something for a moment.
+    /// The machine lacks a resource for a moment.
     RetryLater,
-    /// The other side has ended its sending.
+    /// The peer has ended its sending.
     EndOfStream,
-    /// The connection has broken.
+    /// The connection is broken.
     Broken,
 }
 
-/// What writing to a socket came to.
+/// How writing to a socket went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All is written.
+    /// Everything is written.
     Done,
     /// The socket takes no more now.
     Blocked,
-    /// The machine lacks something for a moment.
+    /// The machine lacks a resource for a moment.
     RetryLater,
-    /// The connection has broken.
+    /// The connection is broken.
     Broken,
 }
 
 impl RingBuffer {
-    pub fn new(cap: usize) -> RingBuffer {
+    /// An empty buffer that holds at most `max_size` bytes. It allocates nothing yet.
+    pub fn new(max_size: usize) -> RingBuffer {
         RingBuffer {
             budget: BufferBudget::default(),
-            store: Vec::new(),
-            head: 0,
+            storage: Vec::new(),
+            start: 0,
             len: 0,
-            cap,
+            max_size,
         }
     }
 
-    /// Counted on a budget from here on. It is never turned down: what it holds is at most what has
-    /// come in, or is made of it.
+    /// Counts the buffer on `budget`. The buffer grows even when the budget is spent: what it holds
+    /// is at most what was received, or is made of it.
     pub fn with_budget(mut self, budget: &BufferBudget) -> RingBuffer {
         self.budget = budget.clone();
         self
     }
 
+    /// Number of bytes that it holds.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Room for at least `more` bytes, within the cap; tells whether there is.
-    fn grow(&mut self, more: usize) -> bool {
-        let wanted = self.len + more;
-        if wanted > self.cap {
-            return false;
-        }
-        if wanted > self.store.len() {
-            self.straighten();
-            let size = wanted.next_power_of_two().max(START).min(self.cap);
-            self.budget.change(self.store.len(), size);
-            self.store.resize(size, 0);
-        }
-        true
-    }
-
-    fn straighten(&mut self) {
-        self.store.rotate_left(self.head);
-        self.head = 0;
-    }
-
-    /// All that it holds, in one piece.
+    /// All that it holds, as one slice.
     pub fn bytes(&mut self) -> &[u8] {
-        if self.head + self.len > self.store.len() {
-            self.straighten();
+        if self.start + self.len > self.storage.len() {
+            self.make_contiguous();
         }
-        &self.store[self.head..self.head + self.len]
+        &self.storage[self.start..self.start + self.len]
     }
 
+    /// Removes the first `count` bytes; it must hold as many.
     pub fn consume(&mut self, count: usize) {
         self.len -= count;
-        self.head = if self.len == 0 {
-            0
-        } else {
-            (self.head + count) % self.store.len()
-        };
-        if self.len == 0 && self.store.len() > START {
-            self.budget.change(self.store.len(), 0);
-            self.store = Vec::new();
+        if self.len > 0 {
+            self.start = (self.start + count) % self.storage.len();
+            return;
+        }
+        self.start = 0;
+        if self.storage.len() > INITIAL_SIZE {
+            self.budget.resize(self.storage.len(), 0);
+            self.storage = Vec::new();
         }
     }
 
-    /// Appends; tells whether it had room, and appends nothing otherwise.
+    /// Appends `bytes` if all of them fit below the maximum, else nothing; returns whether they did.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        if !self.grow(bytes.len()) {
+        if !self.reserve(bytes.len()) {
             return false;
         }
-        let size = self.store.len();
-        let start = if size == 0 {
-            0
-        } else {
-            (self.head + self.len) % size
-        };
-        let first = bytes.len().min(size - start);
-        self.store[start..start + first].copy_from_slice(&bytes[..first]);
-        self.store[..bytes.len() - first].copy_from_slice(&bytes[first..]);
+        let end = self.end();
+        let before_wrap = bytes.len().min(self.storage.len() - end);
+        let (first, wrapped) = bytes.split_at(before_wrap);
+        self.storage[end..end + first.len()].copy_from_slice(first);
+        self.storage[..wrapped.len()].copy_from_slice(wrapped);
         self.len += bytes.len();
         true
     }
 
-    /// One read from a socket.
+    /// Reads from a socket once.
     pub fn read_from(&mut self, socket: impl AsFd) -> ReadOutcome {
-        if self.len == self.store.len()
-            && !self.grow((self.len.max(START)).min(self.cap - self.len).max(1))
-        {
+        if self.len == self.storage.len() && !self.reserve(self.growth()) {
             return ReadOutcome::BufferFull;
         }
-        let size = self.store.len();
-        let start = (self.head + self.len) % size;
-        let end = if start < self.head { self.head } else { size };
+        let end = self.end();
+        let limit = if end < self.start {
+            self.start
+        } else {
+            self.storage.len()
+        };
+        let free = &mut self.storage[end..limit];
         loop {
-            return match rustix::net::recv(&socket, &mut self.store[start..end], RecvFlags::empty())
-            {
-                Ok((0, _)) => ReadOutcome::EndOfStream,
+            match rustix::net::recv(&socket, &mut *free, RecvFlags::empty()) {
+                Ok((0, _)) => return ReadOutcome::EndOfStream,
                 Ok((count, _)) => {
                     self.len += count;
-                    ReadOutcome::Data
+                    return ReadOutcome::Data;
                 }
                 Err(error) => match errno::of_transfer(error) {
-                    ErrorClass::RetryNow => continue,
-                    ErrorClass::WouldBlock => ReadOutcome::WouldBlock,
-                    ErrorClass::RetryLater => ReadOutcome::RetryLater,
-                    _ => ReadOutcome::Broken,
+                    ErrorClass::RetryNow => {}
+                    ErrorClass::WouldBlock => return ReadOutcome::WouldBlock,
+                    ErrorClass::RetryLater => return ReadOutcome::RetryLater,
+                    _ => return ReadOutcome::Broken,
                 },
-            };
+            }
         }
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes to a socket until all is written or the socket takes no more.
     pub fn write_to(&mut self, socket: impl AsFd) -> WriteOutcome {
         while self.len > 0 {
-            let end = (self.head + self.len).min(self.store.len());
-            match rustix::net::send(&socket, &self.store[self.head..end], SendFlags::NOSIGNAL) {
+            let end = (self.start + self.len).min(self.storage.len());
+            let contiguous = &self.storage[self.start..end];
+            match rustix::net::send(&socket, contiguous, SendFlags::NOSIGNAL) {
                 Ok(count) => self.consume(count),
                 Err(error) => match errno::of_transfer(error) {
                     ErrorClass::RetryNow => {}
@@ -264,11 +170,50 @@
         }
         WriteOutcome::Done
     }
+
+    /// Index in the storage behind the last byte, where the next one goes.
+    fn end(&self) -> usize {
+        match self.storage.len() {
+            0 => 0,
+            size => (self.start + self.len) % size,
+        }
+    }
+
+    /// By how many bytes a full buffer grows: it doubles, up to its maximum. At least one, which
+    /// does not fit at the maximum.
+    fn growth(&self) -> usize {
+        let doubled = self.len.max(INITIAL_SIZE);
+        doubled.min(self.max_size - self.len).max(1)
+    }
+
+    /// Makes space for `more` bytes; returns whether they fit below the maximum.
+    fn reserve(&mut self, more: usize) -> bool {
+        let needed = self.len + more;
+        if needed > self.max_size {
+            return false;
+        }
+        if needed > self.storage.len() {
+            self.make_contiguous();
+            let size = needed
+                .next_power_of_two()
+                .max(INITIAL_SIZE)
+                .min(self.max_size);
+            self.budget.resize(self.storage.len(), size);
+            self.storage.resize(size, 0);
+        }
+        true
+    }
+
+    /// Moves the content to the beginning of the storage.
+    fn make_contiguous(&mut self) {
+        self.storage.rotate_left(self.start);
+        self.start = 0;
+    }
 }
 
 impl Drop for RingBuffer {
     fn drop(&mut self) {
-        self.budget.change(self.store.len(), 0);
+        self.budget.resize(self.storage.len(), 0);
     }
 }
 
--- /dev/null
+++ b/crates/node/src/ring_buffer/body.rs
@@ -0,0 +1,65 @@
+//! Bodies of messages, counted on the budget.
+
+use std::ops::Deref;
+
+use super::BufferBudget;
+
+/// The body of a message, counted on a budget.
+#[derive(Default)]
+pub struct Body {
+    bytes: Vec<u8>,
+    budget: BufferBudget,
+}
+
+impl Body {
+    /// An empty body that is counted on `budget`.
+    pub fn with_budget(budget: &BufferBudget) -> Body {
+        Body {
+            bytes: Vec::new(),
+            budget: budget.clone(),
+        }
+    }
+
+    /// Appends `more`, unless the budget is spent; returns whether it was appended.
+    #[must_use]
+    pub fn extend(&mut self, more: &[u8]) -> bool {
+        if self.budget.is_spent() && !more.is_empty() {
+            return false;
+        }
+        self.budget.resize(0, more.len());
+        self.bytes.extend_from_slice(more);
+        true
+    }
+
+    /// Removes the first `count` bytes and returns them.
+    ///
+    /// # Panics
+    ///
+    /// If the body is shorter.
+    pub fn split_front(&mut self, count: usize) -> Vec<u8> {
+        self.budget.resize(count, 0);
+        self.bytes.drain(..count).collect()
+    }
+
+    /// Moves the content into a new body and leaves this one empty.
+    pub fn take(&mut self) -> Body {
+        Body {
+            bytes: std::mem::take(&mut self.bytes),
+            budget: self.budget.clone(),
+        }
+    }
+}
+
+impl Deref for Body {
+    type Target = [u8];
+
+    fn deref(&self) -> &[u8] {
+        &self.bytes
+    }
+}
+
+impl Drop for Body {
+    fn drop(&mut self) {
+        self.budget.resize(self.bytes.len(), 0);
+    }
+}
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_held_is_counted_and_given_back() {
+fn buffered_bytes_are_counted_and_given_back() {
     let budget = BufferBudget::new(5000);
     let (mut ring, mut body) = (
         RingBuffer::new(9000).with_budget(&budget),
@@ -16,11 +16,11 @@
     let moved = body.take();
     assert!(budget.is_spent());
     drop((ring, body, moved));
-    assert_eq!(budget.0.get(), 5000);
+    assert_eq!(budget.remaining.get(), 5000);
 }
 
 #[test]
-fn keeps_order_round_the_end_and_holds_to_its_cap() {
+fn keeps_order_when_it_wraps_and_stays_below_its_maximum() {
     let mut ring = RingBuffer::new(5000);
     let bytes: Vec<u8> = (0..4000u32).map(|i| i as u8).collect();
     assert!(ring.push(&bytes[..1500]));
@@ -29,7 +29,7 @@
     assert_eq!(ring.bytes(), &bytes[1200..]);
     assert!(!ring.push(&[0; 2500]));
     ring.consume(2800);
-    assert!(ring.is_empty() && ring.store.is_empty());
+    assert!(ring.is_empty() && ring.storage.is_empty());
 }
 
 #[test]
