--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -1,38 +1,44 @@
-//! Tables of numbered slots. A number is used once: its low bits name the slot, the rest its
-//! generation, so that an event for something that has ended finds nothing. Numbers rise, which
-//! keeps first come, first served among the reqs that the decisions order by number.
+//! A table of numbered entries. A number is used once: its low bits name the slot, the rest its
+//! generation, so that an event for an entry that has been removed finds nothing. Numbers rise,
+//! which keeps first in, first out among requests that the decisions order by number.
 
+/// A table of entries under numbers of its own choice.
 pub struct Slab<T> {
-    /// A power of two.
-    entries: Vec<Option<(u32, T)>>,
-    next: u32,
-    held: usize,
-    most: usize,
+    /// Their count is a power of two.
+    slots: Vec<Option<Entry<T>>>,
+    /// The first number that may be the next entry's.
+    next_number: u32,
+    len: usize,
+    capacity: usize,
+}
+
+struct Entry<T> {
+    number: u32,
+    value: T,
 }
 
 impl<T> Slab<T> {
-    /// A table for `most` entries at a time.
-    pub fn new(most: usize) -> Slab<T> {
-        // Twice the room: a number whose slot is still held is passed over, which should be rare.
-        let size = (2 * most).next_power_of_two();
+    /// An empty table for at most `capacity` entries.
+    pub fn new(capacity: usize) -> Slab<T> {
+        // Twice as many slots as entries: a number whose slot is occupied is skipped, which should
+        // be rare.
+        let slots = (2 * capacity).next_power_of_two();
         Slab {
-            entries: (0..size).map(|_| None).collect(),
-            next: 1,
-            held: 0,
-            most,
+            slots: (0..slots).map(|_| None).collect(),
+            next_number: 1,
+            len: 0,
+            capacity,
         }
     }
 
+    /// Number of entries.
     pub fn len(&self) -> usize {
-        self.held
+        self.len
     }
 
+    /// Whether no more entries fit.
     pub fn is_full(&self) -> bool {
-        self.held >= self.most
-    }
-
-    fn place(&self, number: u32) -> usize {
-        number as usize & (self.entries.len() - 1)
+        self.len >= self.capacity
     }
 
     /// The number that the next entry gets; `None` when the table is full.
@@ -40,45 +46,55 @@
         if self.is_full() {
             return None;
         }
-        while self.entries[self.place(self.next)].is_some() {
-            self.next = self.next.wrapping_add(1);
+        while self.slots[self.slot_of(self.next_number)].is_some() {
+            self.next_number = self.next_number.wrapping_add(1);
         }
-        Some(self.next)
+        Some(self.next_number)
     }
 
-    pub fn insert(&mut self, entry: T) -> Option<u32> {
+    /// Adds an entry and returns its number; drops it and returns `None` when the table is full.
+    pub fn insert(&mut self, value: T) -> Option<u32> {
         let number = self.vacant()?;
-        let place = self.place(number);
-        self.entries[place] = Some((number, entry));
-        self.next = number.wrapping_add(1);
-        self.held += 1;
+        let slot = self.slot_of(number);
+        self.slots[slot] = Some(Entry { number, value });
+        self.next_number = number.wrapping_add(1);
+        self.len += 1;
         Some(number)
     }
 
+    /// The entry under a number, if it has not been removed.
     pub fn get(&self, number: u32) -> Option<&T> {
-        self.entries[self.place(number)]
+        self.slots[self.slot_of(number)]
             .as_ref()
-            .filter(|held| held.0 == number)
-            .map(|held| &held.1)
+            .filter(|entry| entry.number == number)
+            .map(|entry| &entry.value)
     }
 
+    /// The entry under a number, to be changed.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut T> {
-        let place = self.place(number);
-        self.entries[place]
+        let slot = self.slot_of(number);
+        self.slots[slot]
             .as_mut()
-            .filter(|held| held.0 == number)
-            .map(|held| &mut held.1)
+            .filter(|entry| entry.number == number)
+            .map(|entry| &mut entry.value)
     }
 
+    /// Removes the entry under a number and returns it; `None` if there is none any more.
     pub fn remove(&mut self, number: u32) -> Option<T> {
-        let place = self.place(number);
-        let held = self.entries[place].take_if(|held| held.0 == number)?;
-        self.held -= 1;
-        Some(held.1)
+        let slot = self.slot_of(number);
+        let entry = self.slots[slot].take_if(|entry| entry.number == number)?;
+        self.len -= 1;
+        Some(entry.value)
     }
 
+    /// All entries with their numbers, in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
-        self.entries.iter().flatten().map(|held| (held.0, &held.1))
+        let entries = self.slots.iter().flatten();
+        entries.map(|entry| (entry.number, &entry.value))
+    }
+
+    fn slot_of(&self, number: u32) -> usize {
+        number as usize & (self.slots.len() - 1)
     }
 }
 
