--- a/crates/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -1,93 +1,112 @@
-//! Every deadline of the node: coarse ticks on a wheel. A deadline fires in the first round at or
-//! after its tick, so up to a tick late and never early. Nothing is taken off: whoever hung a
-//! deadline checks, when it fires, whether it still stands.
+//! Timers of the node: a timer wheel with coarse ticks. A timer fires in the first poll at or after
+//! its tick, so up to a tick late and never early. Nothing is removed before it fires: whoever
+//! scheduled a timer checks, when it fires, whether it still applies.
 
 use kitefork_balancer::Nanos;
 
+/// Slots of a wheel: at ticks of 5 ms one revolution takes 5 s, so that most deadlines of requests
+/// fire in their first revolution.
 const SLOTS: usize = 1024;
 
+/// A timer wheel. Timers that are further away than one revolution share slots with nearer ones.
 pub struct TimerWheel<T> {
-    tick: Nanos,
-    /// The last tick that was fired.
-    fired: u64,
-    slots: Vec<Vec<(u64, T)>>,
+    tick_length: Nanos,
+    /// The last tick whose timers have fired.
+    last_tick: u64,
+    slots: Vec<Vec<Timer<T>>>,
+}
+
+struct Timer<T> {
+    /// The tick at which it fires.
+    tick: u64,
+    event: T,
 }
 
 impl<T> TimerWheel<T> {
-    pub fn new(tick: Nanos, now: Nanos) -> TimerWheel<T> {
-        let slots = (0..SLOTS).map(|_| Vec::new()).collect();
+    /// An empty wheel; `tick_length` is its resolution, at least 1 ns.
+    pub fn new(tick_length: Nanos, now: Nanos) -> TimerWheel<T> {
+        let tick_length = tick_length.max(1);
         TimerWheel {
-            tick: tick.max(1),
-            fired: now / tick.max(1),
-            slots,
+            tick_length,
+            last_tick: now / tick_length,
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
         }
     }
 
-    /// Hangs a deadline; one that has passed fires in the next round.
-    pub fn schedule(&mut self, at: Nanos, what: T) {
-        let due = at.div_ceil(self.tick).max(self.fired + 1);
-        self.slots[due as usize % SLOTS].push((due, what));
+    /// Schedules an event; one whose time has passed fires at the next tick.
+    pub fn schedule(&mut self, at: Nanos, event: T) {
+        let tick = at.div_ceil(self.tick_length).max(self.last_tick + 1);
+        self.slots[slot_of(tick)].push(Timer { tick, event });
     }
 
-    /// Takes what is due by now, in order of ticks.
+    /// Removes the events that are due and returns them, in the order of their ticks.
     pub fn expire(&mut self, now: Nanos) -> Vec<T> {
-        let upto = now / self.tick;
+        let current_tick = now / self.tick_length;
+        // After a long pause one revolution visits every slot.
+        let one_revolution_ago = (current_tick + 1).saturating_sub(SLOTS as u64);
+        let first_tick = (self.last_tick + 1).max(one_revolution_ago);
         let mut due = Vec::new();
-        // After a long pause one turn visits every slot.
-        let first = (self.fired + 1).max((upto + 1).saturating_sub(SLOTS as u64));
-        for tick in first..=upto {
-            let slot = &mut self.slots[tick as usize % SLOTS];
-            due.extend(slot.extract_if(.., |entry| entry.0 <= upto));
+        for tick in first_tick..=current_tick {
+            let slot = &mut self.slots[slot_of(tick)];
+            due.extend(slot.extract_if(.., |timer| timer.tick <= current_tick));
         }
-        self.fired = self.fired.max(upto);
-        due.sort_by_key(|entry| entry.0);
-        due.into_iter().map(|entry| entry.1).collect()
+        self.last_tick = self.last_tick.max(current_tick);
+        due.sort_by_key(|timer| timer.tick);
+        due.into_iter().map(|timer| timer.event).collect()
     }
 
-    /// When to look again: the next tick with something on it, of this turn or a later one.
+    /// When to call [`TimerWheel::expire`] again: the next tick whose slot holds a timer, of this
+    /// revolution or a later one. `None` when nothing is scheduled.
     pub fn next(&self) -> Option<Nanos> {
-        let ahead = self.fired + 1..=self.fired + SLOTS as u64;
-        let tick = ahead
-            .into_iter()
-            .find(|tick| !self.slots[*tick as usize % SLOTS].is_empty())?;
-        Some(tick * self.tick)
+        let mut revolution = self.last_tick + 1..=self.last_tick + SLOTS as u64;
+        let tick = revolution.find(|tick| !self.slots[slot_of(*tick)].is_empty())?;
+        Some(tick * self.tick_length)
     }
 }
 
-/// A deadline that moves: of the entries that it has left on the wheel only one counts.
+fn slot_of(tick: u64) -> usize {
+    tick as usize % SLOTS
+}
+
+/// A deadline that can be moved. It schedules as few timers as it can: of those that it has on the
+/// wheel, only the earliest counts.
 #[derive(Clone, Copy)]
 pub struct Deadline {
     at: Nanos,
-    hung: Nanos,
+    /// Time of the timer on the wheel that counts.
+    scheduled_at: Nanos,
 }
 
 impl Deadline {
+    /// A time that never comes.
     pub const NEVER: Nanos = Nanos::MAX;
 
+    /// A deadline that is not set.
     pub fn new() -> Deadline {
         Deadline {
             at: Self::NEVER,
-            hung: Self::NEVER,
+            scheduled_at: Self::NEVER,
         }
     }
 
-    pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, what: T) {
+    /// Moves the deadline. Schedules `event`, unless an earlier timer will reschedule it.
+    pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, event: T) {
         self.at = at;
-        if at < self.hung {
-            self.hung = at;
-            wheel.schedule(at, what);
+        if at < self.scheduled_at {
+            self.scheduled_at = at;
+            wheel.schedule(at, event);
         }
     }
 
-    /// An entry has fired: tells whether the deadline is due, and hangs it anew where it has moved
-    /// back.
-    pub fn is_due<T>(&mut self, now: Nanos, wheel: &mut TimerWheel<T>, what: T) -> bool {
-        if self.hung > now {
+    /// To be called when a timer of this deadline has fired: returns whether the deadline has come,
+    /// and schedules `event` again if it was moved to a later time.
+    pub fn is_due<T>(&mut self, now: Nanos, wheel: &mut TimerWheel<T>, event: T) -> bool {
+        if self.scheduled_at > now {
             return false;
         }
-        self.hung = Self::NEVER;
+        self.scheduled_at = Self::NEVER;
         if self.at > now && self.at < Self::NEVER {
-            self.set(self.at, wheel, what);
+            self.set(self.at, wheel, event);
         }
         self.at <= now
     }
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -36,7 +36,7 @@
     assert_eq!(wheel.expire(1_005), ['a', 'z']);
     assert_eq!(wheel.expire(1_014), []);
     assert_eq!(wheel.expire(1_015), ['b']);
-    // A turn later in the same slot; and a pause longer than a turn loses nothing.
+    // A revolution later in the same slot; and a pause longer than a revolution loses nothing.
     wheel.schedule(30_000, 'e');
     assert_eq!(wheel.expire(90_000), ['d', 'e']);
     assert_eq!(wheel.next(), None);
