--- /dev/null
+++ b/crates/settings/src/deployment.rs
@@ -0,0 +1,133 @@
+//! The settings of a deployment as a whole.
+
+use kitefork_balancer::{Class, Nanos, Settings, SettingsError, Tenant, ZoneId};
+
+use crate::decode::{
+    entry_names, optional_array, optional_number_in, optional_strings, unknown_word,
+};
+use crate::json::{ConfigError, JsonValue};
+use crate::setting_keys::wire_key_of;
+use crate::{class, limits, rules};
+
+/// How long a backend keeps an idle connection open where the settings don't say.
+const DEFAULT_IDLE_LIMIT: Nanos = 10_000_000_000;
+/// Time to connect to a backend where the settings give none.
+const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
+/// Most pending requests where the settings give no limit.
+const DEFAULT_MAX_PENDING_REQUESTS: usize = 20_000;
+
+/// What the decisions need, and what the node needs beyond them: names, and limits on connections.
+pub struct Deployment {
+    /// Settings of the decisions.
+    pub settings: Settings,
+    /// Names of the classes, in order.
+    pub classes: Vec<String>,
+    /// Names of the tenants, in order.
+    pub tenants: Vec<String>,
+    /// Names of the zones, in order.
+    pub zones: Vec<String>,
+    /// Names of the kinds of machine, in order.
+    pub kinds: Vec<String>,
+    /// A backend closes a connection that has been idle for this time.
+    pub idle_limit: Nanos,
+    /// A connection that is not established within this time has failed.
+    pub connect_timeout: Nanos,
+    /// Most requests that are pending at a time.
+    pub most_held: usize,
+}
+
+/// Reads the settings object. Keys that it does not know are ignored.
+///
+/// # Errors
+///
+/// Names the first key that is missing or whose value is invalid.
+pub fn read(root: &JsonValue) -> Result<Deployment, ConfigError> {
+    let grades = root.get("grades")?.array()?;
+    let tenants = optional_array(root, "tenants")?;
+    let limits = root.get("limits")?;
+    let settings = read_settings(root, &grades, &tenants, &limits)?;
+    settings
+        .check()
+        .map_err(|error| with_wire_key(root, &error))?;
+    Ok(Deployment {
+        settings,
+        classes: entry_names(&grades)?,
+        tenants: entry_names(&tenants)?,
+        zones: optional_strings(root, "azs")?,
+        kinds: optional_strings(root, "kinds")?,
+        idle_limit: limits.get_or("connIdleNs", DEFAULT_IDLE_LIMIT, JsonValue::integer)?,
+        connect_timeout: limits.get_or(
+            "connectTimeoutNs",
+            DEFAULT_CONNECT_TIMEOUT,
+            JsonValue::integer,
+        )?,
+        most_held: limits.get_or(
+            "mostHeld",
+            DEFAULT_MAX_PENDING_REQUESTS,
+            JsonValue::small_integer,
+        )?,
+    })
+}
+
+fn read_settings(
+    root: &JsonValue,
+    grades: &[JsonValue],
+    tenants: &[JsonValue],
+    limits: &JsonValue,
+) -> Result<Settings, ConfigError> {
+    // The order of all reads decides which of several errors is reported.
+    let rules = root.get("rules")?;
+    Ok(Settings {
+        classes: grades
+            .iter()
+            .map(class::read)
+            .collect::<Result<Vec<Class>, _>>()?,
+        tenants: tenants
+            .iter()
+            .map(read_tenant)
+            .collect::<Result<Vec<Tenant>, _>>()?,
+        zone: ZoneId(root.get_or("zone", 0, JsonValue::small_integer)?),
+        proxy_index: root.get_or("me", 0, JsonValue::small_integer)?,
+        proxy_count: root.get_or("siblings", 1, JsonValue::small_integer)?,
+        poll_endpoints: read_membership_mode(&root.get("membershipMode")?)?,
+        tick: root.get("tickNs")?.integer()?,
+        over_quota_weight: root.get_or("overShareWorth", 1.0, JsonValue::number)?,
+        weight_per_unit_of_work: root.get_or("worthBy", false, read_weight_unit)?,
+        cross_zone_cost: optional_number_in(root, "penalties", "crossZone")?,
+        tail_weight: optional_number_in(root, "goal", "tail")?,
+        limits: limits::read(limits)?,
+        rules: rules::read(&rules)?,
+    })
+}
+
+fn read_tenant(tenant: &JsonValue) -> Result<Tenant, ConfigError> {
+    Ok(Tenant {
+        quota_per_second: tenant.get_or("quotaPerS", 0.0, JsonValue::number)?,
+    })
+}
+
+/// Whether the proxy polls the endpoint list.
+fn read_membership_mode(mode: &JsonValue) -> Result<bool, ConfigError> {
+    match mode.string()? {
+        "automatic" => Ok(false),
+        "subscribe" => Ok(true),
+        word => Err(unknown_word(mode, word)),
+    }
+}
+
+/// Whether weights count by unit of work.
+fn read_weight_unit(unit: &JsonValue) -> Result<bool, ConfigError> {
+    match unit.string()? {
+        "request" => Ok(false),
+        "work" => Ok(true),
+        word => Err(unknown_word(unit, word)),
+    }
+}
+
+fn with_wire_key(root: &JsonValue, error: &SettingsError) -> ConfigError {
+    root.invalid_at(wire_key_of(error.key), error.reason)
+}
+
+#[cfg(test)]
+#[path = "deployment_tests.rs"]
+mod tests;
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,11 +1,15 @@
-//! Reads values out of JSON and names the key that is missing or of the wrong type: the parser's own
-//! errors name none.
+//! Reads values out of JSON text. Errors name the key that is missing or of the wrong type, which
+//! those of the JSON parser do not.
 
 use miniserde::json::{self, Number, Value};
 use thiserror::Error;
 
-/// Why a configuration, or another JSON text, can't be read. Its text is one line that names the
-/// key, if there is one to name.
+/// Floats below this are read as whole numbers: up to 2^53, a little above, each whole number has a
+/// float of its own.
+const MAX_INTEGRAL_FLOAT: f64 = 9e15;
+
+/// Why a configuration, or another JSON text, can't be read. Its text is one line; it names the key
+/// if the error concerns one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The text is not UTF-8.
@@ -14,16 +18,16 @@
     /// The text is not JSON.
     #[error("not JSON")]
     NotJson,
-    /// A key is not there.
+    /// A key is missing.
     #[error("missing field `{path}`")]
     MissingField {
-        /// Path of the key, as `limits.sockets` or `grades[0].effect`.
+        /// Path of the key, such as `limits.sockets` or `grades[0].effect`.
         path: String,
     },
-    /// The value of a key makes no sense.
+    /// The value of a key is invalid.
     #[error("field `{path}`: {problem}")]
     InvalidField {
-        /// Path of the key, as `limits.sockets` or `grades[0].effect`.
+        /// Path of the key, such as `limits.sockets` or `grades[0].effect`.
         path: String,
         /// What is wrong with the value.
         problem: String,
@@ -31,12 +35,15 @@
 }
 
 /// A parsed text.
-pub struct Document(Value);
+pub struct Document {
+    root: Value,
+}
 
-/// A value in a parsed text, with the path that leads to it.
+/// A value in a parsed text, and the path that leads to it.
 #[derive(Clone)]
 pub struct JsonValue<'a> {
     value: &'a Value,
+    /// Empty for the root.
     path: String,
 }
 
@@ -49,26 +56,29 @@
     pub fn parse(text: &[u8]) -> Result<Document, ConfigError> {
         let text = std::str::from_utf8(text).map_err(|_| ConfigError::NotUtf8)?;
         json::from_str(text)
-            .map(Document)
+            .map(|root| Document { root })
             .map_err(|_| ConfigError::NotJson)
     }
 
-    /// The whole of it.
+    /// The value of the whole text.
     pub fn root(&self) -> JsonValue<'_> {
         JsonValue {
-            value: &self.0,
+            value: &self.root,
             path: String::new(),
         }
     }
 }
 
 impl<'a> JsonValue<'a> {
-    /// The value under `key`; an absent one and `null` are alike.
+    /// The value under `key`; `None` if the key is absent, if its value is `null`, or if this is no
+    /// object.
     pub fn find(&self, key: &str) -> Option<JsonValue<'a>> {
         let Value::Object(object) = self.value else {
             return None;
         };
-        let value = object.get(key).filter(|v| !matches!(v, Value::Null))?;
+        let value = object
+            .get(key)
+            .filter(|value| !matches!(value, Value::Null))?;
         Some(JsonValue {
             value,
             path: self.path_to(key),
@@ -86,7 +96,7 @@
         })
     }
 
-    /// The value under `key` as `read` has it, or `default` where there is none.
+    /// The value under `key`, converted by `read`, or `default` where there is none.
     ///
     /// # Errors
     ///
@@ -108,7 +118,7 @@
         }
     }
 
-    /// An error about what stands under a key of this value.
+    /// An error about the value under `key`.
     pub fn invalid_at(&self, key: &str, problem: impl Into<String>) -> ConfigError {
         ConfigError::InvalidField {
             path: self.path_to(key),
@@ -117,26 +127,28 @@
     }
 
     fn path_to(&self, key: &str) -> String {
-        let dot = if self.path.is_empty() { "" } else { "." };
-        format!("{}{dot}{key}", self.path)
+        let separator = if self.path.is_empty() { "" } else { "." };
+        format!("{}{separator}{key}", self.path)
     }
 
-    /// A whole number, 0 or more.
+    /// This value as a whole number, 0 or more.
     ///
     /// # Errors
     ///
-    /// If it is none.
+    /// If it is something else.
     pub fn integer(&self) -> Result<u64, ConfigError> {
         match self.value {
-            Value::Number(Number::U64(n)) => Ok(*n),
-            Value::Number(Number::F64(f)) if *f >= 0.0 && f.fract() == 0.0 && *f < 9e15 => {
-                Ok(*f as u64)
+            Value::Number(Number::U64(integer)) => Ok(*integer),
+            Value::Number(Number::F64(float))
+                if *float >= 0.0 && float.fract() == 0.0 && *float < MAX_INTEGRAL_FLOAT =>
+            {
+                Ok(*float as u64)
             }
             _ => Err(self.invalid("must be a whole number, 0 or more")),
         }
     }
 
-    /// A whole number that fits a narrower type.
+    /// This value as a whole number of a narrower type.
     ///
     /// # Errors
     ///
@@ -147,56 +159,56 @@
             .map_err(|_| self.invalid("is too large"))
     }
 
-    /// Any finite number.
+    /// This value as a finite number.
     ///
     /// # Errors
     ///
-    /// If it is none.
+    /// If it is something else.
     pub fn number(&self) -> Result<f64, ConfigError> {
         match self.value {
-            Value::Number(Number::U64(n)) => Ok(*n as f64),
-            Value::Number(Number::I64(n)) => Ok(*n as f64),
-            Value::Number(Number::F64(f)) if f.is_finite() => Ok(*f),
+            Value::Number(Number::U64(integer)) => Ok(*integer as f64),
+            Value::Number(Number::I64(integer)) => Ok(*integer as f64),
+            Value::Number(Number::F64(float)) if float.is_finite() => Ok(*float),
             _ => Err(self.invalid("must be a number")),
         }
     }
 
-    /// True or false.
+    /// This value as true or false.
     ///
     /// # Errors
     ///
     /// If it is neither.
     pub fn boolean(&self) -> Result<bool, ConfigError> {
         match self.value {
-            Value::Bool(b) => Ok(*b),
+            Value::Bool(boolean) => Ok(*boolean),
             _ => Err(self.invalid("must be true or false")),
         }
     }
 
-    /// A string.
+    /// This value as a string.
     ///
     /// # Errors
     ///
-    /// If it is none.
+    /// If it is something else.
     pub fn string(&self) -> Result<&'a str, ConfigError> {
         match self.value {
-            Value::String(s) => Ok(s),
+            Value::String(string) => Ok(string),
             _ => Err(self.invalid("must be a text")),
         }
     }
 
-    /// The entries of an array.
+    /// The entries of this value, an array.
     ///
     /// # Errors
     ///
-    /// If it is none.
+    /// If it is something else.
     pub fn array(&self) -> Result<Vec<JsonValue<'a>>, ConfigError> {
         let Value::Array(array) = self.value else {
             return Err(self.invalid("must be a list"));
         };
-        let entry = |(i, value)| JsonValue {
+        let entry = |(index, value)| JsonValue {
             value,
-            path: format!("{}[{i}]", self.path),
+            path: format!("{}[{index}]", self.path),
         };
         Ok(array.iter().enumerate().map(entry).collect())
     }
--- /dev/null
+++ b/crates/settings/src/setting_keys.rs
@@ -0,0 +1,45 @@
+//! Translates the name of an invalid setting into its wire key, so that an error names the key that
+//! an operator finds in the file.
+
+/// A setting that [`Settings::check`](kitefork_balancer::Settings::check) may find invalid.
+struct SettingKey {
+    /// Path of the setting within `Settings`.
+    setting: &'static str,
+    /// Path of the key from which it is read.
+    wire_key: &'static str,
+}
+
+const SETTING_KEYS: [SettingKey; 6] = [
+    SettingKey {
+        setting: "tick",
+        wire_key: "tickNs",
+    },
+    SettingKey {
+        setting: "classes",
+        wire_key: "grades",
+    },
+    SettingKey {
+        setting: "tail_weight",
+        wire_key: "goal.tail",
+    },
+    SettingKey {
+        setting: "rules.slow_start_initial_capacity",
+        wire_key: "rules.coldFrom",
+    },
+    SettingKey {
+        setting: "rules.drain_close_within",
+        wire_key: "rules.drainCloseNs",
+    },
+    SettingKey {
+        setting: "rules.overload_duration",
+        wire_key: "rules.fallNs",
+    },
+];
+
+/// The wire key of a setting; its own path where none is known.
+pub(crate) fn wire_key_of(setting: &'static str) -> &'static str {
+    SETTING_KEYS
+        .iter()
+        .find(|key| key.setting == setting)
+        .map_or(setting, |key| key.wire_key)
+}
