--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -1,7 +1,8 @@
 //! Unit tests of `frame`.
 
-use kitefork_balancer::LogEvent;
+use kitefork_balancer::{Action, BackendId, Event, LogEvent, RequestId};
 
+use super::bytes::put;
 use super::*;
 
 fn header(records: u32) -> Header {
--- a/crates/simulator/src/main_tests.rs
+++ b/crates/simulator/src/host_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `main`.
+//! Unit tests of `host`.
 
 use super::*;
 
