--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -1,33 +1,30 @@
-//! The frame codec: batches of events in, replies of actions out. Little-endian, no padding.
+//! The frame codec: batches of events in, replies of actions out. All integers are little-endian,
+//! without padding.
+//!
+//! ```text
+//! batch: Header | event records, 40 bytes each  | tail
+//! reply: header | action records, 24 bytes each | tail
+//! ```
+//!
+//! Data of variable length stands in the tail; a record refers to it by offset and length. The
+//! numbers of records and the offsets of their fields are in `layout`.
 
 mod bytes;
+mod endpoint_list;
+mod error;
+mod layout;
 mod reader;
+mod record;
 mod writer;
 
-pub use reader::{Lists, Message, decode};
+pub use endpoint_list::EndpointLists;
+pub use error::{FrameError, FrameErrorKind};
+pub use layout::HEADER_SIZE;
+pub use reader::{InstanceMessage, Message, decode};
 pub use writer::Reply;
 
-use thiserror::Error;
-
 use bytes::{u32_at, u64_at};
-
-/// Bytes of a batch header.
-pub const HEADER: usize = 20;
-const EVENT: usize = 40;
-const ACTION: usize = 24;
-const ENTRY: usize = 23;
-
-/// A frame that can't be read.
-#[derive(Debug, PartialEq, Eq, Error)]
-#[error("batch {batch}, offset {offset}: {what}")]
-pub struct FrameError {
-    /// Sequence number of the batch.
-    pub batch: u32,
-    /// Offset in bytes from the start of the frame.
-    pub offset: usize,
-    /// What is wrong.
-    pub what: String,
-}
+use layout::header;
 
 /// Header of a batch.
 #[derive(Debug, Clone, Copy)]
@@ -36,28 +33,20 @@
     pub records: u32,
     /// Bytes after the header.
     pub length: u32,
-    /// Clock time of the batch.
+    /// Clock time of the batch, in nanoseconds.
     pub now: u64,
     /// Sequence number.
     pub batch: u32,
 }
 
 impl Header {
-    /// Reads a header.
-    pub fn read(bytes: &[u8; HEADER]) -> Header {
+    /// Decodes a header.
+    pub fn read(bytes: &[u8; HEADER_SIZE]) -> Header {
         Header {
-            records: u32_at(bytes, 0),
-            length: u32_at(bytes, 4),
-            now: u64_at(bytes, 8),
-            batch: u32_at(bytes, 16),
-        }
-    }
-
-    fn error(&self, offset: usize, what: impl Into<String>) -> FrameError {
-        FrameError {
-            batch: self.batch,
-            offset,
-            what: what.into(),
+            records: u32_at(bytes, header::RECORDS),
+            length: u32_at(bytes, header::LENGTH),
+            now: u64_at(bytes, header::NOW),
+            batch: u32_at(bytes, header::BATCH),
         }
     }
 }
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -1,197 +1,188 @@
-//! Reads batches of events.
+//! Decodes batches of events.
 
-use std::collections::BTreeMap;
+use kitefork_balancer::{ClassId, Event, Request, TenantId, TimerId, UpdateKind};
 
-use kitefork_balancer::{
-    BackendId, CellId, ClassId, Endpoint, EndpointState, Event, KindId, Outcome, Request,
-    RequestId, TenantId, TimerId, UpdateKind, ZoneId,
+use super::layout::{
+    EVENT_SIZE, EventCode, HEADER_SIZE, attempt_ended, client_disconnected, endpoint_update,
+    first_byte, gossip_received, health_check_ended, request, start, timer,
 };
+use super::record::Record;
+use super::{EndpointLists, FrameError, FrameErrorKind, Header};
 
-use super::bytes::{u16_at, u32_at, u64_at};
-use super::{ENTRY, EVENT, FrameError, HEADER, Header};
+/// A message to one instance.
+#[derive(Debug)]
+pub struct InstanceMessage {
+    /// Number of the instance.
+    pub instance: u16,
+    /// The message.
+    pub message: Message,
+}
 
-/// What one record of a batch says to one instance.
+/// What a record says to an instance.
 #[derive(Debug)]
 pub enum Message {
     /// The instance starts.
     Start {
-        /// Its seed.
+        /// Seed of its random source.
         seed: u64,
-        /// Its settings, as text.
+        /// Its settings, a JSON text.
         settings: Vec<u8>,
     },
-    /// The instance is dead.
+    /// The instance is stopped.
     Stop,
     /// Something happened.
     Event(Event),
 }
 
-/// Numbered lists of backends, kept over batches.
-#[derive(Default)]
-pub struct Lists(BTreeMap<u16, Vec<Endpoint>>);
-
-/// Decodes the body of a batch into messages to instances, in order.
+/// Decodes the body of a batch into messages to instances, in order. Endpoint lists that it brings
+/// are put into `lists`.
+///
+/// # Errors
+///
+/// Names the first field that can't be decoded.
 pub fn decode(
     header: &Header,
     body: &[u8],
-    lists: &mut Lists,
-) -> Result<Vec<(u16, Message)>, FrameError> {
-    let records = (header.records as usize)
-        .checked_mul(EVENT)
-        .filter(|n| *n <= body.len())
-        .ok_or_else(|| header.error(0, "records run past the end of the frame"))?;
-    let (records, tail) = body.split_at(records);
+    lists: &mut EndpointLists,
+) -> Result<Vec<InstanceMessage>, FrameError> {
+    let (records, tail) = split_body(header, body)?;
     let mut messages = Vec::with_capacity(header.records as usize);
-    for (place, record) in records.chunks_exact(EVENT).enumerate() {
-        let offset = HEADER + place * EVENT;
-        let slice = |at: usize, size: usize| {
-            let start = u32_at(record, at) as usize;
-            (u32_at(record, at + 4) as usize)
-                .checked_mul(size)
-                .and_then(|length| start.checked_add(length))
-                .and_then(|end| tail.get(start..end))
-                .ok_or_else(|| header.error(offset + at, "data outside the tail"))
+    for (index, bytes) in records.chunks_exact(EVENT_SIZE).enumerate() {
+        let record = Record {
+            bytes,
+            tail,
+            batch: header.batch,
+            offset: HEADER_SIZE + index * EVENT_SIZE,
         };
-        let outcome = |at: usize| {
-            outcome(record[at])
-                .ok_or_else(|| header.error(offset + at, format!("unknown outcome {}", record[at])))
-        };
-        let node = u16_at(record, 1);
-        let event = match record[0] {
-            16 => Event::Timer {
-                timer: TimerId(u32_at(record, 3)),
-            },
-            17 => Event::AttemptEnded {
-                request: RequestId(u32_at(record, 3)),
-                attempt: record[7],
-                latency: u64_at(record, 12),
-                outcome: outcome(20)?,
-                finished: record[21] != 0,
-                load_report: load(record, 22),
-            },
-            18 => Event::FirstByte {
-                request: RequestId(u32_at(record, 3)),
-                attempt: record[19],
-            },
-            19 => Event::Request(Request {
-                id: RequestId(u32_at(record, 3)),
-                class: ClassId(u16_at(record, 7)),
-                tenant: TenantId(u16_at(record, 9)),
-                key: u64_at(record, 11),
-                client_timeout: u64_at(record, 19),
-                work_hint: (record[35] & 1 != 0).then(|| u64_at(record, 27)),
-                client_retry: record[35] & 2 != 0,
-                is_write: record[35] & 4 != 0,
-            }),
-            20 => match record[9] {
-                2 => Event::DiscoveryFailed,
-                mode => {
-                    let kind = match mode {
-                        0 => UpdateKind::Delta,
-                        1 => UpdateKind::Cached,
-                        4 => UpdateKind::Full,
-                        _ => {
-                            return Err(
-                                header.error(offset + 9, format!("unknown list mode {mode}"))
-                            );
-                        }
-                    };
-                    let set = u16_at(record, 7);
-                    let backends = lists.0.get(&set).cloned();
-                    let backends = backends
-                        .ok_or_else(|| header.error(offset + 7, format!("no list number {set}")))?;
-                    Event::EndpointUpdate {
-                        kind,
-                        endpoints: backends,
-                    }
-                }
-            },
-            21 => Event::HealthCheckEnded {
-                backend: BackendId(u32_at(record, 3)),
-                latency: u64_at(record, 7),
-                outcome: outcome(15)?,
-                load_report: load(record, 16),
-            },
-            22 => {
-                let settings = slice(11, 1)?.to_vec();
-                messages.push((
-                    node,
-                    Message::Start {
-                        seed: u64_at(record, 3),
-                        settings,
-                    },
-                ));
-                continue;
-            }
-            23 => {
-                let mut entries = Vec::new();
-                for bytes in slice(3, ENTRY)?.chunks_exact(ENTRY) {
-                    let state = state(bytes[10]).ok_or_else(|| {
-                        header.error(offset + 3, format!("unknown backend state {}", bytes[10]))
-                    })?;
-                    entries.push(entry(bytes, state));
-                }
-                // This record names no instance: its first field is the number of the list.
-                lists.0.insert(node, entries);
-                continue;
-            }
-            24 => Event::ClientDisconnected {
-                request: RequestId(u32_at(record, 3)),
-            },
-            25 => {
-                messages.push((node, Message::Stop));
-                continue;
-            }
-            26 => Event::GossipReceived {
-                from: u16_at(record, 3),
-                bytes: slice(5, 1)?.to_vec(),
-            },
-            code => return Err(header.error(offset, format!("unknown event code {code}"))),
-        };
-        messages.push((node, Message::Event(event)));
+        if let Some(message) = decode_record(&record, lists)? {
+            let instance = record.instance();
+            messages.push(InstanceMessage { instance, message });
+        }
     }
     Ok(messages)
 }
 
-fn entry(bytes: &[u8], state: EndpointState) -> Endpoint {
-    Endpoint {
-        id: BackendId(u32_at(bytes, 0)),
-        hash: u64::from(u32_at(bytes, 0)),
-        zone: ZoneId(u16_at(bytes, 4)),
-        kind: KindId(u16_at(bytes, 6)),
-        cell: CellId(u16_at(bytes, 8)),
-        state,
-        weight: f32::from_bits(u32_at(bytes, 11)),
-        started_at: Some(u64_at(bytes, 15)).filter(|at| *at > 0),
+/// Splits a body into its records and its tail.
+fn split_body<'a>(header: &Header, body: &'a [u8]) -> Result<(&'a [u8], &'a [u8]), FrameError> {
+    (header.records as usize)
+        .checked_mul(EVENT_SIZE)
+        .and_then(|length| body.split_at_checked(length))
+        .ok_or(FrameError {
+            batch: header.batch,
+            offset: 0,
+            kind: FrameErrorKind::RecordsOutsideFrame,
+        })
+}
+
+/// Decodes one record; `None` if it concerns no instance.
+fn decode_record(
+    record: &Record,
+    lists: &mut EndpointLists,
+) -> Result<Option<Message>, FrameError> {
+    let code = EventCode::from_wire(record.code())
+        .ok_or_else(|| record.error(0, FrameErrorKind::UnknownEventCode(record.code())))?;
+    let event = match code {
+        EventCode::Start => return Ok(Some(start_message(record)?)),
+        EventCode::Stop => return Ok(Some(Message::Stop)),
+        EventCode::EndpointList => {
+            lists.store(record)?;
+            return Ok(None);
+        }
+        EventCode::Timer => timer_event(record),
+        EventCode::AttemptEnded => attempt_ended_event(record)?,
+        EventCode::FirstByte => first_byte_event(record),
+        EventCode::Request => Event::Request(request_of_client(record)),
+        EventCode::EndpointUpdate => endpoint_update_event(record, lists)?,
+        EventCode::HealthCheckEnded => health_check_ended_event(record)?,
+        EventCode::ClientDisconnected => client_disconnected_event(record),
+        EventCode::GossipReceived => gossip_received_event(record)?,
+    };
+    Ok(Some(Message::Event(event)))
+}
+
+fn start_message(record: &Record) -> Result<Message, FrameError> {
+    Ok(Message::Start {
+        seed: record.u64(start::SEED),
+        settings: record.copied_bytes(start::SETTINGS)?,
+    })
+}
+
+fn timer_event(record: &Record) -> Event {
+    Event::Timer {
+        timer: TimerId(record.u32(timer::TIMER)),
     }
 }
 
-fn state(code: u8) -> Option<EndpointState> {
-    match code {
-        0 => Some(EndpointState::Removed),
-        1 => Some(EndpointState::Ready),
-        2 => Some(EndpointState::Draining),
-        _ => None,
+fn attempt_ended_event(record: &Record) -> Result<Event, FrameError> {
+    Ok(Event::AttemptEnded {
+        request: record.request(attempt_ended::REQUEST),
+        attempt: record.u8(attempt_ended::ATTEMPT),
+        latency: record.nanos(attempt_ended::LATENCY),
+        outcome: record.outcome(attempt_ended::OUTCOME)?,
+        finished: record.u8(attempt_ended::FINISHED) != 0,
+        load_report: record.load_report(attempt_ended::LOAD_REPORT),
+    })
+}
+
+fn first_byte_event(record: &Record) -> Event {
+    Event::FirstByte {
+        request: record.request(first_byte::REQUEST),
+        attempt: record.u8(first_byte::ATTEMPT),
+    }
+}
+
+fn request_of_client(record: &Record) -> Request {
+    let flags = record.u8(request::FLAGS);
+    let has_flag = |flag: u8| flags & flag != 0;
+    Request {
+        id: record.request(request::REQUEST),
+        class: ClassId(record.u16(request::CLASS)),
+        tenant: TenantId(record.u16(request::TENANT)),
+        key: record.u64(request::KEY),
+        client_timeout: record.nanos(request::CLIENT_TIMEOUT),
+        work_hint: has_flag(request::HAS_WORK_HINT).then(|| record.nanos(request::WORK_HINT)),
+        client_retry: has_flag(request::CLIENT_RETRY),
+        is_write: has_flag(request::IS_WRITE),
     }
 }
 
-fn outcome(code: u8) -> Option<Outcome> {
-    Some(match code {
-        0 => Outcome::Success,
-        5 => Outcome::Error,
-        11 => Outcome::Overloaded,
-        104 => Outcome::Reset,
-        110 => Outcome::Timeout,
-        111 => Outcome::ConnectFailed,
-        114 => Outcome::NotSent,
-        125 => Outcome::Cancelled,
-        _ => return None,
+fn endpoint_update_event(record: &Record, lists: &EndpointLists) -> Result<Event, FrameError> {
+    let kind = match record.u8(endpoint_update::MODE) {
+        endpoint_update::DELTA => UpdateKind::Delta,
+        endpoint_update::CACHED => UpdateKind::Cached,
+        endpoint_update::FULL => UpdateKind::Full,
+        endpoint_update::FAILED => return Ok(Event::DiscoveryFailed),
+        mode => {
+            let kind = FrameErrorKind::UnknownUpdateMode(mode);
+            return Err(record.error(endpoint_update::MODE, kind));
+        }
+    };
+    let number = record.u16(endpoint_update::LIST);
+    let endpoints = lists.get(number).cloned().ok_or_else(|| {
+        let kind = FrameErrorKind::UnknownEndpointList(number);
+        record.error(endpoint_update::LIST, kind)
+    })?;
+    Ok(Event::EndpointUpdate { kind, endpoints })
+}
+
+fn health_check_ended_event(record: &Record) -> Result<Event, FrameError> {
+    Ok(Event::HealthCheckEnded {
+        backend: record.backend(health_check_ended::BACKEND),
+        latency: record.nanos(health_check_ended::LATENCY),
+        outcome: record.outcome(health_check_ended::OUTCOME)?,
+        load_report: record.load_report(health_check_ended::LOAD_REPORT),
     })
 }
 
-fn load(record: &[u8], at: usize) -> Vec<f32> {
-    let count = usize::from(record[at]).min(4);
-    (0..count)
-        .map(|i| f32::from_bits(u32_at(record, at + 1 + 4 * i)))
-        .collect()
+fn client_disconnected_event(record: &Record) -> Event {
+    Event::ClientDisconnected {
+        request: record.request(client_disconnected::REQUEST),
+    }
+}
+
+fn gossip_received_event(record: &Record) -> Result<Event, FrameError> {
+    Ok(Event::GossipReceived {
+        from: record.u16(gossip_received::FROM),
+        bytes: record.copied_bytes(gossip_received::MESSAGE)?,
+    })
 }
--- /dev/null
+++ b/crates/simulator/src/frame/record.rs
@@ -0,0 +1,118 @@
+//! Typed access to the fields of one event record.
+
+use kitefork_balancer::{BackendId, Nanos, Outcome, RequestId};
+
+use super::bytes::{f32_at, u16_at, u32_at, u64_at};
+use super::layout::{any_record, data_reference, load_report};
+use super::{FrameError, FrameErrorKind};
+
+/// One event record of a batch. Fields are named by their offset in the record.
+pub(super) struct Record<'a> {
+    /// The bytes of the record itself.
+    pub bytes: &'a [u8],
+    /// The tail of the frame.
+    pub tail: &'a [u8],
+    /// Sequence number of the batch.
+    pub batch: u32,
+    /// Offset of the record from the start of the frame.
+    pub offset: usize,
+}
+
+impl<'a> Record<'a> {
+    /// An error about the field at an offset.
+    pub fn error(&self, at: usize, kind: FrameErrorKind) -> FrameError {
+        FrameError {
+            batch: self.batch,
+            offset: self.offset + at,
+            kind,
+        }
+    }
+
+    pub fn code(&self) -> u8 {
+        self.u8(any_record::CODE)
+    }
+
+    /// The instance that the record concerns.
+    pub fn instance(&self) -> u16 {
+        self.u16(any_record::INSTANCE)
+    }
+
+    pub fn u8(&self, at: usize) -> u8 {
+        self.bytes[at]
+    }
+
+    pub fn u16(&self, at: usize) -> u16 {
+        u16_at(self.bytes, at)
+    }
+
+    pub fn u32(&self, at: usize) -> u32 {
+        u32_at(self.bytes, at)
+    }
+
+    pub fn u64(&self, at: usize) -> u64 {
+        u64_at(self.bytes, at)
+    }
+
+    pub fn nanos(&self, at: usize) -> Nanos {
+        self.u64(at)
+    }
+
+    pub fn request(&self, at: usize) -> RequestId {
+        RequestId(self.u32(at))
+    }
+
+    pub fn backend(&self, at: usize) -> BackendId {
+        BackendId(self.u32(at))
+    }
+
+    /// How an attempt or a health check ended.
+    pub fn outcome(&self, at: usize) -> Result<Outcome, FrameError> {
+        let code = self.u8(at);
+        outcome_from_wire(code).ok_or_else(|| self.error(at, FrameErrorKind::UnknownOutcome(code)))
+    }
+
+    /// The values of a load report. More than a record has space for are ignored.
+    pub fn load_report(&self, at: usize) -> Vec<f32> {
+        let count = usize::from(self.u8(at + load_report::COUNT)).min(load_report::MAX_VALUES);
+        (0..count)
+            .map(|index| {
+                f32_at(
+                    self.bytes,
+                    at + load_report::VALUES + size_of::<f32>() * index,
+                )
+            })
+            .collect()
+    }
+
+    /// The data in the tail to which the field at an offset refers: an array of items of so many
+    /// bytes each.
+    pub fn data(&self, at: usize, item_size: usize) -> Result<&'a [u8], FrameError> {
+        let start = self.u32(at + data_reference::START) as usize;
+        let items = self.u32(at + data_reference::LENGTH) as usize;
+        items
+            .checked_mul(item_size)
+            .and_then(|length| start.checked_add(length))
+            .and_then(|end| self.tail.get(start..end))
+            .ok_or_else(|| self.error(at, FrameErrorKind::DataOutsideTail))
+    }
+
+    /// A copy of the bytes in the tail to which the field at an offset refers.
+    pub fn copied_bytes(&self, at: usize) -> Result<Vec<u8>, FrameError> {
+        Ok(self.data(at, 1)?.to_vec())
+    }
+}
+
+/// The codes are numbers of errno(3) on Linux.
+fn outcome_from_wire(code: u8) -> Option<Outcome> {
+    match code {
+        0 => Some(Outcome::Success),
+        5 => Some(Outcome::Error),
+        11 => Some(Outcome::Overloaded),
+        104 => Some(Outcome::Reset),
+        110 => Some(Outcome::Timeout),
+        111 => Some(Outcome::ConnectFailed),
+        114 => Some(Outcome::NotSent),
+        125 => Some(Outcome::Cancelled),
+        _ => None,
+    }
+}
--- a/crates/simulator/src/frame/writer.rs
+++ b/crates/simulator/src/frame/writer.rs
@@ -1,9 +1,13 @@
-//! Writes replies of actions.
+//! Encodes replies of actions.
 
-use kitefork_balancer::Action;
+use kitefork_balancer::{Action, BackendId, LogEvent, Nanos, RequestId, TimerId};
 
-use super::ACTION;
 use super::bytes::put;
+use super::layout::{
+    ACTION_SIZE, ActionCode, REPLY_HEADER_SIZE, any_record, cancel_attempt, check_health,
+    close_idle_connections, data_reference, fail, gossip, reject, set_timer, start_attempt, text,
+    watch_endpoints,
+};
 
 /// A reply under construction.
 #[derive(Default)]
@@ -14,103 +18,141 @@
 
 impl Reply {
     /// Adds an action of an instance.
-    pub fn push(&mut self, node: u16, action: &Action) {
+    pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::StartAttempt {
                 request,
                 backend,
                 abandon_at,
-            } => {
-                let record = self.record(80, node);
-                put(record, 3, &request.0.to_le_bytes());
-                put(record, 7, &backend.0.to_le_bytes());
-                put(record, 11, &abandon_at.to_le_bytes());
-            }
+            } => self.start_attempt(instance, *request, *backend, *abandon_at),
             Action::Reject {
                 request,
                 retry_after,
-            } => {
-                let record = self.record(81, node);
-                put(record, 3, &request.0.to_le_bytes());
-                put(record, 7, &retry_after.to_le_bytes());
-            }
-            Action::Fail { request } => put(self.record(82, node), 3, &request.0.to_le_bytes()),
+            } => self.reject(instance, *request, *retry_after),
+            Action::Fail { request } => self.fail(instance, *request),
             Action::CancelAttempt { request, attempt } => {
-                let record = self.record(83, node);
-                put(record, 3, &request.0.to_le_bytes());
-                put(record, 7, &[*attempt]);
-            }
-            Action::SetTimer { at, timer } => {
-                let record = self.record(84, node);
-                put(record, 3, &at.to_le_bytes());
-                put(record, 11, &timer.0.to_le_bytes());
-            }
-            Action::CheckHealth { backend } => {
-                put(self.record(85, node), 3, &backend.0.to_le_bytes())
+                self.cancel_attempt(instance, *request, *attempt);
             }
+            Action::SetTimer { at, timer } => self.set_timer(instance, *at, *timer),
+            Action::CheckHealth { backend } => self.check_health(instance, *backend),
             Action::CloseIdleConnections { backend } => {
-                put(self.record(86, node), 3, &backend.0.to_le_bytes())
-            }
-            Action::Gossip { to, bytes } => {
-                put(
-                    self.record(87, node),
-                    3,
-                    &to.unwrap_or(u16::MAX).to_le_bytes(),
-                );
-                self.data(5, bytes);
-            }
-            Action::Log(event) => self.text(88, node, &event.to_string()),
-            Action::WatchEndpoints(active) => put(self.record(90, node), 3, &[u8::from(*active)]),
-            Action::PollEndpoints => {
-                self.record(91, node);
+                self.close_idle_connections(instance, *backend);
             }
+            Action::Gossip { to, bytes } => self.gossip(instance, *to, bytes),
+            Action::WatchEndpoints(active) => self.watch_endpoints(instance, *active),
+            Action::PollEndpoints => self.poll_endpoints(instance),
+            Action::Log(event) => self.log(instance, *event),
         }
     }
 
-    /// Reports that an instance can't decide.
-    pub fn fault(&mut self, node: u16, what: &str) {
-        self.text(89, node, what);
+    /// Reports that an instance could not be started.
+    pub fn start_failed(&mut self, instance: u16, reason: &str) {
+        self.text(ActionCode::StartFailed, instance, reason);
     }
 
-    /// The finished frame.
+    /// The finished frame; `batch` is the sequence number of the batch that it answers.
     pub fn finish(self, batch: u32) -> Vec<u8> {
-        let count = self.records.len() / ACTION;
-        let mut frame = Vec::with_capacity(12 + self.records.len() + self.tail.len());
-        frame.extend(((self.records.len() + self.tail.len()) as u32).to_le_bytes());
-        frame.extend((count as u32).to_le_bytes());
+        let records = self.records.len() / ACTION_SIZE;
+        let length = self.records.len() + self.tail.len();
+        let mut frame = Vec::with_capacity(REPLY_HEADER_SIZE + length);
+        frame.extend((length as u32).to_le_bytes());
+        frame.extend((records as u32).to_le_bytes());
         frame.extend(batch.to_le_bytes());
         frame.extend(self.records);
         frame.extend(self.tail);
         frame
     }
 
-    fn record(&mut self, code: u8, node: u16) -> &mut [u8] {
+    fn start_attempt(
+        &mut self,
+        instance: u16,
+        request: RequestId,
+        backend: BackendId,
+        abandon_at: Nanos,
+    ) {
+        let record = self.record(ActionCode::StartAttempt, instance);
+        put(record, start_attempt::REQUEST, &request.0.to_le_bytes());
+        put(record, start_attempt::BACKEND, &backend.0.to_le_bytes());
+        put(record, start_attempt::ABANDON_AT, &abandon_at.to_le_bytes());
+    }
+
+    fn reject(&mut self, instance: u16, request: RequestId, retry_after: Nanos) {
+        let record = self.record(ActionCode::Reject, instance);
+        put(record, reject::REQUEST, &request.0.to_le_bytes());
+        put(record, reject::RETRY_AFTER, &retry_after.to_le_bytes());
+    }
+
+    fn fail(&mut self, instance: u16, request: RequestId) {
+        let record = self.record(ActionCode::Fail, instance);
+        put(record, fail::REQUEST, &request.0.to_le_bytes());
+    }
+
+    fn cancel_attempt(&mut self, instance: u16, request: RequestId, attempt: u8) {
+        let record = self.record(ActionCode::CancelAttempt, instance);
+        put(record, cancel_attempt::REQUEST, &request.0.to_le_bytes());
+        put(record, cancel_attempt::ATTEMPT, &[attempt]);
+    }
+
+    fn set_timer(&mut self, instance: u16, at: Nanos, timer: TimerId) {
+        let record = self.record(ActionCode::SetTimer, instance);
+        put(record, set_timer::AT, &at.to_le_bytes());
+        put(record, set_timer::TIMER, &timer.0.to_le_bytes());
+    }
+
+    fn check_health(&mut self, instance: u16, backend: BackendId) {
+        let record = self.record(ActionCode::CheckHealth, instance);
+        put(record, check_health::BACKEND, &backend.0.to_le_bytes());
+    }
+
+    fn close_idle_connections(&mut self, instance: u16, backend: BackendId) {
+        let record = self.record(ActionCode::CloseIdleConnections, instance);
+        let backend = backend.0.to_le_bytes();
+        put(record, close_idle_connections::BACKEND, &backend);
+    }
+
+    fn gossip(&mut self, instance: u16, to: Option<u16>, message: &[u8]) {
+        let to = to.unwrap_or(gossip::TO_ALL);
+        let record = self.record(ActionCode::Gossip, instance);
+        put(record, gossip::TO, &to.to_le_bytes());
+        self.data(gossip::MESSAGE, message);
+    }
+
+    fn watch_endpoints(&mut self, instance: u16, active: bool) {
+        let record = self.record(ActionCode::WatchEndpoints, instance);
+        put(record, watch_endpoints::ACTIVE, &[u8::from(active)]);
+    }
+
+    fn poll_endpoints(&mut self, instance: u16) {
+        self.record(ActionCode::PollEndpoints, instance);
+    }
+
+    fn log(&mut self, instance: u16, event: LogEvent) {
+        self.text(ActionCode::Log, instance, &event.to_string());
+    }
+
+    fn text(&mut self, code: ActionCode, instance: u16, text: &str) {
+        self.record(code, instance);
+        self.data(text::TEXT, text.as_bytes());
+    }
+
+    /// Adds a record without fields.
+    fn record(&mut self, code: ActionCode, instance: u16) -> &mut [u8] {
         let start = self.records.len();
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_SIZE, 0);
         let record = &mut self.records[start..];
-        record[0] = code;
-        put(record, 1, &node.to_le_bytes());
+        record[any_record::CODE] = code as u8;
+        put(record, any_record::INSTANCE, &instance.to_le_bytes());
         record
     }
 
-    fn text(&mut self, code: u8, node: u16, text: &str) {
-        self.record(code, node);
-        self.data(3, text.as_bytes());
-    }
-
-    /// Puts data into the tail and its place into the last record.
+    /// Adds data to the tail, and a reference to it at an offset of the last record.
     fn data(&mut self, at: usize, bytes: &[u8]) {
-        let record = self.records.len() - ACTION;
-        put(
-            &mut self.records[record..],
-            at,
-            &(self.tail.len() as u32).to_le_bytes(),
-        );
-        put(
-            &mut self.records[record..],
-            at + 4,
-            &(bytes.len() as u32).to_le_bytes(),
-        );
+        let start = (self.tail.len() as u32).to_le_bytes();
+        let length = (bytes.len() as u32).to_le_bytes();
+        let last_record = self.records.len() - ACTION_SIZE;
+        let record = &mut self.records[last_record..];
+        put(record, at + data_reference::START, &start);
+        put(record, at + data_reference::LENGTH, &length);
         self.tail.extend(bytes);
     }
 }
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -1,8 +1,9 @@
 //! Unit tests of `frame`.
 
-use kitefork_balancer::{Action, BackendId, Event, LogEvent, RequestId};
+use kitefork_balancer::{Action, BackendId, Event, LogEvent, RequestId, TimerId};
 
-use super::bytes::put;
+use super::bytes::{put, u32_at, u64_at};
+use super::layout::{ACTION_SIZE, ENDPOINT_SIZE, EVENT_SIZE};
 use super::*;
 
 fn header(records: u32) -> Header {
@@ -15,7 +16,7 @@
 }
 
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut record = vec![0; EVENT];
+    let mut record = vec![0; EVENT_SIZE];
     record[0] = code;
     for (at, bytes) in fields {
         put(&mut record, *at, bytes);
@@ -25,21 +26,21 @@
 
 #[test]
 fn list_numbers_are_resolved_in_order() {
-    let mut tail = vec![0; 2 * ENTRY];
+    let mut tail = vec![0; 2 * ENDPOINT_SIZE];
     tail[0] = 1;
-    tail[ENTRY] = 2;
+    tail[ENDPOINT_SIZE] = 2;
     tail[10] = 1;
-    tail[ENTRY + 10] = 2;
-    let rows = |start: u32| record(23, &[(3, &start.to_le_bytes()), (7, &1u32.to_le_bytes())]);
-    let mut body = rows(0);
+    tail[ENDPOINT_SIZE + 10] = 2;
+    let list = |start: u32| record(23, &[(3, &start.to_le_bytes()), (7, &1u32.to_le_bytes())]);
+    let mut body = list(0);
     body.extend(record(20, &[(9, &[4])]));
-    body.extend(rows(ENTRY as u32));
+    body.extend(list(ENDPOINT_SIZE as u32));
     body.extend(record(20, &[(9, &[0])]));
     body.extend(tail);
-    let messages = decode(&header(4), &body, &mut Lists::default()).unwrap();
+    let messages = decode(&header(4), &body, &mut EndpointLists::default()).unwrap();
     let ids: Vec<u32> = messages
         .iter()
-        .map(|(_, message)| match message {
+        .map(|message| match &message.message {
             Message::Event(Event::EndpointUpdate { endpoints, .. }) => endpoints[0].id.0,
             other => panic!("{other:?}"),
         })
@@ -47,36 +48,37 @@
     assert_eq!(ids, [1, 2]);
 }
 
+fn assert_fault(records: u32, body: &[u8], text: &str) {
+    let error = decode(&header(records), body, &mut EndpointLists::default()).unwrap_err();
+    assert_eq!(error.to_string(), text);
+}
+
 #[test]
 fn faulty_frames_are_named() {
-    let cases = [
-        (header(2), record(16, &[]), 0, "records"),
-        (header(1), record(99, &[]), HEADER, "event code 99"),
-        (
-            header(1),
-            record(22, &[(15, &1u32.to_le_bytes())]),
-            HEADER + 11,
-            "tail",
-        ),
-        (
-            header(1),
-            record(23, &[(7, &u32::MAX.to_le_bytes())]),
-            HEADER + 3,
-            "tail",
-        ),
-        (header(1), record(20, &[]), HEADER + 7, "no list"),
-        (
-            header(1),
-            record(17, &[(20, &[77])]),
-            HEADER + 20,
-            "outcome 77",
-        ),
-    ];
-    for (header, body, offset, what) in cases {
-        let error = decode(&header, &body, &mut Lists::default()).unwrap_err();
-        assert_eq!((error.batch, error.offset), (9, offset));
-        assert!(error.what.contains(what), "{error}");
-    }
+    let outside = "batch 9, offset 0: records run past the end of the frame";
+    assert_fault(2, &record(16, &[]), outside);
+    let code = "batch 9, offset 20: unknown event code 99";
+    assert_fault(1, &record(99, &[]), code);
+    let settings = record(22, &[(15, &1u32.to_le_bytes())]);
+    assert_fault(1, &settings, "batch 9, offset 31: data outside the tail");
+    let list = record(23, &[(7, &u32::MAX.to_le_bytes())]);
+    assert_fault(1, &list, "batch 9, offset 23: data outside the tail");
+    let update = record(20, &[]);
+    assert_fault(1, &update, "batch 9, offset 27: no list number 0");
+    let mode = record(20, &[(9, &[3])]);
+    assert_fault(1, &mode, "batch 9, offset 29: unknown list mode 3");
+    let outcome = record(17, &[(20, &[77])]);
+    assert_fault(1, &outcome, "batch 9, offset 40: unknown outcome 77");
+    let state = "batch 9, offset 23: unknown backend state 9";
+    assert_fault(1, &unknown_endpoint_state(), state);
+}
+
+/// A list whose only entry has a state that does not exist.
+fn unknown_endpoint_state() -> Vec<u8> {
+    let mut body = record(23, &[(7, &1u32.to_le_bytes())]);
+    body.extend([0; ENDPOINT_SIZE]);
+    body[EVENT_SIZE + 10] = 9;
+    body
 }
 
 #[test]
@@ -92,7 +94,7 @@
     );
     reply.push(5, &Action::Log(LogEvent::NoBackendReady));
     let frame = reply.finish(12);
-    assert_eq!(frame.len(), 12 + 2 * ACTION + 19);
+    assert_eq!(frame.len(), 12 + 2 * ACTION_SIZE + 19);
     assert_eq!(
         (u32_at(&frame, 0), u32_at(&frame, 4), u32_at(&frame, 8)),
         (67, 2, 12)
@@ -106,3 +108,59 @@
         (88, 19, &b"no backend is ready"[..])
     );
 }
+
+const REQUEST: RequestId = RequestId(0x0403_0201);
+const BACKEND: BackendId = BackendId(0x0807_0605);
+
+/// Asserts the record of an action of instance 0x0102, of which the rest is zero.
+fn assert_record(action: &Action, record: &[u8]) {
+    let mut reply = Reply::default();
+    reply.push(0x0102, action);
+    let frame = reply.finish(0);
+    let mut expected = [0; ACTION_SIZE];
+    expected[..record.len()].copy_from_slice(record);
+    assert_eq!(frame[12..12 + ACTION_SIZE], expected, "{action:?}");
+}
+
+#[test]
+fn each_action_on_a_request_has_its_record() {
+    let start = Action::StartAttempt {
+        request: REQUEST,
+        backend: BACKEND,
+        abandon_at: 9,
+    };
+    assert_record(&start, &[80, 2, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
+    let reject = Action::Reject {
+        request: REQUEST,
+        retry_after: 9,
+    };
+    assert_record(&reject, &[81, 2, 1, 1, 2, 3, 4, 9]);
+    let fail = Action::Fail { request: REQUEST };
+    assert_record(&fail, &[82, 2, 1, 1, 2, 3, 4]);
+    let cancel = Action::CancelAttempt {
+        request: REQUEST,
+        attempt: 9,
+    };
+    assert_record(&cancel, &[83, 2, 1, 1, 2, 3, 4, 9]);
+}
+
+#[test]
+fn each_other_action_has_its_record() {
+    let timer = Action::SetTimer {
+        at: 9,
+        timer: TimerId(7),
+    };
+    assert_record(&timer, &[84, 2, 1, 9, 0, 0, 0, 0, 0, 0, 0, 7]);
+    let check = Action::CheckHealth { backend: BACKEND };
+    assert_record(&check, &[85, 2, 1, 5, 6, 7, 8]);
+    let close = Action::CloseIdleConnections { backend: BACKEND };
+    assert_record(&close, &[86, 2, 1, 5, 6, 7, 8]);
+    let gossip = |to| Action::Gossip {
+        to,
+        bytes: b"xy".to_vec(),
+    };
+    assert_record(&gossip(None), &[87, 2, 1, 255, 255, 0, 0, 0, 0, 2]);
+    assert_record(&gossip(Some(3)), &[87, 2, 1, 3, 0, 0, 0, 0, 0, 2]);
+    assert_record(&Action::WatchEndpoints(true), &[90, 2, 1, 1]);
+    assert_record(&Action::PollEndpoints, &[91, 2, 1]);
+}
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,111 +1,158 @@
-//! Hosts balancers.
+//! The host: runs balancers of many instances in one process, and answers each batch of events with
+//! the actions that they decide.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-use kitefork_balancer::Balancer;
-use kitefork_settings::json::Document;
+use kitefork_balancer::{Action, Balancer, Nanos, SettingsError};
+use kitefork_settings::json::{ConfigError, Document};
 use thiserror::Error;
 
-use crate::frame::{FrameError, HEADER, Header, Lists, Message, Reply, decode};
+use crate::frame::{
+    EndpointLists, FrameError, HEADER_SIZE, Header, InstanceMessage, Message, Reply, decode,
+};
 
+/// Why the host has stopped.
 #[derive(Debug, Error)]
 pub enum HostError {
+    /// A frame can't be decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
+    /// The input ends within a frame.
     #[error("batch {batch}, offset {offset}: the input ends within a frame")]
-    Truncated { batch: u32, offset: usize },
+    Truncated {
+        /// Sequence number of the batch, or of the one before if the header is cut.
+        batch: u32,
+        /// Bytes of the frame that were there.
+        offset: usize,
+    },
+    /// Input or output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
+/// Why an instance can't start.
+#[derive(Debug, Error)]
+enum StartError {
+    /// The settings can't be read.
+    #[error("settings: {0}")]
+    Settings(#[from] ConfigError),
+    /// The balancer rejects the settings.
+    #[error(transparent)]
+    Balancer(#[from] SettingsError),
+}
+
+/// Answers batches until the input ends.
+///
+/// # Errors
+///
+/// If the input is no sequence of complete frames, or if input or output fails.
+pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
+    let mut host = Host::default();
+    let mut last_batch = 0;
+    let mut body = Vec::new();
+    while let Some(header) = read_header(&mut input, last_batch)? {
+        last_batch = header.batch;
+        read_body(&mut input, &header, &mut body)?;
+        output.write_all(&host.answer(&header, &body)?)?;
+        output.flush()?;
+    }
+    Ok(())
+}
+
+/// The next header; `None` at the end of the input.
+fn read_header(input: &mut impl Read, last_batch: u32) -> Result<Option<Header>, HostError> {
+    let mut bytes = [0; HEADER_SIZE];
+    match read_full(input, &mut bytes)? {
+        0 => Ok(None),
+        HEADER_SIZE => Ok(Some(Header::read(&bytes))),
+        offset => Err(HostError::Truncated {
+            batch: last_batch,
+            offset,
+        }),
+    }
+}
+
+/// Replaces the content of `body` by what follows a header.
+fn read_body(input: &mut impl Read, header: &Header, body: &mut Vec<u8>) -> Result<(), HostError> {
+    body.clear();
+    let read = input.take(u64::from(header.length)).read_to_end(body)?;
+    if read < header.length as usize {
+        return Err(HostError::Truncated {
+            batch: header.batch,
+            offset: HEADER_SIZE + read,
+        });
+    }
+    Ok(())
+}
+
+/// Fills `buffer`, or as much of it as the input still has; returns how many bytes that were.
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
+            Ok(0) => break,
+            Ok(count) => filled += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(filled)
+}
+
+/// The running instances, and what they share.
 #[derive(Default)]
 struct Host {
     balancers: BTreeMap<u16, Balancer>,
-    lists: Lists,
+    lists: EndpointLists,
 }
 
 impl Host {
-    /// Answers one batch.
+    /// The reply to one batch.
     fn answer(&mut self, header: &Header, body: &[u8]) -> Result<Vec<u8>, FrameError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
-        for (node, message) in decode(header, body, &mut self.lists)? {
-            match message {
-                Message::Start { seed, settings } => match start(&settings, seed, header.now) {
-                    Ok(balancer) => {
-                        self.balancers.insert(node, balancer);
-                    }
-                    Err(why) => reply.fault(node, &why),
-                },
-                Message::Stop => {
-                    self.balancers.remove(&node);
-                }
-                Message::Event(event) => {
-                    if let Some(balancer) = self.balancers.get_mut(&node) {
-                        balancer.handle(header.now, event, &mut actions);
-                    }
-                }
+        for InstanceMessage { instance, message } in decode(header, body, &mut self.lists)? {
+            if let Err(error) = self.handle(instance, message, header.now, &mut actions) {
+                reply.start_failed(instance, &error.to_string());
             }
             for action in actions.drain(..) {
-                reply.push(node, &action);
+                reply.push(instance, &action);
             }
         }
         Ok(reply.finish(header.batch))
     }
-}
-
-fn start(settings: &[u8], seed: u64, now: u64) -> Result<Balancer, String> {
-    let parsed = Document::parse(settings).and_then(|tree| kitefork_settings::read(&tree.root()));
-    let settings = parsed.map_err(|e| format!("settings: {e}"))?.settings;
-    Balancer::new(settings, seed, now).map_err(|e| e.to_string())
-}
 
-/// Fills `buffer`; tells how much was read before the input ended.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
-    let mut read = 0;
-    while read < buffer.len() {
-        match input.read(&mut buffer[read..]) {
-            Ok(0) => break,
-            Ok(n) => read += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+    /// Hands a message to its instance. Events for instances that don't run are ignored.
+    fn handle(
+        &mut self,
+        instance: u16,
+        message: Message,
+        now: Nanos,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), StartError> {
+        match message {
+            Message::Start { seed, settings } => {
+                let balancer = start(&settings, seed, now)?;
+                self.balancers.insert(instance, balancer);
+            }
+            Message::Stop => {
+                self.balancers.remove(&instance);
+            }
+            Message::Event(event) => {
+                if let Some(balancer) = self.balancers.get_mut(&instance) {
+                    balancer.handle(now, event, actions);
+                }
+            }
         }
+        Ok(())
     }
-    Ok(read)
 }
 
-pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
-    let mut host = Host::default();
-    let mut last_batch = 0;
-    let mut body = Vec::new();
-    loop {
-        let mut bytes = [0; HEADER];
-        match fill(&mut input, &mut bytes)? {
-            0 => return Ok(()),
-            HEADER => {}
-            offset => {
-                return Err(HostError::Truncated {
-                    batch: last_batch,
-                    offset,
-                });
-            }
-        }
-        let header = Header::read(&bytes);
-        last_batch = header.batch;
-        body.clear();
-        let read = (&mut input)
-            .take(u64::from(header.length))
-            .read_to_end(&mut body)?;
-        if read < header.length as usize {
-            return Err(HostError::Truncated {
-                batch: header.batch,
-                offset: HEADER + read,
-            });
-        }
-        output.write_all(&host.answer(&header, &body)?)?;
-        output.flush()?;
-    }
+fn start(settings: &[u8], seed: u64, now: Nanos) -> Result<Balancer, StartError> {
+    let document = Document::parse(settings)?;
+    let deployment = kitefork_settings::read(&document.root())?;
+    Ok(Balancer::new(deployment.settings, seed, now)?)
 }
 
 #[cfg(test)]
