--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -74,9 +74,9 @@
 /// Reads the configuration file again and returns the address of discovery that it gives. The whole
 /// file must be valid.
 ///
-/// `BALANCER_DISCOVERY` does not win here: the environment of a running process can't change, so the
-/// variable still holds the address from the start. The call never blocks: a pipe without data is
-/// an error.
+/// `BALANCER_DISCOVERY` does not win here: the environment of a running process can't change, so
+/// the variable still holds the address from the start. The call never blocks: a pipe without data
+/// is an error.
 ///
 /// # Errors
 ///
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -32,49 +32,39 @@
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
 }
 
+/// Asserts that the configuration with `old` replaced by `new` gives an error that has `expected`
+/// in its text.
+fn assert_error(old: &str, new: &str, expected: &str) {
+    assert!(CONFIG.contains(old), "{old}");
+    let result = read(CONFIG.replace(old, new).as_bytes(), |_| None);
+    let error = result.err().unwrap().to_string();
+    assert!(error.contains(expected), "{error}");
+}
+
 #[test]
 fn an_error_names_its_key() {
-    for (old, new, expected) in [
-        ("\"seed\"", "\"sead\"", "`seed`"),
-        ("8c1f", "zz", "`seed`"),
-        ("127.0.0.1:1\"", "nowhere\"", "`discovery`"),
-        (
-            "giveUpNs",
-            "giveUp",
-            "missing field `settings.grades[0].giveUpNs`",
-        ),
-        (
-            "\"importance\":1.0,\"name\":\"look\"",
-            "\"importance\":1.0,\"streamed\":true",
-            "`settings.grades`",
-        ),
-        (
-            "\"boot_ms\":0",
-            "\"boot_ms\":-1",
-            "`known.targets[0].boot_ms`",
-        ),
-        ("\"sockets\":256", "\"sockets\":31", "`limits.sockets`"),
-        (
-            "\"goalTimeNs\":1200000000",
-            "\"goalTimeNs\":0",
-            "`settings.grades`",
-        ),
-        ("\"fallNs\":1", "\"fallNs\":0", "`settings.rules.fallNs`"),
-        (
-            "\"coldFrom\":0.3",
-            "\"coldFrom\":0",
-            "`settings.rules.coldFrom`",
-        ),
-        ("\"tickNs\":5000000", "\"tickNs\":0", "`settings.tickNs`"),
-        (
-            "\"fallNs\":1",
-            "\"fallNs\":1,\"drainCloseNs\":0",
-            "`settings.rules.drainCloseNs`",
-        ),
-    ] {
-        let error = read(CONFIG.replace(old, new).as_bytes(), |_| None)
-            .err()
-            .unwrap();
-        assert!(error.to_string().contains(expected), "{error}");
-    }
+    assert_error(r#""seed""#, r#""sead""#, "`seed`");
+    assert_error("8c1f", "zz", "`seed`");
+    assert_error(r#"127.0.0.1:1""#, r#"nowhere""#, "`discovery`");
+    assert_error(r#""sockets":256"#, r#""sockets":31"#, "`limits.sockets`");
+    let boot = "`known.targets[0].boot_ms`";
+    assert_error(r#""boot_ms":0"#, r#""boot_ms":-1"#, boot);
+}
+
+#[test]
+fn an_error_in_the_settings_names_its_key() {
+    let missing = "missing field `settings.grades[0].giveUpNs`";
+    assert_error("giveUpNs", "giveUp", missing);
+    let class = r#""importance":1.0,"name":"look""#;
+    let streamed = r#""importance":1.0,"streamed":true"#;
+    assert_error(class, streamed, "`settings.grades`");
+    let objective = r#""goalTimeNs":1200000000"#;
+    assert_error(objective, r#""goalTimeNs":0"#, "`settings.grades`");
+    let duration = r#""fallNs":1"#;
+    assert_error(duration, r#""fallNs":0"#, "`settings.rules.fallNs`");
+    let capacity = "`settings.rules.coldFrom`";
+    assert_error(r#""coldFrom":0.3"#, r#""coldFrom":0"#, capacity);
+    assert_error(r#""tickNs":5000000"#, r#""tickNs":0"#, "`settings.tickNs`");
+    let close = r#""fallNs":1,"drainCloseNs":0"#;
+    assert_error(duration, close, "`settings.rules.drainCloseNs`");
 }
--- a/crates/node/src/http1/chunked.rs
+++ b/crates/node/src/http1/chunked.rs
@@ -6,7 +6,8 @@
 /// a limit a line that never ends would be buffered.
 pub(super) const MAX_CHUNK_LINE: usize = 256;
 
-/// Most hexadecimal digits of a chunk's size: 4 GiB, far above any limit on bodies, and no overflow.
+/// Most hexadecimal digits of a chunk's size: 4 GiB, far above any limit on bodies, and no
+/// overflow.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
 /// The size of a chunk in bytes, out of the line that announces it.
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -313,8 +313,8 @@
     }
 }
 
-/// Where the head ends, its empty line included. The first `scanned` bytes hold no end, but may hold
-/// the beginning of one.
+/// Where the head ends, its empty line included. The first `scanned` bytes hold no end, but may
+/// hold the beginning of one.
 fn find_head_end(input: &[u8], scanned: usize) -> Option<usize> {
     let from = scanned.min(input.len()).saturating_sub(HEAD_END.len() - 1);
     let start = from + find(&input[from..], HEAD_END)?;
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -65,44 +65,50 @@
     assert!(request("GET / HTTP/1.1\r\nHost: a\r\n").unwrap().is_none());
 }
 
+/// Asserts the error of a request with these header lines after its `Host`.
+fn assert_header_error(headers: &str, error: ParseError) {
+    let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
+    assert_eq!(found.err(), Some(error), "{headers:.60}");
+}
+
 #[test]
-fn rejects_what_two_implementations_could_read_in_two_ways() {
-    for (headers, error) in [
-        (
-            "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
-            ParseError::Malformed,
-        ),
-        (
-            "Content-Length: 3\r\nContent-Length: 4\r\n",
-            ParseError::Malformed,
-        ),
-        ("Content-Length: +3\r\n", ParseError::Malformed),
-        ("Content-Length: 3, 3\r\n", ParseError::Malformed),
-        (
-            "Transfer-Encoding: gzip, chunked\r\n",
-            ParseError::Malformed,
-        ),
-        ("Transfer-Encoding : chunked\r\n", ParseError::Malformed),
-        ("A: b\r\n c\r\n", ParseError::Malformed),
-        ("A: b\nC: d\r\n", ParseError::Malformed),
-        ("Host: b\r\n", ParseError::Malformed),
-        ("Content-Length: 65537\r\n", ParseError::BodyTooLarge),
-        (
-            "Content-Length: 99999999999999999999999\r\n",
-            ParseError::BodyTooLarge,
-        ),
-        (
-            &format!("A: {}\r\n", "x".repeat(MAX_HEAD)),
-            ParseError::HeadTooLarge,
-        ),
-        (
-            &"A: b\r\n".repeat(MAX_HEADERS + 1),
-            ParseError::HeadTooLarge,
-        ),
+fn rejects_framing_that_two_implementations_could_read_in_two_ways() {
+    for headers in [
+        "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+        "Content-Length: 3\r\nContent-Length: 4\r\n",
+        "Content-Length: +3\r\n",
+        "Content-Length: 3, 3\r\n",
+        "Transfer-Encoding: gzip, chunked\r\n",
+        "Transfer-Encoding : chunked\r\n",
     ] {
-        let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
-        assert_eq!(found.err(), Some(error), "{headers:.60}");
+        assert_header_error(headers, ParseError::Malformed);
+    }
+}
+
+#[test]
+fn rejects_headers_that_two_implementations_could_read_in_two_ways() {
+    for headers in ["A: b\r\n c\r\n", "A: b\nC: d\r\n", "Host: b\r\n"] {
+        assert_header_error(headers, ParseError::Malformed);
+    }
+}
+
+#[test]
+fn rejects_what_is_too_large() {
+    for length in ["65537", "99999999999999999999999"] {
+        let headers = format!("Content-Length: {length}\r\n");
+        assert_header_error(&headers, ParseError::BodyTooLarge);
     }
+    let long_value = format!("A: {}\r\n", "x".repeat(MAX_HEAD));
+    assert_header_error(&long_value, ParseError::HeadTooLarge);
+    let many_headers = "A: b\r\n".repeat(MAX_HEADERS + 1);
+    assert_header_error(&many_headers, ParseError::HeadTooLarge);
+    let chunk = "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n";
+    let flood = CHUNKED_HEAD.to_owned() + &chunk.repeat(3);
+    assert_eq!(request(&flood).err(), Some(ParseError::BodyTooLarge));
+}
+
+#[test]
+fn rejects_request_lines_that_break_the_grammar() {
     for (start_line, error) in [
         ("GET /api HTTP/2.0", ParseError::UnsupportedVersion),
         ("GET /api", ParseError::Malformed),
@@ -110,33 +116,26 @@
         ("GET api HTTP/1.1", ParseError::Malformed),
         ("G(T /api HTTP/1.1", ParseError::Malformed),
     ] {
-        assert_eq!(
-            request(&format!("{start_line}\r\nHost: a\r\n\r\n")).err(),
-            Some(error),
-            "{start_line}"
-        );
+        let found = request(&format!("{start_line}\r\nHost: a\r\n\r\n"));
+        assert_eq!(found.err(), Some(error), "{start_line}");
     }
-    let chunks = "POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
+}
+
+const CHUNKED_HEAD: &str = "POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+#[test]
+fn rejects_chunks_that_break_the_grammar() {
     for body in ["x\r\n", "-1\r\n", "FFFFFFFFF\r\n", "1\r\nabc"] {
-        assert_eq!(
-            request(&format!("{chunks}{body}")).err(),
-            Some(ParseError::Malformed),
-            "{body}"
-        );
+        let found = request(&format!("{CHUNKED_HEAD}{body}"));
+        assert_eq!(found.err(), Some(ParseError::Malformed), "{body}");
     }
-    let flood = format!(
-        "{chunks}{}",
-        "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n"
-    )
-    .repeat(1)
-        + &("8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n").repeat(2);
-    assert_eq!(request(&flood).err(), Some(ParseError::BodyTooLarge));
 }
 
 #[test]
 fn forwards_end_to_end_headers_only() {
     let (head, _) = request(
-        "GET / HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: x\r\n\r\n",
+        "GET / HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nConnection: close, X-Hop\r\n\
+         X-Hop: 1\r\nTE: x\r\n\r\n",
     )
     .unwrap()
     .unwrap();
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,6 @@
-//! The log on standard error: one stable word for each kind of event, then its details. Each kind is
-//! limited, so that a storm of events neither fills the disk nor takes the CPU that requests need.
+//! The log on standard error: one stable word for each kind of event, then its details. Each kind
+//! is limited, so that a storm of events neither fills the disk nor takes the CPU that requests
+//! need.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -49,8 +49,8 @@
 /// reported.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Repeats a call while the machine lacks a resource for a moment. Blocks between attempts, so it is
-/// for the start of the process only.
+/// Repeats a call while the machine lacks a resource for a moment. Blocks between attempts, so it
+/// is for the start of the process only.
 ///
 /// # Errors
 ///
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -13,8 +13,8 @@
 
 use crate::errno::{self, ErrorClass};
 
-/// Size of a ring buffer when it is first used, in bytes. Up to this size it keeps its memory when it
-/// has run empty, so that small messages on a kept connection allocate nothing.
+/// Size of a ring buffer when it is first used, in bytes. Up to this size it keeps its memory when
+/// it has run empty, so that small messages on a kept connection allocate nothing.
 const INITIAL_SIZE: usize = 2 * 1024;
 
 /// A first-in, first-out buffer of bytes: it starts small, grows to its maximum, and gives memory
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Appends `bytes` if all of them fit below the maximum, else nothing; returns whether they did.
+    /// Appends `bytes` if all of them fit below the maximum, else nothing; returns whether they
+    /// did.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if !self.reserve(bytes.len()) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,9 +4,9 @@
 //!
 //! # Wire keys and names in code
 //!
-//! The JSON keeps the platform's keys. These tables are the one place that says what they are called
-//! in the code; a key that is not in them is ignored. Keys that end in `Ns` are in nanoseconds. Where
-//! no default is given, the key is required.
+//! The JSON keeps the platform's keys. These tables are the one place that says what they are
+//! called in the code; a key that is not in them is ignored. Keys that end in `Ns` are in
+//! nanoseconds. Where no default is given, the key is required.
 //!
 //! | key in the settings object | name in code | unit, meaning, default |
 //! |---|---|---|
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -1,5 +1,5 @@
 //! Codes and offsets of the wire: sizes and offsets in bytes, from the start of a header, a record
-//! or an entry.
+//! or an entry. The comment at an offset begins with the type of the field.
 
 /// Size of a batch header.
 pub const HEADER_SIZE: usize = 20;
@@ -14,22 +14,29 @@
 
 /// Fields of a batch header.
 pub(super) mod header {
+    /// `u32`: number of event records.
     pub const RECORDS: usize = 0;
+    /// `u32`: bytes after the header.
     pub const LENGTH: usize = 4;
+    /// `u64`: clock time in nanoseconds.
     pub const NOW: usize = 8;
+    /// `u32`: sequence number.
     pub const BATCH: usize = 16;
 }
 
 /// Fields of every event record and every action record.
 pub(super) mod any_record {
+    /// `u8`: what the record says.
     pub const CODE: usize = 0;
-    /// Number of the instance that the record concerns.
+    /// `u16`: number of the instance that the record concerns.
     pub const INSTANCE: usize = 1;
 }
 
 /// A reference to data in the tail.
 pub(super) mod data_reference {
+    /// `u32`: offset of the first byte in the tail.
     pub const START: usize = 0;
+    /// `u32`: number of items; of bytes where the items are bytes.
     pub const LENGTH: usize = 4;
 }
 
@@ -71,33 +78,49 @@
 
 /// Fields of [`EventCode::Timer`].
 pub(super) mod timer {
+    /// `u32`: number of the timer.
     pub const TIMER: usize = 3;
 }
 
 /// Fields of [`EventCode::AttemptEnded`].
 pub(super) mod attempt_ended {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u8`: number of the attempt, from 0.
     pub const ATTEMPT: usize = 7;
+    /// `u64`: time since it was sent, in nanoseconds.
     pub const LATENCY: usize = 12;
+    /// `u8`: how it ended, see `record`.
     pub const OUTCOME: usize = 20;
+    /// `u8`: other than 0 if the request has its final answer.
     pub const FINISHED: usize = 21;
+    /// A [`load_report`](super::load_report).
     pub const LOAD_REPORT: usize = 22;
 }
 
 /// Fields of [`EventCode::FirstByte`].
 pub(super) mod first_byte {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u8`: number of the attempt, from 0.
     pub const ATTEMPT: usize = 19;
 }
 
 /// Fields of [`EventCode::Request`].
 pub(super) mod request {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u16`: index of the class.
     pub const CLASS: usize = 7;
+    /// `u16`: index of the tenant.
     pub const TENANT: usize = 9;
+    /// `u64`: subject of the request; 0: none.
     pub const KEY: usize = 11;
+    /// `u64`: time until the client stops waiting, in nanoseconds.
     pub const CLIENT_TIMEOUT: usize = 19;
+    /// `u64`: expected work in nanoseconds.
     pub const WORK_HINT: usize = 27;
+    /// `u8`: the flags below, added up.
     pub const FLAGS: usize = 35;
 
     /// Flag: the work hint is given.
@@ -110,7 +133,9 @@
 
 /// Fields of [`EventCode::EndpointUpdate`].
 pub(super) mod endpoint_update {
+    /// `u16`: number of the list.
     pub const LIST: usize = 7;
+    /// `u8`: how to read the list, one of the modes below.
     pub const MODE: usize = 9;
 
     /// Mode: the list holds changes.
@@ -125,52 +150,70 @@
 
 /// Fields of [`EventCode::HealthCheckEnded`].
 pub(super) mod health_check_ended {
+    /// `u32`: number of the backend.
     pub const BACKEND: usize = 3;
+    /// `u64`: time since it was sent, in nanoseconds.
     pub const LATENCY: usize = 7;
+    /// `u8`: how it ended, see `record`.
     pub const OUTCOME: usize = 15;
+    /// A [`load_report`](super::load_report).
     pub const LOAD_REPORT: usize = 16;
 }
 
 /// Fields of [`EventCode::Start`].
 pub(super) mod start {
+    /// `u64`: seed of the random source.
     pub const SEED: usize = 3;
+    /// A [`data_reference`](super::data_reference): the settings, a JSON text.
     pub const SETTINGS: usize = 11;
 }
 
 /// Fields of [`EventCode::EndpointList`].
 pub(super) mod endpoint_list {
-    /// Number of the list. This record concerns no instance.
+    /// `u16`: number of the list. This record concerns no instance.
     pub const LIST: usize = super::any_record::INSTANCE;
+    /// A [`data_reference`](super::data_reference): the entries,
+    /// [`ENDPOINT_SIZE`](super::ENDPOINT_SIZE) bytes each.
     pub const ENTRIES: usize = 3;
 }
 
 /// Fields of [`EventCode::ClientDisconnected`].
 pub(super) mod client_disconnected {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
 }
 
 /// Fields of [`EventCode::GossipReceived`].
 pub(super) mod gossip_received {
+    /// `u16`: index of the proxy that sent the message.
     pub const FROM: usize = 3;
+    /// A [`data_reference`](super::data_reference): the message.
     pub const MESSAGE: usize = 5;
 }
 
 /// Fields of an entry of an endpoint list.
 pub(super) mod endpoint {
+    /// `u32`: number of the backend.
     pub const BACKEND: usize = 0;
+    /// `u16`: number of the zone.
     pub const ZONE: usize = 4;
+    /// `u16`: number of the kind of machine.
     pub const KIND: usize = 6;
+    /// `u16`: number of the cell.
     pub const CELL: usize = 8;
+    /// `u8`: 0 removed, 1 ready, 2 draining.
     pub const STATE: usize = 10;
+    /// `f32`: listed weight.
     pub const WEIGHT: usize = 11;
-    /// 0: long ago.
+    /// `u64`: clock time in nanoseconds; 0: long ago.
     pub const STARTED_AT: usize = 15;
 }
 
 /// A load report within a record.
 pub(super) mod load_report {
-    /// Number of values.
+    /// `u8`: number of values.
     pub const COUNT: usize = 0;
+    /// `f32` each: the values.
     pub const VALUES: usize = 1;
     /// Most values that a record has space for.
     pub const MAX_VALUES: usize = 4;
@@ -197,47 +240,61 @@
 
 /// Fields of [`ActionCode::StartAttempt`].
 pub(super) mod start_attempt {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u32`: number of the backend.
     pub const BACKEND: usize = 7;
+    /// `u64`: clock time in nanoseconds.
     pub const ABANDON_AT: usize = 11;
 }
 
 /// Fields of [`ActionCode::Reject`].
 pub(super) mod reject {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u64`: advice to the client in nanoseconds; 0: none.
     pub const RETRY_AFTER: usize = 7;
 }
 
 /// Fields of [`ActionCode::Fail`].
 pub(super) mod fail {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
 }
 
 /// Fields of [`ActionCode::CancelAttempt`].
 pub(super) mod cancel_attempt {
+    /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
+    /// `u8`: number of the attempt, from 0.
     pub const ATTEMPT: usize = 7;
 }
 
 /// Fields of [`ActionCode::SetTimer`].
 pub(super) mod set_timer {
+    /// `u64`: clock time in nanoseconds.
     pub const AT: usize = 3;
+    /// `u32`: number of the timer.
     pub const TIMER: usize = 11;
 }
 
 /// Fields of [`ActionCode::CheckHealth`].
 pub(super) mod check_health {
+    /// `u32`: number of the backend.
     pub const BACKEND: usize = 3;
 }
 
 /// Fields of [`ActionCode::CloseIdleConnections`].
 pub(super) mod close_idle_connections {
+    /// `u32`: number of the backend.
     pub const BACKEND: usize = 3;
 }
 
 /// Fields of [`ActionCode::Gossip`].
 pub(super) mod gossip {
+    /// `u16`: index of the proxy, or [`TO_ALL`].
     pub const TO: usize = 3;
+    /// A [`data_reference`](super::data_reference): the message.
     pub const MESSAGE: usize = 5;
     /// Receiver that stands for all proxies.
     pub const TO_ALL: u16 = u16::MAX;
@@ -245,10 +302,12 @@
 
 /// Fields of [`ActionCode::Log`] and [`ActionCode::StartFailed`].
 pub(super) mod text {
+    /// A [`data_reference`](super::data_reference): the text.
     pub const TEXT: usize = 3;
 }
 
 /// Fields of [`ActionCode::WatchEndpoints`].
 pub(super) mod watch_endpoints {
+    /// `u8`: 1 to watch the list, 0 to stop.
     pub const ACTIVE: usize = 3;
 }
--- a/crates/simulator/src/frame/record.rs
+++ b/crates/simulator/src/frame/record.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// The code of the record, see [`EventCode`](super::layout::EventCode).
     pub fn code(&self) -> u8 {
         self.u8(any_record::CODE)
     }
@@ -37,30 +38,37 @@
         self.u16(any_record::INSTANCE)
     }
 
+    /// The 8-bit integer at an offset.
     pub fn u8(&self, at: usize) -> u8 {
         self.bytes[at]
     }
 
+    /// The 16-bit integer at an offset.
     pub fn u16(&self, at: usize) -> u16 {
         u16_at(self.bytes, at)
     }
 
+    /// The 32-bit integer at an offset.
     pub fn u32(&self, at: usize) -> u32 {
         u32_at(self.bytes, at)
     }
 
+    /// The 64-bit integer at an offset.
     pub fn u64(&self, at: usize) -> u64 {
         u64_at(self.bytes, at)
     }
 
+    /// The time or span at an offset.
     pub fn nanos(&self, at: usize) -> Nanos {
         self.u64(at)
     }
 
+    /// The request at an offset.
     pub fn request(&self, at: usize) -> RequestId {
         RequestId(self.u32(at))
     }
 
+    /// The backend at an offset.
     pub fn backend(&self, at: usize) -> BackendId {
         BackendId(self.u32(at))
     }
--- a/crates/simulator/src/host_tests.rs
+++ b/crates/simulator/src/host_tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn senseless_settings_are_a_fault_of_the_instance() {
+fn invalid_settings_are_an_error_of_the_instance() {
     let mut body = vec![0; 40];
     body[0] = 22;
     body[15] = 2;
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn a_cut_frame_is_an_error_without_a_reply() {
+fn a_truncated_frame_is_an_error_without_a_reply() {
     let mut output = Vec::new();
-    let whole = frame(1, 5, 7, &[16; 40]);
-    let error = run(&whole[..30], &mut output).unwrap_err();
+    let complete = frame(1, 5, 7, &[16; 40]);
+    let error = run(&complete[..30], &mut output).unwrap_err();
     assert_eq!(
         error.to_string(),
         "batch 7, offset 30: the input ends within a frame"
