--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -23,7 +23,7 @@
 use rustix::fs::OFlags;
 use thiserror::Error;
 
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 
 /// Longest configuration file in bytes: several times an endpoint list of thousands of backends.
 const MAX_FILE_BYTES: u64 = 32 << 20;
@@ -50,7 +50,7 @@
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
     /// The endpoint list as this node last had it; may be stale.
-    pub known: Update,
+    pub cached_endpoints: EndpointUpdate,
     /// The settings of the deployment.
     pub deployment: Deployment,
     /// Whether every event and decision is written to the log.
@@ -131,7 +131,7 @@
         seed: parse_seed(&seed)?,
         sockets,
         memory_mb: source.limit("memory_mb", DEFAULT_MEMORY_MB)?,
-        known: source.known()?,
+        cached_endpoints: source.cached_endpoints()?,
         deployment,
         trace: source.trace(),
     })
@@ -192,10 +192,10 @@
         Ok(deployment)
     }
 
-    fn known(&self) -> Result<Update, ConfigError> {
+    fn cached_endpoints(&self) -> Result<EndpointUpdate, ConfigError> {
         match self.root.find("known") {
-            Some(known) => Update::read(&known),
-            None => Ok(Update::default()),
+            Some(known) => EndpointUpdate::read(&known),
+            None => Ok(EndpointUpdate::default()),
         }
     }
 
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -28,7 +28,13 @@
         ),
         (9, 1, 256)
     );
-    assert_eq!((config.known.rev, config.known.entries.len()), (41, 1));
+    assert_eq!(
+        (
+            config.cached_endpoints.revision,
+            config.cached_endpoints.entries.len()
+        ),
+        (41, 1)
+    );
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
 }
 
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -162,7 +162,7 @@
             outbox,
             inbox: RingBuffer::new(INBOX_BYTES),
             parser: Parser::responses()
-                .with_most_body(MAX_LIST_BYTES)
+                .with_max_body(MAX_LIST_BYTES)
                 .allow_close_delimited(),
             scanner: ObjectScanner::default(),
             last_byte_at: now,
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -177,7 +177,7 @@
             self.calls.remove(number);
         }
         WatchChange::Unchanged(EndpointUpdate {
-            rev: self.revision,
+            revision: self.revision,
             ..EndpointUpdate::default()
         })
     }
@@ -336,11 +336,11 @@
         event_loop: &EventLoop,
         diagnostics: &mut Diagnostics,
     ) -> AppliedUpdate {
-        let freshness = if update.rev < self.revision {
+        let freshness = if update.revision < self.revision {
             diagnostics.log(
                 event_loop.now(),
                 "older-list",
-                format_args!("rev={} known={}", update.rev, self.revision),
+                format_args!("rev={} known={}", update.revision, self.revision),
             );
             Freshness::Older
         } else {
@@ -367,13 +367,17 @@
         diagnostics: &mut Diagnostics,
     ) -> AppliedUpdate {
         let now = event_loop.now();
-        self.revision = update.rev;
+        self.revision = update.revision;
         let observation = StartObservation::new(event_loop.clock(), now, self.confirmed_at);
         let applied = self.endpoints.apply(&observation, update, freshness);
         if diagnostics.is_tracing() {
             diagnostics.trace(
                 now,
-                format_args!("notified rev={} all={}", update.rev, u8::from(update.all)),
+                format_args!(
+                    "notified rev={} all={}",
+                    update.revision,
+                    u8::from(update.all)
+                ),
             );
             for line in self.endpoints.trace_lines(update, now) {
                 diagnostics.trace(now, format_args!("endpoint {line}"));
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -19,5 +19,3 @@
 pub use client::{Discovery, FailureNotice, WatchChange};
 pub use endpoint_list::{AppliedUpdate, EndpointList};
 pub use update::EndpointUpdate;
-/// The name that `config` uses.
-pub use update::EndpointUpdate as Update;
--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct EndpointUpdate {
     /// The revision of the list after this update.
-    pub rev: u64,
+    pub revision: u64,
     /// Whether `entries` is the whole list: what is missing on it has been removed.
     pub all: bool,
     /// The backends that the update speaks of.
@@ -55,7 +55,7 @@
     pub fn read(root: &JsonValue) -> Result<EndpointUpdate, ConfigError> {
         let entries = root.get("targets")?.array()?;
         Ok(EndpointUpdate {
-            rev: root.get("rev")?.integer()?,
+            revision: root.get("rev")?.integer()?,
             all: root.get("all")?.boolean()?,
             entries: entries
                 .iter()
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -10,7 +10,7 @@
 use super::input::{ClientInput, Message};
 use super::reply::Reply;
 use crate::clock::{MS, SECOND};
-use crate::http1::{MAX_ANSWER, MAX_HEAD, ParseError};
+use crate::http1::{MAX_HEAD, MAX_RESPONSE_BODY, ParseError};
 use crate::net::{self, Registration, Unread};
 use crate::ring_buffer::{BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::rules::CloseFacts;
@@ -99,7 +99,7 @@
         ClientConnection {
             socket,
             // An answer, its head, and `100 Continue` before it.
-            outbox: RingBuffer::new(MAX_ANSWER + 2 * MAX_HEAD).with_budget(budget),
+            outbox: RingBuffer::new(MAX_RESPONSE_BODY + 2 * MAX_HEAD).with_budget(budget),
             input: ClientInput::new(now, queued_at, budget),
             state: ConnectionState::Open,
             request: None,
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -15,6 +15,6 @@
 pub use forwarded_request::ForwardedRequest;
 pub use input::Message;
 pub use listener::{ACCEPT_PAUSE, AcceptOutcome, Listener};
-pub use reply::{LocalReplyHead, Reply, status_of};
+pub use reply::{LocalReplyHead, Reply};
 pub use route::{InvalidRequest, Route, route};
 pub use table::ClientConnections;
--- a/crates/node/src/downstream/reply.rs
+++ b/crates/node/src/downstream/reply.rs
@@ -1,7 +1,7 @@
 //! Answers to clients: status lines, and the answers of the node's own.
 
 use crate::clock::SECOND;
-use crate::http1::{self, ParseError};
+use crate::http1;
 use crate::request_table::LocalReply;
 
 /// An answer to a client, before it is encoded.
@@ -67,17 +67,6 @@
     }
 }
 
-/// The status for a message that can't be parsed.
-pub fn status_of(error: ParseError) -> u16 {
-    match error {
-        ParseError::Malformed => 400,
-        ParseError::HeadTooLarge => 431,
-        ParseError::BodyTooLarge => 413,
-        ParseError::UnsupportedVersion => 505,
-        ParseError::BufferBudgetSpent => 503,
-    }
-}
-
 /// How an answer that no backend made looks to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalReplyHead {
--- a/crates/node/src/http1.rs
+++ b/crates/node/src/http1.rs
@@ -29,10 +29,10 @@
 /// Longest head of a message, in bytes, the empty line included. Trailers have the same limit.
 pub const MAX_HEAD: usize = 16 * 1024;
 /// Longest body of a request, in bytes, as the protocol has it.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY: usize = 64 * 1024;
 /// Longest body of a response, in bytes. Responses have been seen that are several times as long as
 /// the 64 KiB of the protocol.
-pub const MAX_ANSWER: usize = 2 * 1024 * 1024;
+pub const MAX_RESPONSE_BODY: usize = 2 * 1024 * 1024;
 
 #[cfg(test)]
 #[path = "http1_tests.rs"]
--- a/crates/node/src/http1/error.rs
+++ b/crates/node/src/http1/error.rs
@@ -25,10 +25,6 @@
 
 impl ParseError {
     /// HTTP status that answers a request with this error.
-    #[cfg_attr(
-        not(test),
-        expect(dead_code, reason = "callers still have a mapping of their own")
-    )]
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => 400,
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -13,7 +13,7 @@
 use super::framing::BodyFraming;
 use super::head::MessageKind;
 use super::lines::{CRLF, find, first_line};
-use super::{Head, MAX_ANSWER, MAX_BODY, MAX_HEAD, ParseError, Start};
+use super::{Head, MAX_HEAD, MAX_REQUEST_BODY, MAX_RESPONSE_BODY, ParseError, Start};
 use crate::ring_buffer::{Body, BufferBudget};
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -67,12 +67,12 @@
 impl Parser {
     /// A parser of requests.
     pub fn requests() -> Parser {
-        Parser::new(MessageKind::Request, MAX_BODY)
+        Parser::new(MessageKind::Request, MAX_REQUEST_BODY)
     }
 
     /// A parser of responses.
     pub fn responses() -> Parser {
-        Parser::new(MessageKind::Response, MAX_ANSWER)
+        Parser::new(MessageKind::Response, MAX_RESPONSE_BODY)
     }
 
     fn new(kind: MessageKind, max_body: usize) -> Parser {
@@ -87,12 +87,9 @@
         }
     }
 
-    /// Limits bodies to `most_body` bytes.
-    pub fn with_most_body(self, most_body: usize) -> Parser {
-        Parser {
-            max_body: most_body,
-            ..self
-        }
+    /// Limits bodies to `max_body` bytes.
+    pub fn with_max_body(self, max_body: usize) -> Parser {
+        Parser { max_body, ..self }
     }
 
     /// Accepts responses that end with their connection. A broken connection can't be told from the
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -111,7 +111,7 @@
     }
 
     fn reply_unreadable(&mut self, number: u32, error: ParseError) {
-        let status = downstream::status_of(error);
+        let status = error.status();
         self.diagnostics.log(
             self.event_loop.now(),
             "bad-request",
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -70,7 +70,11 @@
                 deployment.connect_timeout,
                 deployment.idle_limit,
             ),
-            discovery: discovery(config.discovery, config.known.rev, &deployment),
+            discovery: discovery(
+                config.discovery,
+                config.cached_endpoints.revision,
+                &deployment,
+            ),
             deployment,
         };
         let name = config.name;
@@ -79,7 +83,7 @@
             "start",
             format_args!("name={name} listen={local_address} sockets={descriptors}"),
         );
-        node.apply_cached_list(&config.known);
+        node.apply_cached_list(&config.cached_endpoints);
         node.start_discovery();
         node.flush_pending();
         Ok(node)
@@ -96,7 +100,7 @@
     settings.limits.never_attempted_fraction = NEVER_ATTEMPTED_FRACTION;
     let max_requests = descriptor_budget
         .max(Purpose::Client)
-        .min(config.deployment.most_held)
+        .min(config.deployment.max_pending_requests)
         .max(1);
     RequestTable::new(settings, config.seed, max_requests, now, trace)
 }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-use kitefork_balancer::{DeduplicationScope, Idempotency, Nanos};
+use kitefork_balancer::{Idempotency, Nanos};
 
 use crate::clock::MS;
 
@@ -195,18 +195,10 @@
 ///
 /// That the request may have been executed.
 pub fn may_reject(idempotency: Idempotency, may_have_been_executed: bool) -> Result<(), Denial> {
-    match idempotency {
-        Idempotency::Idempotent
-        | Idempotency::IdempotencyKey {
-            scope: DeduplicationScope::Global,
-            ..
-        } => Ok(()),
-        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent
-            if may_have_been_executed =>
-        {
-            Err(Denial::MayHaveBeenExecuted)
-        }
-        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => Ok(()),
+    if idempotency.allows_rejection(may_have_been_executed) {
+        Ok(())
+    } else {
+        Err(Denial::MayHaveBeenExecuted)
     }
 }
 
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -9,7 +9,7 @@
 
 use super::attempt::{AttemptLimits, UpstreamAttempt};
 use crate::event_loop::{EventLoop, MIN_RETRY, READ, READ_WRITE, TimerEvent, Token};
-use crate::http1::{Head, MAX_BODY, MAX_HEAD, Parser, Start};
+use crate::http1::{Head, MAX_HEAD, MAX_REQUEST_BODY, Parser, Start};
 use crate::net::{self, Registration, Unread};
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
@@ -100,7 +100,7 @@
             },
             waited_for_discovery: false,
             // A head as long as a client's, and what the node adds to it.
-            outbox: RingBuffer::new(MAX_BODY + 2 * MAX_HEAD).with_budget(budget),
+            outbox: RingBuffer::new(MAX_REQUEST_BODY + 2 * MAX_HEAD).with_budget(budget),
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
             // An answer may have neither length nor chunks: an orderly end of the connection makes
             // it complete, a reset does not.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -33,7 +33,7 @@
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Nanos,
     /// Most requests that are pending at a time.
-    pub most_held: usize,
+    pub max_pending_requests: usize,
 }
 
 /// Reads the settings object. Keys that it does not know are ignored.
@@ -61,7 +61,7 @@
             DEFAULT_CONNECT_TIMEOUT,
             JsonValue::integer,
         )?,
-        most_held: limits.get_or(
+        max_pending_requests: limits.get_or(
             "mostHeld",
             DEFAULT_MAX_PENDING_REQUESTS,
             JsonValue::small_integer,
--- a/crates/settings/src/deployment_tests.rs
+++ b/crates/settings/src/deployment_tests.rs
@@ -74,7 +74,7 @@
     assert_eq!(deployment.kinds, ["d"]);
     assert_eq!(deployment.idle_limit, 13);
     assert_eq!(deployment.connect_timeout, 14);
-    assert_eq!(deployment.most_held, 15);
+    assert_eq!(deployment.max_pending_requests, 15);
     let expected = "Settings { \
         classes: [Class { latency_objective: 1, latency_objective_per_unit_of_work: 2.5, \
         client_timeout: 3, priority_weight: 4.5, late_priority_weight: 0.5, \
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -58,7 +58,7 @@
 //! | `maxRetryAfterNs` | `Limits::max_retry_after` | 0 |
 //! | `connIdleNs` | [`Deployment::idle_limit`] | 10 s |
 //! | `connectTimeoutNs` | [`Deployment::connect_timeout`] | 250 ms |
-//! | `mostHeld` | [`Deployment::most_held`] | requests; 20,000 |
+//! | `mostHeld` | [`Deployment::max_pending_requests`] | requests; 20,000 |
 //!
 //! | key in `rules` | field of `Rules` | unit, default |
 //! |---|---|---|
