--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -31,7 +31,7 @@
             prop_assert!(open[0] <= budget.max(Purpose::Client));
             prop_assert!(open[1] <= budget.max(Purpose::Upstream));
         }
-        let alone = (0..).find(|n| !budget.fits(Purpose::Client, *n, 0)).unwrap();
+        let alone = (0..=limit).find(|n| !budget.fits(Purpose::Client, *n, 0)).unwrap();
         prop_assert_eq!(alone, budget.max(Purpose::Client));
         prop_assert!(budget.max_active_clients() < limit / 3);
         prop_assert!(budget.max_active_clients() < alone);
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -95,7 +95,10 @@
     /// otherwise leave others no connection, of which nothing shows here.
     pub fn trim(&mut self, now: Nanos, max_active: usize) -> Vec<EvictionCandidate> {
         self.is_trim_scheduled = false;
-        let has_sent = |number| self.get(number).is_some_and(|c| c.has_sent_message());
+        let has_sent = |number| {
+            self.get(number)
+                .is_some_and(ClientConnection::has_sent_message)
+        };
         let active = self
             .table
             .iter()
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     ///
-    /// Those of epoll_ctl(2): the machine may lack memory for a moment. The old registration stays
+    /// Those of `epoll_ctl(2)`: the machine may lack memory for a moment. The old registration stays
     /// in force.
     pub fn set(
         &mut self,
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -48,11 +48,11 @@
         (Denial::AttemptInFlight, |f| f.history.in_flight = 1),
         (Denial::AttemptsExhausted, |f| f.history.attempts = 3),
         (Denial::MayHaveBeenExecuted, |f| {
-            f.history.idempotency = Idempotency::NotIdempotent
+            f.history.idempotency = Idempotency::NotIdempotent;
         }),
         (Denial::WindowClosed, |f| f.history.write_by = NOW - 1),
         (Denial::AttemptInFlight, |f| {
-            (f.history.in_flight, f.history.idempotency) = (1, Idempotency::Idempotent)
+            (f.history.in_flight, f.history.idempotency) = (1, Idempotency::Idempotent);
         }),
     ];
     for (wanted, change) in cases {
@@ -76,7 +76,7 @@
         (Denial::BackendNotReady, |f| f.backend_ready = false),
         (Denial::DeadlinePassed, |f| f.abandon_at = NOW),
         (Denial::DeadlinePassed, |f| {
-            f.abandon_at = NOW + MIN_TIME_LEFT - 1
+            f.abandon_at = NOW + MIN_TIME_LEFT - 1;
         }),
         (Denial::WindowClosed, |f| f.write_by = NOW - 1),
     ];
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -248,9 +248,8 @@
                 ReadOutcome::EndOfStream => true,
                 ReadOutcome::Broken => return self.closed_by_peer(),
             };
-            let used = match self.parser.feed(self.inbox.bytes()) {
-                Ok(used) => used,
-                Err(_) => return Progress::Failed(self.outcome_if_closed(Outcome::Reset)),
+            let Ok(used) = self.parser.feed(self.inbox.bytes()) else {
+                return Progress::Failed(self.outcome_if_closed(Outcome::Reset));
             };
             self.inbox.consume(used);
             if is_ended && !self.parser.end_of_input() {
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -147,7 +147,7 @@
     let (mut connection, mut far) = waiting();
     connection.state = UpstreamState::Sending;
     sockopt::set_socket_send_buffer_size(&connection.socket, 4096).unwrap();
-    assert!(connection.outbox.push(&[b'x'; MAX_REQUEST_BODY]));
+    assert!(connection.outbox.push(&vec![b'x'; MAX_REQUEST_BODY]));
     far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         .unwrap();
     assert!(matches!(
--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -73,7 +73,9 @@
     }
 
     /// Closes the connection.
-    pub fn close(self) {}
+    pub fn close(self) {
+        drop(self);
+    }
 
     /// The other side has closed the connection.
     pub fn is_closed(&mut self) -> bool {
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -133,7 +133,7 @@
         }
         let before = node.cpu();
         crate::common::pass(700);
-        let used = node.cpu() - before;
+        let used = node.cpu().checked_sub(before).unwrap();
         assert!(
             used < Duration::from_millis(200),
             "{fault}: {used:?} of a core in 0.7 s"
@@ -240,7 +240,7 @@
     idle.expect_close();
     client.expect_close();
     assert!(
-        started.elapsed() < Duration::from_millis(3_000),
+        started.elapsed() < Duration::from_secs(3),
         "{:?}",
         started.elapsed()
     );
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -134,9 +134,9 @@
     for n in [4, 2, 0] {
         let client = waiting.remove(n);
         if n == 2 {
-            client.reset()
+            client.reset();
         } else {
-            client.close()
+            client.close();
         }
     }
     drop(busy);
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -37,9 +37,9 @@
     let mut since = Instant::now();
     for number in 0..4 {
         if number % 2 == 0 {
-            watch.reset()
+            watch.reset();
         } else {
-            watch.close()
+            watch.close();
         }
         watch = node.discovery.wait();
         watch.expect("after=7 ");
@@ -71,7 +71,7 @@
     });
     node.expect_log("discovery-failed silent");
     assert!(
-        since.elapsed() < Duration::from_millis(5_000),
+        since.elapsed() < Duration::from_secs(5),
         "{:?}",
         since.elapsed()
     );
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -246,7 +246,8 @@
         if state.started.is_zero() || settings.slow_start.is_zero() {
             return 1.0;
         }
-        let age = (now - state.started).as_secs_f64() / settings.slow_start.as_secs_f64();
+        let age =
+            now.saturating_sub(state.started).as_secs_f64() / settings.slow_start.as_secs_f64();
         (settings.slow_start_from + (1.0 - settings.slow_start_from) * age).min(1.0)
     }
 
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -310,7 +310,7 @@
             let mut state = self.state();
             let arrived = state.calls[call].arrived;
             let start = state.idle_at.max(arrived);
-            let wait = start - arrived;
+            let wait = start.saturating_sub(arrived);
             if wait <= self.capacity.max_wait {
                 state.idle_at = start + self.capacity.call + self.capacity.endpoint * endpoints;
             }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -134,6 +134,10 @@
     /// # Errors
     ///
     /// If no port can be bound.
+    ///
+    /// # Panics
+    ///
+    /// Outside of a Tokio runtime.
     pub async fn listen(
         self: Arc<Self>,
         serve: impl Fn(LinkedStream) + Send + 'static,
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -90,9 +90,9 @@
         links.push((link, address));
     }
     stop.store(true, Ordering::SeqCst);
-    starters
-        .into_iter()
-        .for_each(|starter| starter.join().unwrap());
+    for starter in starters {
+        starter.join().unwrap();
+    }
     for (link, address) in links {
         // Without SO_REUSEADDR a port is given only if no other socket has it.
         let taken = TcpSocket::new_v4().unwrap().bind(address);
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -37,9 +37,9 @@
 /// A final answer may come this much after the client's timeout, as the nodes' settings have it.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
 /// Repeats of an idempotency key are dropped for this long.
-const KEY_WINDOW: Duration = Duration::from_millis(3_000);
+const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// A backend in slow start breaks down if it is sent too much for this long ...
-const OVERLOAD_TIME: Duration = Duration::from_millis(2_000);
+const OVERLOAD_TIME: Duration = Duration::from_secs(2);
 /// ... where too much is this multiple of what it can do.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// What the referee allows nodes beyond their own grace and slack.
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -174,6 +174,10 @@
     /// # Errors
     ///
     /// If the program can't be started.
+    ///
+    /// # Panics
+    ///
+    /// Never: standard error of a process that was just started is piped.
     pub fn start(&mut self, settings: &ProcessSettings, clock: Clock) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -115,7 +115,7 @@
         .attempts
         .iter()
         .filter(|attempt| attempt.uid == start.uid && attempt.arrived >= start.at)
-        .map(|attempt| attempt.arrived - start.at)
+        .map(|attempt| attempt.arrived.checked_sub(start.at).unwrap())
         .collect();
     sends.sort_unstable();
     sends
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -52,7 +52,7 @@
         let request = &record.request;
         let mut classes = self.scenario.traffic.class.iter();
         let class = classes.find(|class| class.name == request.class);
-        let objective = class.map_or(Duration::ZERO, |class| class.latency_objective());
+        let objective = class.map_or(Duration::ZERO, super::scenario::Class::latency_objective);
         record.outcome.is_served() && record.ended <= request.planned + objective
     }
 
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -97,7 +97,7 @@
         .filter(|notification| notification.node == incarnation.node && notification.at >= started)
         .map(|notification| notification.at)
         .min()?;
-    Some((first - started).as_secs_f64())
+    Some(first.checked_sub(started).unwrap().as_secs_f64())
 }
 
 /// Connections to backends, and what backends rejected.
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -232,7 +232,7 @@
         let fleet = &mut scenario.fleet;
         match self.kind {
             FaultKind::SystemCalls => {
-                fleet.faults += &self.for_a_time(self.choose(&SYSTEM_CALL_FAULTS))
+                fleet.faults += &self.for_a_time(self.choose(&SYSTEM_CALL_FAULTS));
             }
             FaultKind::Delays => fleet.faults += &self.for_a_time(self.choose(&DELAYS)),
             FaultKind::ClockStep => fleet.faults += &self.for_a_time(&self.clock_step()),
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -7,7 +7,9 @@
 use kitefork_standin::random::RandomSource;
 
 use super::fault::{FaultKind, PlannedFault};
-use crate::scenario::{Action, Class, Discovery, Fleet, Known, Scenario, Step, Traffic};
+use crate::scenario::{
+    Action, BackendFigures, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
+};
 
 /// Seconds from the start to the end of the traffic.
 const LENGTH_S: f64 = 10.0;
@@ -59,7 +61,7 @@
         length_s: LENGTH_S + SETTLING_S,
         fleet,
         discovery,
-        backend: Default::default(),
+        backend: BackendFigures::default(),
         traffic,
         at: vec![start],
         expect: Vec::new(),
