--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -191,6 +191,20 @@
     }
 }
 
+#[test]
+fn no_client_is_closed_for_want_of_descriptors_while_nobody_else_waits() {
+    // An accept fails without descriptors also where no client waits: the one behind each client.
+    let (node, _backend) = node("accept=EMFILE,every:2");
+    for number in 0..10 {
+        let mut client = node.client();
+        std::thread::sleep(Duration::from_millis(20));
+        let name = format!("late{number}");
+        client
+            .send(&report(&name, 3_000))
+            .expect(&format!("\r\n\r\n{name}"));
+    }
+}
+
 #[test]
 fn a_configuration_that_gives_an_io_error_changes_nothing_and_is_read_again() {
     let (mut node, backend) = node_with_echo_backend(|config| TestNode::with(config));
