--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -74,9 +74,12 @@
             }
             AcceptOutcome::Failed(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
-                // Out of descriptors: an idle connection gives up its own. No busy loop on what
-                // can't be accepted.
-                if let Some(candidate) = self.eviction_candidate() {
+                // Out of descriptors: an idle connection gives up its own, if it is for a client that
+                // waits; the call fails also where none does. No busy loop on what can't be
+                // accepted.
+                if matches!(self.listener.has_waiting_client(), Ok(true))
+                    && let Some(candidate) = self.eviction_candidate()
+                {
                     self.evict(candidate.number);
                 }
                 self.listener.pause(&mut self.event_loop);
