--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -88,7 +88,7 @@
     }
     let rate = balancer.admission.rate.per_second(2_000 * MS);
     assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
-    // Once they answer fast, what a window completes at that pace brings back all that comes.
+    // Once they answer fast, what a window completes at that rate brings back all that comes.
     balancer.admission.rate.set_completions(rate * 0.6, 0.035);
     assert!(
         balancer.admission.rate.per_second(2_000 * MS) > 25.0,
--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -96,7 +96,7 @@
         .count();
     assert!(
         started(0) < 300,
-        "the pace binds: {} of 400 that can wait",
+        "the admission rate binds: {} of 400 that can wait",
         started(0)
     );
     assert!(
--- a/crates/balancer/tests/balancer/discovery.rs
+++ b/crates/balancer/tests/balancer/discovery.rs
@@ -43,7 +43,7 @@
     assert!(close(&harness.handle(notified.clone())));
     assert!(
         !close(&harness.handle(notified.clone())),
-        "told again, with nothing new to close"
+        "notified again, with nothing new to close"
     );
     harness.wait(200 * MS);
     assert!(close(&harness.end(id, 0, Outcome::Success)));
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -126,7 +126,7 @@
                                 ..
                             }
                     );
-                    assert!(free || !risky, "rule 2: refusal");
+                    assert!(free || !risky, "rule 2: rejection");
                 }
                 Action::Fail { request } => {
                     let (_, deadline, _) = self.open.remove(request).expect("rule 1: one answer");
@@ -376,7 +376,7 @@
             harness.serve(10, |_| 10 * MS);
             let ids: Vec<RequestId> = restarts.iter().map(|_| harness.submit(3).0).collect();
             let mut ran = BTreeMap::new();
-            // The lives go on in turns, so that what one of them shows moves the others.
+            // The requests advance alternately, so that what one of them shows moves the others.
             for step in 0..6 {
                 for (id, (ends, leaves)) in ids.iter().zip(&restarts) {
                     let (outcome, wait) = ends[step];
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -206,7 +206,7 @@
             assert_eq!(
                 reached.len(),
                 60,
-                "{nodes} nodes leave some backends without a req"
+                "{nodes} nodes leave some backends without a request"
             );
         }
         assert!(
