--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -291,6 +291,26 @@
     }
 }
 
+#[test]
+fn a_node_that_is_stopped_and_never_continued_excuses_its_misbehaving_clients() {
+    for (node, wanted) in [
+        (3, &[][..]),
+        (4, &["a request that was read was never answered"]),
+    ] {
+        let pause = Pause {
+            node,
+            from: MS(800),
+            until: Duration::MAX,
+        };
+        let records = Records {
+            misbehaving: vec![misbehaving(Behaviour::Trickles, 0, None)],
+            pauses: vec![pause],
+            ..Records::default()
+        };
+        assert_eq!(broken_rules(&records), wanted, "pause of {node}");
+    }
+}
+
 #[test]
 fn an_attempt_for_a_client_that_has_disconnected_is_found() {
     let behaviour = Behaviour::Disconnects(MS(50));
