--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -13,11 +13,11 @@
             proxy_count: nodes as u32,
             ..settings()
         };
-        let cold = Endpoint {
+        let starting = Endpoint {
             started_at: Some(START - 1),
             ..backend(1)
         };
-        let backends = std::iter::once(cold).chain((2..=20).map(backend)).collect();
+        let backends = std::iter::once(starting).chain((2..=20).map(backend)).collect();
         let mut harness = Harness::seeded(settings, backends, seed);
         sent += harness
             .trickle(10, |_| 20 * MS)
@@ -26,7 +26,7 @@
             .unwrap_or(0);
     }
     // An even share would be 100; a fifth of the capacity is there.
-    assert!(sent < 60, "{sent} sends to a cold backend");
+    assert!(sent < 60, "{sent} sends to a starting backend");
 }
 
 #[test]
@@ -41,8 +41,8 @@
         kind: UpdateKind::Delta,
         endpoints: vec![restarted],
     });
-    let cold = harness.serve(200, |_| 10 * MS);
-    assert!(cold.get(&BackendId(1)).is_none_or(|n| *n < 40), "{cold:?}");
+    let starting = harness.serve(200, |_| 10 * MS);
+    assert!(starting.get(&BackendId(1)).is_none_or(|n| *n < 40), "{starting:?}");
     harness.wait(10_000 * MS);
     harness.serve(400, |_| 10 * MS);
     let warm = harness.serve(600, |_| 10 * MS);
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -53,7 +53,7 @@
         // A third of what thirty of this strength could do in the last two seconds.
         assert!(
             used > 3 * 250,
-            "{nodes} nodes send {used} to thirty cold backends in three plays"
+            "{nodes} nodes send {used} to thirty backends in slow start in three runs"
         );
     }
 }
@@ -77,7 +77,7 @@
     simulation.update_endpoints(UpdateKind::Delta, &backends);
     // More than the warm ones bear.
     simulation.run(4 * SECOND, 850.0);
-    let cold: BTreeMap<BackendId, Vec<Nanos>> = simulation
+    let attempts: BTreeMap<BackendId, Vec<Nanos>> = simulation
         .records
         .values()
         .flat_map(|record| &record.attempts)
@@ -86,7 +86,7 @@
             all.entry(*to).or_insert_with(Vec::new).push(*at);
             all
         });
-    for (id, mut sends) in cold.clone() {
+    for (id, mut sends) in attempts.clone() {
         sends.sort_unstable();
         for (place, from) in sends.iter().enumerate() {
             let Health::Works(strength) = second_half_starts(id, *from) else {
@@ -106,7 +106,7 @@
         }
     }
     let late = |at: &&Nanos| **at >= START + 7 * SECOND;
-    cold.values().flatten().filter(late).count()
+    attempts.values().flatten().filter(late).count()
 }
 
 #[test]
--- a/crates/testbed/src/referee/misbehaving.rs
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -52,7 +52,7 @@
     let stopped = records.pauses.iter().any(|pause| {
         pause.node == record.node
             && pause.from <= end + OBSERVATION_DELAY
-            && pause.until + OBSERVATION_DELAY >= connected
+            && pause.until.saturating_add(OBSERVATION_DELAY) >= connected
     });
     disturbed || stopped
 }
