--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -97,6 +97,43 @@
     );
 }
 
+fn ended(request: RequestId, attempt: u8, latency: Nanos, outcome: Outcome) -> Event {
+    Event::AttemptEnded {
+        request,
+        attempt,
+        latency,
+        outcome,
+        finished: true,
+        load_report: Vec::new(),
+    }
+}
+
+/// A list of ten new backends, each in a cell and of a kind of its own.
+fn ten_new_backends(first: u32) -> Event {
+    let label = |id: u32| (id % 1_000) as u16;
+    let endpoint = |id| Endpoint {
+        id: BackendId(id),
+        cell: CellId(label(id)),
+        kind: KindId(label(id)),
+        state: EndpointState::Ready,
+        ..Endpoint::default()
+    };
+    Event::EndpointUpdate {
+        kind: UpdateKind::Full,
+        endpoints: (first..first + 10).map(endpoint).collect(),
+    }
+}
+
+/// The requests of the attempts that were started, but for every seventh: it is never heard of again
+/// until its client leaves.
+fn answered_requests(actions: &mut Vec<Action>) -> Vec<RequestId> {
+    let started = actions.drain(..).filter_map(|action| match action {
+        Action::StartAttempt { request, .. } => Some(request),
+        _ => None,
+    });
+    started.filter(|request| request.0 % 7 != 0).collect()
+}
+
 #[test]
 fn tables_stay_small_while_thousands_of_backends_come_and_go() {
     let mut settings = one_of_many();
@@ -106,62 +143,18 @@
     for round in 0..20_000 {
         now += 10 * MS;
         if round % 50 == 0 {
-            // Ten new ones, each in a cell and of a kind of its own, and the ten before them are
-            // gone.
-            let (state, label) = (EndpointState::Ready, |id: u32| (id % 1_000) as u16);
-            let backends = (round / 5..round / 5 + 10).map(|id| {
-                let (id, cell, kind) = (BackendId(id), CellId(label(id)), KindId(label(id)));
-                Endpoint {
-                    id,
-                    cell,
-                    kind,
-                    state,
-                    ..Endpoint::default()
-                }
-            });
-            balancer.handle(
-                now,
-                Event::EndpointUpdate {
-                    kind: UpdateKind::Full,
-                    endpoints: backends.collect(),
-                },
-                &mut actions,
-            );
+            // The ten before them are removed.
+            balancer.handle(now, ten_new_backends(round / 5), &mut actions);
         }
         balancer.handle(now, request(round), &mut actions);
-        // Every seventh attempt is never heard of again until its client leaves.
-        let sent: Vec<RequestId> = actions
-            .drain(..)
-            .filter_map(|action| match action {
-                Action::StartAttempt { request, .. } if request.0 % 7 != 0 => Some(request),
-                _ => None,
-            })
-            .collect();
-        for request in sent {
-            let (latency, outcome, load) = (5 * MS, Outcome::Success, Vec::new());
-            let ended = Event::AttemptEnded {
-                request,
-                attempt: 0,
-                latency,
-                outcome,
-                finished: true,
-                load_report: load,
-            };
-            balancer.handle(now + 5 * MS, ended, &mut actions);
+        for request in answered_requests(&mut actions) {
+            let event = ended(request, 0, 5 * MS, Outcome::Success);
+            balancer.handle(now + 5 * MS, event, &mut actions);
         }
         if let Some(left) = round.checked_sub(160) {
             for attempt in 0..5 {
-                let (latency, outcome, load) = (1_600 * MS, Outcome::Timeout, Vec::new());
-                let request = RequestId(left);
-                let ended = Event::AttemptEnded {
-                    request,
-                    attempt,
-                    latency,
-                    outcome,
-                    finished: true,
-                    load_report: load,
-                };
-                balancer.handle(now, ended, &mut actions);
+                let event = ended(RequestId(left), attempt, 1_600 * MS, Outcome::Timeout);
+                balancer.handle(now, event, &mut actions);
             }
         }
         let sizes = [
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -59,94 +59,113 @@
     assert_eq!(most, 2);
 }
 
+/// One of two proxies in front of a fleet, with requests of one class that wait for three latency
+/// objectives.
+struct Burst {
+    harness: Harness,
+    fleet: u32,
+    work: Nanos,
+    objective: Nanos,
+}
+
+impl Burst {
+    fn new(fleet: u32, work: Nanos, tick: Nanos) -> Burst {
+        let objective = (8 * work).max(20 * MS);
+        let whole = Class {
+            latency_objective: objective,
+            client_timeout: 3 * objective,
+            ..class(Idempotency::Idempotent)
+        };
+        let settings = Settings {
+            classes: vec![whole],
+            proxy_count: 2,
+            tick,
+            ..settings()
+        };
+        let harness = Harness::new(settings, (1..=fleet).map(backend).collect());
+        Burst {
+            harness,
+            fleet,
+            work,
+            objective,
+        }
+    }
+
+    fn submit(&mut self) -> RequestId {
+        let id = RequestId(self.harness.next + 1);
+        self.harness.next = id.0;
+        self.harness.handle(Event::Request(Request {
+            id,
+            client_timeout: 3 * self.objective,
+            ..Request::default()
+        }));
+        id
+    }
+
+    fn is_sent(&self, id: RequestId) -> bool {
+        self.harness.sent.contains_key(&id)
+    }
+
+    fn answer(&mut self, id: RequestId) {
+        self.harness.wait(self.work);
+        self.harness.end(id, 0, Outcome::Success);
+    }
+
+    fn serve(&mut self, count: u32) {
+        for _ in 0..count {
+            let id = self.submit();
+            self.answer(id);
+        }
+    }
+
+    fn answer_all(&mut self) {
+        let in_flight: Vec<RequestId> = self
+            .harness
+            .sent
+            .iter()
+            .filter(|(_, attempts)| attempts[0].2)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in in_flight {
+            self.harness.end(id, 0, Outcome::Success);
+        }
+    }
+
+    /// Six times the usual latency at every backend, until limits are at their least.
+    fn overload(&mut self) {
+        for _ in 0..30 {
+            for _ in 0..2 * self.fleet {
+                self.submit();
+            }
+            self.harness.wait(6 * self.work);
+            self.answer_all();
+        }
+        self.harness.wait(3 * self.objective);
+        self.answer_all();
+    }
+}
+
 #[test]
 fn a_limit_that_a_burst_has_cut_grows_again_and_no_request_waits_beside_an_idle_backend() {
     for (work, tick) in [(MS / 20, MS / 1_000), (5 * MS, MS), (1_000 * MS, MS)] {
         for fleet in [2, 12, 50] {
-            let objective = (8 * work).max(20 * MS);
-            let whole = Class {
-                latency_objective: objective,
-                client_timeout: 3 * objective,
-                ..class(Idempotency::Idempotent)
-            };
-            let settings = Settings {
-                classes: vec![whole],
-                proxy_count: 2,
-                tick,
-                ..settings()
-            };
-            let mut harness = Harness::new(settings, (1..=fleet).map(backend).collect());
-            let submit = |harness: &mut Harness| {
-                let id = RequestId(harness.next + 1);
-                harness.next = id.0;
-                harness.handle(Event::Request(Request {
-                    id,
-                    client_timeout: 3 * objective,
-                    ..Request::default()
-                }));
-                id
-            };
-            let answer = |harness: &mut Harness, id, takes| {
-                harness.wait(takes);
-                harness.end(id, 0, Outcome::Success);
-            };
-            for _ in 0..200 {
-                let id = submit(&mut harness);
-                answer(&mut harness, id, work);
-            }
-            // Six times the usual latency at every backend, until limits are at their least.
-            for _ in 0..30 {
-                for _ in 0..2 * fleet {
-                    submit(&mut harness);
-                }
-                harness.wait(6 * work);
-                let out: Vec<_> = harness
-                    .sent
-                    .iter()
-                    .filter(|s| s.1[0].2)
-                    .map(|s| *s.0)
-                    .collect();
-                for id in out {
-                    harness.end(id, 0, Outcome::Success);
-                }
-            }
-            harness.wait(3 * objective);
-            let out: Vec<_> = harness
-                .sent
-                .iter()
-                .filter(|s| s.1[0].2)
-                .map(|s| *s.0)
-                .collect();
-            for id in out {
-                harness.end(id, 0, Outcome::Success);
-            }
-            // The burst is over: one is out at a time, and others idle. It is never held back.
+            let mut burst = Burst::new(fleet, work, tick);
+            burst.serve(200);
+            burst.overload();
+            // The burst is over: one is in flight at a time, and others idle. It never waits.
             for round in 0..50 {
-                let id = submit(&mut harness);
-                assert!(
-                    harness.sent.contains_key(&id),
-                    "{fleet} of {work} ns: held back in round {round}"
-                );
-                answer(&mut harness, id, work);
+                let id = burst.submit();
+                let what = format!("{fleet} of {work} ns: waits in round {round}");
+                assert!(burst.is_sent(id), "{what}");
+                burst.answer(id);
             }
             // Half as many as there are backends at once find capacity after ten answers of each
             // and thirty objectives.
-            for _ in 0..10 * fleet {
-                let id = submit(&mut harness);
-                answer(&mut harness, id, work);
-            }
-            harness.wait(30 * objective);
-            let all: Vec<_> = (0..fleet / 2).map(|_| submit(&mut harness)).collect();
-            let in_flight = all
-                .iter()
-                .filter(|id| !harness.sent.contains_key(id))
-                .count();
-            assert_eq!(
-                in_flight,
-                0,
-                "{fleet} of {work} ns: {in_flight} of {} wait",
-                all.len()
-            );
+            burst.serve(10 * fleet);
+            burst.harness.wait(30 * burst.objective);
+            let all: Vec<_> = (0..fleet / 2).map(|_| burst.submit()).collect();
+            let waiting = all.iter().filter(|id| !burst.is_sent(**id)).count();
+            assert_eq!(waiting, 0, "{fleet} of {work} ns, of {}", all.len());
         }
     }
 }
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -72,62 +72,8 @@
                 Action::CloseIdleConnections { backend } => drop(self.unclosed.remove(backend)),
                 Action::StartAttempt {
                     request, backend, ..
-                } => {
-                    let (class, deadline, seen) = self
-                        .open
-                        .get_mut(request)
-                        .expect("rule 1: send after the end");
-                    assert!(now < *deadline);
-                    assert_eq!(self.states[backend], EndpointState::Ready, "rule 3");
-                    let risky: Vec<&Seen> = seen
-                        .iter()
-                        .filter(|s| s.outcome.is_none_or(|o| !o.not_executed()))
-                        .collect();
-                    match settings.classes[usize::from(*class)].idempotency {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NotIdempotent => assert!(risky.is_empty(), "rule 2"),
-                        Idempotency::IdempotencyKey {
-                            scope: group,
-                            window,
-                        } => {
-                            assert!(
-                                risky.iter().all(|s| now <= s.sent + window),
-                                "rule 2: window"
-                            );
-                            let same = |s: &&Seen| {
-                                group == DeduplicationScope::Global
-                                    || s.backend.0 % 2 == backend.0 % 2
-                            };
-                            assert!(risky.iter().all(same), "rule 2: group");
-                        }
-                    }
-                    seen.push(Seen {
-                        backend: *backend,
-                        sent: now,
-                        outcome: None,
-                    });
-                }
-                Action::Reject { request, .. } => {
-                    let (class, deadline, seen) =
-                        self.open.remove(request).expect("rule 1: one answer");
-                    assert!(now <= deadline);
-                    let risky = seen
-                        .iter()
-                        .any(|s| s.outcome.is_none_or(|o| !o.not_executed()));
-                    let effect = settings
-                        .classes
-                        .get(usize::from(class))
-                        .map_or(Idempotency::Idempotent, |c| c.idempotency);
-                    let free = matches!(
-                        effect,
-                        Idempotency::Idempotent
-                            | Idempotency::IdempotencyKey {
-                                scope: DeduplicationScope::Global,
-                                ..
-                            }
-                    );
-                    assert!(free || !risky, "rule 2: rejection");
-                }
+                } => self.check_attempt(now, settings, *request, *backend),
+                Action::Reject { request, .. } => self.check_rejection(now, settings, *request),
                 Action::Fail { request } => {
                     let (_, deadline, _) = self.open.remove(request).expect("rule 1: one answer");
                     assert!(now <= deadline);
@@ -141,6 +87,61 @@
             "rule 5"
         );
     }
+
+    fn check_attempt(
+        &mut self,
+        now: Nanos,
+        settings: &Settings,
+        request: RequestId,
+        backend: BackendId,
+    ) {
+        let open = self.open.get_mut(&request);
+        let (class, deadline, seen) = open.expect("rule 1: send after the end");
+        assert!(now < *deadline);
+        assert_eq!(self.states[&backend], EndpointState::Ready, "rule 3");
+        let risky: Vec<&Seen> = seen.iter().filter(|s| s.may_have_executed()).collect();
+        match settings.classes[usize::from(*class)].idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => assert!(risky.is_empty(), "rule 2"),
+            Idempotency::IdempotencyKey { scope, window } => {
+                let in_window = risky.iter().all(|s| now <= s.sent + window);
+                assert!(in_window, "rule 2: window");
+                let shares_keys = |s: &&Seen| {
+                    scope == DeduplicationScope::Global || s.backend.0 % 2 == backend.0 % 2
+                };
+                assert!(risky.iter().all(shares_keys), "rule 2: scope");
+            }
+        }
+        seen.push(Seen {
+            backend,
+            sent: now,
+            outcome: None,
+        });
+    }
+
+    fn check_rejection(&mut self, now: Nanos, settings: &Settings, request: RequestId) {
+        let open = self.open.remove(&request);
+        let (class, deadline, seen) = open.expect("rule 1: one answer");
+        assert!(now <= deadline);
+        let is_risky = seen.iter().any(Seen::may_have_executed);
+        let class = settings.classes.get(usize::from(class));
+        let idempotency = class.map_or(Idempotency::Idempotent, |class| class.idempotency);
+        let is_free = matches!(
+            idempotency,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
+                    scope: DeduplicationScope::Global,
+                    ..
+                }
+        );
+        assert!(is_free || !is_risky, "rule 2: rejection");
+    }
+}
+
+impl Seen {
+    fn may_have_executed(&self) -> bool {
+        self.outcome.is_none_or(|outcome| !outcome.not_executed())
+    }
 }
 
 /// A balancer that plays steps, each judged by the rules.
@@ -332,14 +333,7 @@
 
 #[test]
 fn random_events_break_no_rule_and_equal_events_give_equal_actions() {
-    let config = Config {
-        cases: 300,
-        failure_persistence: None,
-        ..Config::default()
-    };
-    let mut runner =
-        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    runner
+    deterministic_runner(300)
         .run(&prop::collection::vec(step(), 1..150), |steps| {
             prop_assert_eq!(play(&steps), play(&steps));
             Ok(())
@@ -347,16 +341,18 @@
         .unwrap();
 }
 
-#[test]
-fn a_request_that_is_not_idempotent_has_no_second_attempt_once_one_may_have_executed() {
+/// A runner whose cases are the same each time.
+fn deterministic_runner(cases: u32) -> TestRunner {
     let config = Config {
-        cases: 500,
+        cases,
         failure_persistence: None,
         ..Config::default()
     };
-    let mut runner =
-        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    let outcome = prop_oneof![
+    TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
+}
+
+fn any_end() -> impl Strategy<Value = Outcome> {
+    prop_oneof![
         3 => Just(Outcome::ConnectFailed),
         2 => Just(Outcome::Overloaded),
         1 => Just(Outcome::NotSent),
@@ -365,12 +361,14 @@
         1 => Just(Outcome::Error),
         1 => Just(Outcome::Cancelled),
         1 => Just(Outcome::Success),
-    ];
-    let restarts = prop::collection::vec(
-        (prop::collection::vec((outcome, 0u64..40), 6), any::<bool>()),
-        1..12,
-    );
-    runner
+    ]
+}
+
+#[test]
+fn a_request_that_is_not_idempotent_has_no_second_attempt_once_one_may_have_executed() {
+    let ends = prop::collection::vec((any_end(), 0u64..40), 6);
+    let restarts = prop::collection::vec((ends, any::<bool>()), 1..12);
+    deterministic_runner(500)
         .run(&restarts, |restarts| {
             let mut harness = Harness::new(settings(), (1..=5).map(backend).collect());
             harness.serve(10, |_| 10 * MS);
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -17,7 +17,9 @@
             started_at: Some(START - 1),
             ..backend(1)
         };
-        let backends = std::iter::once(starting).chain((2..=20).map(backend)).collect();
+        let backends = std::iter::once(starting)
+            .chain((2..=20).map(backend))
+            .collect();
         let mut harness = Harness::seeded(settings, backends, seed);
         sent += harness
             .trickle(10, |_| 20 * MS)
@@ -42,7 +44,10 @@
         endpoints: vec![restarted],
     });
     let starting = harness.serve(200, |_| 10 * MS);
-    assert!(starting.get(&BackendId(1)).is_none_or(|n| *n < 40), "{starting:?}");
+    assert!(
+        starting.get(&BackendId(1)).is_none_or(|n| *n < 40),
+        "{starting:?}"
+    );
     harness.wait(10_000 * MS);
     harness.serve(400, |_| 10 * MS);
     let warm = harness.serve(600, |_| 10 * MS);
