--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 # Formatting, clippy and rustdoc without warnings, and pages that name only what exists.
 lint:
 	cargo fmt --all --check
+	tools/check_line_lengths.sh
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --document-private-items
 	tools/check_pages.py --self-test
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// The requests of the attempts that were started, but for every seventh: it is never heard of again
-/// until its client leaves.
+/// The requests of the attempts that were started, but for every seventh: it is never heard of
+/// again until its client leaves.
 fn answered_requests(actions: &mut Vec<Action>) -> Vec<RequestId> {
     let started = actions.drain(..).filter_map(|action| match action {
         Action::StartAttempt { request, .. } => Some(request),
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -6,9 +6,9 @@
 //! wants, and it uses its own stretch of its own zone first, so that proxies which don't know what
 //! the others have in flight don't crowd one backend beside an idle one.
 //!
-//! Where attempts to other zones cost, little goes to other zones: all of them together have as many
-//! backends in the subset as the proxy's own. If the few of one proxy fail together, picks go to
-//! all others. It never decides whether an attempt is legal.
+//! Where attempts to other zones cost, little goes to other zones: all of them together have as
+//! many backends in the subset as the proxy's own. If the few of one proxy fail together, picks go
+//! to all others. It never decides whether an attempt is legal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -175,8 +175,8 @@
     ///
     /// # Errors
     ///
-    /// Those of `epoll_ctl(2)`: the machine may lack memory for a moment. The old registration stays
-    /// in force.
+    /// Those of `epoll_ctl(2)`: the machine may lack memory for a moment. The old registration
+    /// stays in force.
     pub fn set(
         &mut self,
         epoll: &OwnedFd,
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -74,8 +74,8 @@
             }
             AcceptOutcome::Failed(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
-                // Out of descriptors: an idle connection gives up its own, if it is for a client that
-                // waits; the call fails also where none does. No busy loop on what can't be
+                // Out of descriptors: an idle connection gives up its own, if it is for a client
+                // that waits; the call fails also where none does. No busy loop on what can't be
                 // accepted.
                 if matches!(self.listener.has_waiting_client(), Ok(true))
                     && let Some(candidate) = self.eviction_candidate()
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -12,8 +12,8 @@
 
 use crate::clock::MS;
 
-/// Shortest time with a backend for which an attempt is started, in nanoseconds: less is sent as 0 ms, and
-/// such an attempt is over when it arrives.
+/// Shortest time with a backend for which an attempt is started, in nanoseconds: less is sent as 0
+/// ms, and such an attempt is over when it arrives.
 const MIN_TIME_LEFT: Nanos = MS;
 
 /// Why something is not allowed now.
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -1,5 +1,6 @@
 //! A process that is delayed between two of its calls: what it has read before is old when it acts
-//! on it. The fault shim delays it for 0.4 s in a span in which the test plays the event that races.
+//! on it. The fault shim delays it for 0.4 s in a span in which the test plays the event that
+//! races.
 
 use std::time::{Duration, Instant};
 
