--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -89,7 +89,7 @@
     /// The place of a request that is received now, and what its admission costs: what can wait
     /// leaves the reserve to what others need at once. `is_late`: its latency objective has passed
     /// before this attempt of its client.
-    pub(crate) fn place(
+    pub(crate) fn position_and_cost(
         &mut self,
         request: &Request,
         is_late: bool,
@@ -118,9 +118,9 @@
             inverted_sequence: u64::MAX - self.sequence,
         };
         let cost = if weight < RESERVE_WEIGHT_FRACTION * highest {
-            AdmissionCost::LEAVES_RESERVE
+            AdmissionCost::KEEPS_RESERVE
         } else {
-            AdmissionCost::FULL_ACCESS
+            AdmissionCost::MAY_USE_RESERVE
         };
         (position, cost)
     }
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -48,9 +48,9 @@
     }
 
     fn add(&mut self, request: &Request, is_late: bool) -> AdmissionCost {
-        let (position, cost) = self
-            .queue
-            .place(request, is_late, &self.settings, &self.classes);
+        let (position, cost) =
+            self.queue
+                .position_and_cost(request, is_late, &self.settings, &self.classes);
         self.queue.insert(position, request.id);
         cost
     }
@@ -100,17 +100,18 @@
 #[test]
 fn only_the_weightiest_draw_on_the_reserve() {
     let mut fixture = Fixture::new();
-    assert!(fixture.add(&of_tenant(1, 0, 1), false).leaves_reserve());
-    assert!(!fixture.add(&of_tenant(2, 1, 1), false).leaves_reserve());
+    assert!(fixture.add(&of_tenant(1, 0, 1), false).keeps_reserve());
+    assert!(!fixture.add(&of_tenant(2, 1, 1), false).keeps_reserve());
 }
 
 #[test]
 fn what_is_removed_waits_no_more() {
     let mut fixture = Fixture::new();
     let request = of_tenant(1, 0, 1);
-    let (position, _) = fixture
-        .queue
-        .place(&request, false, &fixture.settings, &fixture.classes);
+    let (position, _) =
+        fixture
+            .queue
+            .position_and_cost(&request, false, &fixture.settings, &fixture.classes);
     fixture.queue.insert(position, request.id);
     assert!(!fixture.queue.is_empty());
     fixture.queue.remove(position, request.id);
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -21,7 +21,7 @@
 const OBJECTIVE_FRACTION: f64 = 0.65;
 
 /// Tokens that are kept for the most weighty requests.
-pub(crate) const RESERVE: f64 = 2.0;
+pub(crate) const RESERVED_TOKENS: f64 = 2.0;
 
 /// What one admission needs to find in the bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,14 +31,14 @@
 
 impl AdmissionCost {
     /// Of a request among the most weighty: the token that it spends.
-    pub(crate) const FULL_ACCESS: AdmissionCost = AdmissionCost { tokens: 1.0 };
+    pub(crate) const MAY_USE_RESERVE: AdmissionCost = AdmissionCost { tokens: 1.0 };
     /// Of a request that leaves the reserve to others.
-    pub(crate) const LEAVES_RESERVE: AdmissionCost = AdmissionCost {
-        tokens: 1.0 + RESERVE,
+    pub(crate) const KEEPS_RESERVE: AdmissionCost = AdmissionCost {
+        tokens: 1.0 + RESERVED_TOKENS,
     };
 
     /// Whether it leaves the reserve to others.
-    pub(crate) fn leaves_reserve(self) -> bool {
+    pub(crate) fn keeps_reserve(self) -> bool {
         self.tokens > 1.0
     }
 }
@@ -102,7 +102,7 @@
     /// the reserve in any case.
     pub(crate) fn refill(&mut self, now: Nanos, step: f64) {
         let rate = self.per_second(now);
-        let most = (rate * self.timescale.shortest_objective).max(2.0 + RESERVE);
+        let most = (rate * self.timescale.shortest_objective).max(2.0 + RESERVED_TOKENS);
         self.tokens = (self.tokens + rate * step).min(most);
     }
 
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -44,12 +44,12 @@
 fn an_attempt_that_used_no_capacity_gives_its_token_back() {
     let (mut rate, _) = started_long_ago();
     rate.on_sent();
-    assert!(!rate.covers(AdmissionCost::FULL_ACCESS));
+    assert!(!rate.covers(AdmissionCost::MAY_USE_RESERVE));
     rate.on_ended(Outcome::Timeout, 0.3);
-    assert!(!rate.covers(AdmissionCost::FULL_ACCESS));
+    assert!(!rate.covers(AdmissionCost::MAY_USE_RESERVE));
     rate.on_ended(Outcome::ConnectFailed, 0.0);
-    assert!(rate.covers(AdmissionCost::FULL_ACCESS));
-    assert!(!rate.covers(AdmissionCost::LEAVES_RESERVE));
+    assert!(rate.covers(AdmissionCost::MAY_USE_RESERVE));
+    assert!(!rate.covers(AdmissionCost::KEEPS_RESERVE));
 }
 
 #[test]
@@ -58,20 +58,23 @@
     rate.on_sent();
     let wait = 1_000 * MS * 6 / 10 + MS;
     assert_eq!(
-        rate.next_wake(now, AdmissionCost::FULL_ACCESS),
+        rate.next_wake(now, AdmissionCost::MAY_USE_RESERVE),
         Some(now + wait)
     );
-    assert_eq!(rate.next_wake(now, AdmissionCost::FULL_ACCESS), None);
+    assert_eq!(rate.next_wake(now, AdmissionCost::MAY_USE_RESERVE), None);
     rate.refill(now + wait, 10.0);
-    assert_eq!(rate.next_wake(now + wait, AdmissionCost::FULL_ACCESS), None);
+    assert_eq!(
+        rate.next_wake(now + wait, AdmissionCost::MAY_USE_RESERVE),
+        None
+    );
 }
 
 #[test]
 fn tokens_are_kept_up_to_the_reserve_and_no_further_at_a_low_rate() {
     let (mut rate, now) = started_long_ago();
     rate.refill(now, 1_000.0);
-    assert!(rate.covers(AdmissionCost::LEAVES_RESERVE));
+    assert!(rate.covers(AdmissionCost::KEEPS_RESERVE));
     rate.on_sent();
     rate.on_sent();
-    assert!(!rate.covers(AdmissionCost::LEAVES_RESERVE));
+    assert!(!rate.covers(AdmissionCost::KEEPS_RESERVE));
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -207,7 +207,7 @@
         self.admission.rate.refill(now, step);
         self.admission.queue.refill_quotas(&self.settings, step);
         for class in &mut self.classes {
-            class.forget(step, self.timescale.longest_objective);
+            class.raise_minimums(step, self.timescale.longest_objective);
         }
         self.refreshed_at = now;
     }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -98,7 +98,7 @@
             .get_mut(backend)
             .expect("picked from the list");
         record.load.on_sent(now);
-        record.slow_start.spend();
+        record.slow_start_tokens.spend();
         let (zone, cell) = (record.endpoint().zone, record.endpoint().cell);
         self.limiter.on_sent();
         self.admission.rate.on_sent();
@@ -199,10 +199,10 @@
             return;
         };
         let latency = seconds(ended.latency);
-        let had_completions = record.service.has_completions();
+        let had_completions = record.service_times.has_completions();
         record.load.on_ended(sent_at);
         record
-            .service
+            .service_times
             .on_ended(ended.outcome, latency, self.timescale.shortest_objective);
         if ended.outcome != Outcome::Success {
             return;
@@ -210,9 +210,9 @@
         if !had_completions {
             record.weights.restart_exploration(now);
         }
-        record.failures.on_completion();
-        if record.service.is_established() {
-            record.failures.reset_backoff();
+        record.failure_history.on_completion();
+        if record.service_times.has_enough_completions() {
+            record.failure_history.reset_backoff();
         }
         let mean_latency = self.classes[class].mean_latency();
         let kind = record.endpoint().kind;
@@ -261,7 +261,7 @@
             .on_failure(now, backend, &mut self.endpoints, random);
         let Some(ejection) = ejection else { return };
         if let Some(record) = self.endpoints.get_mut(backend) {
-            record.service.reset();
+            record.service_times.reset();
             record.load.reset_limit(self.limiter.initial_limit());
             record.weights.restart_exploration(ejection.until);
         }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -25,13 +25,13 @@
         let span = objective_span(class, &request);
         let class_timeout = class.client_timeout;
         let statistics = &mut self.classes[usize::from(request.class.0)];
-        let elapsed = statistics.elapsed(request.client_timeout, class_timeout);
+        let elapsed = statistics.estimated_elapsed(request.client_timeout, class_timeout);
         let is_late = elapsed >= span;
         let left = if is_late { span } else { span - elapsed };
         let deadline = now.saturating_add(request.client_timeout);
         let queue = &mut self.admission.queue;
         let (position, admission_cost) =
-            queue.place(&request, is_late, &self.settings, &self.classes);
+            queue.position_and_cost(&request, is_late, &self.settings, &self.classes);
         queue.insert(position, id);
         self.admission.rate.on_received();
         self.requests.insert(PendingRequest {
@@ -79,7 +79,7 @@
         if pending.never_written() {
             // A rejection of what was never written to a backend costs nothing up to a part of the
             // client's timeout.
-            let fraction = 1.0 - self.settings.limits.never_attempted_fraction;
+            let fraction = 1.0 - self.settings.limits.never_attempted_timeout_fraction;
             let kept = (pending.request.client_timeout as f64 * fraction) as Nanos;
             end = end.min(pending.deadline - kept);
         }
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -32,7 +32,7 @@
             pooled_kinds: self
                 .is_starved(now)
                 .then(|| self.estimation.estimator.kinds().len()),
-            home_to_away: priors.home_to_away,
+            local_to_remote_ratio: priors.local_to_remote_ratio,
         };
         self.estimation
             .split
@@ -46,8 +46,8 @@
             .completion_memory(now, self.endpoints.len());
         let keep = (-step / memory).exp();
         for record in self.endpoints.iter_mut() {
-            record.service.decay(keep);
-            record.failures.decay(keep);
+            record.service_times.decay(keep);
+            record.failure_history.decay(keep);
         }
     }
 
@@ -71,13 +71,13 @@
         self.estimation
             .subset
             .members(&self.endpoints, knowable, |record| {
-                !self.outliers.is_ejected(now, &record.failures)
+                !self.outliers.is_ejected(now, &record.failure_history)
             })
     }
 
     /// Whether the list calls a backend ready and it is not ejected.
     fn is_usable(&self, now: Nanos, record: &EndpointRecord) -> bool {
-        record.is_ready() && !self.outliers.is_ejected(now, &record.failures)
+        record.is_ready() && !self.outliers.is_ejected(now, &record.failure_history)
     }
 
     fn is_starved(&self, now: Nanos) -> bool {
@@ -100,9 +100,12 @@
     ) -> Vec<f64> {
         let is_starved = self.is_starved(now);
         let rate = |(record, prior): (&EndpointRecord, &PriorLatency)| {
-            let waited = record.load.waited(seconds(now));
-            let latency = record.service.estimated_latency(waited, prior.expected);
-            let is_known = record.service.has_completions() || is_starved && prior.expected > 0.0;
+            let waited = record.load.summed_wait_seconds(seconds(now));
+            let latency = record
+                .service_times
+                .estimated_latency(waited, prior.expected);
+            let is_known =
+                record.service_times.has_completions() || is_starved && prior.expected > 0.0;
             let is_member = members.contains(&record.id()) && !self.is_overloaded(latency, prior);
             let is_split_among = self.is_usable(now, record) && is_known && is_member;
             if is_split_among {
@@ -113,7 +116,7 @@
         };
         self.endpoints
             .iter()
-            .zip(&priors.of_backends)
+            .zip(&priors.by_backend)
             .map(rate)
             .collect()
     }
@@ -122,7 +125,7 @@
     /// It is back in the set as its samples age. Slow but sound ones rest too, so this holds only
     /// where the other backends of the subset are shared by many proxies.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
-        self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.of_kind
+        self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
 
     /// Capacity fraction of each usable backend; 0 for the others.
@@ -149,7 +152,7 @@
         for record in self.endpoints.iter_mut() {
             let fraction = self.slow_start.capacity_fraction(now, record.endpoint());
             self.slow_start
-                .save_up(&mut record.slow_start, fraction, step);
+                .refill(&mut record.slow_start_tokens, fraction, step);
         }
     }
 
@@ -163,8 +166,8 @@
             .filter(|record| self.is_usable(now, record))
         {
             limit += record.load.concurrency_limit();
-            if record.service.has_completions() {
-                pressure.add(&record.load, &record.service, now);
+            if record.service_times.has_completions() {
+                pressure.add(&record.load, &record.service_times, now);
             }
         }
         self.limiter.set_total(limit, pressure.value());
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -23,7 +23,9 @@
 
 impl Candidates {
     /// Of the given backends, in their order; those without weight are left out.
-    pub(crate) fn of<'a>(records: impl Iterator<Item = &'a EndpointRecord>) -> Candidates {
+    pub(crate) fn from_records<'a>(
+        records: impl Iterator<Item = &'a EndpointRecord>,
+    ) -> Candidates {
         let mut candidates = Candidates::default();
         let mut cumulative_weight = 0.0;
         for record in records {
--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -27,7 +27,7 @@
         record(2, 0.5, 0.0),
         record(3, 0.5, 0.3),
     ];
-    let candidates = Candidates::of(records.iter());
+    let candidates = Candidates::from_records(records.iter());
     assert_eq!(candidates.support(), [BackendId(2), BackendId(3)]);
     assert!((candidates.exploration_sum() - 0.4).abs() < 1e-12);
     let count = |id| {
@@ -39,11 +39,11 @@
 
 #[test]
 fn nothing_is_found_where_nothing_has_weight() {
-    let candidates = Candidates::of(std::iter::empty());
+    let candidates = Candidates::from_records(std::iter::empty());
     assert_eq!(
         (candidates.exploration_sum(), candidates.explored_at(0.5)),
         (0.0, None)
     );
-    let candidates = Candidates::of([record(1, 1.0, 0.2)].iter());
+    let candidates = Candidates::from_records([record(1, 1.0, 0.2)].iter());
     assert_eq!(candidates.explored_at(1.0), Some(BackendId(1)));
 }
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -34,7 +34,7 @@
 
     /// The mean latency at its lowest: what it is without load.
     pub(crate) fn unloaded_latency(&self) -> f64 {
-        self.latencies.lowest
+        self.latencies.minimum
     }
 
     /// Whether any latency is known.
@@ -56,9 +56,9 @@
         }
         let is_known = in_zone.count >= LATENCY_SAMPLES;
         let unloaded = if is_known {
-            in_zone.lowest
+            in_zone.minimum
         } else {
-            self.latencies.lowest
+            self.latencies.minimum
         };
         latency / unloaded.max(1e-9)
     }
@@ -69,7 +69,11 @@
     ///
     /// This keeps capacity from being spent on answers that are too late to count. A client that
     /// is impatient from the start is taken for one that retries and waits behind others.
-    pub(crate) fn elapsed(&mut self, client_timeout: Nanos, class_timeout: Nanos) -> Nanos {
+    pub(crate) fn estimated_elapsed(
+        &mut self,
+        client_timeout: Nanos,
+        class_timeout: Nanos,
+    ) -> Nanos {
         let is_usual = self
             .client_timeouts
             .add(client_timeout as f64 / class_timeout as f64);
@@ -81,14 +85,14 @@
     }
 
     /// Forgets a part of the lowest means after `step` seconds.
-    pub(crate) fn forget(&mut self, step: f64, longest_objective: f64) {
+    pub(crate) fn raise_minimums(&mut self, step: f64, longest_objective: f64) {
         let fraction = step / (LOWEST_MEMORY * longest_objective);
         for latencies in self
             .zone_latencies
             .values_mut()
             .chain([&mut self.latencies])
         {
-            latencies.raise_lowest(fraction);
+            latencies.raise_minimum(fraction);
         }
     }
 }
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -111,7 +111,7 @@
     }
 
     /// Seconds that the attempts in flight have waited in sum.
-    pub(crate) fn waited(&self, now_seconds: f64) -> f64 {
+    pub(crate) fn summed_wait_seconds(&self, now_seconds: f64) -> f64 {
         self.in_flight * now_seconds - self.in_flight_sent_at_sum
     }
 
@@ -262,7 +262,7 @@
     pub(crate) fn add(&mut self, load: &BackendLoad, service: &ServiceTimes, now: Nanos) {
         let most_waited = Self::MAX_WAITED * service.latency_sum();
         self.latency_sum += service.latency_sum();
-        self.waited += load.waited(seconds(now)).min(most_waited);
+        self.waited += load.summed_wait_seconds(seconds(now)).min(most_waited);
         self.weighted_ratios += load.latency_ratio * service.completions();
         self.completions += service.completions();
     }
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -61,7 +61,7 @@
     load.on_sent(5);
     assert!(!load.has_capacity());
     load.on_ended(5);
-    assert!(load.has_capacity() && load.waited(100.0) == 0.0);
+    assert!(load.has_capacity() && load.summed_wait_seconds(100.0) == 0.0);
 }
 
 #[test]
@@ -71,7 +71,10 @@
     load.on_sent(2_000_000_000);
     limiter.adjust(&mut load, &sample(Outcome::Timeout, 9.0), 0.01);
     let restarted = load.restarted(1.0);
-    assert_eq!((restarted.in_flight(), restarted.waited(3.0)), (1.0, 1.0));
+    assert_eq!(
+        (restarted.in_flight(), restarted.summed_wait_seconds(3.0)),
+        (1.0, 1.0)
+    );
     assert_eq!(
         (restarted.latency_ratio(), restarted.concurrency_limit()),
         (1.0, 1.0)
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Default)]
 pub(crate) struct EndpointRecord {
     endpoint: Endpoint,
-    pub(crate) service: ServiceTimes,
+    pub(crate) service_times: ServiceTimes,
     pub(crate) load: BackendLoad,
-    pub(crate) failures: FailureHistory,
-    pub(crate) slow_start: SlowStartTokens,
-    pub(crate) position: SubsetPosition,
+    pub(crate) failure_history: FailureHistory,
+    pub(crate) slow_start_tokens: SlowStartTokens,
+    pub(crate) subset_position: SubsetPosition,
     pub(crate) weights: PickWeights,
 }
 
@@ -31,13 +31,13 @@
     pub(crate) fn new(
         endpoint: Endpoint,
         load: BackendLoad,
-        slow_start: SlowStartTokens,
+        slow_start_tokens: SlowStartTokens,
         weights: PickWeights,
     ) -> EndpointRecord {
         EndpointRecord {
             endpoint,
             load,
-            slow_start,
+            slow_start_tokens,
             weights,
             ..EndpointRecord::default()
         }
--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -40,19 +40,24 @@
 fn a_new_process_starts_with_nothing_known_of_the_old_one() {
     let mut list = endpoints(1);
     let known = list.get_mut(BackendId(0)).unwrap();
-    known.service.on_ended(Outcome::Success, 0.1, 0.0);
+    known.service_times.on_ended(Outcome::Success, 0.1, 0.0);
     known.load.on_sent(5);
     let same = Endpoint {
         weight: 2.0,
         ..endpoint(0)
     };
     list.apply(UpdateKind::Delta, vec![same], record);
-    assert!(list.get(BackendId(0)).unwrap().service.has_completions());
+    assert!(
+        list.get(BackendId(0))
+            .unwrap()
+            .service_times
+            .has_completions()
+    );
     let restarted = Endpoint {
         started_at: Some(9),
         ..endpoint(0)
     };
     list.apply(UpdateKind::Delta, vec![restarted], record);
     let known = list.get(BackendId(0)).unwrap();
-    assert!(!known.service.has_completions() && known.load.in_flight() == 1.0);
+    assert!(!known.service_times.has_completions() && known.load.in_flight() == 1.0);
 }
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether it completes enough for an estimate of its own.
-    pub(crate) fn is_established(&self) -> bool {
+    pub(crate) fn has_enough_completions(&self) -> bool {
         self.completions > 0.5 * COMPLETIONS_KEPT
     }
 
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -90,7 +90,7 @@
     /// Kinds of machines, if evidence is pooled over them because each backend has too little.
     pub(crate) pooled_kinds: Option<usize>,
     /// Latencies at home as a multiple of those in other zones.
-    pub(crate) home_to_away: f64,
+    pub(crate) local_to_remote_ratio: f64,
 }
 
 /// The split of one proxy.
@@ -183,11 +183,11 @@
                 share: shares[place] * if at_home { 1.0 } else { spillover },
                 exploration: explores * clock.ln()
                     / clock
-                    / (1.0 + record.failures.consecutive_failures()),
+                    / (1.0 + record.failure_history.consecutive_failures()),
                 exploring_since: record.weights.exploring_since,
             };
         }
-        self.candidates = Candidates::of(endpoints.ready());
+        self.candidates = Candidates::from_records(endpoints.ready());
         self.renewed_at = now;
         self.is_stale = false;
     }
@@ -195,7 +195,7 @@
     /// t of K ln t / t, in slots. The clock of a newcomer stands until it has completed something:
     /// late in t it would get next to nothing.
     fn exploration_clock(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
-        let runs = record.service.has_completions() || inputs.pooled_kinds.is_some();
+        let runs = record.service_times.has_completions() || inputs.pooled_kinds.is_some();
         let since = if runs {
             record.weights.exploring_since
         } else {
@@ -217,7 +217,7 @@
         if count == 0.0 || !self.cross_zone_costs {
             return 1.0;
         }
-        let ratio = inputs.home_to_away.min(ratio_sum / count);
+        let ratio = inputs.local_to_remote_ratio.min(ratio_sum / count);
         ((ratio - 1.0) / (TOLERANCE - 1.0)).clamp(LEAST_SPILLOVER, 1.0)
     }
 }
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -126,8 +126,8 @@
         let most = MAX_EJECTED * endpoints.ready().count() as f64;
         let is_full = ejected_count(now, endpoints) + 1.0 > most;
         let record = endpoints.get_mut(id)?;
-        let completions = record.service.completions();
-        let history = &mut record.failures;
+        let completions = record.service_times.completions();
+        let history = &mut record.failure_history;
         history.failures += 1.0;
         history.consecutive_failures += 1.0;
         let is_outlier = history.is_outlier(completions, &fleet);
@@ -173,8 +173,8 @@
             completions: 0.0,
         };
         endpoints.ready().fold(none, |sum, record| FleetFailures {
-            failures: sum.failures + record.failures.failures,
-            completions: sum.completions + record.service.completions(),
+            failures: sum.failures + record.failure_history.failures,
+            completions: sum.completions + record.service_times.completions(),
         })
     }
 }
@@ -182,7 +182,7 @@
 fn ejected_count(now: Nanos, endpoints: &EndpointList) -> f64 {
     endpoints
         .ready()
-        .filter(|record| record.failures.is_ejected(now))
+        .filter(|record| record.failure_history.is_ejected(now))
         .count() as f64
 }
 
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -20,8 +20,8 @@
 
 fn complete(list: &mut EndpointList, id: u32, count: usize) {
     let record = list.get_mut(BackendId(id)).unwrap();
-    (0..count).for_each(|_| record.service.on_ended(Outcome::Success, 0.1, 0.0));
-    record.failures.on_completion();
+    (0..count).for_each(|_| record.service_times.on_ended(Outcome::Success, 0.1, 0.0));
+    record.failure_history.on_completion();
 }
 
 #[test]
@@ -33,7 +33,7 @@
     let ejection = fail(&detector, 0, 0, &mut list).expect("three failures, no completion");
     // Two latency objectives of 0.3 s, in the middle of the jitter.
     assert_eq!((ejection.seconds, ejection.until), (0.6, 600 * MS));
-    let history = list.get(BackendId(0)).unwrap().failures;
+    let history = list.get(BackendId(0)).unwrap().failure_history;
     assert!(detector.is_ejected(599 * MS, &history) && !detector.is_ejected(600 * MS, &history));
 }
 
@@ -79,7 +79,7 @@
     }
     let ejected = |list: &EndpointList, detector: &OutlierDetector| {
         list.iter()
-            .filter(|record| detector.is_ejected(1, &record.failures))
+            .filter(|record| detector.is_ejected(1, &record.failure_history))
             .count()
     };
     assert_eq!(ejected(&list, &detector), 2);
@@ -87,7 +87,7 @@
     assert_eq!(ejected(&list, &detector), 2);
     // Two of the sound ones leave the list: now two of two are ejected.
     let remaining = (0..4)
-        .filter(|id| detector.is_ejected(1, &list.get(BackendId(*id)).unwrap().failures))
+        .filter(|id| detector.is_ejected(1, &list.get(BackendId(*id)).unwrap().failure_history))
         .map(crate::test_support::endpoint)
         .collect();
     list.apply(
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -87,8 +87,9 @@
         if draws.explore < exploration {
             let drawn = candidates.explored_at(draws.explored);
             let drawn = drawn.and_then(|id| self.endpoints.get(id)).filter(is_new);
-            let is_proven =
-                |record: &&EndpointRecord| record.failures.is_proven() || !self.wants_proven();
+            let is_proven = |record: &&EndpointRecord| {
+                record.failure_history.is_proven() || !self.wants_proven()
+            };
             if let Some(record) = drawn.filter(is_proven) {
                 return Some(record.id());
             }
@@ -129,7 +130,7 @@
     /// Whether an attempt may go to this backend now, and the backend is sound and has capacity.
     /// An ejected one has no share, so it would get all that finds no capacity elsewhere.
     fn is_usable(&self, record: &EndpointRecord) -> bool {
-        !self.outliers.is_ejected(self.now, &record.failures)
+        !self.outliers.is_ejected(self.now, &record.failure_history)
             && record.load.has_capacity()
             && legality::may_attempt(self.now, self.settings, self.pending, record.endpoint())
             && self.slow_start.allows(self.now, record)
@@ -148,7 +149,7 @@
 
     /// Leaves out backends with a failure since their last answer, where others are left.
     fn prefer_proven(&self, pool: &mut Vec<&EndpointRecord>) {
-        let is_proven = |record: &&EndpointRecord| record.failures.is_proven();
+        let is_proven = |record: &&EndpointRecord| record.failure_history.is_proven();
         if self.wants_proven() && pool.iter().any(is_proven) {
             pool.retain(is_proven);
         }
@@ -187,7 +188,7 @@
     /// Picks a backend that is idle as far as this proxy knows, and just now was faster than usual:
     /// it is likely idle still. For the most weighty requests of a proxy among many.
     fn fast_and_idle(&self, pool: &[&EndpointRecord], place: f64) -> Option<BackendId> {
-        if !self.limit_is_below_one || self.pending.admission_cost.leaves_reserve() {
+        if !self.limit_is_below_one || self.pending.admission_cost.keeps_reserve() {
             return None;
         }
         let lately = self.now.saturating_sub(self.longest_objective);
@@ -200,7 +201,7 @@
 
 /// Whether a backend is of this proxy's own stretch and has nothing of it in flight.
 fn is_own_idle(record: &EndpointRecord) -> bool {
-    record.position.is_own() && record.load.is_idle()
+    record.subset_position.is_own() && record.load.is_idle()
 }
 
 fn only_if(condition: bool, weight: f64) -> f64 {
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -21,15 +21,15 @@
     /// By all its labels.
     pub(crate) expected: f64,
     /// By its kind of machine alone: what it needs without a fault.
-    pub(crate) of_kind: f64,
+    pub(crate) kind_latency: f64,
 }
 
 /// Prior latencies of all backends.
 pub(crate) struct PriorLatencies {
     /// In the order of the endpoint list.
-    pub(crate) of_backends: Vec<PriorLatency>,
+    pub(crate) by_backend: Vec<PriorLatency>,
     /// Latencies in this proxy's zone as a multiple of those in other zones.
-    pub(crate) home_to_away: f64,
+    pub(crate) local_to_remote_ratio: f64,
 }
 
 /// What pooling looks at beside the endpoint list.
@@ -67,7 +67,7 @@
         pools.add(record, usual, in_slow_start(record), context);
     }
     let prior = |record: &EndpointRecord| {
-        let of_kind = of_kind(record);
+        let kind_latency = of_kind(record);
         let age = if in_slow_start(record) {
             pools.slow_start_factor()
         } else {
@@ -76,13 +76,13 @@
         let cell = pooled(pools.cells.get(&record.endpoint().cell));
         let zone = pooled(pools.zones.get(&record.endpoint().zone));
         PriorLatency {
-            expected: of_kind * cell * age * zone,
-            of_kind,
+            expected: kind_latency * cell * age * zone,
+            kind_latency,
         }
     };
     PriorLatencies {
-        of_backends: endpoints.iter().map(prior).collect(),
-        home_to_away: pools.home_to_away(context.zone),
+        by_backend: endpoints.iter().map(prior).collect(),
+        local_to_remote_ratio: pools.local_to_remote_ratio(context.zone),
     }
 }
 
@@ -94,11 +94,12 @@
         in_slow_start: bool,
         context: &PoolingContext,
     ) {
-        let (service, load) = (&record.service, &record.load);
+        let (service, load) = (&record.service_times, &record.load);
         // Only what attempts in flight have waited beyond the usual speaks against them; a failure
         // counts as a latency objective.
-        let waited = (load.waited(context.now_seconds) - load.in_flight() * usual).max(0.0);
-        let failed = record.failures.failures() * context.shortest_objective;
+        let waited =
+            (load.summed_wait_seconds(context.now_seconds) - load.in_flight() * usual).max(0.0);
+        let failed = record.failure_history.failures() * context.shortest_objective;
         let ratio_sum = (service.latency_sum() + waited + failed) / usual;
         let age = if in_slow_start {
             &mut self.slow_start
@@ -116,7 +117,7 @@
         pooled(Some(&self.slow_start)) / pooled(Some(&self.warm))
     }
 
-    fn home_to_away(&self, home_zone: ZoneId) -> f64 {
+    fn local_to_remote_ratio(&self, home_zone: ZoneId) -> f64 {
         let (mut home, mut away) = (DecayedSum::default(), DecayedSum::default());
         for (zone, pool) in &self.zones {
             let side = if *zone == home_zone {
@@ -134,7 +135,10 @@
 fn fleet_mean(endpoints: &EndpointList) -> f64 {
     let mut all = DecayedSum::default();
     for record in endpoints.ready() {
-        all.add(record.service.completions(), record.service.latency_sum());
+        all.add(
+            record.service_times.completions(),
+            record.service_times.latency_sum(),
+        );
     }
     if all.count > 0.0 {
         all.sum / all.count
--- a/crates/balancer/src/pooled_latency_tests.rs
+++ b/crates/balancer/src/pooled_latency_tests.rs
@@ -15,7 +15,7 @@
     let mut list = EndpointList::default();
     list.apply(UpdateKind::Full, (0..4).map(in_zone).collect(), record);
     for (id, latency) in [(0, 0.1), (1, 0.1), (2, 0.3)] {
-        let service = &mut list.get_mut(BackendId(id)).unwrap().service;
+        let service = &mut list.get_mut(BackendId(id)).unwrap().service_times;
         (0..50).for_each(|_| service.on_ended(Outcome::Success, latency, 0.0));
     }
     list
@@ -36,26 +36,30 @@
 fn a_backend_without_completions_is_taken_for_one_of_its_zone() {
     let list = two_zones();
     let found = priors(&list, |_| false);
-    let [.., silent] = found.of_backends[..] else {
+    let [.., silent] = found.by_backend[..] else {
         panic!("four backends")
     };
-    assert!(silent.expected > 1.5 * silent.of_kind, "{silent:?}");
-    assert!(found.of_backends[0].expected < found.of_backends[0].of_kind);
-    assert!(found.home_to_away < 0.5, "{}", found.home_to_away);
+    assert!(silent.expected > 1.5 * silent.kind_latency, "{silent:?}");
+    assert!(found.by_backend[0].expected < found.by_backend[0].kind_latency);
+    assert!(
+        found.local_to_remote_ratio < 0.5,
+        "{}",
+        found.local_to_remote_ratio
+    );
 }
 
 #[test]
 fn being_in_slow_start_is_pooled_like_a_label() {
     let mut list = two_zones();
-    let slow = &mut list.get_mut(BackendId(1)).unwrap().service;
+    let slow = &mut list.get_mut(BackendId(1)).unwrap().service_times;
     (0..50).for_each(|_| slow.on_ended(Outcome::Success, 1.0, 0.0));
     let found = priors(&list, |record| record.id() == BackendId(1));
-    assert!(found.of_backends[1].expected > 2.0 * found.of_backends[0].expected);
+    assert!(found.by_backend[1].expected > 2.0 * found.by_backend[0].expected);
 }
 
 #[test]
 fn without_any_completion_there_is_no_prior() {
     let found = priors(&crate::test_support::endpoints(2), |_| false);
-    assert!(found.of_backends.iter().all(|prior| prior.expected == 0.0));
-    assert_eq!(found.home_to_away, 1.0);
+    assert!(found.by_backend.iter().all(|prior| prior.expected == 0.0));
+    assert_eq!(found.local_to_remote_ratio, 1.0);
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -87,7 +87,7 @@
     /// Longest `Retry-After` that clients heed; 0 where they heed none.
     pub max_retry_after: Nanos,
     /// Fraction of its client's timeout after which a request that no backend has seen is rejected.
-    pub never_attempted_fraction: f64,
+    pub never_attempted_timeout_fraction: f64,
 }
 
 /// The figures of the four protocol rules.
@@ -163,7 +163,7 @@
                 can_cancel: true,
                 health_checks: false,
                 max_retry_after: 0,
-                never_attempted_fraction: 1.0,
+                never_attempted_timeout_fraction: 1.0,
             },
             rules: Rules {
                 answer_slack: 0,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -75,7 +75,7 @@
 
     /// Whether an attempt may be sent as far as slow start goes.
     pub(crate) fn allows(&self, now: Nanos, record: &EndpointRecord) -> bool {
-        self.capacity_fraction(now, record.endpoint()) >= 1.0 || record.slow_start.0 >= 1.0
+        self.capacity_fraction(now, record.endpoint()) >= 1.0 || record.slow_start_tokens.0 >= 1.0
     }
 
     /// Takes in what this proxy completes a second, and the summed capacity fractions of the
@@ -91,7 +91,7 @@
     }
 
     /// Saves up attempts at a backend over `step` seconds.
-    pub(crate) fn save_up(&self, tokens: &mut SlowStartTokens, capacity_fraction: f64, step: f64) {
+    pub(crate) fn refill(&self, tokens: &mut SlowStartTokens, capacity_fraction: f64, step: f64) {
         let rules = &self.rules;
         let completion_rate = self.completion_rate.max(self.least_completion_rate);
         let rate = SAFETY_MARGIN * rules.overload_multiple * capacity_fraction * completion_rate;
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -39,11 +39,11 @@
     let slow_start = slow_start(1.0);
     assert!(slow_start.allows(0, &record(endpoint(0))));
     let mut starting = record(started(0));
-    starting.slow_start = SlowStartTokens::new(0.99);
+    starting.slow_start_tokens = SlowStartTokens::new(0.99);
     assert!(!slow_start.allows(MS, &starting));
-    starting.slow_start = SlowStartTokens::new(1.5);
+    starting.slow_start_tokens = SlowStartTokens::new(1.5);
     assert!(slow_start.allows(MS, &starting));
-    starting.slow_start.spend();
+    starting.slow_start_tokens.spend();
     assert!(!slow_start.allows(MS, &starting));
 }
 
@@ -53,9 +53,9 @@
     slow_start.set_completions(40.0, 4.0);
     // Half of three times the fifth of ten a second.
     let mut tokens = SlowStartTokens::default();
-    slow_start.save_up(&mut tokens, 0.2, 1.0);
+    slow_start.refill(&mut tokens, 0.2, 1.0);
     assert!((tokens.0 - 3.0).abs() < 1e-12);
-    slow_start.save_up(&mut tokens, 0.2, 100.0);
+    slow_start.refill(&mut tokens, 0.2, 100.0);
     assert!((tokens.0 - 6.0).abs() < 1e-12);
 }
 
@@ -63,6 +63,6 @@
 fn tokens_for_two_attempts_are_kept_at_the_least() {
     let slow_start = slow_start(300.0);
     let mut tokens = SlowStartTokens::default();
-    slow_start.save_up(&mut tokens, 0.2, 1_000.0);
+    slow_start.refill(&mut tokens, 0.2, 1_000.0);
     assert_eq!(tokens.0, 2.0);
 }
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -10,7 +10,7 @@
     /// How many values are in it, up to the window.
     pub(crate) count: f64,
     /// The mean at its lowest.
-    pub(crate) lowest: f64,
+    pub(crate) minimum: f64,
 }
 
 impl MovingMean {
@@ -18,16 +18,16 @@
     pub(crate) fn add(&mut self, value: f64, window: f64) {
         self.count = (self.count + 1.0).min(window);
         self.mean += (value - self.mean) / self.count;
-        self.lowest = if self.count < window {
+        self.minimum = if self.count < window {
             self.mean
         } else {
-            self.lowest.min(self.mean)
+            self.minimum.min(self.mean)
         };
     }
 
     /// Lets the lowest mean rise by `fraction` of itself, up to the mean: it is forgotten slowly.
-    pub(crate) fn raise_lowest(&mut self, fraction: f64) {
-        self.lowest = (self.lowest * (1.0 + fraction)).min(self.mean);
+    pub(crate) fn raise_minimum(&mut self, fraction: f64) {
+        self.minimum = (self.minimum * (1.0 + fraction)).min(self.mean);
     }
 }
 
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -13,13 +13,13 @@
         MovingMean {
             mean: 3.5,
             count: 2.0,
-            lowest: 1.0
+            minimum: 1.0
         }
     );
-    mean.raise_lowest(0.5);
-    assert_eq!(mean.lowest, 1.5);
-    mean.raise_lowest(9.0);
-    assert_eq!(mean.lowest, 3.5);
+    mean.raise_minimum(0.5);
+    assert_eq!(mean.minimum, 1.5);
+    mean.raise_minimum(9.0);
+    assert_eq!(mean.minimum, 3.5);
 }
 
 #[test]
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -77,7 +77,7 @@
             let rank = zone.partition_point(|hash| *hash < record.endpoint().hash) as f64;
             let place = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
             let is_home = record.endpoint().zone == self.zone;
-            record.position = SubsetPosition {
+            record.subset_position = SubsetPosition {
                 place,
                 is_own: is_home && place < 1.0 / proxies_of_zone,
             };
@@ -133,7 +133,7 @@
     fn new(record: &EndpointRecord) -> Candidate {
         Candidate {
             zone: record.endpoint().zone,
-            place: record.position.place,
+            place: record.subset_position.place,
             id: record.id(),
         }
     }
--- a/crates/balancer/src/subset_tests.rs
+++ b/crates/balancer/src/subset_tests.rs
@@ -21,7 +21,7 @@
         let mut subset = subset_of(proxy, 4);
         subset.mark_stale();
         subset.renew(&mut list);
-        for record in list.iter().filter(|record| record.position.is_own()) {
+        for record in list.iter().filter(|record| record.subset_position.is_own()) {
             owners[record.id().0 as usize] += 1;
         }
     }
@@ -45,8 +45,8 @@
     let mut list = endpoints(3);
     let mut subset = subset_of(0, 1);
     subset.renew(&mut list);
-    assert!(list.iter().all(|record| !record.position.is_own()));
+    assert!(list.iter().all(|record| !record.subset_position.is_own()));
     subset.mark_stale();
     subset.renew(&mut list);
-    assert!(list.iter().all(|record| record.position.is_own()));
+    assert!(list.iter().all(|record| record.subset_position.is_own()));
 }
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -76,6 +76,6 @@
         finished: false,
         streaming: false,
         position: crate::admission_queue::QueuePosition::default(),
-        admission_cost: crate::admission_rate::AdmissionCost::FULL_ACCESS,
+        admission_cost: crate::admission_rate::AdmissionCost::MAY_USE_RESERVE,
     }
 }
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -121,7 +121,7 @@
     };
     settings.limits.max_attempts = 4;
     settings.limits.max_retry_after = SECOND;
-    settings.limits.never_attempted_fraction = 0.5;
+    settings.limits.never_attempted_timeout_fraction = 0.5;
     settings.rules.drain_grace = SECOND;
     settings.rules.slow_start_initial_capacity = 0.3;
     settings.rules.slow_start_duration = 8 * SECOND;
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -122,7 +122,7 @@
     };
     settings.limits.max_attempts = 5;
     settings.limits.max_retry_after = 2 * SECOND;
-    settings.limits.never_attempted_fraction = 0.5;
+    settings.limits.never_attempted_timeout_fraction = 0.5;
     settings.rules.slow_start_initial_capacity = 0.31;
     settings.rules.slow_start_duration = 8_800 * MS;
     settings.rules.overload_multiple = 3.0;
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -97,7 +97,7 @@
     trace: Trace,
 ) -> Result<RequestTable<ForwardedRequest>, SettingsError> {
     let mut settings = config.deployment.settings.clone();
-    settings.limits.never_attempted_fraction = NEVER_ATTEMPTED_FRACTION;
+    settings.limits.never_attempted_timeout_fraction = NEVER_ATTEMPTED_FRACTION;
     let max_requests = descriptor_budget
         .max(Purpose::Client)
         .min(config.deployment.max_pending_requests)
--- a/crates/settings/src/deployment_tests.rs
+++ b/crates/settings/src/deployment_tests.rs
@@ -84,7 +84,7 @@
         over_quota_weight: 0.25, weight_per_unit_of_work: true, cross_zone_cost: 1.5, \
         tail_weight: 2.25, \
         limits: Limits { max_attempts: 11, can_cancel: true, health_checks: true, \
-        max_retry_after: 12, never_attempted_fraction: 1.0 }, \
+        max_retry_after: 12, never_attempted_timeout_fraction: 1.0 }, \
         rules: Rules { answer_slack: 16, drain_grace: 17, drain_close_within: Some(18), \
         slow_start_initial_capacity: 0.75, slow_start_duration: 19, overload_multiple: 3.5, \
         overload_duration: 20, poll_interval: 21 } }";
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -16,6 +16,6 @@
         // back at once, into the same crowd.
         max_retry_after: limits.get_or("maxRetryAfterNs", 0, JsonValue::integer)?,
         // No setting of the platform's: the host of the balancer may lower it.
-        never_attempted_fraction: 1.0,
+        never_attempted_timeout_fraction: 1.0,
     })
 }
