--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -63,7 +63,7 @@
 
     /// Whether closing one of `open` of `purpose` lets the other have one more: it has more than
     /// its reserve.
-    pub fn lends(&self, purpose: Purpose, open: usize) -> bool {
+    pub fn exceeds_reserve(&self, purpose: Purpose, open: usize) -> bool {
         open > self.reserve(purpose)
     }
 
--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -24,7 +24,7 @@
                 prop_assert!(open[own] >= budget.reserve(purpose), "{open:?}");
                 // What stands in the way is this side's own or can be lent by the other.
                 prop_assert!(
-                    open[own] == budget.max(purpose) || budget.lends(purpose.other(), open[1 - own])
+                    open[own] == budget.max(purpose) || budget.exceeds_reserve(purpose.other(), open[1 - own])
                 );
             }
             prop_assert!(open[0] + open[1] + OTHER_DESCRIPTORS <= limit, "{open:?}");
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -283,8 +283,8 @@
     /// What decides whether it may be closed for a reason of the node's own.
     pub fn close_facts(&self) -> CloseFacts {
         CloseFacts {
-            answer_owed: self.request.is_some() || !self.is_written(),
-            unread: self.may_have_unread() || self.has_next(),
+            answer_pending: self.request.is_some() || !self.is_written(),
+            has_unread_input: self.may_have_unread() || self.has_next(),
         }
     }
 
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -111,7 +111,7 @@
             if !is_expendable
                 && self
                     .descriptor_budget
-                    .lends(Purpose::Upstream, self.upstreams.len())
+                    .exceeds_reserve(Purpose::Upstream, self.upstreams.len())
                 && let Some(has_closed) = self.upstreams.evict_idle()
             {
                 return has_closed;
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -70,7 +70,11 @@
         if connection.is_idle() {
             self.close_if_allowed(number, CloseReason::TimedOut);
         } else {
-            self.close_client(number, ClosePermit::time_is_over(), CloseReason::TimedOut);
+            self.close_client(
+                number,
+                ClosePermit::deadline_passed(),
+                CloseReason::TimedOut,
+            );
         }
     }
 
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -106,7 +106,7 @@
         if budget.fits(Purpose::Upstream, self.upstreams.len(), self.clients.len()) {
             return true;
         }
-        let candidate = if budget.lends(Purpose::Client, self.clients.len()) {
+        let candidate = if budget.exceeds_reserve(Purpose::Client, self.clients.len()) {
             self.eviction_candidate()
         } else {
             None
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -3,7 +3,7 @@
 use kitefork_balancer::{Idempotency, Nanos, Outcome};
 
 use super::command::{LocalReply, RequestSpec};
-use crate::rules::{self, History, StartFacts};
+use crate::rules::{self, AttemptHistory, StartFacts};
 
 /// One attempt of a request.
 pub struct Attempt {
@@ -85,8 +85,8 @@
     }
 
     /// What the protocol rules ask of its attempts.
-    pub fn history(&self) -> History {
-        History {
+    pub fn history(&self) -> AttemptHistory {
+        AttemptHistory {
             idempotency: self.idempotency,
             attempts: self.attempts.len(),
             in_flight: self.in_flight(),
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -36,9 +36,9 @@
     /// The endpoint list has the backend draining or removed.
     BackendNotReady,
     /// Bytes that nobody has read lie in the connection.
-    Unread,
+    UnreadInput,
     /// An answer is owed on the connection.
-    AnswerOwed,
+    AnswerPending,
 }
 
 impl Denial {
@@ -53,8 +53,8 @@
             Denial::MayHaveBeenExecuted => "may_have_run",
             Denial::WindowClosed => "window_closed",
             Denial::BackendNotReady => "backend_not_ready",
-            Denial::Unread => "unread",
-            Denial::AnswerOwed => "answer_owed",
+            Denial::UnreadInput => "unread",
+            Denial::AnswerPending => "answer_owed",
         }
     }
 }
@@ -67,7 +67,7 @@
 
 /// What is known of a request's earlier attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct History {
+pub struct AttemptHistory {
     /// What executing the request twice means.
     pub idempotency: Idempotency,
     /// Attempts so far.
@@ -91,7 +91,7 @@
     /// Attempts that the settings allow for a request.
     pub max_attempts: usize,
     /// Its earlier attempts.
-    pub history: History,
+    pub history: AttemptHistory,
 }
 
 /// Whether another attempt may start now.
@@ -222,9 +222,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CloseFacts {
     /// A request of this connection waits for its answer, or an answer is not written completely.
-    pub answer_owed: bool,
+    pub answer_pending: bool,
     /// Bytes have come that nobody has read.
-    pub unread: bool,
+    pub has_unread_input: bool,
 }
 
 /// The right to close a client connection.
@@ -240,7 +240,7 @@
 
     /// For a connection whose client has had all the time that it is given for a message or an
     /// answer.
-    pub fn time_is_over() -> ClosePermit {
+    pub fn deadline_passed() -> ClosePermit {
         ClosePermit(())
     }
 }
@@ -251,10 +251,10 @@
 ///
 /// The first rule that forbids it.
 pub fn may_close(facts: CloseFacts) -> Result<ClosePermit, Denial> {
-    if facts.answer_owed {
-        Err(Denial::AnswerOwed)
-    } else if facts.unread {
-        Err(Denial::Unread)
+    if facts.answer_pending {
+        Err(Denial::AnswerPending)
+    } else if facts.has_unread_input {
+        Err(Denial::UnreadInput)
     } else {
         Ok(ClosePermit(()))
     }
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -14,7 +14,7 @@
 type Change<Facts> = fn(&mut Facts);
 
 fn start() -> StartFacts {
-    let history = History {
+    let history = AttemptHistory {
         idempotency: KEYED,
         attempts: 1,
         in_flight: 0,
@@ -140,16 +140,16 @@
 
 #[test]
 fn a_connection_closes_only_when_nothing_is_owed_or_unread() {
-    for (answer_owed, unread, wanted) in [
+    for (answer_pending, has_unread_input, wanted) in [
         (false, false, None),
-        (true, false, Some(Denial::AnswerOwed)),
-        (true, true, Some(Denial::AnswerOwed)),
-        (false, true, Some(Denial::Unread)),
+        (true, false, Some(Denial::AnswerPending)),
+        (true, true, Some(Denial::AnswerPending)),
+        (false, true, Some(Denial::UnreadInput)),
     ] {
         assert_eq!(
             may_close(CloseFacts {
-                answer_owed,
-                unread
+                answer_pending,
+                has_unread_input
             })
             .err(),
             wanted
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -42,7 +42,7 @@
 
 impl AttemptLimits {
     /// Until when an attempt that is not written completely may go on.
-    pub fn unwritten_until(self) -> Nanos {
+    pub fn write_deadline(self) -> Nanos {
         self.abandon_at.min(self.write_by)
     }
 }
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -156,7 +156,7 @@
     /// When a connection that is started now for an attempt of these limits must be established.
     pub fn connect_by(&self, limits: AttemptLimits, now: Nanos) -> Nanos {
         limits
-            .unwritten_until()
+            .write_deadline()
             .min(now.saturating_add(self.connect_timeout))
     }
 
@@ -173,7 +173,7 @@
             connection.assign(attempt, limits);
             let until = match connection.state() {
                 UpstreamState::Connecting => connect_by,
-                _ => limits.unwritten_until(),
+                _ => limits.write_deadline(),
             };
             connection.set_deadline(until, number, event_loop);
         }
@@ -188,7 +188,7 @@
             return false;
         }
         // It is established, so the time for that no longer counts.
-        let until = connection.limits().unwritten_until();
+        let until = connection.limits().write_deadline();
         connection.set_deadline(until, number, event_loop);
         connection.pause(number, event_loop);
         true
@@ -219,7 +219,7 @@
                 if connection.state() != before {
                     let until = match connection.state() {
                         UpstreamState::Waiting => connection.limits().abandon_at,
-                        _ => connection.limits().unwritten_until(),
+                        _ => connection.limits().write_deadline(),
                     };
                     connection.set_deadline(until, number, event_loop);
                 }
