--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -12,13 +12,13 @@
 /// The first reading of the clock, in nanoseconds. It is not 0, so that backends which started
 /// before the node still have a time. Anything older is "long ago"; a backend in slow start is far
 /// younger.
-const HEAD_START: Nanos = 3_600 * SECOND;
+const FIRST_READING: Nanos = 3_600 * SECOND;
 
 /// Monotonic time, tied to Unix time once at the start: a step of the system's clock moves no
 /// deadline.
 pub struct Clock {
     started: Instant,
-    unix_zero: Nanos,
+    unix_time_at_zero: Nanos,
 }
 
 impl Clock {
@@ -26,18 +26,18 @@
     pub fn start() -> Clock {
         Clock {
             started: Instant::now(),
-            unix_zero: (unix_time().as_nanos() as Nanos).saturating_sub(HEAD_START),
+            unix_time_at_zero: (unix_time().as_nanos() as Nanos).saturating_sub(FIRST_READING),
         }
     }
 
     /// Nanoseconds since the clock's zero, an hour before its start.
     pub fn read(&self) -> Nanos {
-        HEAD_START + self.started.elapsed().as_nanos() as Nanos
+        FIRST_READING + self.started.elapsed().as_nanos() as Nanos
     }
 
     /// Unix time at the clock's zero, in nanoseconds.
-    pub fn unix_zero(&self) -> Nanos {
-        self.unix_zero
+    pub fn unix_time_at_zero(&self) -> Nanos {
+        self.unix_time_at_zero
     }
 }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -101,21 +101,21 @@
         .read(true)
         .custom_flags(flags.bits() as i32)
         .open(&path)?;
-    let text = read_bounded(file)?;
-    Ok(read(&text, env)?)
+    let contents = read_bounded(file)?;
+    Ok(read(&contents, env)?)
 }
 
 fn read_bounded(file: File) -> std::io::Result<Vec<u8>> {
-    let mut text = Vec::new();
-    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut text)?;
-    if text.len() as u64 > MAX_FILE_BYTES {
+    let mut contents = Vec::new();
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut contents)?;
+    if contents.len() as u64 > MAX_FILE_BYTES {
         return Err(std::io::Error::other("the file is too long"));
     }
-    Ok(text)
+    Ok(contents)
 }
 
-fn read(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-    let document = Document::parse(text)?;
+fn read(contents: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let document = Document::parse(contents)?;
     let source = Source {
         root: document.root(),
         env,
@@ -174,8 +174,8 @@
     fn sockets(&self) -> Result<usize, ConfigError> {
         let sockets = self.limit("sockets", DEFAULT_SOCKETS)?;
         if sockets < MIN_SOCKETS {
-            let problem = format!("must be {MIN_SOCKETS} or more");
-            return Err(self.root.invalid_at("limits.sockets", problem));
+            let reason = format!("must be {MIN_SOCKETS} or more");
+            return Err(self.root.invalid_at("limits.sockets", reason));
         }
         Ok(sockets)
     }
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -17,7 +17,7 @@
           "rules":{"coldFrom":0.3,"coldNs":1,"drainGraceNs":1,"fallNs":1,"tipMultiple":3.0}}}"#;
 
 #[test]
-fn the_environment_wins_over_the_file() {
+fn the_environment_takes_precedence_over_the_file() {
     let env = |name: &str| (name == "BALANCER_LISTEN").then(|| "127.0.0.1:9".to_string());
     let config = read(CONFIG.as_bytes(), env).unwrap();
     assert_eq!(
@@ -53,14 +53,14 @@
     assert_error("8c1f", "zz", "`seed`");
     assert_error(r#"127.0.0.1:1""#, r#"nowhere""#, "`discovery`");
     assert_error(r#""sockets":256"#, r#""sockets":31"#, "`limits.sockets`");
-    let boot = "`known.targets[0].boot_ms`";
-    assert_error(r#""boot_ms":0"#, r#""boot_ms":-1"#, boot);
+    let boot_time_key = "`known.targets[0].boot_ms`";
+    assert_error(r#""boot_ms":0"#, r#""boot_ms":-1"#, boot_time_key);
 }
 
 #[test]
 fn an_error_in_the_settings_names_its_key() {
-    let missing = "missing field `settings.grades[0].giveUpNs`";
-    assert_error("giveUpNs", "giveUp", missing);
+    let missing_field = "missing field `settings.grades[0].giveUpNs`";
+    assert_error("giveUpNs", "giveUp", missing_field);
     let class = r#""importance":1.0,"name":"look""#;
     let streamed = r#""importance":1.0,"streamed":true"#;
     assert_error(class, streamed, "`settings.grades`");
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -62,16 +62,16 @@
     }
 
     /// Counts a closed client connection.
-    pub fn closed(&mut self, reason: CloseReason) {
+    pub fn add_closed(&mut self, reason: CloseReason) {
         self.add("closed", reason.name());
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (CounterKey { kind, reason }, count)) in self.counts.iter().enumerate() {
-            let space = if place == 0 { "" } else { " " };
-            write!(f, "{space}{kind}.{reason}={count}")?;
+        for (index, (CounterKey { kind, reason }, count)) in self.counts.iter().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
+            write!(f, "{separator}{kind}.{reason}={count}")?;
         }
         Ok(())
     }
--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -47,7 +47,7 @@
 
     /// Counts a closed client connection.
     pub fn count_closed(&mut self, reason: CloseReason) {
-        self.counters.closed(reason);
+        self.counters.add_closed(reason);
     }
 
     /// Counts what the protocol rules did not allow.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -177,10 +177,10 @@
         self.previous_poll_at
     }
 
-    /// Whether what this iteration's poll found may be older than `span` at `clock_now`, a fresh
+    /// Whether what this iteration's poll found may be older than `duration` at `clock_now`, a fresh
     /// reading of the clock.
-    pub fn has_lasted(&self, clock_now: Nanos, span: Nanos) -> bool {
-        clock_now.saturating_sub(self.now) > span
+    pub fn has_run_longer_than(&self, clock_now: Nanos, duration: Nanos) -> bool {
+        clock_now.saturating_sub(self.now) > duration
     }
 
     /// Whether the process stood still before this iteration: it can't have acted in time.
@@ -222,8 +222,13 @@
     /// # Errors
     ///
     /// As `epoll_ctl(2)`.
-    pub fn modify(&self, source: impl AsFd, token: Token, wanted: EventFlags) -> Result<(), Errno> {
-        epoll::modify(&self.epoll, source, token.encode(), wanted)
+    pub fn modify(
+        &self,
+        source: impl AsFd,
+        token: Token,
+        interest: EventFlags,
+    ) -> Result<(), Errno> {
+        epoll::modify(&self.epoll, source, token.encode(), interest)
     }
 
     /// Registers the wanted events of a socket, unless they are registered already.
@@ -236,9 +241,9 @@
         registration: &mut Registration,
         socket: &OwnedFd,
         token: Token,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
-        registration.set(&self.epoll, socket, token.encode(), wanted)
+        registration.set(&self.epoll, socket, token.encode(), interest)
     }
 
     /// Waits until a socket has an event or a timer is due, and starts an iteration. All that is
@@ -283,10 +288,10 @@
         }
     }
 
-    /// Waits for events, at most `pause` nanoseconds; `false` if the wait was interrupted.
-    fn wait(&self, events: &mut Vec<epoll::Event>, pause: Nanos) -> Result<bool, Errno> {
+    /// Waits for events, at most `timeout` nanoseconds; `false` if the wait was interrupted.
+    fn wait(&self, events: &mut Vec<epoll::Event>, timeout: Nanos) -> Result<bool, Errno> {
         let buffer = rustix::buffer::spare_capacity(events);
-        match epoll::wait(&self.epoll, buffer, Some(&timespec(pause))) {
+        match epoll::wait(&self.epoll, buffer, Some(&timespec(timeout))) {
             Ok(_) => Ok(true),
             Err(Errno::INTR) => Ok(false),
             Err(error) => Err(error),
--- a/crates/node/src/event_loop_tests.rs
+++ b/crates/node/src/event_loop_tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn data_that_no_token_has_is_no_token() {
+fn data_that_encodes_no_token_is_decoded_as_none() {
     for data in [1 << 32 | 2, 5 << 32, u64::MAX] {
         assert_eq!(Token::decode(EventData::new_u64(data)), None, "{data}");
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -106,14 +106,14 @@
 
 fn write_now(line: &str) {
     let mut stderr = std::io::stderr();
-    let written = if line.len() > MAX_LINE {
+    let result = if line.len() > MAX_LINE {
         let end = line.floor_char_boundary(MAX_LINE - 1);
         stderr.write_all(format!("{}\n", &line[..end]).as_bytes())
     } else {
         stderr.write_all(line.as_bytes())
     };
     // A reader that has closed the pipe must not end the node, and there is nobody left to tell.
-    let _ = written;
+    let _ = result;
 }
 
 /// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
@@ -122,20 +122,20 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trace {
     /// Unix time at the clock's zero; `None`: off.
-    unix_zero: Option<Nanos>,
+    unix_time_at_zero: Option<Nanos>,
 }
 
 impl Trace {
-    /// A trace that is on or off; `unix_zero` is the Unix time at the clock's zero.
-    pub fn new(on: bool, unix_zero: Nanos) -> Trace {
+    /// A trace that is on or off; `unix_time_at_zero` is the Unix time at the clock's zero.
+    pub fn new(is_enabled: bool, unix_time_at_zero: Nanos) -> Trace {
         Trace {
-            unix_zero: on.then_some(unix_zero),
+            unix_time_at_zero: is_enabled.then_some(unix_time_at_zero),
         }
     }
 
     /// Whether lines are written.
     pub fn is_on(self) -> bool {
-        self.unix_zero.is_some()
+        self.unix_time_at_zero.is_some()
     }
 
     /// Writes a line if the trace is on.
@@ -146,7 +146,7 @@
     }
 
     fn format(self, now: Nanos, details: fmt::Arguments) -> Option<String> {
-        let unix_time = self.unix_zero? + now;
+        let unix_time = self.unix_time_at_zero? + now;
         let seconds = unix_time / SECOND;
         let microseconds = unix_time % SECOND / 1_000;
         Some(format!(
--- a/crates/node/src/log_tests.rs
+++ b/crates/node/src/log_tests.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_storm_of_one_kind_is_suppressed_and_counted() {
+fn lines_over_the_limit_of_a_kind_are_suppressed_and_counted() {
     let mut log = Log::default();
-    let shown = (0..100)
+    let written = (0..100)
         .filter(|_| log.admit(SECOND, "a").is_some())
         .count();
     assert_eq!(
-        (shown, log.admit(SECOND, "b")),
+        (written, log.admit(SECOND, "b")),
         (MAX_LINES_PER_WINDOW as usize, Some(0))
     );
     assert_eq!(log.admit(SECOND + WINDOW, "a"), Some(90));
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -39,7 +39,7 @@
 
 /// Events that one poll takes beside those of connections and discovery calls: the listener and the
 /// signals, and one to spare.
-const OTHER_EVENTS: usize = 4;
+const NON_CONNECTION_EVENTS: usize = 4;
 
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
 fn may_forbid_send(event: &epoll::Event) -> bool {
@@ -78,7 +78,7 @@
     /// If the loop can't poll its sockets.
     pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
-        while !self.is_over() {
+        while !self.is_shutdown_complete() {
             let capacity = self.max_events();
             self.event_loop
                 .poll(&mut events, capacity)
@@ -86,7 +86,7 @@
             self.handle_socket_events(&events);
             self.handle_signals();
             for event in self.event_loop.expire_timers() {
-                self.on_timer(event);
+                self.on_timer_event(event);
                 self.flush_pending();
             }
         }
@@ -96,7 +96,7 @@
 
     fn max_events(&self) -> usize {
         let connections = self.clients.len() + self.upstreams.len();
-        connections + self.discovery.open_calls() + OTHER_EVENTS
+        connections + self.discovery.open_calls() + NON_CONNECTION_EVENTS
     }
 
     /// What forbids a send goes before what may lead to one, and is carried out only when all of it
@@ -105,11 +105,11 @@
     /// timeout.
     fn handle_socket_events(&mut self, events: &[epoll::Event]) {
         for event in events.iter().filter(|event| may_forbid_send(event)) {
-            self.on_socket(event);
+            self.on_socket_event(event);
         }
         self.flush_pending();
         for event in events.iter().filter(|event| !may_forbid_send(event)) {
-            self.on_socket(event);
+            self.on_socket_event(event);
             self.flush_pending();
         }
     }
@@ -133,12 +133,12 @@
         );
     }
 
-    fn is_over(&self) -> bool {
+    fn is_shutdown_complete(&self) -> bool {
         let is_drained = self.listener.is_closed() && self.clients.len() == 0;
         self.shutdown.is_forced() || (self.shutdown.is_draining() && is_drained)
     }
 
-    fn on_socket(&mut self, event: &epoll::Event) {
+    fn on_socket_event(&mut self, event: &epoll::Event) {
         match Token::decode(event.data) {
             Some(Token::Listener) => self.accept_clients(),
             Some(Token::Signal(kind)) => self.signals.get(kind).drain_wake_up(),
@@ -161,12 +161,12 @@
         self.flush_pending();
     }
 
-    fn on_timer(&mut self, event: TimerEvent) {
+    fn on_timer_event(&mut self, event: TimerEvent) {
         let now = self.event_loop.now();
         match event {
             TimerEvent::ClientDeadline(number) => self.client_deadline_due(number),
             TimerEvent::ResumeClient(number) => self.read_client(number),
-            TimerEvent::DeadlineGuard(request) => self.guard_deadline(request),
+            TimerEvent::DeadlineGuard(request) => self.deadline_guard_due(request),
             TimerEvent::UpstreamDeadline(number) => self.upstream_deadline_due(number),
             TimerEvent::ResumeUpstream(number) => self.advance_upstream(number, false),
             TimerEvent::RetryPostponedDials => self.retry_postponed_dials(),
@@ -189,7 +189,7 @@
         }
     }
 
-    fn guard_deadline(&mut self, request: u32) {
+    fn deadline_guard_due(&mut self, request: u32) {
         let now = self.event_loop.now();
         if self.requests.expire(now, request) {
             self.diagnostics
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -87,7 +87,7 @@
         }
         // With a full inbox the end can't be read, and would be reported again without a pause.
         if connection.is_peer_closed() && connection.is_input_full() {
-            self.client_closed_input(number);
+            self.handle_client_eof(number);
         } else {
             self.read_client(number);
         }
@@ -106,15 +106,15 @@
         match connection.read(now, self.event_loop.previous_poll_at()) {
             ReadEvent::Incomplete => {}
             ReadEvent::RetryLater => return connection.pause(number, &mut self.event_loop),
-            ReadEvent::EndOfStream => return self.client_closed_input(number),
+            ReadEvent::EndOfStream => return self.handle_client_eof(number),
             ReadEvent::Broken => return self.drop_client(number, CloseReason::Broken),
-            ReadEvent::Invalid(error) => self.reply_unreadable(number, error),
+            ReadEvent::Invalid(error) => self.reply_parse_error(number, error),
             ReadEvent::Message(message) => self.handle_message(number, message),
         }
         self.flush_client(number);
     }
 
-    fn reply_unreadable(&mut self, number: u32, error: ParseError) {
+    fn reply_parse_error(&mut self, number: u32, error: ParseError) {
         let status = error.status();
         self.diagnostics.log(
             self.event_loop.now(),
@@ -181,7 +181,7 @@
     /// The client has closed its sending side. A full close looks the same, so its request is not
     /// worked on any more; but a client that only ended its sending waits for an answer, and gets
     /// one.
-    fn client_closed_input(&mut self, number: u32) {
+    fn handle_client_eof(&mut self, number: u32) {
         let Some(connection) = self.clients.get_mut(number) else {
             return;
         };
@@ -221,7 +221,7 @@
         }
         let opened = match self.requests.open(now, number, spec, payload) {
             Ok(opened) => opened,
-            Err(error) => return self.reply_not_opened(number, error),
+            Err(error) => return self.reply_open_error(number, error),
         };
         let OpenedRequest {
             id: request,
@@ -242,7 +242,7 @@
             .schedule(guard_at, TimerEvent::DeadlineGuard(request));
     }
 
-    fn reply_not_opened(&mut self, number: u32, error: OpenError) {
+    fn reply_open_error(&mut self, number: u32, error: OpenError) {
         let now = self.event_loop.now();
         let reply = match error {
             OpenError::TableFull => {
@@ -271,13 +271,13 @@
         }
     }
 
-    pub(super) fn send_local_reply(&mut self, number: u32, local: LocalReply) {
-        let head = LocalReplyHead::new(local);
+    pub(super) fn send_local_reply(&mut self, number: u32, local_reply: LocalReply) {
+        let head = LocalReplyHead::new(local_reply);
         let retry_after = head
             .retry_after
             .as_deref()
             .map(|seconds| ("retry-after", seconds));
-        let body = match local {
+        let body = match local_reply {
             LocalReply::Rejected { .. } => "refused: trying again is harmless\n",
             LocalReply::Failed => "failed\n",
             LocalReply::TimedOut => "no answer in time\n",
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -80,7 +80,7 @@
             return;
         };
         let retry_later = progress.retry_later;
-        self.apply_progress(number, progress);
+        self.handle_call_progress(number, progress);
         if retry_later {
             self.discovery.pause_call(number, &mut self.event_loop);
         }
@@ -88,11 +88,11 @@
 
     pub(super) fn discovery_deadline_due(&mut self, number: u32) {
         if self.discovery.is_call_due(number, &mut self.event_loop) {
-            self.apply_progress(number, CallProgress::ended(CallEnd::Silent));
+            self.handle_call_progress(number, CallProgress::ended(CallEnd::Silent));
         }
     }
 
-    fn apply_progress(&mut self, number: u32, progress: CallProgress) {
+    fn handle_call_progress(&mut self, number: u32, progress: CallProgress) {
         let now = self.event_loop.now();
         self.discovery.note_progress(number, &progress, now);
         for update in &progress.updates {
@@ -114,20 +114,20 @@
         let applied = self
             .discovery
             .apply(update, &self.event_loop, &mut self.diagnostics);
-        self.follow_update(applied);
+        self.handle_applied_update(applied);
     }
 
     pub(super) fn apply_cached_list(&mut self, update: &EndpointUpdate) {
         let applied = self
             .discovery
             .apply_cached(update, &self.event_loop, &mut self.diagnostics);
-        self.follow_update(applied);
+        self.handle_applied_update(applied);
     }
 
     /// Tells the decision module, and ends the connections that must end. What is not connected yet
     /// would write its first byte at any later time, and the rule on draining backends counts that
     /// byte; it was not executed, so it can go elsewhere.
-    fn follow_update(&mut self, applied: AppliedUpdate) {
+    fn handle_applied_update(&mut self, applied: AppliedUpdate) {
         self.requests.feed(self.event_loop.now(), applied.event);
         for backend in applied.disconnect {
             self.upstreams.close_idle(backend);
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -28,7 +28,7 @@
 const MAX_TICK: Nanos = 10 * MS;
 /// Part of a request's time after which rejecting it has a price although no backend has seen it
 /// (the platform's figure).
-const NEVER_ATTEMPTED_FRACTION: f64 = 0.5;
+const NEVER_ATTEMPTED_TIMEOUT_FRACTION: f64 = 0.5;
 /// Connections that fit in a mebibyte. Bodies are on the buffer budget; beside them a connection
 /// holds a head at most, of which these fit in a third of the memory.
 const CONNECTIONS_PER_MIB: usize = 16;
@@ -47,7 +47,7 @@
     pub fn start(config: Config, signals: Signals) -> Result<Node, NodeError> {
         let clock = Clock::start();
         let now = clock.read();
-        let trace = Trace::new(config.trace, clock.unix_zero());
+        let trace = Trace::new(config.trace, clock.unix_time_at_zero());
         let descriptors = usable_descriptors(config.sockets, config.memory_mb);
         let descriptor_budget = DescriptorBudget::new(descriptors);
         let requests = request_table(&config, &descriptor_budget, now, trace)?;
@@ -97,7 +97,7 @@
     trace: Trace,
 ) -> Result<RequestTable<ForwardedRequest>, SettingsError> {
     let mut settings = config.deployment.settings.clone();
-    settings.limits.never_attempted_timeout_fraction = NEVER_ATTEMPTED_FRACTION;
+    settings.limits.never_attempted_timeout_fraction = NEVER_ATTEMPTED_TIMEOUT_FRACTION;
     let max_requests = descriptor_budget
         .max(Purpose::Client)
         .min(config.deployment.max_pending_requests)
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -28,10 +28,10 @@
     ) {
         // Its client may have left between the decision and here.
         if self.is_obsolete(attempt) {
-            return self.report(attempt, Outcome::NotSent);
+            return self.report_outcome(attempt, Outcome::NotSent);
         }
         let now = self.event_loop.now();
-        self.dial_for(PostponedDial {
+        self.dial_or_postpone(PostponedDial {
             backend,
             attempt,
             limits,
@@ -46,14 +46,14 @@
             .is_some_and(|request| !self.requests.is_waiting(request))
     }
 
-    fn dial_for(&mut self, dial: PostponedDial) {
+    fn dial_or_postpone(&mut self, dial: PostponedDial) {
         match self.connect(dial.backend) {
             Ok(number) => {
                 self.upstreams
                     .assign(number, dial.attempt, dial.limits, &mut self.event_loop);
                 self.advance_upstream(number, false);
             }
-            Err(DialError::Endpoint) => self.report(dial.attempt, Outcome::ConnectFailed),
+            Err(DialError::Endpoint) => self.report_outcome(dial.attempt, Outcome::ConnectFailed),
             Err(DialError::Local) => {
                 self.diagnostics.count("dial", "postponed");
                 self.upstreams.postpone(dial, &mut self.event_loop);
@@ -64,9 +64,9 @@
     pub(super) fn retry_postponed_dials(&mut self) {
         for dial in self.upstreams.take_postponed() {
             if self.is_obsolete(dial.attempt) || self.event_loop.now() >= dial.give_up_at {
-                self.report(dial.attempt, Outcome::NotSent);
+                self.report_outcome(dial.attempt, Outcome::NotSent);
             } else {
-                self.dial_for(dial);
+                self.dial_or_postpone(dial);
             }
         }
     }
@@ -171,7 +171,8 @@
     /// Whether an attempt is held back for updates of the endpoint list, which go before a send:
     /// where this iteration has lasted, they may have come since its poll.
     fn must_wait_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
-        self.event_loop.has_lasted(now, MAX_UNREAD_UPDATE_AGE)
+        self.event_loop
+            .has_run_longer_than(now, MAX_UNREAD_UPDATE_AGE)
             && self.discovery.has_unread_bytes()
             && self
                 .upstreams
@@ -202,7 +203,9 @@
             .and_then(|number| self.clients.get(number));
         connection.is_none_or(|connection| {
             connection.is_peer_closed()
-                || (self.event_loop.has_lasted(now, MAX_CLIENT_STATE_AGE)
+                || (self
+                    .event_loop
+                    .has_run_longer_than(now, MAX_CLIENT_STATE_AGE)
                     && connection.has_peer_closed_now())
         })
     }
@@ -245,7 +248,7 @@
                 .release(number, answer.reuse, is_backend_ready, &mut self.event_loop);
         if let Some(attempt) = attempt {
             let outcome = upstream::outcome(&answer.head);
-            self.report_answer(attempt, outcome, Some(answer));
+            self.report_attempt_end(attempt, outcome, Some(answer));
         }
     }
 
@@ -258,7 +261,7 @@
     /// Closes a connection, and only then reports how its attempt ended.
     pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) {
         if let Some(attempt) = self.upstreams.close(number) {
-            self.report(attempt, outcome);
+            self.report_outcome(attempt, outcome);
         }
     }
 
@@ -285,17 +288,17 @@
     /// Ends the postponed attempt of a request, if it has one: it was not sent.
     fn drop_postponed(&mut self, request: u32) {
         if let Some(attempt) = self.upstreams.remove_postponed(request) {
-            self.report(attempt, Outcome::NotSent);
+            self.report_outcome(attempt, Outcome::NotSent);
         }
     }
 
-    fn report(&mut self, attempt: UpstreamAttempt, outcome: Outcome) {
-        self.report_answer(attempt, outcome, None);
+    fn report_outcome(&mut self, attempt: UpstreamAttempt, outcome: Outcome) {
+        self.report_attempt_end(attempt, outcome, None);
     }
 
     /// Tells the request table or the decision module how an attempt ended; an answer goes to the
     /// client that still waits for it.
-    fn report_answer(
+    fn report_attempt_end(
         &mut self,
         attempt: UpstreamAttempt,
         outcome: Outcome,
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -33,7 +33,7 @@
     balancer: Balancer,
     table: Slab<PendingRequest<C>>,
     /// Names of the requests in the table.
-    names: HashSet<Box<str>>,
+    txns: HashSet<Box<str>>,
     idempotency_by_class: Vec<Idempotency>,
     max_attempts: usize,
     /// How long after its deadline the guard answers a request.
@@ -47,7 +47,7 @@
 }
 
 impl<C> RequestTable<C> {
-    /// An empty table for `max` requests at a time. The decision module draws its random numbers
+    /// An empty table for `max_requests` requests at a time. The decision module draws its random numbers
     /// from `seed`.
     ///
     /// # Errors
@@ -56,13 +56,13 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        max: usize,
+        max_requests: usize,
         now: Nanos,
         trace: Trace,
     ) -> Result<RequestTable<C>, SettingsError> {
         Ok(RequestTable {
-            table: Slab::new(max),
-            names: HashSet::new(),
+            table: Slab::new(max_requests),
+            txns: HashSet::new(),
             idempotency_by_class: settings
                 .classes
                 .iter()
@@ -107,7 +107,7 @@
         spec: RequestSpec,
         payload: C,
     ) -> Result<OpenedRequest, OpenError> {
-        if self.names.contains(&spec.txn) {
+        if self.txns.contains(&spec.txn) {
             return Err(OpenError::DuplicateId);
         }
         let idempotency = self.idempotency_by_class[usize::from(spec.class)];
@@ -122,7 +122,7 @@
                 spec.client_timeout / 1_000
             ),
         );
-        self.names.insert(spec.txn);
+        self.txns.insert(spec.txn);
         let request = Request {
             id: RequestId(id),
             class: ClassId(spec.class),
@@ -184,9 +184,9 @@
         let latency = now.saturating_sub(ended.started_at);
         pending.last_outcome = Some(outcome);
         let is_final = matches!(outcome, Outcome::Success | Outcome::BadRequest);
-        let served = (is_final && !pending.is_finished).then_some(pending.connection);
+        let answered_connection = (is_final && !pending.is_finished).then_some(pending.connection);
         pending.is_finished |= is_final;
-        if served.is_some() {
+        if answered_connection.is_some() {
             self.violations
                 .extend(rules::check_answer(now, pending.deadline).err());
         }
@@ -206,15 +206,15 @@
         };
         self.feed(now, event);
         self.remove_if_finished(id);
-        served
+        answered_connection
     }
 
     /// Whether a rejection of a request would be true, if what is in flight counts as not executed
-    /// where it is `unwritten`.
-    pub fn may_reject(&self, id: u32, unwritten: bool) -> bool {
+    /// where it is `in_flight_unwritten`.
+    pub fn may_reject(&self, id: u32, in_flight_unwritten: bool) -> bool {
         self.table
             .get(id)
-            .is_some_and(|pending| pending.is_rejectable(unwritten))
+            .is_some_and(|pending| pending.is_rejectable(in_flight_unwritten))
     }
 
     /// The client of a request has gone.
@@ -223,11 +223,11 @@
             pending.is_finished = true;
             self.trace
                 .line(now, format_args!("client-disconnected id={id}"));
-            self.disconnect(now, id);
+            self.report_disconnect(now, id);
         }
     }
 
-    fn disconnect(&mut self, now: Nanos, id: u32) {
+    fn report_disconnect(&mut self, now: Nanos, id: u32) {
         let request = RequestId(id);
         self.feed(now, Event::ClientDisconnected { request });
         self.remove_if_finished(id);
@@ -250,7 +250,7 @@
         let is_waiting = self.is_waiting(id);
         if is_waiting {
             self.reply(now, id, reply);
-            self.disconnect(now, id);
+            self.report_disconnect(now, id);
         }
         is_waiting
     }
@@ -276,7 +276,7 @@
                     backend,
                     abandon_at,
                 } => denied.extend(self.start_attempt(now, request.0, backend, abandon_at)),
-                other => self.carry_out(now, other),
+                other => self.queue_command(now, other),
             }
         }
         self.actions = actions;
@@ -286,7 +286,7 @@
     }
 
     /// Makes a command of a decision other than the start of an attempt into a command.
-    fn carry_out(&mut self, now: Nanos, action: Action) {
+    fn queue_command(&mut self, now: Nanos, action: Action) {
         let command = match action {
             Action::StartAttempt { .. } => return,
             Action::Reject {
@@ -329,7 +329,7 @@
     ) -> Option<DeniedAttempt> {
         let pending = self.table.get_mut(id)?;
         let attempt = u8::try_from(pending.attempts.len()).ok()?;
-        let abandon_at = pending.bounded(abandon_at);
+        let abandon_at = pending.bound_to_deadline(abandon_at);
         let facts = pending.start_facts(self.max_attempts);
         let allowed = rules::may_start(now, &facts);
         pending.attempts.push(Attempt {
@@ -366,7 +366,7 @@
         pending.is_finished = true;
         let violation = rules::check_answer(now, pending.deadline).err();
         let connection = pending.connection;
-        let reply = pending.adjusted(reply);
+        let reply = pending.permitted_reply(reply);
         self.violations.extend(violation);
         self.trace
             .line(now, format_args!("answer id={id} what={reply:?}"));
@@ -380,7 +380,7 @@
         if self.table.get(id).is_some_and(is_done)
             && let Some(pending) = self.table.remove(id)
         {
-            self.names.remove(&pending.txn);
+            self.txns.remove(&pending.txn);
         }
     }
 }
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -56,7 +56,7 @@
 
     /// When an attempt must be abandoned for which `abandon_at` was decided; 0 is the client's
     /// deadline.
-    pub fn bounded(&self, abandon_at: Nanos) -> Nanos {
+    pub fn bound_to_deadline(&self, abandon_at: Nanos) -> Nanos {
         match abandon_at {
             0 => self.deadline,
             at => at.min(self.deadline),
@@ -75,13 +75,18 @@
 
     /// Attempts that have not ended.
     pub fn in_flight(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
-    }
-
-    fn maybe_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
-            .filter(|a| a.outcome.is_none_or(|o| !o.not_executed()))
+            .filter(|attempt| attempt.outcome.is_none())
+            .count()
+    }
+
+    fn maybe_executed_attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| {
+            attempt
+                .outcome
+                .is_none_or(|outcome| !outcome.not_executed())
+        })
     }
 
     /// What the protocol rules ask of its attempts.
@@ -90,7 +95,7 @@
             idempotency: self.idempotency,
             attempts: self.attempts.len(),
             in_flight: self.in_flight(),
-            may_have_been_executed: self.maybe_executed().next().is_some(),
+            may_have_been_executed: self.maybe_executed_attempts().next().is_some(),
             write_by: self.write_by(),
         }
     }
@@ -99,8 +104,8 @@
     fn write_by(&self) -> Nanos {
         match self.idempotency {
             Idempotency::IdempotencyKey { window, .. } => self
-                .maybe_executed()
-                .map(|a| a.started_at.saturating_add(window))
+                .maybe_executed_attempts()
+                .map(|attempt| attempt.started_at.saturating_add(window))
                 .min()
                 .unwrap_or(Nanos::MAX),
             _ => Nanos::MAX,
@@ -108,17 +113,17 @@
     }
 
     /// Whether a rejection of it, which says that a retry is harmless, would be true. What is in
-    /// flight counts as not executed where it is `unwritten`.
-    pub fn is_rejectable(&self, unwritten: bool) -> bool {
+    /// flight counts as not executed where it is `in_flight_unwritten`.
+    pub fn is_rejectable(&self, in_flight_unwritten: bool) -> bool {
         let may_have_been_executed = self
-            .maybe_executed()
-            .any(|attempt| attempt.outcome.is_some() || !unwritten);
+            .maybe_executed_attempts()
+            .any(|attempt| attempt.outcome.is_some() || !in_flight_unwritten);
         rules::may_reject(self.idempotency, may_have_been_executed).is_ok()
     }
 
     /// The answer that is true of it: a rejection promises that a retry is harmless; where that is
     /// not so it becomes a failure, and after a timeout a timeout.
-    pub fn adjusted(&self, reply: LocalReply) -> LocalReply {
+    pub fn permitted_reply(&self, reply: LocalReply) -> LocalReply {
         let reply = match reply {
             LocalReply::Rejected { .. } if !self.is_rejectable(false) => LocalReply::Failed,
             other => other,
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -6,7 +6,7 @@
 
 const NOW: Nanos = 100 * SECOND;
 
-fn requests(idempotency: Idempotency) -> RequestTable<()> {
+fn table_with_backends(idempotency: Idempotency) -> RequestTable<()> {
     let class = Class {
         latency_objective: SECOND,
         client_timeout: 5 * SECOND,
@@ -52,19 +52,23 @@
 }
 
 fn replies(requests: &mut RequestTable<()>) -> Vec<LocalReply> {
-    let reply = |command| match command {
+    let local_reply = |command| match command {
         Command::Reply {
             connection: 77,
             reply,
         } => Some(reply),
         _ => None,
     };
-    requests.commands.drain(..).filter_map(reply).collect()
+    requests
+        .commands
+        .drain(..)
+        .filter_map(local_reply)
+        .collect()
 }
 
 #[test]
-fn one_answer_whatever_comes_after_it() {
-    let mut requests = requests(Idempotency::Idempotent);
+fn a_request_is_answered_only_once() {
+    let mut requests = table_with_backends(Idempotency::Idempotent);
     let id = open(&mut requests);
     assert_eq!(
         requests.attempt_ended(NOW + MS, id, 0, Outcome::Success),
@@ -79,8 +83,8 @@
 }
 
 #[test]
-fn a_name_is_free_again_once_its_request_has_nothing_in_flight() {
-    let mut requests = requests(Idempotency::Idempotent);
+fn a_txn_is_reusable_once_its_request_has_no_attempt_in_flight() {
+    let mut requests = table_with_backends(Idempotency::Idempotent);
     let id = open(&mut requests);
     assert_eq!(
         requests.open(NOW, 78, spec(), ()),
@@ -96,8 +100,8 @@
 }
 
 #[test]
-fn the_deadline_guard_answers_cancels_the_attempt_and_keeps_the_request_until_that_has_ended() {
-    let mut requests = requests(Idempotency::Idempotent);
+fn an_expired_request_stays_until_its_cancelled_attempt_has_ended() {
+    let mut requests = table_with_backends(Idempotency::Idempotent);
     let id = open(&mut requests);
     assert!(requests.expire(NOW + SECOND, id));
     assert!(requests.commands.contains(&Command::CancelAttempt {
@@ -114,41 +118,41 @@
 }
 
 #[test]
-fn a_shutdown_rejects_what_was_not_executed_and_fails_what_may_have_been() {
+fn a_shutdown_rejects_unexecuted_requests_and_fails_the_others() {
     let keyed = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: SECOND,
     };
-    for (outcome, wanted) in [
+    for (outcome, expected) in [
         (
             Some(Outcome::ConnectFailed),
             LocalReply::Rejected { retry_after: 0 },
         ),
         (None, LocalReply::Failed),
     ] {
-        let mut requests = requests(keyed);
+        let mut requests = table_with_backends(keyed);
         let id = open(&mut requests);
         requests.table.get_mut(id).unwrap().attempts[0].outcome = outcome;
         requests.fail_for_shutdown(NOW + MS, id);
-        assert_eq!(replies(&mut requests), [wanted]);
+        assert_eq!(replies(&mut requests), [expected]);
     }
 }
 
 #[test]
-fn nothing_that_may_have_been_executed_is_rejected() {
+fn a_rejection_becomes_a_failure_if_a_retry_could_do_harm() {
     let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 1 };
     let rejected = LocalReply::Rejected { retry_after: 0 };
     let not_idempotent = Idempotency::NotIdempotent;
     let in_cell = keyed(DeduplicationScope::Cell);
     let global = keyed(DeduplicationScope::Global);
-    for (idempotency, outcome, wanted) in [
+    for (idempotency, outcome, expected) in [
         (not_idempotent, Outcome::Reset, LocalReply::Failed),
         (not_idempotent, Outcome::Timeout, LocalReply::TimedOut),
         (not_idempotent, Outcome::Overloaded, rejected),
         (in_cell, Outcome::Error, LocalReply::Failed),
         (global, Outcome::Error, rejected),
     ] {
-        let mut requests = requests(idempotency);
+        let mut requests = table_with_backends(idempotency);
         let id = open(&mut requests);
         // After a first answer nothing is decided any more, so the guard is met directly.
         let pending = requests.table.get_mut(id).unwrap();
@@ -157,15 +161,15 @@
         requests.reply(NOW, id, rejected);
         assert_eq!(
             replies(&mut requests),
-            [wanted],
+            [expected],
             "{idempotency:?} {outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_retry_must_be_written_within_the_window_of_the_attempt_that_may_have_been_executed() {
-    let mut requests = requests(Idempotency::IdempotencyKey {
+fn a_retry_needs_an_open_window_and_no_attempt_in_flight() {
+    let mut requests = table_with_backends(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: 300 * MS,
     });
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 const NOW: Nanos = 1_000 * MS;
-const KEYED: Idempotency = Idempotency::IdempotencyKey {
+const CELL_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::Cell,
     window: 300 * MS,
 };
@@ -13,9 +13,9 @@
 /// Makes one fact another.
 type Change<Facts> = fn(&mut Facts);
 
-fn start() -> StartFacts {
+fn start_facts() -> StartFacts {
     let history = AttemptHistory {
-        idempotency: KEYED,
+        idempotency: CELL_KEY,
         attempts: 1,
         in_flight: 0,
         may_have_been_executed: true,
@@ -29,7 +29,7 @@
     }
 }
 
-fn write() -> WriteFacts {
+fn write_facts() -> WriteFacts {
     WriteFacts {
         answered: false,
         client_disconnected: false,
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn an_attempt_starts_unless_one_fact_forbids_it() {
-    assert_eq!(may_start(NOW, &start()), Ok(()));
+fn each_forbidding_fact_denies_the_start_of_an_attempt() {
+    assert_eq!(may_start(NOW, &start_facts()), Ok(()));
     let cases: [(Denial, Change<StartFacts>); 7] = [
         (Denial::Answered, |f| f.answered = true),
         (Denial::DeadlinePassed, |f| f.deadline = NOW),
@@ -55,17 +55,17 @@
             (f.history.in_flight, f.history.idempotency) = (1, Idempotency::Idempotent);
         }),
     ];
-    for (wanted, change) in cases {
-        let mut facts = start();
+    for (expected, change) in cases {
+        let mut facts = start_facts();
         change(&mut facts);
-        assert_eq!(may_start(NOW, &facts), Err(wanted));
+        assert_eq!(may_start(NOW, &facts), Err(expected));
     }
 }
 
 #[test]
-fn a_byte_is_written_unless_one_fact_forbids_it() {
+fn each_forbidding_fact_denies_the_write_of_an_attempt() {
     assert_eq!(
-        may_write(NOW, &write())
+        may_write(NOW, &write_facts())
             .map(|permit| permit.timeout_ms())
             .ok(),
         Some(500)
@@ -80,14 +80,14 @@
         }),
         (Denial::WindowClosed, |f| f.write_by = NOW - 1),
     ];
-    for (wanted, change) in cases {
-        let mut facts = write();
+    for (expected, change) in cases {
+        let mut facts = write_facts();
         change(&mut facts);
         assert_eq!(
             may_write(NOW, &facts)
                 .map(|permit| permit.timeout_ms())
                 .err(),
-            Some(wanted)
+            Some(expected)
         );
     }
 }
@@ -96,10 +96,10 @@
 fn the_timeout_is_rounded_down_and_a_late_write_is_a_violation() {
     let facts = WriteFacts {
         abandon_at: NOW + 7 * MS + 999_999,
-        ..write()
+        ..write_facts()
     };
     assert_eq!(may_write(NOW, &facts).unwrap().timeout_ms(), 7);
-    let permit = || may_write(NOW, &write()).unwrap();
+    let permit = || may_write(NOW, &write_facts()).unwrap();
     assert_eq!(permit().check(NOW + 100 * MS + MAX_WRITE_DELAY), Ok(()));
     assert_eq!(
         permit().check(NOW + 101 * MS + MAX_WRITE_DELAY),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_answer_long_after_its_time_is_a_violation() {
+fn an_answer_after_the_deadline_and_grace_is_a_violation() {
     assert_eq!(check_answer(NOW + ANSWER_GRACE, NOW), Ok(()));
     assert_eq!(
         check_answer(NOW + ANSWER_GRACE + 1, NOW),
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn a_rejection_is_true_only_where_a_retry_is_harmless() {
-    let all = Idempotency::IdempotencyKey {
+fn a_rejection_is_allowed_only_if_a_retry_is_harmless() {
+    let global_key = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Global,
         window: MS,
     };
     for (idempotency, may_have_been_executed, allowed) in [
         (Idempotency::Idempotent, true, true),
-        (all, true, true),
-        (KEYED, true, false),
-        (KEYED, false, true),
+        (global_key, true, true),
+        (CELL_KEY, true, false),
+        (CELL_KEY, false, true),
         (Idempotency::NotIdempotent, true, false),
         (Idempotency::NotIdempotent, false, true),
     ] {
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn a_connection_closes_only_when_nothing_is_owed_or_unread() {
-    for (answer_pending, has_unread_input, wanted) in [
+fn a_close_is_denied_while_an_answer_or_unread_input_is_pending() {
+    for (answer_pending, has_unread_input, expected) in [
         (false, false, None),
         (true, false, Some(Denial::AnswerPending)),
         (true, true, Some(Denial::AnswerPending)),
@@ -152,7 +152,7 @@
                 has_unread_input
             })
             .err(),
-            wanted
+            expected
         );
     }
 }
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -44,7 +44,7 @@
         StartObservation {
             now,
             wall_now_ms: clock::unix_time().as_millis() as u64,
-            wall_at_zero: clock.unix_zero(),
+            wall_at_zero: clock.unix_time_at_zero(),
             confirmed,
         }
     }
@@ -71,18 +71,20 @@
         if boot_ms == 0 {
             return None;
         }
-        let age_by_wall = observation
+        let age_by_wall_clock = observation
             .wall_now_ms
             .saturating_sub(boot_ms)
             .saturating_mul(MS);
         let Some(confirmed) = observation.confirmed else {
-            return (age_by_wall <= MAX_CLOCK_ERROR).then_some(observation.now);
+            return (age_by_wall_clock <= MAX_CLOCK_ERROR).then_some(observation.now);
         };
         let boot = boot_ms.saturating_mul(MS);
-        let by_wall = observation.now.checked_sub(age_by_wall);
-        let by_clock_at_start = boot.checked_sub(observation.wall_at_zero);
+        let by_wall_clock = observation.now.checked_sub(age_by_wall_clock);
+        let by_wall_clock_at_start = boot.checked_sub(observation.wall_at_zero);
         let by_observed_starts = boot.checked_sub(self.min_wall_at_zero);
-        let latest = by_wall.max(by_clock_at_start).max(by_observed_starts);
+        let latest = by_wall_clock
+            .max(by_wall_clock_at_start)
+            .max(by_observed_starts);
         // A start that lies ahead is not later than its observation.
         let started = latest
             .map(|at| at.min(observation.now))
