--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's one clock: the decision module, the timers and every deadline count on it.
+//! The node's only clock: the decision module, the timers and all deadlines use it.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,20 +9,20 @@
 /// One second, in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// The first reading of the clock, in nanoseconds. It is not 0, so that backends which started
-/// before the node still have a time. Anything older is "long ago"; a backend in slow start is far
-/// younger.
+/// The first reading of the clock, in nanoseconds. It is not 0, so that backends that started
+/// before the node can be given a start time. Any earlier start counts as "long ago"; a backend in
+/// slow start is far younger than this.
 const FIRST_READING: Nanos = 3_600 * SECOND;
 
-/// Monotonic time, tied to Unix time once at the start: a step of the system's clock moves no
-/// deadline.
+/// Monotonic time that is related to Unix time once, at the start: stepping the system's clock
+/// moves no deadline.
 pub struct Clock {
     started: Instant,
     unix_time_at_zero: Nanos,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock now; its first reading is one hour.
     pub fn start() -> Clock {
         Clock {
             started: Instant::now(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Nanoseconds since the clock's zero, an hour before its start.
+    /// The current time, in nanoseconds since the clock's zero, an hour before its start.
     pub fn read(&self) -> Nanos {
         FIRST_READING + self.started.elapsed().as_nanos() as Nanos
     }
@@ -41,7 +41,8 @@
     }
 }
 
-/// The system's wall-clock time since the Unix epoch; zero if it lies before that.
+/// The system's wall-clock time since the Unix epoch; zero if the clock is set to a time before the
+/// epoch.
 pub fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,5 +1,5 @@
 //! Configuration of the node: environment variables and the configuration file. The environment
-//! wins, so that an address can be changed without touching the file.
+//! takes precedence, so that an address can be changed without editing the file.
 //!
 //! | key of the file | variable | unit, default |
 //! |---|---|---|
@@ -25,31 +25,33 @@
 
 use crate::discovery::EndpointUpdate;
 
-/// Longest configuration file in bytes: several times an endpoint list of thousands of backends.
+/// Maximum size of the configuration file, in bytes: several times an endpoint list of thousands of
+/// backends.
 const MAX_FILE_BYTES: u64 = 32 << 20;
-/// Fewest file descriptors: with fewer the node can't hold a client connection and an upstream
-/// connection beside the descriptors that it needs for itself.
+/// Minimum number of file descriptors: with fewer the node can't hold a client connection and an
+/// upstream connection beside the descriptors that it needs for itself.
 const MIN_SOCKETS: usize = 32;
-/// File descriptors where the file gives no limit.
+/// Default number of file descriptors, if the file gives no limit.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory where the file gives no limit, in MiB.
+/// Default memory, in MiB, if the file gives no limit.
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// Configuration of a node.
+/// Configuration of a node, from the environment and the configuration file.
 pub struct Config {
-    /// Name of the node.
+    /// Name of the node, for the log.
     pub name: String,
-    /// Address on which clients are accepted.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed of the decisions' random source.
+    /// Seed of the decision module's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory that the process may use, in MiB.
+    /// Maximum memory of the process, in MiB.
     pub memory_mb: usize,
-    /// The endpoint list as this node last had it; may be stale.
+    /// The cached endpoint list, as the node last received it; may be stale, empty if the file has
+    /// none.
     pub cached_endpoints: EndpointUpdate,
     /// The settings of the deployment.
     pub deployment: Deployment,
@@ -57,10 +59,10 @@
     pub trace: bool,
 }
 
-/// Why the configuration can't be loaded. Its text is one line that names the key or the variable.
+/// Why the configuration can't be loaded. The text is one line that names the key or the variable.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// The variable that names the file is not set.
+    /// The variable `BALANCER_CONFIG`, which names the file, is not set.
     #[error("BALANCER_CONFIG is not set")]
     NoFile,
     /// The file can't be read.
@@ -71,12 +73,12 @@
     Invalid(#[from] ConfigError),
 }
 
-/// Reads the configuration file again and returns the address of discovery that it gives. The whole
+/// Reads the configuration file again and returns the discovery address that it gives. The whole
 /// file must be valid.
 ///
-/// `BALANCER_DISCOVERY` does not win here: the environment of a running process can't change, so
-/// the variable still holds the address from the start. The call never blocks: a pipe without data
-/// is an error.
+/// `BALANCER_DISCOVERY` does not take precedence here: the environment of a running process can't
+/// be changed, so the variable still holds the address from the start. The call never blocks: a
+/// pipe without data is an error.
 ///
 /// # Errors
 ///
@@ -141,14 +143,14 @@
     u64::from_str_radix(seed.string()?, 16).map_err(|_| seed.invalid("must be hexadecimal"))
 }
 
-/// Where values come from: the parsed file and the environment.
+/// The sources of values: the parsed file and the environment.
 struct Source<'a, Env> {
     root: JsonValue<'a>,
     env: Env,
 }
 
 impl<Env: Fn(&str) -> Option<String>> Source<'_, Env> {
-    /// The value of a variable; where it is not set, the text under a key.
+    /// The value of a variable or, if it is not set, the string under a key.
     fn text(&self, variable: &str, key: &str) -> Result<String, ConfigError> {
         match (self.env)(variable) {
             Some(value) => Ok(value),
@@ -160,7 +162,7 @@
         let value = self.text(variable, key)?;
         value.parse().map_err(|_| {
             self.root
-                .invalid_at(key, format!("`{value}` is not an address and a port"))
+                .invalid_at(key, format!("`{value}` is not an IP address with a port"))
         })
     }
 
@@ -186,7 +188,7 @@
         if classes.iter().any(|class| class.streamed) {
             return Err(self.root.invalid_at(
                 "settings.grades",
-                "streamed classes are not carried by this node",
+                "streamed classes are not supported by this node",
             ));
         }
         Ok(deployment)
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A valid configuration file.
+/// A valid configuration file that other tests use too.
 pub const CONFIG: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
         "seed":"8c1f30d27a5be964","limits":{"sockets":256},"known":{"rev":41,"all":true,"targets":[
           {"uid":"s-1","endpoint":"127.0.0.1:2","az":"b","model":"m2","pod_group":3,"state":"Ready",
@@ -38,8 +38,8 @@
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
 }
 
-/// Asserts that the configuration with `old` replaced by `new` gives an error that has `expected`
-/// in its text.
+/// Asserts that `CONFIG` with `old` replaced by `new` is rejected with an error whose text contains
+/// `expected`.
 fn assert_error(old: &str, new: &str, expected: &str) {
     assert!(CONFIG.contains(old), "{old}");
     let result = read(CONFIG.replace(old, new).as_bytes(), |_| None);
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,7 +1,8 @@
-//! Counts of what the node has done, by reason, for operators who ask why requests were rejected,
-//! retried or abandoned.
+//! Counters of the node's actions by reason, for operators who want to know why requests were
+//! rejected, retried or abandoned.
 //!
-//! The counts live as long as the process. They are bounded, as each key is a word of the code.
+//! The counters live as long as the process. Their number is bounded, as each key is a string
+//! literal in the code.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,27 +10,29 @@
 /// Why a client connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// Its client ended it.
+    /// Its client closed it.
     ClientDisconnected,
-    /// It broke: a reset, or a write that failed for good.
+    /// The connection failed: a reset, or a write error that can't be retried.
     Broken,
-    /// Its last answer is written.
+    /// Its last answer has been written.
     Answered,
     /// Its descriptor was needed for another connection.
     Evicted,
-    /// It sent nothing for too long, or took too long over a message or an answer.
+    /// The client sent nothing for too long, or took too long to send a message or to read an
+    /// answer.
     TimedOut,
-    /// The node shuts down.
+    /// The node is shutting down.
     Shutdown,
 }
 
 impl CloseReason {
-    /// Whether its client has ended it, so that no answer is owed any more.
+    /// Whether the client closed or broke the connection, so that closing it without an answer is no
+    /// violation.
     pub fn is_by_client(self) -> bool {
         matches!(self, CloseReason::ClientDisconnected | CloseReason::Broken)
     }
 
-    /// The word in logs and counts.
+    /// The stable word for it in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_disconnected",
@@ -42,21 +45,21 @@
     }
 }
 
-/// What is counted; in the order of the log line.
+/// Key of a counter; the order is that of the log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CounterKey {
     kind: &'static str,
     reason: &'static str,
 }
 
-/// Counts by kind and reason.
+/// Event counters by kind and reason.
 #[derive(Debug, Default)]
 pub struct Counters {
     counts: BTreeMap<CounterKey, u64>,
 }
 
 impl Counters {
-    /// Counts one event of a kind and reason.
+    /// Increments the counter of a kind and reason.
     pub fn add(&mut self, kind: &'static str, reason: &'static str) {
         *self.counts.entry(CounterKey { kind, reason }).or_default() += 1;
     }
--- a/crates/node/src/counters_tests.rs
+++ b/crates/node/src/counters_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the counters' text.
+//! Unit tests of the text format of the counters.
 
 use super::*;
 
--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What the node reports of itself: the log, the trace and the counters.
+//! The node's diagnostic output: the log, the trace and the counters.
 
 use std::fmt;
 
@@ -16,7 +16,7 @@
 }
 
 impl Diagnostics {
-    /// An empty log and counters beside this trace.
+    /// Creates an empty log and empty counters, to be used with this trace.
     pub fn new(trace: Trace) -> Diagnostics {
         Diagnostics {
             log: Log::default(),
@@ -40,7 +40,7 @@
         self.trace.is_on()
     }
 
-    /// Counts one event of a kind and reason.
+    /// Increments the counter of a kind and reason.
     pub fn count(&mut self, kind: &'static str, reason: &'static str) {
         self.counters.add(kind, reason);
     }
@@ -50,14 +50,15 @@
         self.counters.add_closed(reason);
     }
 
-    /// Counts what the protocol rules did not allow.
+    /// Counts and traces an action that the protocol rules did not allow.
     pub fn count_denial(&mut self, now: Nanos, denial: Denial, subject: fmt::Arguments) {
         self.counters.add("denied", denial.name());
         self.trace
             .line(now, format_args!("denied why={denial} {subject}"));
     }
 
-    /// Counts and logs a protocol rule that was found broken after the act: a fault of the program.
+    /// Counts and logs a violation of a protocol rule that was detected after the action, which is
+    /// a bug in the program.
     pub fn count_violation(&mut self, now: Nanos, violation: Violation, subject: fmt::Arguments) {
         self.counters.add("violation", violation.name());
         self.log.line(
@@ -67,7 +68,7 @@
         );
     }
 
-    /// The counters, for the line at the end of the process.
+    /// The counters, which are logged in one line at the end of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,9 +1,10 @@
-//! The event loop's own state: `epoll`, the clock reading of the current iteration, the timers, and
-//! how fresh the last poll is.
+//! State of the event loop: `epoll`, the timers, the clock reading of the current iteration, and
+//! the times of the last polls.
 //!
-//! One clock reading serves a whole iteration: all its events happen at one time. A poll whose
-//! events may be stale is repeated, so that no deadline fires and nothing is sent while an answer,
-//! a client's close or a draining backend waits unread, as after a stall of the process.
+//! One clock reading serves a whole iteration, so all its events happen at the same time. A poll
+//! whose events may be stale is repeated, so that after a stall of the process no deadline fires
+//! and nothing is sent while an answer, a client's close or an update about a draining backend is
+//! unread.
 
 use std::os::fd::{AsFd, OwnedFd};
 
@@ -17,21 +18,22 @@
 use crate::signals::SignalKind;
 use crate::timer_wheel::{Deadline, TimerWheel};
 
-/// Longest wait of a poll, in nanoseconds: within this time the loop has seen every socket, which
-/// bounds since when a readable socket can have held its bytes.
+/// Maximum wait of a poll, in nanoseconds. The loop checks every socket at least this often, which
+/// bounds how long a readable socket can have held its bytes.
 const MAX_POLL_WAIT: Nanos = 50 * MS;
-/// A poll that returns this much later than it wanted, in nanoseconds, shows that the process was
-/// stopped meanwhile.
+/// A poll that returns more than this after its intended wake-up time, in nanoseconds, shows that
+/// the process was stopped meanwhile.
 const MAX_WAKE_DELAY: Nanos = 50 * MS;
 /// Events of a poll that took longer than this, in nanoseconds, may be stale; polling again costs
 /// one system call.
 const MAX_EVENT_AGE: Nanos = 20 * MS;
-/// Most polls that are repeated in one iteration, for a process that is held up at each.
+/// Maximum number of repeated polls in one iteration, for a process that is delayed in each of
+/// them.
 const MAX_REPEATED_POLLS: u32 = 4;
-/// A gap between two polls that only a stopped process has, in nanoseconds.
+/// A longer gap between two polls, in nanoseconds, shows that the process was stopped.
 const STALL_THRESHOLD: Nanos = 250 * MS;
-/// What the machine lacks resources for is retried after this, in nanoseconds: soon, but without a
-/// busy loop.
+/// Delay before an operation is retried that failed because the machine lacked resources, in
+/// nanoseconds: short, but long enough to avoid a busy loop.
 pub const MIN_RETRY: Nanos = 2 * MS;
 
 /// Events of a socket that is only read from.
@@ -43,8 +45,8 @@
     .union(EventFlags::HUP)
     .union(EventFlags::ERR);
 
-/// What a registered descriptor belongs to. `epoll` carries it as 64 bits: the kind in the upper
-/// half, the number in its table in the lower half.
+/// Identifies the owner of a registered descriptor. `epoll` carries it as 64 bits: the kind in the
+/// upper half, the owner's number in its table in the lower half.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Token {
     /// The listening socket.
@@ -60,7 +62,7 @@
 }
 
 impl Token {
-    /// The form that `epoll` hands back with an event.
+    /// Encodes the token as the data that `epoll` returns with an event.
     pub fn encode(self) -> EventData {
         let (kind, number) = match self {
             Token::Listener => (0, 0),
@@ -73,7 +75,7 @@
         EventData::new_u64(kind << 32 | u64::from(number))
     }
 
-    /// The token of an event; `None` for data that [`Token::encode`] never makes.
+    /// Decodes the token of an event; `None` for data that [`Token::encode`] never produces.
     pub fn decode(data: EventData) -> Option<Token> {
         let number = data.u64() as u32;
         match (data.u64() >> 32, number) {
@@ -88,68 +90,69 @@
     }
 }
 
-/// What is scheduled on the timer wheel. A number names an entry of the table that the variant
-/// belongs to; it may have ended by the time the timer fires.
+/// An event that is scheduled on the timer wheel. A number identifies an entry of the table that
+/// the variant belongs to; the entry may have been removed by the time the timer fires.
 #[derive(Debug, Clone, Copy)]
 pub enum TimerEvent {
-    /// The time limit of a client connection's present state.
+    /// The deadline of a client connection's current state has passed.
     ClientDeadline(u32),
-    /// Read and write a client connection again: its next message has come, or the machine lacked
-    /// resources before.
+    /// Read and write a client connection again: its next message has already arrived, or the
+    /// machine lacked resources before.
     ResumeClient(u32),
     /// Answer a request that nothing else has answered.
     DeadlineGuard(u32),
-    /// The time limit of an upstream connection's present state.
+    /// The deadline of an upstream connection's current state has passed.
     UpstreamDeadline(u32),
-    /// Go on with an upstream connection for which the machine lacked resources.
+    /// Continue with an upstream connection for which the machine lacked resources.
     ResumeUpstream(u32),
-    /// Dial again for the attempts that are postponed.
+    /// Connect again for the attempts that are postponed.
     RetryPostponedDials,
-    /// The time limit of a discovery call.
+    /// The deadline of a discovery call has passed.
     DiscoveryDeadline(u32),
-    /// Go on with a discovery call for which the machine lacked resources.
+    /// Continue with a discovery call for which the machine lacked resources.
     ResumeDiscoveryCall(u32),
     /// Open a watch that could not be opened before.
     RetryDiscoveryWatch,
-    /// Make a poll that could not be started before.
+    /// Start a poll that could not be started before.
     RetryDiscoveryPoll,
-    /// A timer of the decision module.
+    /// A timer of the decision module has fired.
     BalancerTimer(TimerId),
     /// Accept clients again after a pause.
     ResumeAccepting,
-    /// Close idle client connections where there are too many.
+    /// Close expendable client connections if too many have sent a request.
     TrimClients,
     /// Graceful shutdown: accept no more clients.
     StopAccepting,
-    /// Graceful shutdown: answer whatever still waits.
+    /// Graceful shutdown: answer all requests that are still pending.
     LastAnswers,
-    /// Graceful shutdown: end the process whatever is open.
+    /// Graceful shutdown: end the process regardless of open connections.
     ForceClose,
-    /// Open a watch again after a backoff, where lists are pushed.
+    /// Reopen the watch after a backoff, in deployments that push endpoint lists.
     OpenWatch,
-    /// Serve from the cached list although discovery has said nothing yet.
+    /// Serve from the cached list although discovery has sent nothing yet.
     ServeStaleList,
 }
 
-/// The poller, the timers and the time of the current iteration.
+/// The poller, the timers and the clock reading of the current iteration.
 pub struct EventLoop {
     clock: Clock,
     epoll: OwnedFd,
     timers: TimerWheel<TimerEvent>,
     now: Nanos,
-    /// When the poll before this iteration's found no event on the sockets that have one now.
+    /// When the poll before this iteration's was made, in nanoseconds on the node's clock. It found
+    /// no event on the sockets that have one now.
     previous_poll_at: Nanos,
     /// When this iteration's poll was made.
     last_poll_at: Nanos,
 }
 
 impl EventLoop {
-    /// An event loop at `now` (a reading of `clock`) with timers of the granularity `tick`, in
+    /// Creates an event loop at `now` (a reading of `clock`) with timers of granularity `tick`, in
     /// nanoseconds.
     ///
     /// # Errors
     ///
-    /// If `epoll` can't be created, also after some retries.
+    /// If `epoll` can't be created, even after several retries.
     pub fn new(clock: Clock, now: Nanos, tick: Nanos) -> Result<EventLoop, Errno> {
         let epoll = net::retry_at_start(|| epoll::create(epoll::CreateFlags::CLOEXEC))?;
         Ok(EventLoop {
@@ -167,28 +170,30 @@
         self.now
     }
 
-    /// The node's clock, for a fresh reading.
+    /// The node's clock, for a fresh reading within an iteration.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// When the poll before this iteration's found no event on the sockets that have one now.
+    /// When the poll before this iteration's was made, in nanoseconds on the node's clock. It found
+    /// no event on the sockets that have one now.
     pub fn previous_poll_at(&self) -> Nanos {
         self.previous_poll_at
     }
 
-    /// Whether what this iteration's poll found may be older than `duration` at `clock_now`, a fresh
-    /// reading of the clock.
+    /// Whether the iteration has lasted longer than `duration` at `clock_now`, a fresh reading of
+    /// the clock, so that the result of its poll may be that old.
     pub fn has_run_longer_than(&self, clock_now: Nanos, duration: Nanos) -> bool {
         clock_now.saturating_sub(self.now) > duration
     }
 
-    /// Whether the process stood still before this iteration: it can't have acted in time.
+    /// Whether the process was stopped for long before this iteration, so that it can't have acted
+    /// in time.
     pub fn was_stalled(&self) -> bool {
         self.now > self.previous_poll_at.saturating_add(STALL_THRESHOLD)
     }
 
-    /// Schedules a timer; one in the past fires in the next iteration.
+    /// Schedules a timer; one whose time has passed fires in the next iteration.
     pub fn schedule(&mut self, at: Nanos, event: TimerEvent) {
         self.timers.schedule(at, event);
     }
@@ -198,26 +203,27 @@
         deadline.set(at, &mut self.timers, event);
     }
 
-    /// Whether a deadline whose timer has fired is due; one that has moved is scheduled again.
+    /// Whether a deadline whose timer has fired is due. If the deadline has been moved, schedules
+    /// its timer again.
     pub fn is_due(&mut self, deadline: &mut Deadline, event: TimerEvent) -> bool {
         deadline.is_due(self.now, &mut self.timers, event)
     }
 
-    /// Takes the timers that are due now, in order.
+    /// Removes and returns the timers that are due, in order.
     pub fn expire_timers(&mut self) -> Vec<TimerEvent> {
         self.timers.expire(self.now)
     }
 
-    /// Registers a descriptor at the start of the process.
+    /// Registers a descriptor for read events, at the start of the process.
     ///
     /// # Errors
     ///
-    /// As `epoll_ctl(2)`, also after some retries.
+    /// As `epoll_ctl(2)`, after several retries.
     pub fn add_at_start(&self, source: impl AsFd, token: Token) -> Result<(), Errno> {
         net::retry_at_start(|| epoll::add(&self.epoll, &source, token.encode(), EventFlags::IN))
     }
 
-    /// Changes the events of a registered descriptor.
+    /// Changes the events for which a registered descriptor is polled.
     ///
     /// # Errors
     ///
@@ -231,7 +237,7 @@
         epoll::modify(&self.epoll, source, token.encode(), interest)
     }
 
-    /// Registers the wanted events of a socket, unless they are registered already.
+    /// Registers the wanted events of a socket, unless it already has them.
     ///
     /// # Errors
     ///
@@ -246,13 +252,13 @@
         registration.set(&self.epoll, socket, token.encode(), interest)
     }
 
-    /// Waits until a socket has an event or a timer is due, and starts an iteration. All that is
-    /// ready comes in one poll, of at most `capacity` events; a poll that is stale by its end is
-    /// repeated.
+    /// Waits until a socket has an event or a timer is due, and starts an iteration. One poll
+    /// returns everything that is ready, at most `capacity` events; a poll whose events are stale
+    /// when it returns is repeated.
     ///
     /// # Errors
     ///
-    /// As `epoll_wait(2)`, but for an interruption.
+    /// As `epoll_wait(2)`, except for an interruption, which is retried.
     pub fn poll(&mut self, events: &mut Vec<epoll::Event>, capacity: usize) -> Result<(), Errno> {
         self.previous_poll_at = self.last_poll_at;
         let mut repeated_polls = 0;
@@ -265,17 +271,19 @@
             let wake_at = self.wake_at(started_at, max_wait);
             events.clear();
             events.reserve(capacity);
-            // A process that was stopped and continues is interrupted here: much may lie in its
-            // sockets, and no deadline may fire before that is read.
+            // The wait of a stopped process is interrupted when the process continues. Its sockets
+            // may hold much unread data, and no deadline may fire before that is read.
             if !self.wait(events, wake_at.saturating_sub(started_at))? {
                 continue;
             }
             self.now = self.clock.read();
-            // A process that was stopped during its wait may have polled before that.
+            // If the process was stopped during its wait, the poll may have been made before the
+            // stop.
             let was_stopped = self.now > wake_at.saturating_add(MAX_WAKE_DELAY);
             self.last_poll_at = if was_stopped { started_at } else { self.now };
-            // A process that was held up between the wait and the clock reading may have events
-            // from before that: others can have come since, and go before these.
+            // If the process was held up between the wait and the clock reading, the events may be
+            // from before that. Others may have arrived since, and some of those must be handled
+            // first.
             let is_stale =
                 !events.is_empty() && self.now > started_at.saturating_add(MAX_EVENT_AGE);
             if !(was_stopped || is_stale) || repeated_polls == MAX_REPEATED_POLLS {
@@ -288,7 +296,8 @@
         }
     }
 
-    /// Waits for events, at most `timeout` nanoseconds; `false` if the wait was interrupted.
+    /// Waits for events, at most `timeout` nanoseconds; returns `false` if the wait was
+    /// interrupted.
     fn wait(&self, events: &mut Vec<epoll::Event>, timeout: Nanos) -> Result<bool, Errno> {
         let buffer = rustix::buffer::spare_capacity(events);
         match epoll::wait(&self.epoll, buffer, Some(&timespec(timeout))) {
--- a/crates/node/src/event_loop_tests.rs
+++ b/crates/node/src/event_loop_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the tokens that `epoll` carries.
+//! Unit tests of the encoding of `Token`.
 
 use super::*;
 
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,6 +1,6 @@
-//! The log on standard error: one stable word for each kind of event, then its details. Each kind
-//! is limited, so that a storm of events neither fills the disk nor takes the CPU that requests
-//! need.
+//! The log on standard error: each line has one stable word for the kind of event, then its
+//! details. The number of lines of each kind is limited, so that a burst of events neither fills
+//! the disk nor takes the CPU time that requests need.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,13 +13,14 @@
 use crate::clock::SECOND;
 use crate::net;
 
-/// Span over which the lines of a kind are counted.
+/// Length of the window in which the lines of a kind are counted, in nanoseconds.
 const WINDOW: Nanos = 10 * SECOND;
 
-/// Most lines of one kind in a window: enough to see what goes on, at most one a second.
+/// Maximum number of lines of one kind in a window: enough to follow events, and at most one per
+/// second on average.
 const MAX_LINES_PER_WINDOW: u32 = 10;
 
-/// Writes log lines, and limits how many of each kind.
+/// Writes log lines and limits the rate of each kind.
 #[derive(Default)]
 pub struct Log {
     kinds: BTreeMap<&'static str, KindWindow>,
@@ -28,7 +29,7 @@
 /// Lines of one kind in the current window.
 struct KindWindow {
     started_at: Nanos,
-    /// Lines that were to be written, the suppressed ones included.
+    /// Lines in this window, including the suppressed ones.
     lines: u32,
 }
 
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Starts a new window if this one is over; returns how many lines were suppressed in the old
+    /// Starts a new window if this one has ended; returns how many lines were suppressed in the old
     /// one.
     fn roll_over(&mut self, now: Nanos) -> u32 {
         if now < self.started_at + WINDOW {
@@ -53,8 +54,9 @@
 }
 
 impl Log {
-    /// Writes the line `kitefork: KIND DETAILS`, unless its kind has had its lines for now. The
-    /// first line after suppressed ones ends with `held_back=COUNT`.
+    /// Writes the line `kitefork: KIND DETAILS`, unless the limit of its kind is reached in this
+    /// window. The first line of a window after one with suppressed lines ends with
+    /// `held_back=COUNT`.
     pub fn line(&mut self, now: Nanos, kind: &'static str, details: impl fmt::Display) {
         let Some(suppressed) = self.admit(now, kind) else {
             return;
@@ -80,15 +82,15 @@
     }
 }
 
-/// Longest line in bytes: a pipe that is ready to be written to takes this many without blocking
-/// (`PIPE_BUF`, see pipe(7)).
+/// Maximum length of a line, in bytes: a pipe that is ready for writing takes this many without
+/// blocking (`PIPE_BUF`, see pipe(7)).
 const MAX_LINE: usize = 4096;
 
-/// Lines dropped since standard error was last ready.
+/// Lines that were dropped since standard error was last ready.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Writes a line if standard error is ready now; otherwise the line is dropped and counted. A log
-/// that nobody reads must not block the event loop.
+/// whose reader has stopped reading must not block the event loop.
 fn write(line: &str) {
     let stderr = std::io::stderr();
     let is_ready = || net::is_ready(&stderr, PollFlags::OUT).unwrap_or(false);
@@ -112,28 +114,29 @@
     } else {
         stderr.write_all(line.as_bytes())
     };
-    // A reader that has closed the pipe must not end the node, and there is nobody left to tell.
+    // A closed pipe must not end the node, and the error can't be reported anywhere else.
     let _ = result;
 }
 
 /// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
-/// ...`, without a limit. For replays; off unless `BALANCER_TRACE` is 1, and then nothing is
-/// formatted.
+/// ...`, without a rate limit. Used for replays. It is off unless `BALANCER_TRACE` is 1, and then
+/// no line is formatted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trace {
-    /// Unix time at the clock's zero; `None`: off.
+    /// Unix time at the clock's zero, in nanoseconds; `None` if the trace is off.
     unix_time_at_zero: Option<Nanos>,
 }
 
 impl Trace {
-    /// A trace that is on or off; `unix_time_at_zero` is the Unix time at the clock's zero.
+    /// Creates a trace that is on or off; `unix_time_at_zero` is the Unix time at the clock's zero,
+    /// in nanoseconds.
     pub fn new(is_enabled: bool, unix_time_at_zero: Nanos) -> Trace {
         Trace {
             unix_time_at_zero: is_enabled.then_some(unix_time_at_zero),
         }
     }
 
-    /// Whether lines are written.
+    /// Whether trace lines are written.
     pub fn is_on(self) -> bool {
         self.unix_time_at_zero.is_some()
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,8 +1,8 @@
-//! kitefork: one load-balancing proxy in front of the backends.
+//! kitefork: a load-balancing proxy in front of the backends.
 //!
-//! SIGTERM and SIGINT shut it down gracefully, SIGHUP has it read its configuration again. Exit
-//! codes: 0 after a graceful shutdown, 1 when a network or system call fails, 2 when the
-//! configuration is invalid.
+//! SIGTERM and SIGINT start a graceful shutdown; SIGHUP reloads the configuration. Exit codes: 0
+//! after a graceful shutdown, 1 if a network or system call fails, 2 if the configuration is
+//! invalid.
 #![forbid(unsafe_code)]
 
 mod clock;
@@ -32,13 +32,13 @@
 
 use crate::signals::Signals;
 
-/// The exit code where a network or system call fails.
+/// Exit code if a network or system call fails.
 const EXIT_SYSTEM: u8 = 1;
-/// The exit code where the configuration is invalid.
+/// Exit code if the configuration is invalid.
 const EXIT_CONFIGURATION: u8 = 2;
 
 fn main() -> ExitCode {
-    // First of all: a signal that comes before its handler ends the process.
+    // Signal handlers are installed first: until then a signal ends the process.
     let signals = match Signals::register() {
         Ok(signals) => signals,
         Err(error) => return fail(EXIT_SYSTEM, format_args!("signals: {error}")),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,12 +1,11 @@
-//! The node: the loop that waits for sockets and timers, and hands each event to the part that it
-//! concerns.
+//! The node: runs the event loop and dispatches each event to the component that handles it.
 //!
-//! - `start` makes the parts from the configuration.
+//! - `start` constructs the components from the configuration.
 //! - `accept`, `clients`: the listener and the client connections ([`crate::downstream`]).
 //! - `upstream`: attempts at backends ([`crate::upstream`]).
 //! - `discovery`: the endpoint list ([`crate::discovery`]).
-//! - `commands`: what the request table has decided ([`crate::request_table`]).
-//! - `shutdown`: from SIGTERM to the last answer ([`crate::shutdown`]).
+//! - `commands`: the commands that the request table has queued ([`crate::request_table`]).
+//! - `shutdown`: the graceful shutdown, from SIGTERM to the last answer ([`crate::shutdown`]).
 
 mod accept;
 mod clients;
@@ -37,11 +36,12 @@
 
 pub use error::NodeError;
 
-/// Events that one poll takes beside those of connections and discovery calls: the listener and the
-/// signals, and one to spare.
+/// Events that one poll has capacity for beside those of connections and discovery calls: one for
+/// the listener, one for each of the two signals, and one extra.
 const NON_CONNECTION_EVENTS: usize = 4;
 
-/// Whether an event may forbid a send: a client has closed its side, or the endpoint list changes.
+/// Whether an event may forbid a send: a client has closed its side, or the endpoint list may
+/// change.
 fn may_forbid_send(event: &epoll::Event) -> bool {
     // The fields of a packed struct are copied before they are used.
     let (data, flags) = (event.data, event.flags);
@@ -52,7 +52,7 @@
     }
 }
 
-/// One proxy process: the wiring of its parts, each of which owns its state.
+/// A proxy process. Connects its components, each of which owns its own state.
 pub struct Node {
     event_loop: EventLoop,
     diagnostics: Diagnostics,
@@ -60,9 +60,9 @@
     shutdown: Shutdown,
     deployment: Deployment,
     requests: RequestTable<ForwardedRequest>,
-    /// Bounds what all connections hold in buffers.
+    /// Limits the memory that the buffers of all connections use together.
     buffer_budget: BufferBudget,
-    /// Bounds how many connections there are.
+    /// Limits the number of connections.
     descriptor_budget: DescriptorBudget,
     listener: Listener,
     clients: ClientConnections,
@@ -71,11 +71,11 @@
 }
 
 impl Node {
-    /// Serves until a graceful shutdown is complete.
+    /// Serves requests until a graceful shutdown is complete.
     ///
     /// # Errors
     ///
-    /// If the loop can't poll its sockets.
+    /// If polling the sockets fails.
     pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Vec::new();
         while !self.is_shutdown_complete() {
@@ -99,9 +99,9 @@
         connections + self.discovery.open_calls() + NON_CONNECTION_EVENTS
     }
 
-    /// What forbids a send goes before what may lead to one, and is carried out only when all of it
-    /// is known: clients that have closed their side, and changes of the endpoint list. What
-    /// sockets bring goes before the timers, so that an answer which is there wins over its
+    /// Handles events that may forbid a send (a client has closed its side, the endpoint list
+    /// changes) before all others, and executes commands only after the last of these events.
+    /// Socket events are handled before timers, so that an answer that has arrived wins over its
     /// timeout.
     fn handle_socket_events(&mut self, events: &[epoll::Event]) {
         for event in events.iter().filter(|event| may_forbid_send(event)) {
@@ -122,14 +122,15 @@
         self.diagnostics.log(now, "end", "all answered");
     }
 
-    /// A protocol rule was found broken after the act: a fault of the program. Panics in a debug
-    /// build, unless the process was stopped and could not act in time.
+    /// Counts and logs a violation of a protocol rule that was detected after the action, which is
+    /// a bug in the program. Panics in a debug build, unless the process was stopped and could not
+    /// act in time.
     fn report_violation(&mut self, violation: Violation, subject: fmt::Arguments) {
         let now = self.event_loop.now();
         self.diagnostics.count_violation(now, violation, subject);
         debug_assert!(
             self.event_loop.was_stalled(),
-            "rule broken: {violation:?} {subject}"
+            "protocol rule violated: {violation:?} {subject}"
         );
     }
 
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Carries out the signals that have come, whether or not the byte that wakes the loop could be
+    /// Handles the signals that have arrived, whether or not the byte that wakes the loop could be
     /// written.
     fn handle_signals(&mut self) {
         if self.signals.get(SignalKind::Terminate).take() {
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, and closing connections where descriptors are short.
+//! Accepts clients, and closes connections when file descriptors run short.
 
 use std::ops::ControlFlow;
 use std::os::fd::OwnedFd;
@@ -11,22 +11,23 @@
 use crate::rules::{self, Denial};
 
 impl Node {
-    /// Accepts every client that waits: what the kernel has accepted counts as ours. In one
-    /// iteration no more than its queue holds: a flood that never ends must not hold the loop.
+    /// Accepts all waiting clients, since a connection that the kernel has accepted counts as
+    /// accepted by the node. One iteration accepts no more than the kernel's queue holds, so that a
+    /// flood of connections can't block the loop.
     pub(super) fn accept_clients(&mut self) {
         for _ in 0..=net::ACCEPT_BACKLOG {
             if !self.listener.is_accepting() || self.accept_client().is_break() {
                 return;
             }
         }
-        // How long the rest has waited is not known any more.
+        // The time since when the remaining clients have been waiting is no longer known.
         self.listener.note_queue_not_emptied();
     }
 
-    /// Accepts one client; breaks off where no other one can be accepted now.
+    /// Accepts one client. Returns `Break` if no further client can be accepted in this iteration.
     fn accept_client(&mut self) -> ControlFlow<()> {
         let now = self.event_loop.now();
-        // No connection is given up for nobody.
+        // A connection is closed to free capacity only if a client is waiting.
         if !self.client_fits() {
             match self.listener.has_waiting_client() {
                 Ok(true) => {}
@@ -34,7 +35,8 @@
                     self.listener.note_queue_empty(now);
                     return ControlFlow::Break(());
                 }
-                // Not known now; the listener's event comes again.
+                // Whether a client is waiting is unknown; the listener is tried again after a
+                // delay.
                 Err(_) => {
                     self.listener.retry_later(&mut self.event_loop);
                     return ControlFlow::Break(());
@@ -74,9 +76,9 @@
             }
             AcceptOutcome::Failed(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
-                // Out of descriptors: an idle connection gives up its own, if it is for a client
-                // that waits; the call fails also where none does. No busy loop on what can't be
-                // accepted.
+                // Out of descriptors: closes an idle connection to free one, but only if a client
+                // is waiting, since the call also fails when none is. Accepting then pauses, so
+                // that the loop does not spin on a client that it can't accept.
                 if matches!(self.listener.has_waiting_client(), Ok(true))
                     && let Some(candidate) = self.eviction_candidate()
                 {
@@ -98,13 +100,14 @@
             .fits(Purpose::Client, self.clients.len(), self.upstreams.len())
     }
 
-    /// Whether another client connection may be held; the most expendable one closes for it.
+    /// Returns whether the descriptor budget has capacity for another client connection; if
+    /// necessary, closes the most expendable connection to free it.
     fn ensure_client_capacity(&mut self) -> bool {
         if self.client_fits() {
             return true;
         }
-        // One that turns out to have sent a request is not closed: each round finds another, or
-        // closes one.
+        // A candidate that has sent a request in the meantime is not closed. Each round either
+        // closes a connection or continues with another candidate.
         for _ in 0..=self.clients.len() {
             let candidate = self.eviction_candidate();
             let is_expendable = candidate.is_some_and(|c| c.rank.is_expendable());
@@ -130,14 +133,16 @@
         self.clients.eviction_candidate(self.event_loop.now())
     }
 
-    /// Closes an expendable connection, unless a request has come on it that nobody has read: to
-    /// its client that close would be one without an answer. Whether it has closed.
+    /// Closes an expendable connection to free its descriptor, unless it has unread input: that may
+    /// be a request, which its client would see closed without an answer. Returns whether the
+    /// connection was closed.
     pub(super) fn evict(&mut self, number: u32) -> bool {
         self.close_if_allowed(number, CloseReason::Evicted)
     }
 
-    /// Closes a connection for a reason of the node's own, if the rules allow it; else takes up
-    /// what forbids it. Whether it has closed.
+    /// Closes a connection at the node's own initiative if the protocol rules allow it; otherwise
+    /// counts the denial and reads the connection's input. Returns whether the connection is closed
+    /// afterwards.
     pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
         let Some(connection) = self.clients.get(number) else {
             return false;
@@ -158,7 +163,8 @@
             .count_denial(now, denial, format_args!("connection={number}"));
     }
 
-    /// Clients may hold only so many connections on which they have sent a request.
+    /// Closes expendable connections if more than `DescriptorBudget::max_active_clients`
+    /// connections have sent a request, and schedules the next check.
     pub(super) fn trim_clients(&mut self) {
         let max_active = self.descriptor_budget.max_active_clients();
         for candidate in self.clients.trim(self.event_loop.now(), max_active) {
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -1,4 +1,4 @@
-//! Events of client connections: reading messages, answering, closing.
+//! Handles client connections: reading messages, answering, closing.
 
 use rustix::event::epoll::EventFlags;
 
@@ -13,13 +13,16 @@
 use crate::ring_buffer::WriteOutcome;
 use crate::rules::{ClosePermit, Denial, Violation};
 
-/// Answers to clients that have closed their side behind their request: not executed, and maybe
-/// executed.
+/// Body of the answer to a client that has closed its side after sending a request, if the request
+/// was not executed.
 const CLIENT_DISCONNECTED_REJECTED: &[u8] = b"refused: the client has left, nothing ran\n";
+/// Body of the answer to such a client if the request may have been executed.
 const CLIENT_DISCONNECTED_FAILED: &[u8] = b"failed: the client has left\n";
 
 impl Node {
-    /// Closes a connection; a request that waits on it has lost its client. Whether it was open.
+    /// Closes a connection. If a request is pending on it, reports that its client has disconnected
+    /// and ends its attempt unless that is completely written. Returns whether the connection was
+    /// open.
     pub(super) fn close_client(
         &mut self,
         number: u32,
@@ -49,7 +52,7 @@
         true
     }
 
-    /// Closes a connection that its client has ended or broken.
+    /// Closes a connection that its client has closed or that has failed.
     fn drop_client(&mut self, number: u32, reason: CloseReason) {
         self.close_client(number, ClosePermit::nothing_owed(), reason);
     }
@@ -66,7 +69,7 @@
             self.reply(number, reply);
             return self.clients.push_answered(number);
         }
-        // On an idle one a request may have come since this iteration's poll.
+        // On an idle connection, a request may have arrived since this iteration's poll.
         if connection.is_idle() {
             self.close_if_allowed(number, CloseReason::TimedOut);
         } else {
@@ -85,7 +88,8 @@
         if flags.intersects(PEER_CLOSED) {
             connection.note_peer_closed();
         }
-        // With a full inbox the end can't be read, and would be reported again without a pause.
+        // With a full input buffer the end of the stream can't be read, and epoll would report it
+        // again in every iteration without a pause.
         if connection.is_peer_closed() && connection.is_input_full() {
             self.handle_client_eof(number);
         } else {
@@ -93,8 +97,8 @@
         }
     }
 
-    /// Reads a connection and handles one message. The next one, if it has come behind it, is
-    /// handled a tick later: a client that sends without end must not hold the loop.
+    /// Reads a connection and handles one message. A further message that has already arrived is
+    /// handled a tick later, so that a client that sends continuously can't block the loop.
     pub(super) fn read_client(&mut self, number: u32) {
         let now = self.event_loop.now();
         let Some(connection) = self.clients.get_mut(number) else {
@@ -135,8 +139,8 @@
             .get(number)
             .is_some_and(|connection| connection.is_peer_closed());
         match downstream::route(message.head, message.body, &self.deployment, waited) {
-            // The client may have gone, so it must not be executed. It may also have closed its
-            // sending side alone, and then it waits for an answer.
+            // The client may have disconnected, so its request must not be executed. It may also
+            // have closed only its sending side, and then it waits for an answer.
             Route::Request { .. } if is_peer_closed => {
                 self.diagnostics
                     .trace(now, format_args!("client-closed connection={number}"));
@@ -178,9 +182,9 @@
         self.reply(number, reply);
     }
 
-    /// The client has closed its sending side. A full close looks the same, so its request is not
-    /// worked on any more; but a client that only ended its sending waits for an answer, and gets
-    /// one.
+    /// Handles the end of a client's input. A full close can't be distinguished from a half close,
+    /// so the client's request is abandoned; but a client that has closed only its sending side
+    /// waits for an answer, and gets one.
     fn handle_client_eof(&mut self, number: u32) {
         let Some(connection) = self.clients.get_mut(number) else {
             return;
@@ -191,12 +195,12 @@
         } else if connection.is_written() {
             return self.drop_client(number, CloseReason::ClientDisconnected);
         }
-        // An answer is on its way to one that still reads.
+        // The client may still read: sends the rest of its answer.
         self.flush_client(number);
     }
 
     fn reply_to_disconnected(&mut self, number: u32, request: u32) {
-        // What is not written yet is never executed.
+        // An attempt that has not been completely written is never executed.
         let is_unwritten = self.upstreams.has_unwritten(request);
         let is_rejectable = self.requests.may_reject(request, is_unwritten);
         self.requests
@@ -216,7 +220,8 @@
             if now >= last_answers_at {
                 return self.reply(number, Reply::closing(503, b"the node ends\n"));
             }
-            // No attempt outlives the node: what it began would be cut off and then have failed.
+            // No attempt may outlive the node: it would be cut off, and its request would have
+            // failed.
             spec.client_timeout = spec.client_timeout.min(last_answers_at - now);
         }
         let opened = match self.requests.open(now, number, spec, payload) {
@@ -230,7 +235,7 @@
         if let Some(connection) = self.clients.get_mut(number) {
             connection.set_request(request);
         }
-        // The key is looked up among the headers: only for a trace.
+        // Finding the key requires a search of the headers, so it is done only for a trace.
         if self.diagnostics.is_tracing()
             && let Some(payload) = self.requests.payload(request)
         {
@@ -258,8 +263,8 @@
         self.reply(number, reply);
     }
 
-    /// Gives a connection an answer; it closes after it where the node shuts down or the client has
-    /// closed its side.
+    /// Queues an answer on a connection. The connection closes after it if the node is shutting
+    /// down or the client has closed its side.
     pub(super) fn reply(&mut self, number: u32, reply: Reply) {
         let is_draining = self.shutdown.is_draining();
         if let Some(connection) = self.clients.get_mut(number) {
@@ -290,7 +295,7 @@
         self.clients.push_answered(number);
     }
 
-    /// Writes what there is to write, and has the right events and time limit set.
+    /// Writes pending output, then updates the connection's registered events and its deadline.
     pub(super) fn flush_client(&mut self, number: u32) {
         let Some(connection) = self.clients.get_mut(number) else {
             return;
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the request table and the decision module have decided.
+//! Executes the commands that the request table and the decision module have issued.
 
 use kitefork_balancer::{BackendId, Nanos};
 
@@ -9,11 +9,12 @@
 use crate::request_table::Command;
 use crate::upstream::{AttemptLimits, UpstreamAttempt};
 
-/// A health check without an answer after this, in nanoseconds, has failed.
+/// Timeout of a health check, in nanoseconds.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
 
 impl Node {
-    /// Does all that follows from an event: commands first, then answers go out.
+    /// Handles all consequences of an event: executes the commands, then flushes the connections
+    /// that have an answer to send, until neither is left.
     pub(super) fn flush_pending(&mut self) {
         loop {
             self.execute_commands();
@@ -24,7 +25,8 @@
         }
     }
 
-    /// Does what has been decided, in order. Doing it may lead to more.
+    /// Counts denials and violations, then executes the queued commands in order, including those
+    /// that are queued meanwhile.
     fn execute_commands(&mut self) {
         let now = self.event_loop.now();
         while let Some(denial) = self.requests.pop_denial() {
@@ -65,7 +67,7 @@
             Command::WatchEndpoints(on) => self.change_watch(on),
             Command::PollEndpoints => self.open_discovery_call(CallKind::Poll),
             Command::Log(line) => self.log_decision(line),
-            Command::GossipUnsupported => self.log_decision("a message to peers is not carried"),
+            Command::GossipUnsupported => self.log_decision("this node does not support gossip"),
         }
     }
 
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery events: what the calls bring, and what follows for requests and connections.
+//! Discovery events: the progress of the calls, and the effect of endpoint updates on requests and
+//! connections.
 
 use kitefork_balancer::{Event, Outcome};
 use rustix::event::epoll::EventFlags;
@@ -10,9 +11,9 @@
 };
 
 impl Node {
-    /// Follows discovery to where the configuration now has it, and at once, whatever the backoff:
-    /// the old one soon falls silent. The list, the requests and the connections live on. An
-    /// invalid file changes nothing.
+    /// Reloads the configuration and connects to the discovery address that it gives, at once and
+    /// regardless of any backoff, because the old address soon stops answering. The endpoint list,
+    /// the requests and the connections are kept. An invalid file changes nothing.
     pub(super) fn reload(&mut self) {
         let now = self.event_loop.now();
         match config::reload(|name| std::env::var(name).ok()) {
@@ -22,14 +23,14 @@
                 for _ in 0..self.discovery.move_to(address) {
                     self.open_discovery_call(CallKind::Poll);
                 }
-                // A watch is resumed, or opened early.
+                // Resumes the watch, or opens it before its backoff ends.
                 self.open_discovery_call(CallKind::Watch);
             }
             Err(error) => self.diagnostics.log(now, "reload-failed", error),
         }
     }
 
-    /// Opens or closes the watch, as the decision module wants it.
+    /// Opens or closes the watch on request of the decision module.
     pub(super) fn change_watch(&mut self, on: bool) {
         match self.discovery.change_watch(on) {
             WatchChange::Open => self.open_discovery_call(CallKind::Watch),
@@ -124,9 +125,10 @@
         self.handle_applied_update(applied);
     }
 
-    /// Tells the decision module, and ends the connections that must end. What is not connected yet
-    /// would write its first byte at any later time, and the rule on draining backends counts that
-    /// byte; it was not executed, so it can go elsewhere.
+    /// Passes an applied update to the decision module and closes the idle connections to backends
+    /// that must be disconnected. Attempts whose connection to such a backend is not established
+    /// end too: each would write its first byte at some later time, and the rule on draining
+    /// backends counts that byte. They were not executed, so they can be retried elsewhere.
     fn handle_applied_update(&mut self, applied: AppliedUpdate) {
         self.requests.feed(self.event_loop.now(), applied.event);
         for backend in applied.disconnect {
--- a/crates/node/src/node/error.rs
+++ b/crates/node/src/node/error.rs
@@ -1,4 +1,4 @@
-//! Why a node can't start or go on.
+//! Errors that prevent the node from starting or running.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use rustix::io::Errno;
 use thiserror::Error;
 
-/// Why the node can't start or go on; the text is what the program prints.
+/// Why the node can't start or keep running; the text is what the program prints.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The decision module does not accept the settings.
@@ -17,13 +17,13 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The system's answer.
+        /// The error of the system call.
         error: Errno,
     },
     /// The address of the listening socket can't be read.
     #[error("getsockname: {0}")]
     LocalAddress(Errno),
-    /// A call of `epoll` failed.
+    /// A system call of `epoll` failed.
     #[error("epoll: {0}")]
     Epoll(Errno),
 }
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -29,12 +29,14 @@
             .begin(longest_client_timeout, &mut self.event_loop);
     }
 
-    /// Accepts whoever still waits, then nobody; connections without a request end.
+    /// Accepts the clients that still wait, closes the listener, and closes the connections without
+    /// a request. Runs again later while clients wait for a descriptor or an idle connection could
+    /// not be closed, unless it is time for the last answers.
     pub(super) fn stop_accepting(&mut self) {
         let now = self.event_loop.now();
         self.resume_accepting();
         let is_answering_last = self.shutdown.is_answering_last(now);
-        // Clients that wait for a descriptor would be reset with the listener.
+        // Closing the listener would reset the clients that wait for a descriptor.
         if self.listener.is_paused() && !is_answering_last {
             self.diagnostics
                 .log(now, "late-clients", "wait for a connection to end");
@@ -44,14 +46,14 @@
         }
         self.listener.close();
         if !self.close_idle_clients() && !is_answering_last {
-            // What could not be read for a moment is reviewed again.
+            // Tries again to close the idle connections that could not be read for the moment.
             self.event_loop
                 .schedule(now + MIN_RETRY, TimerEvent::StopAccepting);
         }
     }
 
-    /// Closes the connections on which nothing is in progress; a request that has come unread is
-    /// served, not cut off. Whether all that are idle have closed.
+    /// Closes the connections on which nothing is in progress; a request that has arrived but is
+    /// not read yet is served. Returns whether all idle connections were closed.
     fn close_idle_clients(&mut self) -> bool {
         let mut all_closed = true;
         for number in self.clients.numbers() {
@@ -67,8 +69,8 @@
         all_closed
     }
 
-    /// SIGKILL is near: whatever waits gets its answer now, and what has come unread is rejected.
-    /// Connections then end by themselves once their answer is written.
+    /// SIGKILL is imminent: answers all pending requests now, and rejects requests that have
+    /// arrived but are not read yet. Each connection closes once its answer is written.
     pub(super) fn give_last_answers(&mut self) {
         let now = self.event_loop.now();
         for request in self.requests.unanswered() {
@@ -81,8 +83,8 @@
             .log(now, "last-answers", format_args!("connections={open}"));
     }
 
-    /// No time is left. A socket that closes with bytes unread resets its connection, and what the
-    /// kernel still holds of an answer is lost with it.
+    /// Closes all connections, because no time is left. Closing a socket with unread bytes resets
+    /// its connection, and the part of an answer that the kernel has not yet sent is lost.
     pub(super) fn force_close(&mut self) {
         self.shutdown.force();
         for number in self.clients.numbers() {
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -1,4 +1,4 @@
-//! The start of a node: its parts from the configuration.
+//! Constructs a node from its configuration.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -23,27 +23,30 @@
 use crate::signals::{SignalKind, Signals};
 use crate::upstream::UpstreamConnections;
 
-/// Timer granularity, in nanoseconds, whatever tick the settings have.
+/// Finest timer granularity, in nanoseconds; a shorter tick in the settings is raised to this.
 const MIN_TICK: Nanos = MS;
+/// Coarsest timer granularity, in nanoseconds; a longer tick in the settings is lowered to this.
 const MAX_TICK: Nanos = 10 * MS;
-/// Part of a request's time after which rejecting it has a price although no backend has seen it
-/// (the platform's figure).
+/// Fraction of a request's client timeout after which rejecting it has a cost although no backend
+/// has received it (set by the platform).
 const NEVER_ATTEMPTED_TIMEOUT_FRACTION: f64 = 0.5;
-/// Connections that fit in a mebibyte. Bodies are on the buffer budget; beside them a connection
-/// holds a head at most, of which these fit in a third of the memory.
+/// Connections per mebibyte of configured memory. Bodies are limited by the buffer budget; besides
+/// them a connection holds at most one message head, and this many heads fit in a third of the
+/// memory.
 const CONNECTIONS_PER_MIB: usize = 16;
-/// Descriptors that are used however little memory is configured.
+/// Minimum of the descriptor limit that follows from the configured memory.
 const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
-/// The buffer budget is a quarter of the configured memory, which counts as this much at least.
+/// Bytes of the buffer budget per mebibyte of configured memory: a quarter of it.
 const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
+/// Minimum memory on which the buffer budget is based, in MiB.
 const MIN_MEMORY_MIB: usize = 4;
 
 impl Node {
-    /// Starts to listen, and applies the endpoint list that the configuration holds.
+    /// Starts listening, and applies the cached endpoint list of the configuration.
     ///
     /// # Errors
     ///
-    /// If the settings are invalid, or a system call fails that the node can't do without.
+    /// If the settings are invalid, or a system call fails that the node depends on.
     pub fn start(config: Config, signals: Signals) -> Result<Node, NodeError> {
         let clock = Clock::start();
         let now = clock.read();
@@ -110,7 +113,8 @@
         .map_err(|error| NodeError::Listen { address, error })
 }
 
-/// Where the node listens, also where the configuration leaves the port to the system.
+/// The address on which the node listens, with the actual port if the configuration leaves its
+/// choice to the system.
 fn local_address(socket: &OwnedFd) -> Result<SocketAddr, NodeError> {
     rustix::net::getsockname(socket)
         .and_then(TryInto::try_into)
@@ -142,7 +146,8 @@
     Discovery::new(address, mode, revision, endpoints)
 }
 
-/// Descriptors that the process may use: as configured, within its resource limit and its memory.
+/// Number of descriptors that the process may use: the configured limit, reduced to the process's
+/// resource limit and to what its memory allows.
 fn usable_descriptors(configured: usize, memory_mib: usize) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let allowed = limit.map_or(configured, |limit| configured.min(limit as usize));
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -1,4 +1,4 @@
-//! Events of upstream connections: starting attempts, and how they ended.
+//! Handles upstream connections: starts attempts and reports how they end.
 
 use kitefork_balancer::{BackendId, Event, Nanos, Outcome};
 
@@ -12,11 +12,12 @@
     self, Answer, AttemptLimits, DialError, PostponedDial, UpstreamAttempt, UpstreamEvent,
 };
 
-/// An iteration of the loop that has lasted longer than this, in nanoseconds, may have missed that
-/// a client has disconnected.
+/// In an iteration that has lasted longer than this, in nanoseconds, a client may have disconnected
+/// unnoticed, so its connection is checked again.
 const MAX_CLIENT_STATE_AGE: Nanos = 5 * MS;
-/// An update of the endpoint list that has lain unread for no longer than this, in nanoseconds,
-/// holds back no attempt: the grace of draining backends has more than this to spare.
+/// In an iteration that has lasted longer than this, in nanoseconds, attempts wait for unread
+/// updates of the endpoint list. A shorter delay is covered by the grace period of draining
+/// backends.
 const MAX_UNREAD_UPDATE_AGE: Nanos = 20 * MS;
 
 impl Node {
@@ -26,7 +27,7 @@
         attempt: UpstreamAttempt,
         limits: AttemptLimits,
     ) {
-        // Its client may have left between the decision and here.
+        // The client may have disconnected between the decision and its execution.
         if self.is_obsolete(attempt) {
             return self.report_outcome(attempt, Outcome::NotSent);
         }
@@ -39,7 +40,7 @@
         });
     }
 
-    /// Whether the request of an attempt waits for no answer any more.
+    /// Whether the request of an attempt no longer waits for an answer; `false` for a health check.
     fn is_obsolete(&self, attempt: UpstreamAttempt) -> bool {
         attempt
             .request()
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A connection to a backend: the newest idle one that can be used again, or a new one.
+    /// Returns a connection to a backend: the newest idle one that can be reused, or a new one.
     fn connect(&mut self, backend: BackendId) -> Result<u32, DialError> {
         let now = self.event_loop.now();
         let address = self
@@ -99,8 +100,8 @@
         )
     }
 
-    /// Whether another upstream connection may be held; the most expendable connection closes for
-    /// it.
+    /// Returns whether the descriptor budget has capacity for another upstream connection; if
+    /// necessary, closes the most expendable connection to free it.
     fn ensure_upstream_capacity(&mut self) -> bool {
         let budget = self.descriptor_budget;
         if budget.fits(Purpose::Upstream, self.upstreams.len(), self.clients.len()) {
@@ -120,7 +121,7 @@
         candidate.is_some_and(|candidate| self.evict(candidate.number))
     }
 
-    /// Moves a connection on as far as its socket lets it.
+    /// Advances a connection as far as its socket allows, and handles the resulting event.
     pub(super) fn advance_upstream(&mut self, number: u32, is_ready: bool) {
         let event = self.upstreams.advance(
             number,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Begins the request of a connection that is established, if the rules still allow it by a
-    /// fresh reading of the clock and of the client's connection.
+    /// Starts writing the request on an established connection, if the rules still allow it
+    /// according to a fresh reading of the clock and of the client's connection.
     fn begin_request(&mut self, number: u32) {
         let now = self.event_loop.clock().read();
         if self.must_wait_for_discovery(number, now) {
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Whether an attempt is held back for updates of the endpoint list, which go before a send:
-    /// where this iteration has lasted, they may have come since its poll.
+    /// Whether an attempt must wait for unread updates of the endpoint list, which are applied
+    /// before anything is sent. In a long iteration such updates may have arrived since its poll.
     fn must_wait_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
         self.event_loop
             .has_run_longer_than(now, MAX_UNREAD_UPDATE_AGE)
@@ -179,7 +180,8 @@
                 .delay_for_discovery(number, &mut self.event_loop)
     }
 
-    /// What decides whether the attempt of a connection may be written.
+    /// The facts that decide whether the attempt of a connection may be written; `None` if the
+    /// connection does not exist.
     fn write_facts(&self, number: u32, attempt: UpstreamAttempt, now: Nanos) -> Option<WriteFacts> {
         let connection = self.upstreams.get(number)?;
         let limits = connection.limits();
@@ -194,8 +196,8 @@
         })
     }
 
-    /// Whether the client of a request has left. Its connection is checked again where this
-    /// iteration has lasted.
+    /// Whether the client of a request has disconnected. In a long iteration its socket is checked
+    /// again.
     fn is_client_disconnected(&self, request: u32, now: Nanos) -> bool {
         let connection = self
             .requests
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Ends an attempt of which nothing has been written, and which must not be.
+    /// Ends an attempt that the rules do not allow to be written, before any of it is written.
     fn deny_write(&mut self, number: u32, denial: Denial) {
         let now = self.event_loop.now();
         self.diagnostics
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Cancels an attempt that the decision module does not want any more.
+    /// Cancels an attempt that the decision module no longer wants.
     pub(super) fn cancel_attempt(&mut self, request: u32, attempt: u8) {
         let found = self
             .upstreams
@@ -276,8 +278,9 @@
         self.drop_postponed(request);
     }
 
-    /// A request has lost its client: an attempt that is not written completely is not written at
-    /// all, also where the deployment lets no attempt be cancelled.
+    /// Ends the attempt of a request whose client has disconnected, unless the attempt is
+    /// completely written; the rest of it is never written, even where the deployment does not
+    /// allow cancelling attempts.
     pub(super) fn cancel_unwritten(&mut self, request: u32) {
         if let Some(number) = self.upstreams.find_unwritten(request) {
             self.end_attempt(number, Outcome::NotSent);
@@ -285,7 +288,7 @@
         self.drop_postponed(request);
     }
 
-    /// Ends the postponed attempt of a request, if it has one: it was not sent.
+    /// Ends the postponed attempt of a request, if it has one, as not sent.
     fn drop_postponed(&mut self, request: u32) {
         if let Some(attempt) = self.upstreams.remove_postponed(request) {
             self.report_outcome(attempt, Outcome::NotSent);
@@ -296,8 +299,8 @@
         self.report_attempt_end(attempt, outcome, None);
     }
 
-    /// Tells the request table or the decision module how an attempt ended; an answer goes to the
-    /// client that still waits for it.
+    /// Reports the end of an attempt to the request table or the decision module, and forwards an
+    /// answer to the client if it still waits for one.
     fn report_attempt_end(
         &mut self,
         attempt: UpstreamAttempt,
--- a/crates/node/src/request_table/command.rs
+++ b/crates/node/src/request_table/command.rs
@@ -1,80 +1,83 @@
-//! What the request table takes and gives: requests, answers and commands.
+//! Inputs and outputs of the request table: requests, answers and commands.
 
 use kitefork_balancer::{BackendId, LogEvent, Nanos, TimerId};
 
-/// A request as its client put it.
+/// A request with the parameters that its client gave.
 #[derive(Debug, Clone)]
 pub struct RequestSpec {
-    /// The client's own name for it.
+    /// The transaction ID that the client chose (header `X-Txn`).
     pub txn: Box<str>,
-    /// Its class, by position in the settings.
+    /// Index of its class in the settings.
     pub class: u16,
-    /// Its tenant, by position in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: u16,
-    /// How long the client still waits, in nanoseconds.
+    /// How long the client will still wait, in nanoseconds.
     pub client_timeout: Nanos,
-    /// How long the work takes by the client's estimate, in nanoseconds.
+    /// The client's estimate of how long the work takes, in nanoseconds; `None` if it gave none.
     pub work_hint: Option<Nanos>,
-    /// Whether the client says that this is a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
 }
 
-/// A request that was opened.
+/// A request that was added to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenedRequest {
-    /// Its number.
+    /// Its number in the table.
     pub id: u32,
     /// When the deadline guard answers it, in nanoseconds on the node's clock.
     pub guard_at: Nanos,
 }
 
-/// Why a request is not opened.
+/// Why a request can't be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenError {
     /// The table is full.
     TableFull,
-    /// One of this name is open.
+    /// The table has a request with the same transaction ID.
     DuplicateId,
 }
 
-/// A final answer that no backend made.
+/// A final answer that the node itself gives, without an answer from a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocalReply {
-    /// Rejected: a retry by the client is harmless.
+    /// Rejected: the client may retry without harm.
     Rejected {
-        /// How long the client should wait before it retries, in nanoseconds; 0: no advice.
+        /// How long the client should wait before it retries, in nanoseconds; 0 if no delay is
+        /// advised.
         retry_after: Nanos,
     },
-    /// Failed: it may have been executed.
+    /// Failed: the request may have been executed.
     Failed,
-    /// No answer in time.
+    /// Timed out: there was no answer in time.
     TimedOut,
 }
 
-/// What is to be done on the connections. All times are in nanoseconds on the node's clock.
+/// An action that the owner of the connections and timers is to execute. All times are in
+/// nanoseconds on the node's clock.
 #[derive(Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt.
     StartAttempt {
         /// The request's number.
         request: u32,
-        /// Which of its attempts this is, from 0.
+        /// Index of the attempt among those of its request, from 0.
         attempt: u8,
-        /// Where it goes.
+        /// The backend that the attempt is sent to.
         backend: BackendId,
-        /// When it must be abandoned.
+        /// When the attempt must be abandoned.
         abandon_at: Nanos,
-        /// Until when it may be written completely, or not at all.
+        /// Latest time at which the attempt may be completely written; after it, nothing may be
+        /// written.
         write_by: Nanos,
     },
     /// Close the connection of an attempt.
     CancelAttempt {
         /// The request's number.
         request: u32,
-        /// Which of its attempts.
+        /// Index of the attempt among those of its request, from 0.
         attempt: u8,
     },
-    /// Give a client its final answer.
+    /// Send a client its final answer.
     Reply {
         /// The client connection's number.
         connection: u32,
@@ -89,15 +92,15 @@
     SetTimer {
         /// When it fires.
         at: Nanos,
-        /// Which one.
+        /// The timer, as the decision module identifies it.
         timer: TimerId,
     },
-    /// Open a watch on the endpoint list, or close it.
+    /// Open a watch on the endpoint list (`true`), or close it (`false`).
     WatchEndpoints(bool),
-    /// Read the whole endpoint list once.
+    /// Poll the complete endpoint list once.
     PollEndpoints,
     /// Write a line of the decision module to the log.
     Log(LogEvent),
-    /// A gossip message was wanted, and this node carries none.
+    /// The decision module wanted to send a gossip message, which this node does not support.
     GossipUnsupported,
 }
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -1,8 +1,9 @@
-//! The requests in progress, and the bridge to the decision module: what happens to a request
-//! becomes an [`Event`], what is decided becomes a [`Command`] to whoever holds the connections.
+//! The requests in progress, and the interface to the decision module: what happens to a request is
+//! passed on as an [`Event`], and each decision becomes a [`Command`] to the owner of the
+//! connections.
 //!
-//! Nothing here knows how a request or its answer looks on the wire: the payload `C`, what is
-//! forwarded to a backend, belongs to the codec. All times are in nanoseconds on the node's clock.
+//! This module is independent of the wire format: the codec defines the payload `C` that is
+//! forwarded to a backend. All times are in nanoseconds on the node's clock.
 
 mod command;
 mod pending;
@@ -21,7 +22,7 @@
 pub use command::{Command, LocalReply, OpenError, OpenedRequest, RequestSpec};
 use pending::{Attempt, PendingRequest};
 
-/// An attempt that the rules denied after it was decided.
+/// An attempt that the decision module started and the protocol rules denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct DeniedAttempt {
     request: u32,
@@ -32,13 +33,13 @@
 pub struct RequestTable<C> {
     balancer: Balancer,
     table: Slab<PendingRequest<C>>,
-    /// Names of the requests in the table.
+    /// Transaction IDs of the requests in the table.
     txns: HashSet<Box<str>>,
     idempotency_by_class: Vec<Idempotency>,
     max_attempts: usize,
-    /// How long after its deadline the guard answers a request.
+    /// Time from a request's deadline until the deadline guard answers it.
     guard_slack: Nanos,
-    /// Reused buffer for what is decided.
+    /// Buffer for the decisions about one event, kept to reuse its allocation.
     actions: Vec<Action>,
     denials: Vec<Denial>,
     violations: Vec<Violation>,
@@ -47,12 +48,12 @@
 }
 
 impl<C> RequestTable<C> {
-    /// An empty table for `max_requests` requests at a time. The decision module draws its random numbers
-    /// from `seed`.
+    /// Creates an empty table for at most `max_requests` requests at a time. The decision module
+    /// seeds its random numbers with `seed`.
     ///
     /// # Errors
     ///
-    /// If the decision module does not accept the settings.
+    /// If the decision module rejects the settings.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -79,27 +80,29 @@
         })
     }
 
-    /// What is to be done next, in the order in which it was decided.
+    /// Removes and returns the next command, in the order of the decisions.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// An attempt that was decided and that the rules denied, for whoever counts them.
+    /// Removes and returns the reason for which the rules denied an attempt that the decision module
+    /// had started, so that the caller can count it.
     pub fn pop_denial(&mut self) -> Option<Denial> {
         self.denials.pop()
     }
 
-    /// A rule that was found broken after the act, for whoever counts them.
+    /// Removes and returns a rule violation that was detected after the action, so that the caller
+    /// can count it.
     pub fn pop_violation(&mut self) -> Option<Violation> {
         self.violations.pop()
     }
 
-    /// Opens a request of a client connection.
+    /// Adds a request of a client connection to the table and passes it to the decision module.
     ///
     /// # Errors
     ///
-    /// If the table is full, or another request of the same name is open or has an attempt in
-    /// flight: its attempt would be a second copy of the other's.
+    /// If the table is full, or another request with the same transaction ID is open or has an
+    /// attempt in flight: an attempt of this request would be a second copy of that one.
     pub fn open(
         &mut self,
         now: Nanos,
@@ -127,7 +130,7 @@
             id: RequestId(id),
             class: ClassId(spec.class),
             tenant: TenantId(spec.tenant),
-            // No request of ours names its subject, and no decision asks for it.
+            // No request of the node has a subject, and no decision uses one.
             key: 0,
             client_timeout: spec.client_timeout,
             work_hint: spec.work_hint,
@@ -138,22 +141,24 @@
         Ok(OpenedRequest { id, guard_at })
     }
 
-    /// What is forwarded for a request.
+    /// The payload that is forwarded for a request; `None` if the request is not in the table.
     pub fn payload(&self, id: u32) -> Option<&C> {
         self.table.get(id).map(|pending| &pending.payload)
     }
 
-    /// Picks of the decision module that had to walk the whole endpoint list.
+    /// Number of backend selections for which the decision module had to scan the whole endpoint
+    /// list.
     pub fn full_scans(&self) -> u64 {
         self.balancer.full_scans()
     }
 
-    /// The client connection that waits for a request.
+    /// Number of the client connection that sent a request; `None` if the request is not in the
+    /// table.
     pub fn connection(&self, id: u32) -> Option<u32> {
         self.table.get(id).map(|pending| pending.connection)
     }
 
-    /// Whether a request has no answer yet, and somebody waits for it.
+    /// Whether a request has no final answer yet and its client still waits for one.
     pub fn is_waiting(&self, id: u32) -> bool {
         self.table
             .get(id)
@@ -166,8 +171,9 @@
             .filter(|pending| !pending.is_finished)
     }
 
-    /// An attempt has ended. Gives the client connection that is now to have its answer, if this is
-    /// the request's first and the client still waits.
+    /// Records the end of an attempt and reports it to the decision module. Returns the client
+    /// connection that is to be sent the answer, if the outcome is the request's first final answer
+    /// and the client still waits.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -209,15 +215,15 @@
         answered_connection
     }
 
-    /// Whether a rejection of a request would be true, if what is in flight counts as not executed
-    /// where it is `in_flight_unwritten`.
+    /// Whether a request may be rejected, which promises the client that a retry is harmless. If
+    /// `in_flight_unwritten` is set, attempts in flight count as not executed.
     pub fn may_reject(&self, id: u32, in_flight_unwritten: bool) -> bool {
         self.table
             .get(id)
             .is_some_and(|pending| pending.is_rejectable(in_flight_unwritten))
     }
 
-    /// The client of a request has gone.
+    /// Records that the client of a request has disconnected: the request gets no answer any more.
     pub fn client_disconnected(&mut self, now: Nanos, id: u32) {
         if let Some(pending) = self.waiting_mut(id) {
             pending.is_finished = true;
@@ -233,19 +239,22 @@
         self.remove_if_finished(id);
     }
 
-    /// The deadline guard: a request without an answer a little after its client's timeout fails
-    /// here, whatever was decided, so that none is ever forgotten. Whether it still waited.
+    /// The deadline guard: answers a request as timed out if it has no answer shortly after its
+    /// client's timeout, whatever was decided, so that none stays unanswered. Returns whether the
+    /// request was still waiting.
     pub fn expire(&mut self, now: Nanos, id: u32) -> bool {
         self.force_reply(now, id, LocalReply::TimedOut)
     }
 
-    /// The node ends before a request has its answer. What was not executed is rejected, so that
-    /// the client may go to another node at once; what may have been executed has failed.
+    /// Answers a request because the node shuts down first. A request that was not executed is
+    /// rejected, so that the client may retry at another node at once; one that may have been
+    /// executed fails.
     pub fn fail_for_shutdown(&mut self, now: Nanos, id: u32) {
         self.force_reply(now, id, LocalReply::Rejected { retry_after: 0 });
     }
 
-    /// Answers a request over the head of the decision module; whether it still waited.
+    /// Answers a request without a decision of the decision module. Returns whether the request was
+    /// still waiting.
     fn force_reply(&mut self, now: Nanos, id: u32, reply: LocalReply) -> bool {
         let is_waiting = self.is_waiting(id);
         if is_waiting {
@@ -255,7 +264,7 @@
         is_waiting
     }
 
-    /// Every request that has no answer yet.
+    /// Numbers of all requests that still wait for a final answer.
     pub fn unanswered(&self) -> Vec<u32> {
         self.table
             .iter()
@@ -264,7 +273,7 @@
             .collect()
     }
 
-    /// Tells the decision module what happened, and makes commands of what it decides.
+    /// Passes an event to the decision module and queues a command for each of its decisions.
     pub fn feed(&mut self, now: Nanos, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
@@ -285,7 +294,7 @@
         }
     }
 
-    /// Makes a command of a decision other than the start of an attempt into a command.
+    /// Queues the command for a decision other than the start of an attempt.
     fn queue_command(&mut self, now: Nanos, action: Action) {
         let command = match action {
             Action::StartAttempt { .. } => return,
@@ -318,8 +327,8 @@
         self.remove_if_finished(request.0);
     }
 
-    /// Starts an attempt; gives it back where it must not go out: the rules hold here too, should a
-    /// decision ever be wrong.
+    /// Starts an attempt, or returns it if the protocol rules deny it; they are checked here too,
+    /// in case a decision is wrong.
     fn start_attempt(
         &mut self,
         now: Nanos,
@@ -358,7 +367,7 @@
         None
     }
 
-    /// Gives the final answer, once.
+    /// Gives a request its final answer, unless it already has one.
     fn reply(&mut self, now: Nanos, id: u32, reply: LocalReply) {
         let Some(pending) = self.waiting_mut(id) else {
             return;
@@ -374,7 +383,7 @@
             .push_back(Command::Reply { connection, reply });
     }
 
-    /// Removes a request that is finished and has nothing in flight.
+    /// Removes a request that is finished and has no attempt in flight.
     fn remove_if_finished(&mut self, id: u32) {
         let is_done = |pending: &PendingRequest<C>| pending.is_finished && pending.in_flight() == 0;
         if self.table.get(id).is_some_and(is_done)
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -1,4 +1,5 @@
-//! A request until it has its final answer and nothing in flight, with the history of its attempts.
+//! A request in progress with the history of its attempts. It is kept until it is finished and has
+//! no attempt in flight.
 
 use kitefork_balancer::{Idempotency, Nanos, Outcome};
 
@@ -15,26 +16,26 @@
 
 /// A request in the table; `C` is the payload that the codec forwards.
 pub struct PendingRequest<C> {
-    /// The client connection that waits for it.
+    /// Number of the client connection that sent it.
     pub connection: u32,
-    /// The client's own name for it.
+    /// The transaction ID that the client chose (header `X-Txn`).
     pub txn: Box<str>,
-    /// What is forwarded.
+    /// The payload that is forwarded to a backend.
     pub payload: C,
-    /// What executing it twice means.
+    /// Whether the request can be executed twice without harm; set by its class.
     pub idempotency: Idempotency,
-    /// When the client gives up, in nanoseconds on the node's clock.
+    /// When the client stops waiting, in nanoseconds on the node's clock.
     pub deadline: Nanos,
     /// Its attempts, oldest first.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or nobody waits for one.
+    /// Whether it has its final answer, or its client has disconnected.
     pub is_finished: bool,
-    /// How the attempt that ended last did.
+    /// Outcome of the attempt that ended last; `None` before any has ended.
     pub last_outcome: Option<Outcome>,
 }
 
 impl<C> PendingRequest<C> {
-    /// A request without attempts.
+    /// Creates a request without attempts that was received at `now`.
     pub fn new(
         connection: u32,
         spec: &RequestSpec,
@@ -54,8 +55,8 @@
         }
     }
 
-    /// When an attempt must be abandoned for which `abandon_at` was decided; 0 is the client's
-    /// deadline.
+    /// The time at which an attempt must be abandoned: the decided `abandon_at`, but not after the
+    /// client's deadline. 0 stands for the deadline.
     pub fn bound_to_deadline(&self, abandon_at: Nanos) -> Nanos {
         match abandon_at {
             0 => self.deadline,
@@ -63,7 +64,8 @@
         }
     }
 
-    /// What decides whether another attempt may start, where the settings allow `max_attempts`.
+    /// The facts that decide whether another attempt may start, if the settings allow
+    /// `max_attempts` per request.
     pub fn start_facts(&self, max_attempts: usize) -> StartFacts {
         StartFacts {
             answered: self.is_finished,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub fn in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -89,7 +91,7 @@
         })
     }
 
-    /// What the protocol rules ask of its attempts.
+    /// The history of its attempts, for the protocol rules.
     pub fn history(&self) -> AttemptHistory {
         AttemptHistory {
             idempotency: self.idempotency,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Until when another attempt may reach a backend.
+    /// Latest time at which another attempt may be written; `Nanos::MAX` without a limit.
     fn write_by(&self) -> Nanos {
         match self.idempotency {
             Idempotency::IdempotencyKey { window, .. } => self
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Whether a rejection of it, which says that a retry is harmless, would be true. What is in
-    /// flight counts as not executed where it is `in_flight_unwritten`.
+    /// Whether the request may be rejected, which promises the client that a retry is harmless. If
+    /// `in_flight_unwritten` is set, attempts in flight count as not executed.
     pub fn is_rejectable(&self, in_flight_unwritten: bool) -> bool {
         let may_have_been_executed = self
             .maybe_executed_attempts()
@@ -121,8 +123,9 @@
         rules::may_reject(self.idempotency, may_have_been_executed).is_ok()
     }
 
-    /// The answer that is true of it: a rejection promises that a retry is harmless; where that is
-    /// not so it becomes a failure, and after a timeout a timeout.
+    /// Replaces a reply that the history of the request contradicts. A rejection promises that a
+    /// retry is harmless; where it is not, the reply becomes a failure, and a failure after an
+    /// attempt that timed out becomes a timeout.
     pub fn permitted_reply(&self, reply: LocalReply) -> LocalReply {
         let reply = match reply {
             LocalReply::Rejected { .. } if !self.is_rejectable(false) => LocalReply::Failed,
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -154,7 +154,7 @@
     ] {
         let mut requests = table_with_backends(idempotency);
         let id = open(&mut requests);
-        // After a first answer nothing is decided any more, so the guard is met directly.
+        // Once a request is answered, nothing more is decided, so the test calls `reply` directly.
         let pending = requests.table.get_mut(id).unwrap();
         pending.attempts[0].outcome = Some(outcome);
         pending.last_outcome = Some(outcome);
@@ -192,7 +192,7 @@
         requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
         None
     );
-    // Never two at once.
+    // No second attempt starts while one is in flight.
     assert_eq!(
         requests.start_attempt(NOW + 299 * MS, id, BackendId(2), 0),
         Some(DeniedAttempt {
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -1,10 +1,11 @@
-//! The rules of the protocol, decided in one place: whether an attempt may start, whether its first
-//! byte may be written, whether a request may be rejected, and whether an idle client connection
-//! may be closed, now. All times are in nanoseconds on the node's clock.
+//! The rules of the protocol, decided in one place: whether at this moment an attempt may start,
+//! whether its first byte may be written, whether a request may be rejected, and whether an idle
+//! client connection may be closed. All times are in nanoseconds on the node's clock.
 //!
-//! Pure: facts come in, a permit or a [`Denial`] comes out; no sockets, no clock. A permit can only
-//! be made here and is consumed by the act that it allows, so an act without one does not compile.
-//! What was done is checked against the same rules afterwards; see [`Violation`].
+//! This module does no I/O and reads no clock: each function takes facts and returns a permit or a
+//! [`Denial`]. A permit can only be created here and is consumed by the action that it allows, so
+//! that an action without a permit does not compile. Actions are checked against the same rules
+//! afterwards; see [`Violation`].
 
 use std::fmt;
 
@@ -12,37 +13,38 @@
 
 use crate::clock::MS;
 
-/// Shortest time with a backend for which an attempt is started, in nanoseconds: less is sent as 0
-/// ms, and such an attempt is over when it arrives.
+/// Minimum time until its abandonment with which an attempt is written, in nanoseconds. Less than a
+/// millisecond is sent as a timeout of 0 ms, and such an attempt has expired when it arrives.
 const MIN_TIME_LEFT: Nanos = MS;
 
-/// Why something is not allowed now.
+/// Why the rules do not allow an action now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
     /// The request has its final answer.
     Answered,
     /// The client has closed its connection.
     ClientDisconnected,
-    /// The client's time, or the attempt's, is over.
+    /// The client's timeout or the attempt's time limit has passed.
     DeadlinePassed,
-    /// Another attempt of the request is out.
+    /// Another attempt of the request is in flight.
     AttemptInFlight,
-    /// The request has had as many attempts as the settings allow.
+    /// The request has used all attempts that the settings allow.
     AttemptsExhausted,
     /// An earlier attempt may have been executed, and the class does not allow a retry.
     MayHaveBeenExecuted,
-    /// Backends no longer drop a repeat by its idempotency key.
+    /// The deduplication window is over: backends no longer drop a repeated request by its
+    /// idempotency key.
     WindowClosed,
-    /// The endpoint list has the backend draining or removed.
+    /// The endpoint list does not have the backend as ready: it is draining or removed.
     BackendNotReady,
-    /// Bytes that nobody has read lie in the connection.
+    /// The connection has received bytes that are not read yet.
     UnreadInput,
-    /// An answer is owed on the connection.
+    /// A request on the connection waits for its answer, or the answer is not completely written.
     AnswerPending,
 }
 
 impl Denial {
-    /// The word in logs and counts.
+    /// The stable word for it in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
@@ -65,30 +67,30 @@
     }
 }
 
-/// What is known of a request's earlier attempts.
+/// The history of a request's earlier attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptHistory {
-    /// What executing the request twice means.
+    /// Whether the request can be executed twice without harm; set by its class.
     pub idempotency: Idempotency,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: usize,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub in_flight: usize,
-    /// Some attempt may have been executed, or may still be.
+    /// Whether some attempt may have been executed, or may still be.
     pub may_have_been_executed: bool,
-    /// Until when a retry may be written: the earliest end of a window of those that may have been
-    /// executed.
+    /// Latest time at which a retry may be written: the earliest end of the deduplication windows
+    /// of those attempts that may have been executed.
     pub write_by: Nanos,
 }
 
-/// What decides whether an attempt may start.
+/// The facts that decide whether an attempt may start.
 #[derive(Debug, Clone, Copy)]
 pub struct StartFacts {
-    /// The request has its final answer, or its client has gone.
+    /// Whether the request has its final answer, or its client has disconnected.
     pub answered: bool,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Nanos,
-    /// Attempts that the settings allow for a request.
+    /// Maximum number of attempts of a request, from the settings.
     pub max_attempts: usize,
     /// Its earlier attempts.
     pub history: AttemptHistory,
@@ -118,22 +120,22 @@
     }
 }
 
-/// What decides whether the first byte of an attempt may be written.
+/// The facts that decide whether the first byte of an attempt may be written.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteFacts {
     /// The request has its final answer.
     pub answered: bool,
-    /// The client's connection shows an end or a reset.
+    /// Whether the client's connection has been closed by the client or reset.
     pub client_disconnected: bool,
-    /// The endpoint list has the backend ready.
+    /// Whether the endpoint list has the backend as ready.
     pub backend_ready: bool,
     /// When the attempt is abandoned.
     pub abandon_at: Nanos,
-    /// Until when it may be written.
+    /// Latest time at which the attempt may be written.
     pub write_by: Nanos,
 }
 
-/// The right to write one attempt's bytes.
+/// Permission to write the bytes of one attempt.
 #[derive(Debug)]
 pub struct WritePermit {
     time_left: Nanos,
@@ -141,17 +143,17 @@
 }
 
 impl WritePermit {
-    /// The time limit that the backend is given, in whole milliseconds: what is left, rounded down.
+    /// The timeout that is sent to the backend, in whole milliseconds: the time left, rounded down.
     pub fn timeout_ms(&self) -> u64 {
         self.time_left / MS
     }
 
-    /// Checks whether what was written under this permit was written in time; `now` is read after
-    /// the write.
+    /// Checks whether the attempt was written in time under this permit; `now` is read after the
+    /// write.
     ///
     /// # Errors
     ///
-    /// The rule that was broken.
+    /// The rule that was violated.
     pub fn check(self, now: Nanos) -> Result<(), Violation> {
         if now > self.write_by.saturating_add(MAX_WRITE_DELAY) {
             Err(Violation::WrittenLate)
@@ -161,8 +163,9 @@
     }
 }
 
-/// A process may be held up for this long, in nanoseconds, between its clock and its write; the
-/// protocol allows for it.
+/// How long after the end of its window an attempt may still be written without a violation, in
+/// nanoseconds: the protocol allows for a process that is held up this long between its clock
+/// reading and its write.
 const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
 /// Whether the first byte of an attempt may be written now; `now` is a fresh reading of the clock.
@@ -189,11 +192,12 @@
     }
 }
 
-/// Whether a rejection, which says to the client that a retry is harmless, would be true.
+/// Whether a request may be rejected, which promises the client that a retry is harmless.
 ///
 /// # Errors
 ///
-/// That the request may have been executed.
+/// [`Denial::MayHaveBeenExecuted`], if the request may have been executed and a retry would not be
+/// harmless.
 pub fn may_reject(idempotency: Idempotency, may_have_been_executed: bool) -> Result<(), Denial> {
     if idempotency.allows_rejection(may_have_been_executed) {
         Ok(())
@@ -202,14 +206,15 @@
     }
 }
 
-/// A final answer this long after its client's timeout, in nanoseconds, is lost (protocol page).
+/// A final answer later than this after its client's timeout, in nanoseconds, counts as lost
+/// (protocol page).
 const ANSWER_GRACE: Nanos = 500 * MS;
 
-/// Whether a final answer that is given now is given in time.
+/// Checks whether a final answer that is given now is in time.
 ///
 /// # Errors
 ///
-/// The rule that was broken.
+/// The rule that was violated.
 pub fn check_answer(now: Nanos, deadline: Nanos) -> Result<(), Violation> {
     if now > deadline.saturating_add(ANSWER_GRACE) {
         Err(Violation::AnsweredLate)
@@ -218,28 +223,29 @@
     }
 }
 
-/// What decides whether a client connection may be closed for a reason of the node's own.
+/// The facts that decide whether a client connection may be closed at the node's own initiative.
 #[derive(Debug, Clone, Copy)]
 pub struct CloseFacts {
-    /// A request of this connection waits for its answer, or an answer is not written completely.
+    /// Whether a request of this connection waits for its answer, or an answer is not completely
+    /// written.
     pub answer_pending: bool,
-    /// Bytes have come that nobody has read.
+    /// Whether the connection may have received bytes that are not read yet.
     pub has_unread_input: bool,
 }
 
-/// The right to close a client connection.
+/// Permission to close a client connection.
 #[derive(Debug)]
 pub struct ClosePermit(());
 
 impl ClosePermit {
-    /// For a connection that its client has ended or broken, or whose process ends: nothing is owed
-    /// on it.
+    /// Permits closing a connection on which no answer is pending any more: its client has closed
+    /// it, it has failed, or the process ends.
     pub fn nothing_owed() -> ClosePermit {
         ClosePermit(())
     }
 
-    /// For a connection whose client has had all the time that it is given for a message or an
-    /// answer.
+    /// Permits closing a connection whose client has used up the time allowed for a message or for
+    /// taking an answer.
     pub fn deadline_passed() -> ClosePermit {
         ClosePermit(())
     }
@@ -260,19 +266,20 @@
     }
 }
 
-/// A rule that was found broken after the act. Counted and logged; a debug build panics.
+/// A violation of a rule that was detected after the action. It is counted and logged; a debug
+/// build panics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt was written after the time in which it may be retried.
+    /// An attempt was written too long after the end of its deduplication window.
     WrittenLate,
-    /// A connection was closed on which an answer was owed.
+    /// A connection was closed although one of its requests waited for an answer.
     ClosedUnanswered,
-    /// A request got its answer long after its client's timeout.
+    /// A request was answered more than the grace period after its client's timeout.
     AnsweredLate,
 }
 
 impl Violation {
-    /// The word in logs and counts.
+    /// The stable word for it in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Violation::WrittenLate => "written_late",
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -1,4 +1,4 @@
-//! Each rule as a table: one fact is changed at a time.
+//! Table-driven tests of the rules: each case changes one fact.
 
 use kitefork_balancer::{DeduplicationScope, Idempotency};
 
@@ -10,7 +10,7 @@
     window: 300 * MS,
 };
 
-/// Makes one fact another.
+/// Changes one fact.
 type Change<Facts> = fn(&mut Facts);
 
 fn start_facts() -> StartFacts {
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,50 +1,51 @@
-//! The phases of a graceful shutdown, and when each ends.
+//! The phases of a graceful shutdown and their schedule.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::{MS, SECOND};
 use crate::event_loop::{EventLoop, TimerEvent};
 
-/// New connections are still accepted for this long after SIGTERM, in nanoseconds: the front does
-/// not know yet ...
+/// How long new connections are still accepted after SIGTERM, in nanoseconds: the front does not
+/// know of the shutdown yet.
 const ACCEPT_AFTER_SIGTERM: Nanos = 600 * MS;
-/// ... but no longer than up to this before the last answers, in nanoseconds, where every client
-/// timeout is short.
+/// Accepting ends at least this long before the last answers, in nanoseconds; this applies where
+/// every client timeout is short.
 const LAST_ACCEPT_BEFORE_ANSWERS: Nanos = 100 * MS;
-/// The last answers are given this long after the longest client timeout, in nanoseconds; SIGKILL
-/// may come 0.2 s later.
+/// The last answers are sent this long after the longest client timeout, in nanoseconds; SIGKILL
+/// may follow 0.2 s later.
 const DRAIN_AFTER_TIMEOUT: Nanos = 500 * MS;
-/// Client timeouts count as no longer than this, in nanoseconds.
+/// Maximum client timeout that the shutdown waits for, in nanoseconds.
 const MAX_CLIENT_TIMEOUT: Nanos = 3 * SECOND;
-/// Time for the last answers to be written, in nanoseconds.
+/// Time allowed for writing the last answers, in nanoseconds.
 const LAST_ANSWERS_FLUSH: Nanos = 150 * MS;
 
-/// Where the node stands between its start and its end.
+/// Phase of the node's life, as far as the shutdown is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ShutdownPhase {
     /// No shutdown was requested.
     Serving,
-    /// Requests are finished; whatever waits at `last_answers_at` gets its answer then.
+    /// Pending requests are completed; those that still wait at `last_answers_at` are answered
+    /// then.
     Draining { last_answers_at: Nanos },
-    /// No time is left: the process ends whatever is open.
+    /// The process ends regardless of open connections, because no time is left.
     Forced { last_answers_at: Nanos },
 }
 
-/// The graceful shutdown.
+/// State of the graceful shutdown.
 #[derive(Debug)]
 pub struct Shutdown {
     phase: ShutdownPhase,
 }
 
 impl Shutdown {
-    /// A node that serves.
+    /// Creates the state of a node that serves requests.
     pub fn new() -> Shutdown {
         Shutdown {
             phase: ShutdownPhase::Serving,
         }
     }
 
-    /// Begins the shutdown and schedules its phases; `longest_client_timeout` in nanoseconds.
+    /// Starts the shutdown and schedules its phases; `longest_client_timeout` is in nanoseconds.
     pub fn begin(&mut self, longest_client_timeout: Nanos, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         let last_answers_at =
@@ -57,25 +58,25 @@
         event_loop.schedule(last_answers_at + LAST_ANSWERS_FLUSH, TimerEvent::ForceClose);
     }
 
-    /// No time is left: the process ends whatever is open.
+    /// The process ends regardless of open connections, because no time is left.
     pub fn force(&mut self) {
         if let Some(last_answers_at) = self.last_answers_at() {
             self.phase = ShutdownPhase::Forced { last_answers_at };
         }
     }
 
-    /// Whether a shutdown was requested.
+    /// Whether a shutdown was requested; stays true in the forced phase.
     pub fn is_draining(&self) -> bool {
         self.phase != ShutdownPhase::Serving
     }
 
-    /// Whether the process ends whatever is open.
+    /// Whether the process ends regardless of open connections.
     pub fn is_forced(&self) -> bool {
         matches!(self.phase, ShutdownPhase::Forced { .. })
     }
 
-    /// When whatever waits gets its answer, in nanoseconds on the node's clock; `None` while no
-    /// shutdown was requested.
+    /// When the requests that still wait are answered, in nanoseconds on the node's clock; `None`
+    /// while no shutdown was requested.
     pub fn last_answers_at(&self) -> Option<Nanos> {
         match self.phase {
             ShutdownPhase::Serving => None,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Whether the time of the last answers has come.
+    /// Whether a shutdown was requested and the time for its last answers has come.
     pub fn is_answering_last(&self, now: Nanos) -> bool {
         self.last_answers_at().is_some_and(|at| now >= at)
     }
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -1,45 +1,48 @@
-//! When a backend started, on the node's own monotonic clock.
+//! Determines when a backend started, on the node's own monotonic clock.
 //!
-//! Lists give a start as wall-clock time, and any wall clock may be stepped. So what the list says
-//! is bounded by what the node itself has observed, and when: a start is not later than its first
-//! observation, and where the node knew an earlier state of the backend, not much earlier than
-//! that. No start lies behind the moment at which it is observed, so each bounds how far the wall
-//! clock can be ahead. Of the readings that remain, the latest one counts: a backend that is taken
-//! for younger than it is gets fewer requests for some seconds; one that is taken for older may be
-//! overloaded in its slow start.
+//! Endpoint lists give start times as wall-clock time, and any wall clock may be stepped. So the
+//! listed time is bounded by the node's own observations: a start is not later than its first
+//! observation and, if the node had an earlier list that was confirmed without it, not much earlier
+//! than that confirmation. Since no start is later than its observation, each observed start also
+//! bounds how far the wall clock can be ahead. Of the remaining estimates the latest is used: a
+//! backend that is assumed to be younger than it is gets fewer requests for some seconds; one that
+//! is assumed to be older may be overloaded during its slow start.
 //!
-//! What can't be known is how old the backends of the first list are: a node that starts with a
-//! wrong clock has observed nothing before it. All starts on that list count as observed now, but
-//! for those that a clock which is off by an hour can't explain. What this costs a restarted node
-//! is that backends which started lately get fewer requests for some seconds.
+//! The ages of the backends on the first list can't be verified: a node that starts with a wrong
+//! clock has no earlier observation. All starts on that list count as observed now, except those
+//! that are too old to be explained by a clock that is off by an hour. As a result, after a restart
+//! of the node, backends that started recently get fewer requests for some seconds.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::{self, Clock, MS, SECOND};
 
-/// A change counts as notified at the latest this long, in nanoseconds, after discovery had it
-/// (protocol page), so what a list has as new had not been so for much longer.
+/// Maximum delay, in nanoseconds, after which a change in discovery counts as notified (protocol
+/// page). A start that is new on a list is therefore not much older than the last confirmed list.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
-/// The wall clock may be off by an hour (the operators' terms), and as much again to spare: what
-/// seems to be older than this, in nanoseconds, is old.
+/// A start that seems older than this, in nanoseconds, is old. The wall clock may be off by an hour
+/// (the operators' terms); this allows for twice that.
 const MAX_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
 
-/// What the node knows when it observes a start on a list.
+/// What the node knows at the time when it observes a start on a list.
 #[derive(Debug, Clone, Copy)]
 pub struct StartObservation {
-    /// Now, in nanoseconds on the monotonic clock.
+    /// The time of the observation, in nanoseconds on the monotonic clock.
     pub now: Nanos,
-    /// Wall-clock time now, in Unix milliseconds.
+    /// Wall-clock time of the observation, in Unix milliseconds.
     pub wall_now_ms: u64,
-    /// Wall-clock time at the monotonic clock's zero, in nanoseconds, as the node's start had it.
+    /// Wall-clock time at the monotonic clock's zero, in nanoseconds, as determined when the node
+    /// started.
     pub wall_at_zero: Nanos,
-    /// When the list was last confirmed without this start; `None` before the first list.
+    /// When the list was last confirmed without this start, in nanoseconds on the monotonic clock;
+    /// `None` before the first list.
     pub confirmed: Option<Nanos>,
 }
 
 impl StartObservation {
-    /// What is known at `now`, a reading of `clock`, of a list that was confirmed at `confirmed`.
+    /// Creates an observation at `now`, a reading of `clock`, of a list that was last confirmed at
+    /// `confirmed`.
     pub fn new(clock: &Clock, now: Nanos, confirmed: Option<Nanos>) -> StartObservation {
         StartObservation {
             now,
@@ -50,23 +53,25 @@
     }
 }
 
-/// Dates starts, by what earlier ones have shown of the clocks.
+/// Determines start times from the lists and from the starts observed before.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    /// The wall-clock time at the monotonic clock's zero is not before this, in nanoseconds.
+    /// Lower bound of the wall-clock time at the monotonic clock's zero, in nanoseconds, derived
+    /// from the observed starts.
     min_wall_at_zero: Nanos,
 }
 
 impl StartTimes {
-    /// Takes note of a start (in Unix milliseconds) that is observed now.
+    /// Records that a start at `boot_ms` (in Unix milliseconds) was observed at `now`, in
+    /// nanoseconds on the monotonic clock.
     pub fn note(&mut self, boot_ms: u64, now: Nanos) {
         self.min_wall_at_zero = self
             .min_wall_at_zero
             .max(boot_ms.saturating_mul(MS).saturating_sub(now));
     }
 
-    /// When a backend started whose list entry has this `boot_ms` (in Unix milliseconds), in
-    /// nanoseconds on the monotonic clock; `None`: long ago.
+    /// When the backend whose list entry has this `boot_ms` (in Unix milliseconds) started, in
+    /// nanoseconds on the monotonic clock; `None` if that was long ago.
     pub fn started_at(&self, boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
         if boot_ms == 0 {
             return None;
@@ -85,12 +90,13 @@
         let latest = by_wall_clock
             .max(by_wall_clock_at_start)
             .max(by_observed_starts);
-        // A start that lies ahead is not later than its observation.
+        // A listed start in the future counts as observed now.
         let started = latest
             .map(|at| at.min(observation.now))
             .filter(|at| *at > 0);
         let earliest = confirmed.saturating_sub(MAX_LIST_LAG);
-        // Where the clocks contradict what the node has observed, it is only known to be new.
+        // If the clocks contradict the node's observations, all that is known is that the backend
+        // is new.
         if started.is_none_or(|at| at < earliest) {
             Some(observation.now)
         } else {
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -1,4 +1,4 @@
-//! Starts as lists have them, under sound and stepped clocks.
+//! Start times from lists, with correct and with stepped clocks.
 
 use super::*;
 
@@ -6,7 +6,8 @@
 const NOW: Nanos = 100 * SECOND;
 const WALL_NOW_MS: u64 = WALL_AT_ZERO_MS + NOW / MS;
 
-/// A node whose wall clock has gone on evenly, and whose list was confirmed a second ago.
+/// An observation by a node whose wall clock was never stepped and whose list was confirmed a
+/// second ago.
 fn observation() -> StartObservation {
     StartObservation {
         now: NOW,
@@ -16,7 +17,7 @@
     }
 }
 
-/// Dates a start behind one that was observed at once, while all clocks were sound.
+/// Determines a start time after one start was observed without delay and with correct clocks.
 fn started_at(boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
     let mut starts = StartTimes::default();
     starts.note(WALL_NOW_MS, NOW);
@@ -32,7 +33,7 @@
             ..observation()
         };
         let mut starts = StartTimes::default();
-        // Heard 0.1 s after it was; the next ones can't be taken for much older than they are.
+        // Observed 0.1 s after the start. Other starts therefore can't be dated much too early.
         starts.note(WALL_NOW_MS - 100, NOW);
         assert_eq!(
             starts.started_at(WALL_NOW_MS - 100, &observation),
@@ -112,7 +113,7 @@
 
 #[test]
 fn the_later_start_is_used_if_two_clocks_differ() {
-    // Every machine was stepped, or this one alone: forward and back.
+    // Steps of all machines' clocks or of this node's alone, forward and back.
     for (wall_now_ms, boot_ms, expected) in [
         (WALL_NOW_MS + 3_000, WALL_NOW_MS + 3_000 - 1_000, NOW),
         (
