--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -54,7 +54,7 @@
 
     /// Closes a connection that its client has closed or that has failed.
     fn drop_client(&mut self, number: u32, reason: CloseReason) {
-        self.close_client(number, ClosePermit::nothing_owed(), reason);
+        self.close_client(number, ClosePermit::no_answer_pending(), reason);
     }
 
     pub(super) fn client_deadline_due(&mut self, number: u32) {
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -88,7 +88,11 @@
     pub(super) fn force_close(&mut self) {
         self.shutdown.force();
         for number in self.clients.numbers() {
-            self.close_client(number, ClosePermit::nothing_owed(), CloseReason::Shutdown);
+            self.close_client(
+                number,
+                ClosePermit::no_answer_pending(),
+                CloseReason::Shutdown,
+            );
         }
     }
 }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -240,7 +240,7 @@
 impl ClosePermit {
     /// Permits closing a connection on which no answer is pending any more: its client has closed
     /// it, it has failed, or the process ends.
-    pub fn nothing_owed() -> ClosePermit {
+    pub fn no_answer_pending() -> ClosePermit {
         ClosePermit(())
     }
 
