--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -8,10 +8,10 @@
 //! | `seed` | | hexadecimal, 64 bits |
 //! | `limits.sockets` | | file descriptors, 1024 |
 //! | `limits.memory_mb` | | MiB, 192 |
-//! | `known` | | a message of discovery; an empty list |
+//! | `known` | | cached endpoint list as a discovery message; empty |
 //! | `settings` | | see `kitefork_settings` |
 //! | | `BALANCER_CONFIG` | path of the file |
-//! | | `BALANCER_TRACE` | `1` turns the trace on |
+//! | | `BALANCER_TRACE` | `1` enables the trace |
 
 use std::fs::{File, OpenOptions};
 use std::io::Read as _;
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -26,8 +26,8 @@
 }
 
 impl CloseReason {
-    /// Whether the client closed or broke the connection, so that closing it without an answer is no
-    /// violation.
+    /// Whether the client closed or broke the connection, so that closing it without an answer is
+    /// no violation.
     pub fn is_by_client(self) -> bool {
         matches!(self, CloseReason::ClientDisconnected | CloseReason::Broken)
     }
@@ -64,7 +64,7 @@
         *self.counts.entry(CounterKey { kind, reason }).or_default() += 1;
     }
 
-    /// Counts a closed client connection.
+    /// Increments the counter of client connections that were closed for this reason.
     pub fn add_closed(&mut self, reason: CloseReason) {
         self.add("closed", reason.name());
     }
--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -45,7 +45,7 @@
         self.counters.add(kind, reason);
     }
 
-    /// Counts a closed client connection.
+    /// Increments the counter of client connections that were closed for this reason.
     pub fn count_closed(&mut self, reason: CloseReason) {
         self.counters.add_closed(reason);
     }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -19,7 +19,7 @@
 use crate::timer_wheel::{Deadline, TimerWheel};
 
 /// Maximum wait of a poll, in nanoseconds. The loop checks every socket at least this often, which
-/// bounds how long a readable socket can have held its bytes.
+/// bounds how long a readable socket can have had unread bytes.
 const MAX_POLL_WAIT: Nanos = 50 * MS;
 /// A poll that returns more than this after its intended wake-up time, in nanoseconds, shows that
 /// the process was stopped meanwhile.
@@ -51,7 +51,7 @@
 pub enum Token {
     /// The listening socket.
     Listener,
-    /// The wake-up pipe of a signal.
+    /// The wake-up socket of a signal, see [`crate::signals::Signal::wake_up`].
     Signal(SignalKind),
     /// A client connection.
     Client(u32),
@@ -272,7 +272,7 @@
             events.clear();
             events.reserve(capacity);
             // The wait of a stopped process is interrupted when the process continues. Its sockets
-            // may hold much unread data, and no deadline may fire before that is read.
+            // may have much unread data, and no deadline may fire before that is read.
             if !self.wait(events, wake_at.saturating_sub(started_at))? {
                 continue;
             }
@@ -281,7 +281,7 @@
             // stop.
             let was_stopped = self.now > wake_at.saturating_add(MAX_WAKE_DELAY);
             self.last_poll_at = if was_stopped { started_at } else { self.now };
-            // If the process was held up between the wait and the clock reading, the events may be
+            // If the process was delayed between the wait and the clock reading, the events may be
             // from before that. Others may have arrived since, and some of those must be handled
             // first.
             let is_stale =
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -85,8 +85,8 @@
         self.commands.pop_front()
     }
 
-    /// Removes and returns the reason for which the rules denied an attempt that the decision module
-    /// had started, so that the caller can count it.
+    /// Removes and returns the reason for which the rules denied an attempt that the decision
+    /// module had started, so that the caller can count it.
     pub fn pop_denial(&mut self) -> Option<Denial> {
         self.denials.pop()
     }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -123,7 +123,7 @@
 /// The facts that decide whether the first byte of an attempt may be written.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteFacts {
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub answered: bool,
     /// Whether the client's connection has been closed by the client or reset.
     pub client_disconnected: bool,
@@ -164,7 +164,7 @@
 }
 
 /// How long after the end of its window an attempt may still be written without a violation, in
-/// nanoseconds: the protocol allows for a process that is held up this long between its clock
+/// nanoseconds: the protocol allows for a process that is delayed this long between its clock
 /// reading and its write.
 const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
