--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -31,34 +31,36 @@
 /// How many connections each side may hold.
 #[derive(Debug, Clone, Copy)]
 pub struct DescriptorBudget {
-    limit: usize,
-    connections: usize,
+    descriptor_limit: usize,
+    max_connections: usize,
 }
 
 impl DescriptorBudget {
     /// For a process that may hold `limit` descriptors in all.
-    pub fn new(limit: usize) -> DescriptorBudget {
+    pub fn new(descriptor_limit: usize) -> DescriptorBudget {
         DescriptorBudget {
-            limit,
-            connections: limit.saturating_sub(OTHER_DESCRIPTORS).max(MIN_CONNECTIONS),
+            descriptor_limit,
+            max_connections: descriptor_limit
+                .saturating_sub(OTHER_DESCRIPTORS)
+                .max(MIN_CONNECTIONS),
         }
     }
 
     fn reserve(&self, purpose: Purpose) -> usize {
         match purpose {
-            Purpose::Client => self.connections / CLIENT_RESERVE_DIVISOR,
-            Purpose::Upstream => self.connections / UPSTREAM_RESERVE_DIVISOR,
+            Purpose::Client => self.max_connections / CLIENT_RESERVE_DIVISOR,
+            Purpose::Upstream => self.max_connections / UPSTREAM_RESERVE_DIVISOR,
         }
     }
 
     /// Most that `purpose` can ever hold.
     pub fn max(&self, purpose: Purpose) -> usize {
-        self.connections - self.reserve(purpose.other())
+        self.max_connections - self.reserve(purpose.other())
     }
 
     /// Whether one more fits for `purpose`, of which there are `own`, beside `others` of the other.
-    pub fn fits(&self, purpose: Purpose, own: usize, others: usize) -> bool {
-        own < self.connections - others.max(self.reserve(purpose.other()))
+    pub fn fits(&self, purpose: Purpose, open: usize, other_open: usize) -> bool {
+        open < self.max_connections - other_open.max(self.reserve(purpose.other()))
     }
 
     /// Whether closing one of `open` of `purpose` lets the other have one more: it has more than
@@ -69,7 +71,7 @@
 
     /// How many clients that have sent a request may be connected before idle ones are closed.
     pub fn max_active_clients(&self) -> usize {
-        self.limit / ACTIVE_CLIENTS_DIVISOR
+        self.descriptor_limit / ACTIVE_CLIENTS_DIVISOR
     }
 }
 
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -127,7 +127,7 @@
 
     /// Reads from a socket once.
     pub fn read_from(&mut self, socket: impl AsFd) -> ReadOutcome {
-        if self.len == self.storage.len() && !self.reserve(self.growth()) {
+        if self.len == self.storage.len() && !self.reserve(self.growth_bytes()) {
             return ReadOutcome::BufferFull;
         }
         let end = self.end();
@@ -182,14 +182,14 @@
 
     /// By how many bytes a full buffer grows: it doubles, up to its maximum. At least one, which
     /// does not fit at the maximum.
-    fn growth(&self) -> usize {
+    fn growth_bytes(&self) -> usize {
         let doubled = self.len.max(INITIAL_SIZE);
         doubled.min(self.max_size - self.len).max(1)
     }
 
     /// Makes space for `more` bytes; returns whether they fit below the maximum.
-    fn reserve(&mut self, more: usize) -> bool {
-        let needed = self.len + more;
+    fn reserve(&mut self, additional: usize) -> bool {
+        let needed = self.len + additional;
         if needed > self.max_size {
             return false;
         }
--- a/crates/node/src/ring_buffer/body.rs
+++ b/crates/node/src/ring_buffer/body.rs
@@ -22,12 +22,12 @@
 
     /// Appends `more`, unless the budget is spent; returns whether it was appended.
     #[must_use]
-    pub fn extend(&mut self, more: &[u8]) -> bool {
-        if self.budget.is_spent() && !more.is_empty() {
+    pub fn extend(&mut self, additional: &[u8]) -> bool {
+        if self.budget.is_exhausted() && !additional.is_empty() {
             return false;
         }
-        self.budget.resize(0, more.len());
-        self.bytes.extend_from_slice(more);
+        self.budget.resize(0, additional.len());
+        self.bytes.extend_from_slice(additional);
         true
     }
 
--- a/crates/node/src/ring_buffer/budget.rs
+++ b/crates/node/src/ring_buffer/budget.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether nothing of the budget remains.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.remaining.get() <= 0
     }
 
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -3,59 +3,59 @@
 use super::*;
 
 #[test]
-fn buffered_bytes_are_counted_and_given_back() {
+fn buffered_bytes_are_counted_and_returned_to_the_budget() {
     let budget = BufferBudget::new(5000);
-    let (mut ring, mut body) = (
+    let (mut buffer, mut body) = (
         RingBuffer::new(9000).with_budget(&budget),
         Body::with_budget(&budget),
     );
-    assert!(ring.push(&[0; 4000]) && body.extend(&[0; 1000]));
-    assert!(budget.is_spent() && !body.extend(&[0]));
-    ring.consume(4000);
-    assert!(body.extend(&[0; 4000]) && budget.is_spent());
-    let moved = body.take();
-    assert!(budget.is_spent());
-    drop((ring, body, moved));
+    assert!(buffer.push(&[0; 4000]) && body.extend(&[0; 1000]));
+    assert!(budget.is_exhausted() && !body.extend(&[0]));
+    buffer.consume(4000);
+    assert!(body.extend(&[0; 4000]) && budget.is_exhausted());
+    let taken = body.take();
+    assert!(budget.is_exhausted());
+    drop((buffer, body, taken));
     assert_eq!(budget.remaining.get(), 5000);
 }
 
 #[test]
-fn keeps_order_when_it_wraps_and_stays_below_its_maximum() {
-    let mut ring = RingBuffer::new(5000);
+fn keeps_byte_order_across_the_wrap_and_its_maximum_size() {
+    let mut buffer = RingBuffer::new(5000);
     let bytes: Vec<u8> = (0..4000u32).map(|i| i as u8).collect();
-    assert!(ring.push(&bytes[..1500]));
-    ring.consume(1200);
-    assert!(ring.push(&bytes[1500..]));
-    assert_eq!(ring.bytes(), &bytes[1200..]);
-    assert!(!ring.push(&[0; 2500]));
-    ring.consume(2800);
-    assert!(ring.is_empty() && ring.storage.is_empty());
+    assert!(buffer.push(&bytes[..1500]));
+    buffer.consume(1200);
+    assert!(buffer.push(&bytes[1500..]));
+    assert_eq!(buffer.bytes(), &bytes[1200..]);
+    assert!(!buffer.push(&[0; 2500]));
+    buffer.consume(2800);
+    assert!(buffer.is_empty() && buffer.storage.is_empty());
 }
 
 #[test]
-fn carries_bytes_from_socket_to_socket_as_they_fit() {
-    let (near, far) = std::os::unix::net::UnixStream::pair().unwrap();
-    far.set_nonblocking(true).unwrap();
-    let mut ring = RingBuffer::new(10);
-    assert!(ring.push(b"0123456789"));
-    assert_eq!(ring.write_to(&near), WriteOutcome::Done);
-    let mut into = RingBuffer::new(4);
+fn reads_from_a_socket_only_as_many_bytes_as_fit() {
+    let (sender, receiver) = std::os::unix::net::UnixStream::pair().unwrap();
+    receiver.set_nonblocking(true).unwrap();
+    let mut buffer = RingBuffer::new(10);
+    assert!(buffer.push(b"0123456789"));
+    assert_eq!(buffer.write_to(&sender), WriteOutcome::Done);
+    let mut inbound = RingBuffer::new(4);
     assert_eq!(
-        (into.read_from(&far), into.bytes()),
+        (inbound.read_from(&receiver), inbound.bytes()),
         (ReadOutcome::Data, &b"0123"[..])
     );
-    assert_eq!(into.read_from(&far), ReadOutcome::BufferFull);
-    into.consume(2);
+    assert_eq!(inbound.read_from(&receiver), ReadOutcome::BufferFull);
+    inbound.consume(2);
     assert_eq!(
-        (into.read_from(&far), into.bytes()),
+        (inbound.read_from(&receiver), inbound.bytes()),
         (ReadOutcome::Data, &b"2345"[..])
     );
-    into.consume(4);
-    drop(near);
+    inbound.consume(4);
+    drop(sender);
     assert_eq!(
-        (into.read_from(&far), into.bytes()),
+        (inbound.read_from(&receiver), inbound.bytes()),
         (ReadOutcome::Data, &b"6789"[..])
     );
-    into.consume(4);
-    assert_eq!(into.read_from(&far), ReadOutcome::EndOfStream);
+    inbound.consume(4);
+    assert_eq!(inbound.read_from(&receiver), ReadOutcome::EndOfStream);
 }
--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -22,9 +22,9 @@
     pub fn new(capacity: usize) -> Slab<T> {
         // Twice as many slots as entries: a number whose slot is occupied is skipped, which should
         // be rare.
-        let slots = (2 * capacity).next_power_of_two();
+        let slot_count = (2 * capacity).next_power_of_two();
         Slab {
-            slots: (0..slots).map(|_| None).collect(),
+            slots: (0..slot_count).map(|_| None).collect(),
             next_number: 1,
             len: 0,
             capacity,
@@ -46,7 +46,7 @@
         if self.is_full() {
             return None;
         }
-        while self.slots[self.slot_of(self.next_number)].is_some() {
+        while self.slots[self.slot_index(self.next_number)].is_some() {
             self.next_number = self.next_number.wrapping_add(1);
         }
         Some(self.next_number)
@@ -55,7 +55,7 @@
     /// Adds an entry and returns its number; drops it and returns `None` when the table is full.
     pub fn insert(&mut self, value: T) -> Option<u32> {
         let number = self.vacant()?;
-        let slot = self.slot_of(number);
+        let slot = self.slot_index(number);
         self.slots[slot] = Some(Entry { number, value });
         self.next_number = number.wrapping_add(1);
         self.len += 1;
@@ -64,7 +64,7 @@
 
     /// The entry under a number, if it has not been removed.
     pub fn get(&self, number: u32) -> Option<&T> {
-        self.slots[self.slot_of(number)]
+        self.slots[self.slot_index(number)]
             .as_ref()
             .filter(|entry| entry.number == number)
             .map(|entry| &entry.value)
@@ -72,7 +72,7 @@
 
     /// The entry under a number, to be changed.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut T> {
-        let slot = self.slot_of(number);
+        let slot = self.slot_index(number);
         self.slots[slot]
             .as_mut()
             .filter(|entry| entry.number == number)
@@ -81,7 +81,7 @@
 
     /// Removes the entry under a number and returns it; `None` if there is none any more.
     pub fn remove(&mut self, number: u32) -> Option<T> {
-        let slot = self.slot_of(number);
+        let slot = self.slot_index(number);
         let entry = self.slots[slot].take_if(|entry| entry.number == number)?;
         self.len -= 1;
         Some(entry.value)
@@ -93,7 +93,7 @@
         entries.map(|entry| (entry.number, &entry.value))
     }
 
-    fn slot_of(&self, number: u32) -> usize {
+    fn slot_index(&self, number: u32) -> usize {
         number as usize & (self.slots.len() - 1)
     }
 }
