--- a/crates/node/src/http1/framing.rs
+++ b/crates/node/src/http1/framing.rs
@@ -23,7 +23,7 @@
     /// [`ParseError::Malformed`] for both a length and a transfer coding, for either of them twice,
     /// and for codings other than chunked: two implementations may read such a message in two ways.
     /// [`ParseError::BodyTooLarge`] for a length above `max_body`.
-    pub(super) fn of(head: &Head, max_body: usize) -> Result<BodyFraming, ParseError> {
+    pub(super) fn from_head(head: &Head, max_body: usize) -> Result<BodyFraming, ParseError> {
         let length = head.unique("content-length")?;
         match (head.unique("transfer-encoding")?, length) {
             (Some(_), Some(_)) => Err(ParseError::Malformed),
@@ -31,12 +31,12 @@
                 Ok(BodyFraming::Chunked)
             }
             (Some(_), None) => Err(ParseError::Malformed),
-            (None, Some(length)) => BodyFraming::of_length(length, max_body),
-            (None, None) => Ok(BodyFraming::of_unframed(&head.start)),
+            (None, Some(length)) => BodyFraming::from_content_length(length, max_body),
+            (None, None) => Ok(BodyFraming::without_length_headers(&head.start)),
         }
     }
 
-    fn of_length(length: &str, max_body: usize) -> Result<BodyFraming, ParseError> {
+    fn from_content_length(length: &str, max_body: usize) -> Result<BodyFraming, ParseError> {
         // `parse` alone would accept a sign.
         if length.is_empty() || !length.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(ParseError::Malformed);
@@ -49,7 +49,7 @@
         }
     }
 
-    fn of_unframed(start: &Start) -> BodyFraming {
+    fn without_length_headers(start: &Start) -> BodyFraming {
         match start {
             Start::Request { .. } | Start::Response { status: 204 | 304 } => BodyFraming::Empty,
             Start::Response { .. } => BodyFraming::UntilClose,
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -107,7 +107,7 @@
 
     /// Whether the client waits for `100 Continue` before it sends its body.
     pub fn expects_continue(&self) -> bool {
-        self.lists("expect", "100-continue")
+        self.has_token("expect", "100-continue")
     }
 
     /// Names and values of the headers that concern both ends, not one connection.
@@ -119,14 +119,14 @@
     }
 
     fn is_end_to_end(&self, header: &Header) -> bool {
-        !HOP_BY_HOP.contains(&header.name.as_str()) && !self.lists("connection", &header.name)
+        !HOP_BY_HOP.contains(&header.name.as_str()) && !self.has_token("connection", &header.name)
     }
 
     fn allows_reuse(&self, version: Version) -> bool {
-        if self.lists("connection", "close") {
+        if self.has_token("connection", "close") {
             false
         } else {
-            version == Version::Http11 || self.lists("connection", "keep-alive")
+            version == Version::Http11 || self.has_token("connection", "keep-alive")
         }
     }
 
@@ -138,10 +138,10 @@
     }
 
     /// Whether `token` is one of the comma-separated tokens of a header.
-    fn lists(&self, name: &str, token: &str) -> bool {
+    fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .flat_map(|value| value.split(','))
-            .any(|listed| listed.trim().eq_ignore_ascii_case(token))
+            .any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -170,12 +170,12 @@
 impl StartLine {
     fn parse(line: &str, kind: MessageKind) -> Result<StartLine, ParseError> {
         match kind {
-            MessageKind::Request => StartLine::parse_request(line),
-            MessageKind::Response => StartLine::parse_status(line),
+            MessageKind::Request => StartLine::parse_request_line(line),
+            MessageKind::Response => StartLine::parse_status_line(line),
         }
     }
 
-    fn parse_request(line: &str) -> Result<StartLine, ParseError> {
+    fn parse_request_line(line: &str) -> Result<StartLine, ParseError> {
         let mut parts = line.splitn(3, ' ');
         let mut part = || parts.next().unwrap_or_default();
         let (method, target, version) = (part(), part(), part());
@@ -190,7 +190,7 @@
         Ok(StartLine { start, version })
     }
 
-    fn parse_status(line: &str) -> Result<StartLine, ParseError> {
+    fn parse_status_line(line: &str) -> Result<StartLine, ParseError> {
         let mut parts = line.splitn(3, ' ');
         let mut part = || parts.next().unwrap_or_default();
         let (version, status) = (part(), part());
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -216,7 +216,7 @@
     }
 
     fn body_state(&self, head: &Head) -> Result<State, ParseError> {
-        match BodyFraming::of(head, self.max_body)? {
+        match BodyFraming::from_head(head, self.max_body)? {
             BodyFraming::Empty => Ok(State::Done),
             BodyFraming::Length(remaining) => Ok(State::Length { remaining }),
             BodyFraming::Chunked => Ok(State::ChunkSize),
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -4,39 +4,42 @@
 use super::*;
 
 /// Feeds byte by byte, as the worst of networks would, then in one piece: both must agree.
-fn read(
+fn parse_both_ways(
     mut parser: impl FnMut() -> Parser,
     input: &str,
 ) -> Result<Option<(Head, String)>, ParseError> {
-    let run = |mut parser: Parser, step: usize| {
+    let parse_in_steps = |mut parser: Parser, step_bytes: usize| {
         let (mut buffered, mut fed) = (Vec::new(), 0);
         while fed < input.len() && !parser.is_done() {
-            let end = (fed + step).min(input.len());
+            let end = (fed + step_bytes).min(input.len());
             buffered.extend_from_slice(&input.as_bytes()[fed..end]);
             fed = end;
-            let used = parser.feed(&buffered)?;
-            buffered.drain(..used);
+            let consumed = parser.feed(&buffered)?;
+            buffered.drain(..consumed);
         }
         Ok(parser
             .take_message()
             .map(|(head, body)| (head, String::from_utf8(body.to_vec()).unwrap())))
     };
-    let (slow, fast) = (run(parser(), 1), run(parser(), input.len()));
-    let plain = |found: &Result<Option<(Head, String)>, ParseError>| match found {
+    let (bytewise, whole) = (
+        parse_in_steps(parser(), 1),
+        parse_in_steps(parser(), input.len()),
+    );
+    let body_or_error = |result: &Result<Option<(Head, String)>, ParseError>| match result {
         Ok(message) => Ok(message.as_ref().map(|m| m.1.clone())),
         Err(error) => Err(*error),
     };
-    assert_eq!(plain(&slow), plain(&fast), "{input:?}");
-    fast
+    assert_eq!(body_or_error(&bytewise), body_or_error(&whole), "{input:?}");
+    whole
 }
 
-fn request(input: &str) -> Result<Option<(Head, String)>, ParseError> {
-    read(Parser::requests, input)
+fn parse_request(input: &str) -> Result<Option<(Head, String)>, ParseError> {
+    parse_both_ways(Parser::requests, input)
 }
 
 #[test]
-fn reads_requests_and_responses_in_pieces() {
-    let (head, body) = request(
+fn parses_requests_and_responses_byte_by_byte_and_whole() {
+    let (head, body) = parse_request(
         "\r\nPOST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Txn:  b \r\nContent-Length: 3\r\n\r\nabc",
     )
     .unwrap()
@@ -55,24 +58,33 @@
     let chunked = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\
          Connection: close\r\n\r\n\
          3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n";
-    let (head, body) = read(Parser::responses, chunked).unwrap().unwrap();
+    let (head, body) = parse_both_ways(Parser::responses, chunked)
+        .unwrap()
+        .unwrap();
     assert_eq!((head.keep_alive, body.as_str()), (false, "abcde"));
-    let plain = b"HTTP/1.0 200 OK\r\n\r\nabc";
-    assert_eq!(Parser::responses().feed(plain), Err(ParseError::Malformed));
-    let mut until_end = Parser::responses().allow_close_delimited();
-    until_end.feed(plain).unwrap();
-    assert!(!until_end.is_done() && until_end.end_of_input());
-    assert!(request("GET / HTTP/1.1\r\nHost: a\r\n").unwrap().is_none());
+    let close_delimited = b"HTTP/1.0 200 OK\r\n\r\nabc";
+    assert_eq!(
+        Parser::responses().feed(close_delimited),
+        Err(ParseError::Malformed)
+    );
+    let mut lenient_parser = Parser::responses().allow_close_delimited();
+    lenient_parser.feed(close_delimited).unwrap();
+    assert!(!lenient_parser.is_done() && lenient_parser.end_of_input());
+    assert!(
+        parse_request("GET / HTTP/1.1\r\nHost: a\r\n")
+            .unwrap()
+            .is_none()
+    );
 }
 
 /// Asserts the error of a request with these header lines after its `Host`.
 fn assert_header_error(headers: &str, error: ParseError) {
-    let found = request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
-    assert_eq!(found.err(), Some(error), "{headers:.60}");
+    let result = parse_request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
+    assert_eq!(result.err(), Some(error), "{headers:.60}");
 }
 
 #[test]
-fn rejects_framing_that_two_implementations_could_read_in_two_ways() {
+fn rejects_ambiguous_body_framing() {
     for headers in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -86,14 +98,14 @@
 }
 
 #[test]
-fn rejects_headers_that_two_implementations_could_read_in_two_ways() {
+fn rejects_ambiguous_header_lines() {
     for headers in ["A: b\r\n c\r\n", "A: b\nC: d\r\n", "Host: b\r\n"] {
         assert_header_error(headers, ParseError::Malformed);
     }
 }
 
 #[test]
-fn rejects_what_is_too_large() {
+fn rejects_messages_above_the_size_limits() {
     for length in ["65537", "99999999999999999999999"] {
         let headers = format!("Content-Length: {length}\r\n");
         assert_header_error(&headers, ParseError::BodyTooLarge);
@@ -103,8 +115,11 @@
     let many_headers = "A: b\r\n".repeat(MAX_HEADERS + 1);
     assert_header_error(&many_headers, ParseError::HeadTooLarge);
     let chunk = "8000\r\n".to_owned() + &"x".repeat(0x8000) + "\r\n";
-    let flood = CHUNKED_HEAD.to_owned() + &chunk.repeat(3);
-    assert_eq!(request(&flood).err(), Some(ParseError::BodyTooLarge));
+    let oversized = CHUNKED_HEAD.to_owned() + &chunk.repeat(3);
+    assert_eq!(
+        parse_request(&oversized).err(),
+        Some(ParseError::BodyTooLarge)
+    );
 }
 
 #[test]
@@ -116,8 +131,8 @@
         ("GET api HTTP/1.1", ParseError::Malformed),
         ("G(T /api HTTP/1.1", ParseError::Malformed),
     ] {
-        let found = request(&format!("{start_line}\r\nHost: a\r\n\r\n"));
-        assert_eq!(found.err(), Some(error), "{start_line}");
+        let result = parse_request(&format!("{start_line}\r\nHost: a\r\n\r\n"));
+        assert_eq!(result.err(), Some(error), "{start_line}");
     }
 }
 
@@ -126,14 +141,14 @@
 #[test]
 fn rejects_chunks_that_break_the_grammar() {
     for body in ["x\r\n", "-1\r\n", "FFFFFFFFF\r\n", "1\r\nabc"] {
-        let found = request(&format!("{CHUNKED_HEAD}{body}"));
-        assert_eq!(found.err(), Some(ParseError::Malformed), "{body}");
+        let result = parse_request(&format!("{CHUNKED_HEAD}{body}"));
+        assert_eq!(result.err(), Some(ParseError::Malformed), "{body}");
     }
 }
 
 #[test]
-fn forwards_end_to_end_headers_only() {
-    let (head, _) = request(
+fn forwards_only_end_to_end_headers() {
+    let (head, _) = parse_request(
         "GET / HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nConnection: close, X-Hop\r\n\
          X-Hop: 1\r\nTE: x\r\n\r\n",
     )
@@ -151,7 +166,7 @@
 }
 
 #[test]
-fn each_error_has_its_status() {
+fn each_parse_error_maps_to_its_status() {
     for (error, status) in [
         (ParseError::Malformed, 400),
         (ParseError::HeadTooLarge, 431),
