--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -12,7 +12,7 @@
 /// they did, so that is the last time at which the socket was seen empty. What arrived while the
 /// process stood still counts from there. All times are in nanoseconds on the node's clock.
 #[derive(Debug, Clone, Copy)]
-pub struct Arrival {
+pub struct ArrivalTracker {
     /// When the socket was last read empty.
     empty_at: Nanos,
     /// Since when an event is given for what arrives; before that a poll says nothing of this
@@ -21,18 +21,18 @@
     /// More may lie in the socket than was read.
     has_unread: bool,
     /// When the first byte of the inbox can have arrived at the earliest.
-    oldest: Nanos,
+    first_byte_at: Nanos,
 }
 
-impl Arrival {
+impl ArrivalTracker {
     /// Of a connection that was accepted at `now`, and was established at `queued_at` at the
     /// earliest.
-    pub fn new(now: Nanos, queued_at: Nanos) -> Arrival {
-        Arrival {
+    pub fn new(now: Nanos, queued_at: Nanos) -> ArrivalTracker {
+        ArrivalTracker {
             empty_at: queued_at,
             watched_since: now,
             has_unread: false,
-            oldest: now,
+            first_byte_at: now,
         }
     }
 
@@ -53,26 +53,26 @@
     }
 
     /// When the first byte of the inbox can have arrived at the earliest.
-    pub fn oldest(&self) -> Nanos {
-        self.oldest
+    pub fn first_byte_at(&self) -> Nanos {
+        self.first_byte_at
     }
 
     /// The first byte of the inbox can have arrived at `at` at the earliest.
-    pub fn set_oldest(&mut self, at: Nanos) {
-        self.oldest = at;
+    pub fn set_first_byte_at(&mut self, at: Nanos) {
+        self.first_byte_at = at;
     }
 
     /// When bytes that are read at `now` can have arrived; `previous_poll_at` is when the loop last
     /// saw all sockets without an event.
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
-        let is_seen_by_loop = !self.has_unread && previous_poll_at >= self.watched_since;
-        let empty_at = if is_seen_by_loop {
+        let poll_covers_socket = !self.has_unread && previous_poll_at >= self.watched_since;
+        let last_empty_at = if poll_covers_socket {
             self.empty_at.max(previous_poll_at)
         } else {
             self.empty_at
         };
-        if now.saturating_sub(empty_at) > MAX_POLL_GAP {
-            empty_at
+        if now.saturating_sub(last_empty_at) > MAX_POLL_GAP {
+            last_empty_at
         } else {
             now
         }
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -2,48 +2,53 @@
 
 use super::*;
 
-const READ: Nanos = 10_000 * MS;
+const READ_AT: Nanos = 10_000 * MS;
 
 /// A socket that was read empty at the first figure and is watched from the second on.
-fn arrival(empty_at: Nanos, watched_since: Nanos) -> Arrival {
-    Arrival {
+fn tracker(empty_at: Nanos, watched_since: Nanos) -> ArrivalTracker {
+    ArrivalTracker {
         empty_at,
-        ..Arrival::new(watched_since, empty_at)
+        ..ArrivalTracker::new(watched_since, empty_at)
     }
 }
 
 #[test]
-fn bytes_that_wake_a_loop_that_polls_often_have_just_arrived() {
-    let previous_poll_at = READ - MAX_POLL_GAP;
+fn bytes_read_soon_after_a_poll_or_an_empty_read_arrived_now() {
+    let previous_poll_at = READ_AT - MAX_POLL_GAP;
     assert_eq!(
-        arrival(READ - 5_000 * MS, READ - 9_000 * MS).earliest_arrival(READ, previous_poll_at),
-        READ
+        tracker(READ_AT - 5_000 * MS, READ_AT - 9_000 * MS)
+            .earliest_arrival(READ_AT, previous_poll_at),
+        READ_AT
     );
     assert_eq!(
-        arrival(READ - 10 * MS, READ - 9_000 * MS).earliest_arrival(READ, 0),
-        READ
+        tracker(READ_AT - 10 * MS, READ_AT - 9_000 * MS).earliest_arrival(READ_AT, 0),
+        READ_AT
     );
 }
 
 #[test]
-fn bytes_that_lay_through_a_stall_count_from_the_poll_before_it() {
-    let previous_poll_at = READ - 800 * MS;
+fn bytes_read_after_a_stall_count_from_the_previous_poll() {
+    let previous_poll_at = READ_AT - 800 * MS;
     assert_eq!(
-        arrival(READ - 5_000 * MS, READ - 9_000 * MS).earliest_arrival(READ, previous_poll_at),
+        tracker(READ_AT - 5_000 * MS, READ_AT - 9_000 * MS)
+            .earliest_arrival(READ_AT, previous_poll_at),
         previous_poll_at
     );
 }
 
 #[test]
-fn a_poll_says_nothing_of_a_socket_that_was_not_watched_or_not_read_empty() {
-    let (empty_at, previous_poll_at) = (READ - 700 * MS, READ - 10 * MS);
+fn polls_are_ignored_for_an_unwatched_or_unread_socket() {
+    let (empty_at, previous_poll_at) = (READ_AT - 700 * MS, READ_AT - 10 * MS);
     assert_eq!(
-        arrival(empty_at, READ - 5 * MS).earliest_arrival(READ, previous_poll_at),
+        tracker(empty_at, READ_AT - 5 * MS).earliest_arrival(READ_AT, previous_poll_at),
         empty_at
     );
-    let unread = Arrival {
+    let with_unread = ArrivalTracker {
         has_unread: true,
-        ..arrival(empty_at, 0)
+        ..tracker(empty_at, 0)
     };
-    assert_eq!(unread.earliest_arrival(READ, previous_poll_at), empty_at);
+    assert_eq!(
+        with_unread.earliest_arrival(READ_AT, previous_poll_at),
+        empty_at
+    );
 }
--- a/crates/node/src/downstream/connection/connection_tests.rs
+++ b/crates/node/src/downstream/connection/connection_tests.rs
@@ -6,7 +6,7 @@
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn a_connection_that_closes_shows_its_end_before_it_discards_a_late_request() {
+fn close_ends_the_stream_before_it_discards_a_late_request() {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
     use std::io::{Read as _, Write as _};
     let (family, kind, flags) = (
@@ -14,15 +14,15 @@
         SocketType::STREAM,
         SocketFlags::NONBLOCK,
     );
-    let (near, far) = socketpair(family, kind, flags, None).unwrap();
-    let mut far = std::os::unix::net::UnixStream::from(far);
-    let mut connection = ClientConnection::new(near, 0, 0, &BufferBudget::default());
-    far.write_all(REQUEST.as_bytes()).unwrap();
+    let (server, client) = socketpair(family, kind, flags, None).unwrap();
+    let mut client = std::os::unix::net::UnixStream::from(client);
+    let mut connection = ClientConnection::new(server, 0, 0, &BufferBudget::default());
+    client.write_all(REQUEST.as_bytes()).unwrap();
     assert!(matches!(connection.read(0, 0), ReadEvent::Message(_)));
     connection.reply(0, Reply::new(200, b"hi"));
-    assert!(connection.flush(0) == WriteOutcome::Done && far.read(&mut [0; 256]).unwrap() > 0);
-    far.write_all(REQUEST.as_bytes()).unwrap();
+    assert!(connection.flush(0) == WriteOutcome::Done && client.read(&mut [0; 256]).unwrap() > 0);
+    client.write_all(REQUEST.as_bytes()).unwrap();
     connection.close_gracefully();
-    assert_eq!(far.read(&mut [0; 256]).unwrap(), 0);
+    assert_eq!(client.read(&mut [0; 256]).unwrap(), 0);
     assert!(!connection.may_have_unread());
 }
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -39,7 +39,7 @@
     }
 
     fn update_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
-        let at = self.time_limit();
+        let at = self.state_deadline();
         event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
     }
 
@@ -54,8 +54,8 @@
         // Where this fails too, events come early and find the same.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
-        let at = event_loop.now() + MIN_RETRY;
-        event_loop.schedule(at, TimerEvent::ResumeClient(number));
+        let resume_at = event_loop.now() + MIN_RETRY;
+        event_loop.schedule(resume_at, TimerEvent::ResumeClient(number));
     }
 
     /// Writes what there is to write, and has the right events and time limit set.
@@ -70,8 +70,8 @@
         diagnostics: &mut Diagnostics,
     ) -> Result<(), CloseReason> {
         let now = event_loop.now();
-        let written = self.flush(now);
-        if written == WriteOutcome::Broken {
+        let outcome = self.flush(now);
+        if outcome == WriteOutcome::Broken {
             return Err(CloseReason::Broken);
         }
         if self.peer_closed && self.is_written() && self.request.is_none() {
@@ -80,7 +80,7 @@
                 ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientDisconnected,
             });
         }
-        if written == WriteOutcome::RetryLater {
+        if outcome == WriteOutcome::RetryLater {
             self.pause(number, event_loop);
             return Ok(());
         }
@@ -92,7 +92,7 @@
             event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeClient(number));
         }
         self.update_deadline(number, event_loop);
-        if self.has_next() {
+        if self.has_next_message() {
             event_loop.schedule(now, TimerEvent::ResumeClient(number));
         }
         Ok(())
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -41,7 +41,7 @@
 /// Most pieces that are read and thrown away before a connection closes.
 const MAX_DISCARDED_READS: usize = 16;
 /// What a client that expects it gets before it sends its body.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     peer_closed: bool,
     /// When it came to its present state: every time limit on a client counts from here, so that a
     /// client which sends or reads a byte now and then does not stay for ever.
-    since: Nanos,
+    state_since: Nanos,
     deadline: Deadline,
     registration: Registration,
 }
@@ -104,7 +104,7 @@
             state: ConnectionState::Open,
             request: None,
             peer_closed: false,
-            since: now,
+            state_since: now,
             deadline: Deadline::new(),
             registration: Registration::default(),
         }
@@ -141,20 +141,20 @@
     }
 
     /// When it has taken too long over its present state.
-    fn time_limit(&self) -> Nanos {
-        let limit = match self.state {
+    fn state_deadline(&self) -> Nanos {
+        let timeout = match self.state {
             ConnectionState::Lingering => LINGER_TIMEOUT,
             ConnectionState::Open if self.request.is_some() => return Deadline::NEVER,
             ConnectionState::Open if self.is_idle() && self.has_sent_message() => IDLE_TIMEOUT,
             ConnectionState::Open if self.is_idle() => HEAD_TIMEOUT,
             ConnectionState::Open if self.is_written() && !self.input.has_head() => HEAD_TIMEOUT,
             ConnectionState::Open if self.is_written() => {
-                let next_byte_by = self.input.last_byte_at() + BODY_PAUSE_TIMEOUT;
-                return (self.since + STALL_TIMEOUT).min(next_byte_by);
+                let next_byte_deadline = self.input.last_byte_at() + BODY_PAUSE_TIMEOUT;
+                return (self.state_since + STALL_TIMEOUT).min(next_byte_deadline);
             }
             ConnectionState::Open | ConnectionState::Closing => STALL_TIMEOUT,
         };
-        self.since.saturating_add(limit)
+        self.state_since.saturating_add(timeout)
     }
 
     /// How readily the connection, which has this number, is closed for another one. `None`: not at
@@ -163,7 +163,7 @@
         if self.request.is_some() || !self.is_written() {
             return None;
         }
-        let age = now.saturating_sub(self.since);
+        let age = now.saturating_sub(self.state_since);
         let rank = match self.state {
             ConnectionState::Open if self.is_idle() => match self.input.message_count() {
                 1 if age > FIRST_MESSAGE_GRACE => EvictionRank::SentOnce,
@@ -177,7 +177,7 @@
         };
         Some(EvictionCandidate {
             rank,
-            since: self.since,
+            state_since: self.state_since,
             number,
         })
     }
@@ -198,8 +198,8 @@
     }
 
     /// Whether its last message is answered, and the next has come behind it.
-    fn has_next(&self) -> bool {
-        self.accepts_message() && self.input.has_next()
+    fn has_next_message(&self) -> bool {
+        self.accepts_message() && self.input.has_next_message()
     }
 
     fn accepts_message(&self) -> bool {
@@ -213,16 +213,16 @@
 
     /// Writes what it can; a closing connection whose last byte is written shows its end.
     pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
-        let written = self.outbox.write_to(&self.socket);
+        let outcome = self.outbox.write_to(&self.socket);
         if self.state == ConnectionState::Closing && self.is_written() {
-            self.shut_down();
+            self.shut_down_write();
             self.state = ConnectionState::Lingering;
-            self.since = now;
+            self.state_since = now;
         }
-        written
+        outcome
     }
 
-    fn shut_down(&self) {
+    fn shut_down_write(&self) {
         // One that is broken already shows so when it is read.
         let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
     }
@@ -239,11 +239,11 @@
             {
                 if matches!(event, ReadEvent::Message(_)) {
                     if has_read {
-                        self.input.note_arrival_behind_message(arrived_at);
+                        self.input.set_first_byte_at(arrived_at);
                     }
                     self.peer_closed |=
                         self.input
-                            .has_end_behind_message(&self.socket, now, arrived_at);
+                            .has_peer_closed_after_message(&self.socket, now, arrived_at);
                 }
                 return event;
             }
@@ -267,14 +267,14 @@
             return None;
         }
         if self.input.begin_message() {
-            self.since = now;
+            self.state_since = now;
         }
         if let Err(error) = self.input.parse() {
             return Some(ReadEvent::Invalid(error));
         }
         if self.input.awaits_continue() {
             // Small, and before any answer: it always fits.
-            let is_sent = self.outbox.push(CONTINUE);
+            let is_sent = self.outbox.push(CONTINUE_RESPONSE);
             self.input.set_continue_sent(is_sent);
         }
         self.input.take_message(now).map(ReadEvent::Message)
@@ -284,7 +284,7 @@
     pub fn close_facts(&self) -> CloseFacts {
         CloseFacts {
             answer_pending: self.request.is_some() || !self.is_written(),
-            has_unread_input: self.may_have_unread() || self.has_next(),
+            has_unread_input: self.may_have_unread() || self.has_next_message(),
         }
     }
 
@@ -302,7 +302,7 @@
         if !self.has_sent_message() && self.state == ConnectionState::Open {
             return;
         }
-        self.shut_down();
+        self.shut_down_write();
         for _ in 0..MAX_DISCARDED_READS {
             if !self.input.discard_from(&self.socket) {
                 return;
@@ -313,7 +313,7 @@
     /// Puts an answer in the outbox.
     pub fn reply(&mut self, now: Nanos, reply: Reply) {
         self.request = None;
-        self.since = now;
+        self.state_since = now;
         let reply = Reply {
             close: reply.close || !self.input.is_kept_alive(),
             ..reply
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -39,7 +39,7 @@
     /// How readily it is closed.
     pub rank: EvictionRank,
     /// Since when it is in its state, in nanoseconds on the node's clock.
-    pub since: Nanos,
+    pub state_since: Nanos,
     /// Its number in the table of client connections.
     pub number: u32,
 }
--- a/crates/node/src/downstream/eviction_tests.rs
+++ b/crates/node/src/downstream/eviction_tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-fn candidate(rank: EvictionRank, since: Nanos, number: u32) -> EvictionCandidate {
+fn candidate(rank: EvictionRank, state_since: Nanos, number: u32) -> EvictionCandidate {
     EvictionCandidate {
         rank,
-        since,
+        state_since,
         number,
     }
 }
 
 #[test]
-fn the_rank_decides_first_then_the_time_then_the_number() {
+fn candidates_are_ordered_by_rank_then_time_then_number() {
     let in_order = [
         candidate(EvictionRank::SentOnce, 9, 9),
         candidate(EvictionRank::NeverSent, 9, 9),
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -4,7 +4,7 @@
 
 use kitefork_balancer::Nanos;
 
-use super::arrival::Arrival;
+use super::arrival::ArrivalTracker;
 use crate::http1::{Head, MAX_HEAD, ParseError, Parser};
 use crate::net;
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer};
@@ -26,7 +26,7 @@
 pub struct ClientInput {
     inbox: RingBuffer,
     parser: Parser,
-    arrival: Arrival,
+    arrival: ArrivalTracker,
     /// When the first byte of the current message can have arrived; `None` between two messages.
     message_started_at: Option<Nanos>,
     last_byte_at: Nanos,
@@ -45,7 +45,7 @@
         ClientInput {
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
             parser: Parser::requests().with_budget(budget),
-            arrival: Arrival::new(now, queued_at),
+            arrival: ArrivalTracker::new(now, queued_at),
             message_started_at: None,
             last_byte_at: now,
             message_count: 0,
@@ -75,7 +75,7 @@
     }
 
     /// Whether the next message has arrived, at least in part, and is not begun.
-    pub fn has_next(&self) -> bool {
+    pub fn has_next_message(&self) -> bool {
         self.parser.is_at_start() && !self.inbox.is_empty()
     }
 
@@ -118,8 +118,8 @@
     }
 
     /// What lies behind a message that has only now become complete arrived with its end.
-    pub fn note_arrival_behind_message(&mut self, arrived_at: Nanos) {
-        self.arrival.set_oldest(arrived_at);
+    pub fn set_first_byte_at(&mut self, arrived_at: Nanos) {
+        self.arrival.set_first_byte_at(arrived_at);
     }
 
     /// Reads one piece of what has arrived.
@@ -130,7 +130,7 @@
             ReadOutcome::Data => {
                 self.last_byte_at = now;
                 if was_empty {
-                    self.arrival.set_oldest(arrived_at);
+                    self.arrival.set_first_byte_at(arrived_at);
                 }
             }
             ReadOutcome::WouldBlock => self.arrival.note_empty(now),
@@ -142,7 +142,7 @@
 
     /// Whether the client has closed its side behind its message, as it may have while that waited
     /// in the accept queue, in a buffer or through a stall.
-    pub fn has_end_behind_message(
+    pub fn has_peer_closed_after_message(
         &mut self,
         socket: &OwnedFd,
         now: Nanos,
@@ -150,7 +150,7 @@
     ) -> bool {
         loop {
             if self.inbox.is_empty() {
-                self.arrival.set_oldest(arrived_at);
+                self.arrival.set_first_byte_at(arrived_at);
             }
             match self.inbox.read_from(socket) {
                 ReadOutcome::Data => {}
@@ -173,7 +173,7 @@
         if self.message_started_at.is_some() {
             return false;
         }
-        self.message_started_at = Some(self.arrival.oldest());
+        self.message_started_at = Some(self.arrival.first_byte_at());
         self.message_count > 0
     }
 
@@ -183,8 +183,8 @@
     ///
     /// What is wrong with the message.
     pub fn parse(&mut self) -> Result<(), ParseError> {
-        let used = self.parser.feed(self.inbox.bytes())?;
-        self.inbox.consume(used);
+        let consumed = self.parser.feed(self.inbox.bytes())?;
+        self.inbox.consume(consumed);
         Ok(())
     }
 
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -115,16 +115,16 @@
     /// Pauses accepting where clients can't be accepted.
     pub fn pause(&mut self, event_loop: &mut EventLoop) {
         self.set_paused(event_loop);
-        let at = event_loop.now() + ACCEPT_PAUSE;
-        event_loop.schedule(at, TimerEvent::ResumeAccepting);
+        let resume_at = event_loop.now() + ACCEPT_PAUSE;
+        event_loop.schedule(resume_at, TimerEvent::ResumeAccepting);
     }
 
     /// Pauses accepting where the machine lacks resources, and clients wait: shortly at first, then
     /// for ever longer.
     pub fn retry_later(&mut self, event_loop: &mut EventLoop) {
         self.set_paused(event_loop);
-        let at = event_loop.now() + self.retry_delay;
-        event_loop.schedule(at, TimerEvent::ResumeAccepting);
+        let resume_at = event_loop.now() + self.retry_delay;
+        event_loop.schedule(resume_at, TimerEvent::ResumeAccepting);
         self.retry_delay = (self.retry_delay * 2).min(ACCEPT_PAUSE);
     }
 
@@ -149,8 +149,8 @@
                 let registered = event_loop.modify(&socket, Token::Listener, EventFlags::IN);
                 // Without its events no client would ever be accepted again.
                 if registered.is_err() {
-                    let at = event_loop.now() + MIN_RETRY;
-                    event_loop.schedule(at, TimerEvent::ResumeAccepting);
+                    let resume_at = event_loop.now() + MIN_RETRY;
+                    event_loop.schedule(resume_at, TimerEvent::ResumeAccepting);
                 }
                 ListenerState::Accepting(socket)
             }
--- a/crates/node/src/downstream/reply.rs
+++ b/crates/node/src/downstream/reply.rs
@@ -38,17 +38,17 @@
 
     /// The bytes of the answer.
     pub fn encode(&self) -> Vec<u8> {
-        let last = self.close.then_some(("connection", "close"));
-        let first = format!("HTTP/1.1 {} {}", self.status, phrase(self.status));
+        let connection_header = self.close.then_some(("connection", "close"));
+        let status_line = format!("HTTP/1.1 {} {}", self.status, reason_phrase(self.status));
         http1::write(
-            &first,
-            self.headers.iter().copied().chain(last),
+            &status_line,
+            self.headers.iter().copied().chain(connection_header),
             Some(self.body),
         )
     }
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/node/src/downstream/reply_tests.rs
+++ b/crates/node/src/downstream/reply_tests.rs
@@ -4,7 +4,7 @@
 use crate::clock::MS;
 
 #[test]
-fn retry_after_is_whole_seconds_and_only_rejections_carry_it() {
+fn only_rejections_have_retry_after_and_it_is_in_whole_seconds() {
     let head = |status, retry_after: Option<&str>| LocalReplyHead {
         status,
         retry_after: retry_after.map(str::to_string),
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    const fn not_allowed(allowed_methods: &'static str) -> InvalidRequest {
+    const fn method_not_allowed(allowed_methods: &'static str) -> InvalidRequest {
         InvalidRequest {
             status: 405,
             reason: allowed_methods,
@@ -63,12 +63,12 @@
 }
 
 /// Reads what a message requests. `waited` nanoseconds have passed since its first byte arrived.
-pub fn route(head: Head, body: Body, deployment: &Deployment, waited: Nanos) -> Route {
-    let fields = Fields {
+pub fn route(head: Head, body: Body, deployment: &Deployment, elapsed: Nanos) -> Route {
+    let fields = RequestFields {
         head: &head,
         deployment,
     };
-    match fields.read(waited) {
+    match fields.parse(elapsed) {
         Ok(Some(spec)) => Route::Request {
             spec,
             payload: ForwardedRequest::new(head, body),
@@ -79,24 +79,24 @@
 }
 
 /// The fields of a message's head, as the deployment defines them.
-struct Fields<'a> {
+struct RequestFields<'a> {
     head: &'a Head,
     deployment: &'a Deployment,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> RequestFields<'a> {
     /// The request; `None` for one of the node's own health.
-    fn read(&self, waited: Nanos) -> Result<Option<RequestSpec>, InvalidRequest> {
+    fn parse(&self, elapsed: Nanos) -> Result<Option<RequestSpec>, InvalidRequest> {
         let Start::Request { method, target } = &self.head.start else {
             return Err(InvalidRequest::bad_request("not a request"));
         };
         match target.split('?').next().unwrap_or_default() {
             HEALTH_PATH if method == "GET" => Ok(None),
-            HEALTH_PATH => Err(InvalidRequest::not_allowed("GET")),
+            HEALTH_PATH => Err(InvalidRequest::method_not_allowed("GET")),
             API_PATH if matches!(method.as_str(), "GET" | "POST") => {
-                self.read_request(method, waited).map(Some)
+                self.parse_request(method, elapsed).map(Some)
             }
-            API_PATH => Err(InvalidRequest::not_allowed("GET, POST")),
+            API_PATH => Err(InvalidRequest::method_not_allowed("GET, POST")),
             _ => Err(InvalidRequest {
                 status: 404,
                 reason: "no such path",
@@ -105,21 +105,21 @@
     }
 
     /// The fields in the order in which their faults are reported.
-    fn read_request(&self, method: &str, waited: Nanos) -> Result<RequestSpec, InvalidRequest> {
+    fn parse_request(&self, method: &str, elapsed: Nanos) -> Result<RequestSpec, InvalidRequest> {
         let txn = self.txn()?;
         let class = self.class()?;
         let tenant = self.tenant()?;
         let remaining_ms = self
-            .figure("x-remaining-ms", "X-Remaining-Ms is bad")?
+            .integer_header("x-remaining-ms", "X-Remaining-Ms is bad")?
             .ok_or(InvalidRequest::bad_request("X-Remaining-Ms is missing"))?;
-        let estimate_us = self.figure("x-estimate", "X-Estimate is bad")?;
+        let estimate_us = self.integer_header("x-estimate", "X-Estimate is bad")?;
         self.check_idempotency(method, class)?;
         Ok(RequestSpec {
             txn: txn.into(),
             class,
             tenant,
             // Counted from when the client sent it: what its last bytes took to come has passed.
-            client_timeout: (remaining_ms * MS).saturating_sub(waited),
+            client_timeout: (remaining_ms * MS).saturating_sub(elapsed),
             work_hint: estimate_us.map(|us| us * 1_000),
             client_retry: self.header("x-resent")? == Some("1"),
         })
@@ -138,20 +138,24 @@
     }
 
     fn class(&self) -> Result<u16, InvalidRequest> {
-        position(&self.deployment.classes, self.header("x-lane")?)
+        index_of(&self.deployment.classes, self.header("x-lane")?)
             .ok_or(InvalidRequest::bad_request("X-Lane is missing or unknown"))
     }
 
     fn tenant(&self) -> Result<u16, InvalidRequest> {
         match self.header("x-org")? {
             None if self.deployment.tenants.is_empty() => Ok(0),
-            name => position(&self.deployment.tenants, name)
+            name => index_of(&self.deployment.tenants, name)
                 .ok_or(InvalidRequest::bad_request("X-Org is missing or unknown")),
         }
     }
 
     /// A header that holds a whole number of 32 bits.
-    fn figure(&self, name: &str, reason: &'static str) -> Result<Option<Nanos>, InvalidRequest> {
+    fn integer_header(
+        &self,
+        name: &str,
+        reason: &'static str,
+    ) -> Result<Option<Nanos>, InvalidRequest> {
         match self.header(name)? {
             None => Ok(None),
             Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => text
@@ -168,8 +172,10 @@
         let idempotency = self.deployment.settings.classes[usize::from(class)].idempotency;
         match (method, idempotency) {
             ("GET", Idempotency::Idempotent) => {}
-            ("GET", _) => return Err(InvalidRequest::not_allowed("POST")),
-            ("POST", Idempotency::Idempotent) => return Err(InvalidRequest::not_allowed("GET")),
+            ("GET", _) => return Err(InvalidRequest::method_not_allowed("POST")),
+            ("POST", Idempotency::Idempotent) => {
+                return Err(InvalidRequest::method_not_allowed("GET"));
+            }
             _ => {}
         }
         if matches!(idempotency, Idempotency::IdempotencyKey { .. })
@@ -181,11 +187,11 @@
     }
 }
 
-fn position(names: &[String], name: Option<&str>) -> Option<u16> {
+fn index_of(names: &[String], name: Option<&str>) -> Option<u16> {
     names
         .iter()
         .position(|known| name == Some(known))
-        .and_then(|position| u16::try_from(position).ok())
+        .and_then(|index| u16::try_from(index).ok())
 }
 
 #[cfg(test)]
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -6,21 +6,21 @@
 use crate::config::tests::CONFIG;
 use crate::http1::Parser;
 
-fn routed(text: &str) -> Route {
-    let tree = Document::parse(CONFIG.as_bytes()).unwrap();
-    let deployment = kitefork_settings::read(&tree.root().get("settings").unwrap()).unwrap();
+fn route_text(text: &str) -> Route {
+    let document = Document::parse(CONFIG.as_bytes()).unwrap();
+    let deployment = kitefork_settings::read(&document.root().get("settings").unwrap()).unwrap();
     let mut parser = Parser::requests();
     parser.feed(text.as_bytes()).unwrap();
     let (head, body) = parser.take_message().unwrap();
     route(head, body, &deployment, 30 * MS)
 }
 
-const GOOD: &str = "POST /api?a=b HTTP/1.1\r\nHost: h\r\nX-Txn: 1f\r\nX-Lane: report\r\nX-Org: acme\r\n\
+const REQUEST: &str = "POST /api?a=b HTTP/1.1\r\nHost: h\r\nX-Txn: 1f\r\nX-Lane: report\r\nX-Org: acme\r\n\
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn a_request_keeps_what_is_the_clients_and_counts_its_time_from_the_first_byte() {
-    let Route::Request { spec, payload } = routed(GOOD) else {
+fn forwards_client_headers_and_counts_time_from_the_first_byte() {
+    let Route::Request { spec, payload } = route_text(REQUEST) else {
         panic!("not a request")
     };
     assert_eq!(
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn an_invalid_request_is_answered_by_its_status() {
-    for (old, new, wanted) in [
+fn invalid_requests_get_the_status_of_their_fault() {
+    for (old, new, expected_status) in [
         ("/api", "/apis", 404),
         ("POST", "PUT", 405),
         ("POST", "GET", 405),
@@ -60,9 +60,9 @@
         ("Idempotency-Key", "Key", 400),
         ("POST /api", "POST /_health", 405),
     ] {
-        let Route::Invalid(invalid) = routed(&GOOD.replace(old, new)) else {
+        let Route::Invalid(invalid) = route_text(&REQUEST.replace(old, new)) else {
             panic!("{new} passes")
         };
-        assert_eq!(invalid.status, wanted, "{new}");
+        assert_eq!(invalid.status, expected_status, "{new}");
     }
 }
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -23,9 +23,9 @@
 
 impl ClientConnections {
     /// A table for `max` connections at a time.
-    pub fn new(max: usize) -> ClientConnections {
+    pub fn new(capacity: usize) -> ClientConnections {
         ClientConnections {
-            table: Slab::new(max),
+            table: Slab::new(capacity),
             answered: VecDeque::new(),
             is_trim_scheduled: false,
         }
@@ -79,7 +79,7 @@
         self.answered.pop_front()
     }
 
-    fn candidates(&self, now: Nanos) -> impl Iterator<Item = EvictionCandidate> {
+    fn eviction_candidates(&self, now: Nanos) -> impl Iterator<Item = EvictionCandidate> {
         self.table
             .iter()
             .filter_map(move |(number, connection)| connection.eviction_candidate(number, now))
@@ -87,7 +87,7 @@
 
     /// The connection that can be closed with least harm.
     pub fn eviction_candidate(&self, now: Nanos) -> Option<EvictionCandidate> {
-        self.candidates(now).min()
+        self.eviction_candidates(now).min()
     }
 
     /// The timer for a trim has fired: the connections to close, where more than `max_active` have
@@ -99,17 +99,17 @@
             self.get(number)
                 .is_some_and(ClientConnection::has_sent_message)
         };
-        let active = self
+        let active_count = self
             .table
             .iter()
             .filter(|(_, connection)| connection.has_sent_message())
             .count();
         let mut expendable: Vec<EvictionCandidate> = self
-            .candidates(now)
+            .eviction_candidates(now)
             .filter(|candidate| candidate.rank.is_expendable() && has_sent(candidate.number))
             .collect();
         expendable.sort_unstable();
-        expendable.truncate(active.saturating_sub(max_active));
+        expendable.truncate(active_count.saturating_sub(max_active));
         expendable
     }
 
