--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -1,34 +1,36 @@
-//! The descriptor budget: how many connections clients and backends may hold.
+//! The descriptor budget: how many client and upstream connections may be open.
 //!
-//! Both draw on one stock; each has a reserve that the other can't use up, and what neither needs
-//! is free for both. A fixed split would reject clients while the other side's part lies idle, and
-//! the other way round. Pure figures, no I/O.
+//! Both kinds share one limit. Each has a reserve that the other can't use, and the rest is
+//! available to both. A fixed split would reject one kind while the descriptors of the other are
+//! idle. Arithmetic only, no I/O.
 
-/// What a connection is for.
+/// The kind of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A client's connection.
+    /// A connection from a client.
     Client,
     /// A connection to a backend.
     Upstream,
 }
 
-/// Descriptors that are neither: the standard three, epoll, the listener, the signals' pairs and
-/// their copies (6), calls to discovery (4), one for a file that is read, and some to spare.
+/// Descriptors that are not connections of either kind: the standard streams (3), epoll, the
+/// listener, the signals' socket pairs and their copies (6), discovery calls (4), one for a file
+/// that is being read, and a margin.
 pub const OTHER_DESCRIPTORS: usize = 20;
-/// Connections that a process has at least, however few descriptors it may hold.
+/// Minimum number of connections, even if the process may hold fewer descriptors.
 const MIN_CONNECTIONS: usize = 4;
-/// The reserve of the clients is this part of all connections: a client waits for each upstream
-/// connection, but most clients wait for none.
+/// Divisor of all connections that gives the reserve of the clients. It is the larger reserve:
+/// every upstream connection in use has a client that waits for it, but most clients wait for none.
 const CLIENT_RESERVE_DIVISOR: usize = 2;
-/// The reserve of the upstream connections is this part of all connections.
+/// Divisor of all connections that gives the reserve of the upstream connections.
 const UPSTREAM_RESERVE_DIVISOR: usize = 4;
-/// Clients of a node hold at most a third of its descriptors for requests (the platform's limit; a
-/// front's pool has such a bound elsewhere). Once they do, the next request finds no connection and
-/// none of them is missed here, so idle ones go before that: they hold this part at most.
+/// Divisor of the descriptor limit that gives the maximum number of clients that have sent a
+/// request. The platform allows them a third of a node's descriptors (the connection pool of a
+/// front has such a bound elsewhere). At that bound the next request gets no connection, which the
+/// node can't observe, so idle connections are closed before it is reached.
 const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
-/// How many connections each side may hold.
+/// How many connections of each kind may be open.
 #[derive(Debug, Clone, Copy)]
 pub struct DescriptorBudget {
     descriptor_limit: usize,
@@ -36,7 +38,7 @@
 }
 
 impl DescriptorBudget {
-    /// For a process that may hold `limit` descriptors in all.
+    /// The budget of a process that may hold `descriptor_limit` descriptors in total.
     pub fn new(descriptor_limit: usize) -> DescriptorBudget {
         DescriptorBudget {
             descriptor_limit,
@@ -53,23 +55,25 @@
         }
     }
 
-    /// Most that `purpose` can ever hold.
+    /// Maximum number of open connections for `purpose`.
     pub fn max(&self, purpose: Purpose) -> usize {
         self.max_connections - self.reserve(purpose.other())
     }
 
-    /// Whether one more fits for `purpose`, of which there are `own`, beside `others` of the other.
+    /// Whether one more connection fits for `purpose`, of which `open` are open beside `other_open`
+    /// of the other kind.
     pub fn fits(&self, purpose: Purpose, open: usize, other_open: usize) -> bool {
         open < self.max_connections - other_open.max(self.reserve(purpose.other()))
     }
 
-    /// Whether closing one of `open` of `purpose` lets the other have one more: it has more than
-    /// its reserve.
+    /// Whether the `open` connections for `purpose` are more than its reserve, so that closing one
+    /// of them lets the other kind open one.
     pub fn exceeds_reserve(&self, purpose: Purpose, open: usize) -> bool {
         open > self.reserve(purpose)
     }
 
-    /// How many clients that have sent a request may be connected before idle ones are closed.
+    /// Maximum number of connected clients that have sent a request, above which idle ones are
+    /// closed.
     pub fn max_active_clients(&self) -> usize {
         self.descriptor_limit / ACTIVE_CLIENTS_DIVISOR
     }
--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever comes and goes: the limit holds, each side reaches its reserve whatever the other
-    /// does, and one side alone reaches all but the other's reserve.
+    /// For any sequence of opened and closed connections: the limit is kept, each kind can fill its
+    /// reserve, and one kind alone can use everything except the reserve of the other.
     #[test]
     fn connections_respect_the_descriptor_limit_and_both_reserves(
         descriptor_limit in 64usize..=4096,
@@ -22,7 +22,7 @@
                 open[side] += 1;
             } else {
                 prop_assert!(open[side] >= budget.reserve(purpose), "{open:?}");
-                // What stands in the way is this side's own or can be lent by the other.
+                // Either this kind is at its maximum, or the other one uses more than its reserve.
                 prop_assert!(
                     open[side] == budget.max(purpose)
                         || budget.exceeds_reserve(purpose.other(), open[1 - side])
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -1,5 +1,5 @@
 //! Buffers between sockets and codecs: a ring buffer for each direction of a connection, bodies of
-//! messages, and the budget on which both are counted.
+//! messages, and the memory budget that both share.
 
 mod body;
 mod budget;
@@ -14,11 +14,11 @@
 use crate::errno::{self, ErrorClass};
 
 /// Size of a ring buffer when it is first used, in bytes. Up to this size it keeps its memory when
-/// it has run empty, so that small messages on a kept connection allocate nothing.
+/// it becomes empty, so that small messages on a persistent connection allocate nothing.
 const INITIAL_SIZE: usize = 2 * 1024;
 
-/// A first-in, first-out buffer of bytes: it starts small, grows to its maximum, and gives memory
-/// that it has grown by back when it has run empty.
+/// A first-in, first-out buffer of bytes. It starts small, grows up to its maximum size, and frees
+/// its memory when it becomes empty after it has grown.
 pub struct RingBuffer {
     budget: BufferBudget,
     storage: Vec<u8>,
@@ -28,31 +28,31 @@
     max_size: usize,
 }
 
-/// How reading from a socket went.
+/// The result of a read from a socket.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// Bytes were read.
     Data,
-    /// There is nothing to read now.
+    /// No bytes are available now.
     WouldBlock,
-    /// The buffer is full and at its maximum.
+    /// The buffer is full and at its maximum size.
     BufferFull,
-    /// The machine lacks a resource for a moment.
+    /// This machine has a temporary shortage of a resource; retry a little later.
     RetryLater,
-    /// The peer has ended its sending.
+    /// The peer has closed its sending side.
     EndOfStream,
     /// The connection is broken.
     Broken,
 }
 
-/// How writing to a socket went.
+/// The result of writing a buffer to a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// Everything is written.
     Done,
-    /// The socket takes no more now.
+    /// The socket accepts no more bytes now.
     Blocked,
-    /// The machine lacks a resource for a moment.
+    /// This machine has a temporary shortage of a resource; retry a little later.
     RetryLater,
     /// The connection is broken.
     Broken,
@@ -70,24 +70,24 @@
         }
     }
 
-    /// Counts the buffer on `budget`. The buffer grows even when the budget is spent: what it holds
-    /// is at most what was received, or is made of it.
+    /// Counts the buffer against `budget`. The buffer grows even when the budget is exhausted,
+    /// because its content is bounded by received data or derived from it.
     pub fn with_budget(mut self, budget: &BufferBudget) -> RingBuffer {
         self.budget = budget.clone();
         self
     }
 
-    /// Number of bytes that it holds.
+    /// Number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds nothing.
+    /// Whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All that it holds, as one slice.
+    /// The whole content as one slice; moves it within the storage if it wraps around.
     pub fn bytes(&mut self) -> &[u8] {
         if self.start + self.len > self.storage.len() {
             self.make_contiguous();
@@ -95,7 +95,7 @@
         &self.storage[self.start..self.start + self.len]
     }
 
-    /// Removes the first `count` bytes; it must hold as many.
+    /// Removes the first `count` bytes; the buffer must hold at least that many.
     pub fn consume(&mut self, count: usize) {
         self.len -= count;
         if self.len > 0 {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Appends `bytes` if all of them fit below the maximum, else nothing; returns whether they
-    /// did.
+    /// Appends `bytes` if all of them fit into the maximum size, otherwise none; returns whether
+    /// they fit.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if !self.reserve(bytes.len()) {
@@ -125,7 +125,7 @@
         true
     }
 
-    /// Reads from a socket once.
+    /// Reads from a socket once, into the contiguous free space. An interrupted call is repeated.
     pub fn read_from(&mut self, socket: impl AsFd) -> ReadOutcome {
         if self.len == self.storage.len() && !self.reserve(self.growth_bytes()) {
             return ReadOutcome::BufferFull;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Writes to a socket until all is written or the socket takes no more.
+    /// Writes to a socket until the buffer is empty or the socket accepts no more bytes.
     pub fn write_to(&mut self, socket: impl AsFd) -> WriteOutcome {
         while self.len > 0 {
             let end = (self.start + self.len).min(self.storage.len());
@@ -172,7 +172,7 @@
         WriteOutcome::Done
     }
 
-    /// Index in the storage behind the last byte, where the next one goes.
+    /// Index in the storage after the last byte, where the next one is written.
     fn end(&self) -> usize {
         match self.storage.len() {
             0 => 0,
@@ -180,14 +180,14 @@
         }
     }
 
-    /// By how many bytes a full buffer grows: it doubles, up to its maximum. At least one, which
-    /// does not fit at the maximum.
+    /// Number of bytes by which a full buffer grows: it doubles, up to its maximum size. At the
+    /// maximum size it is 1, which [`RingBuffer::reserve`] rejects.
     fn growth_bytes(&self) -> usize {
         let doubled = self.len.max(INITIAL_SIZE);
         doubled.min(self.max_size - self.len).max(1)
     }
 
-    /// Makes space for `more` bytes; returns whether they fit below the maximum.
+    /// Makes space for `additional` bytes; returns whether they fit into the maximum size.
     fn reserve(&mut self, additional: usize) -> bool {
         let needed = self.len + additional;
         if needed > self.max_size {
@@ -205,7 +205,7 @@
         true
     }
 
-    /// Moves the content to the beginning of the storage.
+    /// Rotates the storage so that the content begins at index 0.
     fn make_contiguous(&mut self) {
         self.storage.rotate_left(self.start);
         self.start = 0;
--- a/crates/node/src/ring_buffer/body.rs
+++ b/crates/node/src/ring_buffer/body.rs
@@ -1,10 +1,10 @@
-//! Bodies of messages, counted on the budget.
+//! Bodies of messages, counted against the memory budget.
 
 use std::ops::Deref;
 
 use super::BufferBudget;
 
-/// The body of a message, counted on a budget.
+/// The body of a message, whose bytes are counted against a budget.
 #[derive(Default)]
 pub struct Body {
     bytes: Vec<u8>,
@@ -12,7 +12,7 @@
 }
 
 impl Body {
-    /// An empty body that is counted on `budget`.
+    /// An empty body that is counted against `budget`.
     pub fn with_budget(budget: &BufferBudget) -> Body {
         Body {
             bytes: Vec::new(),
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Appends `more`, unless the budget is spent; returns whether it was appended.
+    /// Appends `additional`, unless the budget is exhausted; returns whether the bytes were
+    /// appended.
     #[must_use]
     pub fn extend(&mut self, additional: &[u8]) -> bool {
         if self.budget.is_exhausted() && !additional.is_empty() {
@@ -35,7 +36,7 @@
     ///
     /// # Panics
     ///
-    /// If the body is shorter.
+    /// If the body is shorter than `count` bytes.
     pub fn split_front(&mut self, count: usize) -> Vec<u8> {
         self.budget.resize(count, 0);
         self.bytes.drain(..count).collect()
--- a/crates/node/src/ring_buffer/budget.rs
+++ b/crates/node/src/ring_buffer/budget.rs
@@ -1,40 +1,41 @@
-//! The limit on memory that all buffers share.
+//! The memory limit that all buffers share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that all buffers together may hold; clones share one budget. Ring buffers and bodies count
-/// themselves; while the budget is spent, bodies take nothing more. Guards against memory that
-/// grows with the number of connections times the most that each can hold.
+/// The number of bytes that all buffers together may hold; clones share one budget. Ring buffers
+/// and bodies count themselves. While the budget is exhausted, bodies take no more bytes. Without
+/// it, memory could grow to the number of connections times the maximum that each can hold.
 #[derive(Clone)]
 pub struct BufferBudget {
-    /// May fall below 0: ring buffers are counted but never rejected.
+    /// Remaining bytes. May be negative: ring buffers are counted but may grow even when none
+    /// remain.
     pub(super) remaining: Rc<Cell<isize>>,
 }
 
 impl Default for BufferBudget {
-    /// A budget that is never spent.
+    /// A budget that is never exhausted in practice.
     fn default() -> BufferBudget {
         BufferBudget::new(usize::MAX)
     }
 }
 
 impl BufferBudget {
-    /// A budget of so many bytes.
+    /// A budget of `bytes` bytes.
     pub fn new(bytes: usize) -> BufferBudget {
-        // Half of the range: no count can overflow it.
+        // Half of the range of `isize`, so that no change of the count overflows it.
         let bytes = bytes.min(isize::MAX as usize / 2);
         BufferBudget {
             remaining: Rc::new(Cell::new(bytes as isize)),
         }
     }
 
-    /// Whether nothing of the budget remains.
+    /// Whether no bytes of the budget remain.
     pub fn is_exhausted(&self) -> bool {
         self.remaining.get() <= 0
     }
 
-    /// Counts a buffer that has grown or shrunk, in bytes.
+    /// Accounts for a buffer that grows or shrinks from `old_size` to `new_size` bytes.
     pub(super) fn resize(&self, old_size: usize, new_size: usize) {
         let remaining = self.remaining.get() + old_size as isize - new_size as isize;
         self.remaining.set(remaining);
--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -1,12 +1,13 @@
-//! A table of numbered entries. A number is used once: its low bits name the slot, the rest its
-//! generation, so that an event for an entry that has been removed finds nothing. Numbers rise,
-//! which keeps first in, first out among requests that the decisions order by number.
+//! A table of numbered entries. A number is not reused (before the counter wraps): its low bits
+//! select the slot, the others are the generation, so that an event for a removed entry finds
+//! nothing. Numbers increase, so requests that the decision module orders by number stay first in,
+//! first out.
 
-/// A table of entries under numbers of its own choice.
+/// A table of entries that assigns a number to each of them.
 pub struct Slab<T> {
-    /// Their count is a power of two.
+    /// The number of slots is a power of two.
     slots: Vec<Option<Entry<T>>>,
-    /// The first number that may be the next entry's.
+    /// The first candidate for the number of the next entry.
     next_number: u32,
     len: usize,
     capacity: usize,
@@ -20,8 +21,8 @@
 impl<T> Slab<T> {
     /// An empty table for at most `capacity` entries.
     pub fn new(capacity: usize) -> Slab<T> {
-        // Twice as many slots as entries: a number whose slot is occupied is skipped, which should
-        // be rare.
+        // At least two slots for each entry: a number whose slot is occupied is skipped, which
+        // should be rare.
         let slot_count = (2 * capacity).next_power_of_two();
         Slab {
             slots: (0..slot_count).map(|_| None).collect(),
@@ -41,7 +42,7 @@
         self.len >= self.capacity
     }
 
-    /// The number that the next entry gets; `None` when the table is full.
+    /// The number that the next entry will get; `None` when the table is full.
     pub fn vacant(&mut self) -> Option<u32> {
         if self.is_full() {
             return None;
@@ -52,7 +53,8 @@
         Some(self.next_number)
     }
 
-    /// Adds an entry and returns its number; drops it and returns `None` when the table is full.
+    /// Adds an entry and returns its number; when the table is full, drops `value` and returns
+    /// `None`.
     pub fn insert(&mut self, value: T) -> Option<u32> {
         let number = self.vacant()?;
         let slot = self.slot_index(number);
@@ -62,7 +64,7 @@
         Some(number)
     }
 
-    /// The entry under a number, if it has not been removed.
+    /// The entry with this number; `None` if it has been removed.
     pub fn get(&self, number: u32) -> Option<&T> {
         self.slots[self.slot_index(number)]
             .as_ref()
@@ -70,7 +72,7 @@
             .map(|entry| &entry.value)
     }
 
-    /// The entry under a number, to be changed.
+    /// Mutable access to the entry with this number; `None` if it has been removed.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut T> {
         let slot = self.slot_index(number);
         self.slots[slot]
@@ -79,7 +81,7 @@
             .map(|entry| &mut entry.value)
     }
 
-    /// Removes the entry under a number and returns it; `None` if there is none any more.
+    /// Removes the entry with this number and returns it; `None` if it has been removed already.
     pub fn remove(&mut self, number: u32) -> Option<T> {
         let slot = self.slot_index(number);
         let entry = self.slots[slot].take_if(|entry| entry.number == number)?;
