--- a/crates/node/src/http1.rs
+++ b/crates/node/src/http1.rs
@@ -3,15 +3,15 @@
 //! The parser is strict where a lenient one would let two implementations see two different
 //! messages, which is how requests are smuggled past a proxy.
 //!
-//! | module | holds |
+//! | module | content |
 //! |---|---|
 //! | `parser` | the state machine over the bytes of a connection |
-//! | `head` | start line and headers |
-//! | `framing` | which body follows a head |
-//! | `chunked` | sizes of chunks in the chunked transfer coding |
-//! | `lines` | ends of lines in the input |
-//! | `writer` | serialises a message |
-//! | `error` | what can be wrong with a message |
+//! | `head` | the start line and the headers |
+//! | `framing` | how the end of a body is determined |
+//! | `chunked` | chunk sizes of the chunked transfer coding |
+//! | `lines` | search for the ends of lines |
+//! | `writer` | serialisation of messages |
+//! | `error` | errors of the parser |
 
 mod chunked;
 mod error;
@@ -28,10 +28,10 @@
 
 /// Longest head of a message, in bytes, the empty line included. Trailers have the same limit.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Longest body of a request, in bytes, as the protocol has it.
+/// Longest body of a request, in bytes, as the protocol defines it.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// Longest body of a response, in bytes. Responses have been seen that are several times as long as
-/// the 64 KiB of the protocol.
+/// Longest body of a response, in bytes. Some responses are several times as long as the 64 KiB
+/// that the protocol defines.
 pub const MAX_RESPONSE_BODY: usize = 2 * 1024 * 1024;
 
 #[cfg(test)]
--- a/crates/node/src/http1/chunked.rs
+++ b/crates/node/src/http1/chunked.rs
@@ -1,20 +1,21 @@
-//! Sizes of chunks in the chunked transfer coding (RFC 9112, section 7.1).
+//! Chunk sizes of the chunked transfer coding (RFC 9112, section 7.1).
 
 use super::ParseError;
 
-/// Longest line that gives the size of a chunk, in bytes. Extensions are ignored but count: without
-/// a limit a line that never ends would be buffered.
+/// Maximum length of the line with a chunk's size, in bytes. It includes chunk extensions, which
+/// are ignored: without a limit a line that never ends would be buffered.
 pub(super) const MAX_CHUNK_LINE: usize = 256;
 
-/// Most hexadecimal digits of a chunk's size: 4 GiB, far above any limit on bodies, and no
-/// overflow.
+/// Maximum number of hexadecimal digits in a chunk's size. Sizes of up to 4 GiB are far above any
+/// limit on bodies and can't overflow.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
-/// The size of a chunk in bytes, out of the line that announces it.
+/// Parses a chunk's size, in bytes, from the line that precedes the chunk.
 ///
 /// # Errors
 ///
-/// [`ParseError::Malformed`] if the line does not begin with a hexadecimal number.
+/// [`ParseError::Malformed`] if the line does not begin with a hexadecimal number, or if that has
+/// more than [`MAX_CHUNK_SIZE_DIGITS`] digits.
 pub(super) fn chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let digits = line
         .split(|byte| *byte == b';')
--- a/crates/node/src/http1/error.rs
+++ b/crates/node/src/http1/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a message.
+//! Errors of the parser.
 
 use thiserror::Error;
 
@@ -18,13 +18,13 @@
     /// The version is neither HTTP/1.0 nor HTTP/1.1.
     #[error("unsupported HTTP version")]
     UnsupportedVersion,
-    /// The memory that all buffers share is used up: nothing is wrong with the message itself.
+    /// The memory budget that all buffers share is exhausted; the message itself may be valid.
     #[error("buffer budget spent")]
     BufferBudgetSpent,
 }
 
 impl ParseError {
-    /// HTTP status that answers a request with this error.
+    /// The HTTP status with which a request with this error is answered.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => 400,
--- a/crates/node/src/http1/framing.rs
+++ b/crates/node/src/http1/framing.rs
@@ -1,17 +1,17 @@
-//! Which body follows a head (RFC 9112, section 6.3).
+//! How the end of a message's body is determined (RFC 9112, section 6.3).
 
 use super::{Head, ParseError, Start};
 
-/// How the end of a body is recognised.
+/// The framing of a message's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BodyFraming {
     /// There is no body.
     Empty,
-    /// `Content-Length` gives this many bytes, at least one.
+    /// `Content-Length` gives the length in bytes, at least one.
     Length(usize),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// Neither is given, in a response: the body ends with the connection.
+    /// A response without either header: the body ends when the connection closes.
     UntilClose,
 }
 
@@ -20,9 +20,10 @@
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] for both a length and a transfer coding, for either of them twice,
-    /// and for codings other than chunked: two implementations may read such a message in two ways.
-    /// [`ParseError::BodyTooLarge`] for a length above `max_body`.
+    /// [`ParseError::Malformed`] if the head has both a length and a transfer coding, has either of
+    /// them twice, has a coding other than chunked, or has a length that is not a decimal number:
+    /// implementations may disagree about such a message. [`ParseError::BodyTooLarge`] for a length
+    /// above `max_body` bytes.
     pub(super) fn from_head(head: &Head, max_body: usize) -> Result<BodyFraming, ParseError> {
         let length = head.unique("content-length")?;
         match (head.unique("transfer-encoding")?, length) {
@@ -44,7 +45,7 @@
         match length.parse::<usize>() {
             Ok(0) => Ok(BodyFraming::Empty),
             Ok(size) if size <= max_body => Ok(BodyFraming::Length(size)),
-            // A number that overflows is too large as well.
+            // A number that overflows `usize` is too large as well.
             _ => Err(ParseError::BodyTooLarge),
         }
     }
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -2,11 +2,12 @@
 
 use super::ParseError;
 
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 pub(super) const MAX_HEADERS: usize = 100;
 
-/// Headers that concern one connection only, whatever `Connection` lists (RFC 9110, section 7.6.1).
-/// The proxy writes its own `Content-Length`, and `Expect` is answered by the proxy.
+/// Headers that are never forwarded, whether or not `Connection` lists them: those that apply to
+/// one connection only (RFC 9110, section 7.6.1), `Content-Length`, which the proxy writes itself,
+/// and `Expect`, which the proxy answers.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -20,7 +21,7 @@
     "proxy-authenticate",
 ];
 
-/// Which messages a parser reads.
+/// The kind of message that a parser reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageKind {
     Request,
@@ -32,7 +33,7 @@
 pub enum Start {
     /// A request line.
     Request {
-        /// The method, as it came.
+        /// The method, as received.
         method: String,
         /// The request target in origin form: it begins with `/`.
         target: String,
@@ -64,13 +65,15 @@
 }
 
 impl Head {
-    /// Parses a head whose last line has its CRLF and which has no empty line after it.
+    /// Parses a head. `bytes` ends with the CRLF of the last line and lacks the empty line after
+    /// it.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if it breaks the grammar or a request of HTTP/1.1 has not exactly
-    /// one `Host`, [`ParseError::UnsupportedVersion`], and [`ParseError::HeadTooLarge`] for more
-    /// than [`MAX_HEADERS`] headers.
+    /// [`ParseError::Malformed`] if the head breaks the grammar or an HTTP/1.1 request does not
+    /// have exactly one `Host`, [`ParseError::UnsupportedVersion`] for a version other than
+    /// HTTP/1.0 and HTTP/1.1, and [`ParseError::HeadTooLarge`] for more than [`MAX_HEADERS`]
+    /// headers.
     pub(super) fn parse(bytes: &[u8], kind: MessageKind) -> Result<Head, ParseError> {
         let text = std::str::from_utf8(bytes).map_err(|_| ParseError::Malformed)?;
         let mut lines = text.split_terminator("\r\n");
@@ -91,7 +94,8 @@
         Ok(head)
     }
 
-    /// The value of a header that may occur once only; `None` if it does not occur.
+    /// The value of a header that may occur only once; `None` if it is absent. `name` is in lower
+    /// case.
     ///
     /// # Errors
     ///
@@ -110,7 +114,8 @@
         self.has_token("expect", "100-continue")
     }
 
-    /// Names and values of the headers that concern both ends, not one connection.
+    /// Names, in lower case, and values of the headers that a proxy forwards: those that don't
+    /// apply to one connection only.
     pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &str)> {
         self.headers
             .iter()
@@ -137,7 +142,7 @@
             .map(|header| header.value.as_str())
     }
 
-    /// Whether `token` is one of the comma-separated tokens of a header.
+    /// Whether the comma-separated list in the header `name` contains `token`, ignoring case.
     fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .flat_map(|value| value.split(','))
@@ -219,7 +224,7 @@
 }
 
 fn parse_header(line: &str) -> Result<Header, ParseError> {
-    // A name that is no token also covers folded lines and white space before the colon.
+    // Requiring a token also rejects folded lines and white space before the colon.
     let (name, value) = line
         .split_once(':')
         .filter(|(name, _)| is_token(name))
@@ -230,8 +235,8 @@
     })
 }
 
-/// A lone CR or LF, or another control character, must not pass: other implementations may take it
-/// for the end of a line.
+/// Whether the line contains a control character other than a tab. Such lines are rejected: other
+/// implementations may take a lone CR or LF, for example, for the end of a line.
 fn has_control_character(line: &str) -> bool {
     line.bytes()
         .any(|byte| byte.is_ascii_control() && byte != b'\t')
--- a/crates/node/src/http1/lines.rs
+++ b/crates/node/src/http1/lines.rs
@@ -1,18 +1,18 @@
-//! Searching the input for the ends of lines.
+//! Search for the ends of lines in the input.
 
 use super::ParseError;
 
-/// Ends a line.
+/// The line terminator.
 pub(super) const CRLF: &[u8] = b"\r\n";
 
-/// Where the first occurrence of `needle` begins.
+/// Index of the first occurrence of `needle`; `None` if there is none.
 pub(super) fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     haystack
         .windows(needle.len())
         .position(|window| window == needle)
 }
 
-/// The first line of `input` without its CRLF; `None` while its end has not come.
+/// The first line of `input` without its CRLF; `None` if the CRLF has not been received yet.
 ///
 /// # Errors
 ///
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -1,5 +1,5 @@
-//! The parser: a state machine that is fed the bytes of a connection and yields one message after
-//! the other.
+//! The parser: a state machine that is fed the bytes of a connection and yields consecutive
+//! messages.
 //!
 //! ```text
 //! Head -> Length -------------------------------------------> Done
@@ -18,17 +18,17 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Most interim responses (1xx) before a final one: without a limit a backend could send them
-/// forever.
+/// Maximum number of interim responses (1xx) before a final one: without a limit a backend could
+/// send them forever.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// What of a message comes next.
+/// The part of a message that the parser expects next.
 enum State {
-    /// The head. The first `scanned` bytes of the input have been searched for its end.
+    /// The head. The first `scanned` bytes of the input have already been searched for its end.
     Head { scanned: usize },
     /// The rest of a body of known length.
     Length { remaining: usize },
-    /// The line that gives the size of the next chunk.
+    /// The line with the size of the next chunk.
     ChunkSize,
     /// The rest of a chunk.
     ChunkData { remaining: usize },
@@ -36,31 +36,32 @@
     ChunkEnd,
     /// The trailers and the empty line after them; `length` bytes of them have been read.
     Trailers { length: usize },
-    /// A body that ends with the connection.
+    /// A body that ends when the connection closes.
     UntilClose,
     /// Nothing: the message is complete.
     Done,
 }
 
-/// How far one state got, with the bytes of the input that it has consumed.
+/// The result of one step of the state machine, with the number of input bytes that it consumed.
 enum Step {
-    /// The parser has gone on to another state, which may find more in the rest of the input.
+    /// The parser has entered another state, which can process the rest of the input.
     Advanced(usize),
-    /// The state needs input that has not come yet.
+    /// The parser needs more input than it has been fed, or the message is complete.
     NeedsInput(usize),
 }
 
-/// Parses one message after the other.
+/// An incremental parser of consecutive messages.
 pub struct Parser {
     kind: MessageKind,
-    /// Longest body in bytes. A body that is emptied while it comes may be longer in all.
+    /// Maximum length of the buffered body, in bytes. A body whose bytes are removed while it is
+    /// received may be longer in total.
     max_body: usize,
     allow_close_delimited: bool,
     interim_responses: u32,
     state: State,
     /// The head of the message that is being read, once it is complete.
     pub head: Option<Head>,
-    /// What of the body has come.
+    /// The part of the body that has been received and not been removed.
     pub body: Body,
 }
 
@@ -92,9 +93,9 @@
         Parser { max_body, ..self }
     }
 
-    /// Accepts responses that end with their connection. A broken connection can't be told from the
-    /// end of such a response, so this is only for content that shows by itself whether it is
-    /// complete.
+    /// Accepts responses whose body ends when the connection closes. The end of such a response
+    /// can't be distinguished from a broken connection, so this is only for content that shows by
+    /// itself whether it is complete.
     pub fn allow_close_delimited(self) -> Parser {
         Parser {
             allow_close_delimited: true,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Counts bodies on a budget.
+    /// Counts the bytes of bodies against `budget`.
     pub fn with_budget(self, budget: &BufferBudget) -> Parser {
         Parser {
             body: Body::with_budget(budget),
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Consumes what it can of `input` and returns how many bytes that were; it stops at the end of
-    /// a message. What is not consumed must be fed again, with more behind it.
+    /// Parses `input` up to the end of a message and returns the number of bytes consumed. The
+    /// caller must feed the remaining bytes again, followed by new ones.
     ///
     /// # Errors
     ///
-    /// If the message can't be parsed. The parser is of no use afterwards.
+    /// The reason why the message can't be parsed. The parser can't be used afterwards.
     pub fn feed(&mut self, input: &[u8]) -> Result<usize, ParseError> {
         let mut consumed = 0;
         loop {
@@ -131,17 +132,18 @@
         matches!(self.state, State::Done)
     }
 
-    /// Whether nothing of a message has come yet.
+    /// Whether no part of the next message has been parsed or scanned.
     pub fn is_at_start(&self) -> bool {
         matches!(self.state, State::Head { scanned: 0 })
     }
 
-    /// Whether the head has come and the body has not begun.
+    /// Whether the head is complete and no byte of the expected body has been received.
     pub fn awaits_body(&self) -> bool {
         self.body.is_empty() && matches!(self.state, State::Length { .. } | State::ChunkSize)
     }
 
-    /// The peer has ended its sending; returns whether the message is complete.
+    /// Handles the end of the peer's stream, which completes a close-delimited body. Returns
+    /// whether the message is complete.
     pub fn end_of_input(&mut self) -> bool {
         if matches!(self.state, State::UntilClose) {
             self.state = State::Done;
@@ -149,7 +151,7 @@
         self.is_done()
     }
 
-    /// Takes a complete message out and starts on the next one; `None` while it is not complete.
+    /// Takes the message out and prepares for the next one; `None` if it is not complete.
     pub fn take_message(&mut self) -> Option<(Head, Body)> {
         if !self.is_done() {
             return None;
@@ -268,7 +270,7 @@
         self.advance(State::ChunkSize, CRLF.len())
     }
 
-    /// Trailers are dropped, but limited in length as a head is.
+    /// Skips one line of the trailers, whose total length has the same limit as a head.
     fn read_trailer(&mut self, input: &[u8], length: usize) -> Result<Step, ParseError> {
         let Some(line) = first_line(input, MAX_HEAD)? else {
             return Ok(Step::NeedsInput(0));
@@ -292,7 +294,7 @@
         Ok(Step::NeedsInput(input.len()))
     }
 
-    /// Appends at most `limit` bytes of `input` to the body; returns how many.
+    /// Appends at most `limit` bytes of `input` to the body and returns their number.
     fn append_up_to(&mut self, limit: usize, input: &[u8]) -> Result<usize, ParseError> {
         let count = limit.min(input.len());
         self.append(&input[..count])?;
@@ -310,8 +312,8 @@
     }
 }
 
-/// Where the head ends, its empty line included. The first `scanned` bytes hold no end, but may
-/// hold the beginning of one.
+/// Length of the head including its empty line; `None` if the input has no end of a head. The first
+/// `scanned` bytes contain no complete end, but may contain the beginning of one.
 fn find_head_end(input: &[u8], scanned: usize) -> Option<usize> {
     let from = scanned.min(input.len()).saturating_sub(HEAD_END.len() - 1);
     let start = from + find(&input[from..], HEAD_END)?;
--- a/crates/node/src/http1/writer.rs
+++ b/crates/node/src/http1/writer.rs
@@ -1,10 +1,10 @@
-//! Serialises messages.
+//! Serialisation of messages.
 
-/// Bytes set aside for the start line and the headers: enough for the usual ones.
+/// Initial capacity for the start line and the headers, in bytes; enough for most messages.
 const HEAD_CAPACITY: usize = 512;
 
-/// Serialises a message: its start line, its headers, and its body with a `Content-Length`. Without
-/// a body no length is written.
+/// Serialises a message: its start line, its headers, and its body with a `Content-Length`. If
+/// `body` is `None`, no length is written.
 pub fn write<'a>(
     start_line: &str,
     headers: impl IntoIterator<Item = (&'a str, &'a str)>,
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -3,7 +3,7 @@
 use super::head::MAX_HEADERS;
 use super::*;
 
-/// Feeds byte by byte, as the worst of networks would, then in one piece: both must agree.
+/// Parses `input` byte by byte and as a whole, and checks that both give the same body or error.
 fn parse_both_ways(
     mut parser: impl FnMut() -> Parser,
     input: &str,
@@ -77,7 +77,7 @@
     );
 }
 
-/// Asserts the error of a request with these header lines after its `Host`.
+/// Asserts that a request with these header lines after its `Host` fails to parse with `error`.
 fn assert_header_error(headers: &str, error: ParseError) {
     let result = parse_request(&format!("POST /api HTTP/1.1\r\nHost: a\r\n{headers}\r\n"));
     assert_eq!(result.err(), Some(error), "{headers:.60}");
