--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -1,31 +1,34 @@
-//! When a client's bytes can have arrived: the time limit that a backend gets counts from there.
+//! The earliest arrival time of a client's bytes, from which the time limit that a backend gets is
+//! counted.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::MS;
 
-/// A gap between two polls up to this long, in nanoseconds, is the loop's own: it waits no longer,
-/// and what arrives wakes it. It is within the slack of the time limits that backends get.
+/// Longest normal interval between two polls, in nanoseconds: the loop doesn't wait longer, and
+/// arriving bytes wake it. Bytes that are read within this time after the socket was empty
+/// therefore count as arriving when they are read. The error is within the slack of the time limits
+/// that backends get.
 const MAX_POLL_GAP: Nanos = 80 * MS;
 
-/// When the bytes of a connection can have arrived at the earliest. The kernel does not say when
-/// they did, so that is the last time at which the socket was seen empty. What arrived while the
-/// process stood still counts from there. All times are in nanoseconds on the node's clock.
+/// Tracks the earliest time at which the bytes of a connection can have arrived. The kernel doesn't
+/// report arrival times, so this is the last time at which the socket was known to be empty. Bytes
+/// that arrive while the process is stopped count from there too. All times are in nanoseconds on
+/// the node's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalTracker {
-    /// When the socket was last read empty.
+    /// When a read last found the socket empty.
     empty_at: Nanos,
-    /// Since when an event is given for what arrives; before that a poll says nothing of this
-    /// socket.
+    /// Since when the socket is registered for readable events; earlier polls don't cover it.
     watched_since: Nanos,
-    /// More may lie in the socket than was read.
+    /// Whether the last read may have left bytes in the socket.
     has_unread: bool,
-    /// When the first byte of the inbox can have arrived at the earliest.
+    /// Earliest arrival time of the first byte in the inbox.
     first_byte_at: Nanos,
 }
 
 impl ArrivalTracker {
-    /// Of a connection that was accepted at `now`, and was established at `queued_at` at the
+    /// The tracker of a connection that was accepted at `now` and established at `queued_at` at the
     /// earliest.
     pub fn new(now: Nanos, queued_at: Nanos) -> ArrivalTracker {
         ArrivalTracker {
@@ -36,34 +39,34 @@
         }
     }
 
-    /// The socket was read empty.
+    /// Records that a read found the socket empty.
     pub fn note_empty(&mut self, now: Nanos) {
         self.empty_at = now;
         self.has_unread = false;
     }
 
-    /// More may lie in the socket than was read.
+    /// Records that the last read may have left bytes in the socket.
     pub fn note_unread(&mut self) {
         self.has_unread = true;
     }
 
-    /// From now on an event is given for what arrives.
+    /// Records that the socket is registered for readable events since `now`.
     pub fn note_watched(&mut self, now: Nanos) {
         self.watched_since = now;
     }
 
-    /// When the first byte of the inbox can have arrived at the earliest.
+    /// Earliest arrival time of the first byte in the inbox.
     pub fn first_byte_at(&self) -> Nanos {
         self.first_byte_at
     }
 
-    /// The first byte of the inbox can have arrived at `at` at the earliest.
+    /// Sets the earliest arrival time of the first byte in the inbox.
     pub fn set_first_byte_at(&mut self, at: Nanos) {
         self.first_byte_at = at;
     }
 
-    /// When bytes that are read at `now` can have arrived; `previous_poll_at` is when the loop last
-    /// saw all sockets without an event.
+    /// Earliest arrival time of bytes that are read at `now`. `previous_poll_at` is the time of the
+    /// previous poll, which reported no event for this socket.
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
         let poll_covers_socket = !self.has_unread && previous_poll_at >= self.watched_since;
         let last_empty_at = if poll_covers_socket {
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -1,10 +1,11 @@
-//! What the loop's polls say of one socket.
+//! Unit tests of the arrival times that are derived from reads and polls.
 
 use super::*;
 
 const READ_AT: Nanos = 10_000 * MS;
 
-/// A socket that was read empty at the first figure and is watched from the second on.
+/// The tracker of a socket that was read empty at `empty_at` and is registered for events since
+/// `watched_since`.
 fn tracker(empty_at: Nanos, watched_since: Nanos) -> ArrivalTracker {
     ArrivalTracker {
         empty_at,
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -1,4 +1,4 @@
-//! What a client connection wants of the event loop: events, and a timer for its time limit.
+//! The events and the timer that a client connection registers with the event loop.
 
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
@@ -11,10 +11,11 @@
 use crate::ring_buffer::WriteOutcome;
 
 impl ClientConnection {
-    /// The events that its state needs.
+    /// The events that the present state of the connection needs.
     fn wanted_events(&self) -> EventFlags {
         match (self.is_written(), self.is_input_full()) {
-            // Its end is known and would be reported again without a pause.
+            // The end of the client's stream is already known, and every poll would report it
+            // again.
             _ if self.peer_closed => EventFlags::OUT,
             (true, false) => READ,
             (true, true) => EventFlags::RDHUP,
@@ -43,26 +44,27 @@
         event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
     }
 
-    /// Whether its time limit is over, now that its timer has fired.
+    /// Whether the deadline whose timer has fired is due; one that has moved is scheduled again.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
     }
 
-    /// The machine lacks resources for a moment: the connection `number` is resumed a little later,
-    /// and has no event before that, which would come without a pause.
+    /// Suspends the events of the connection `number` and schedules its resumption after
+    /// [`MIN_RETRY`]. During a temporary shortage of resources every poll would otherwise report
+    /// them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // Where this fails too, events come early and find the same.
+        // If this fails too, events arrive before the resumption and meet the same shortage.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
         let resume_at = event_loop.now() + MIN_RETRY;
         event_loop.schedule(resume_at, TimerEvent::ResumeClient(number));
     }
 
-    /// Writes what there is to write, and has the right events and time limit set.
+    /// Writes the outbox, then sets the events and the deadline that the resulting state needs.
     ///
     /// # Errors
     ///
-    /// Why the connection is to be closed now.
+    /// The reason why the connection must be closed now.
     pub fn flush_and_register(
         &mut self,
         number: u32,
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its state, time limits and events.
+//! A client connection: its state, time limits and events.
 
 mod events;
 
@@ -16,62 +16,63 @@
 use crate::rules::CloseFacts;
 use crate::timer_wheel::Deadline;
 
-/// A connection on which no message was ever complete, or whose head is incomplete, ends after
-/// this, in nanoseconds: it may be one of hundreds that will never say more. For a first message it
-/// counts from the connection's start.
+/// Time limit for the first message to begin, and for the head of any message to be complete, in
+/// nanoseconds. It is short because hundreds of connections may never send more. For the first
+/// message it counts from when the connection was accepted.
 const HEAD_TIMEOUT: Nanos = 2_500 * MS;
-/// A connection whose message's body does not go on ends after this, in nanoseconds; a slow but
-/// honest one goes on.
+/// Longest pause between two reads of a body, in nanoseconds. A slow client that keeps sending is
+/// limited only by [`STALL_TIMEOUT`].
 const BODY_PAUSE_TIMEOUT: Nanos = 2 * SECOND;
-/// An answered connection without a new message ends after this, in nanoseconds.
+/// Time limit for the next message to begin after an answer, in nanoseconds.
 const IDLE_TIMEOUT: Nanos = 10 * SECOND;
-/// A connection that has not sent its whole body, or not read its answer, ends after this, in
-/// nanoseconds.
+/// Time limit for a client to send its whole body, or to read its answer, in nanoseconds.
 const STALL_TIMEOUT: Nanos = 10 * SECOND;
-/// A connection whose last answer is written ends after this, in nanoseconds.
+/// How long a connection stays open after its last answer is written, in nanoseconds, unless the
+/// client closes it before.
 const LINGER_TIMEOUT: Nanos = SECOND;
-/// Where descriptors are short, a client that has sent no message, or no second one, by then, in
-/// nanoseconds, is among the first to go.
+/// When descriptors are short, an idle connection whose client has sent at most one message is
+/// among the first to be closed after this time, in nanoseconds.
 const FIRST_MESSAGE_GRACE: Nanos = 50 * MS;
-/// Where many connections are open, expendable ones are searched for this often, in nanoseconds.
+/// Interval between searches for expendable connections while many connections are open, in
+/// nanoseconds.
 pub const TRIM_INTERVAL: Nanos = FIRST_MESSAGE_GRACE / 5;
-/// A client that has come back keeps its connection for this long, in nanoseconds, before it is
-/// among those to go.
+/// An idle connection whose client has sent more than one message becomes expendable after this
+/// time, in nanoseconds.
 const RETURNING_CLIENT_GRACE: Nanos = 2 * SECOND;
-/// Most pieces that are read and thrown away before a connection closes.
+/// Maximum number of reads whose bytes are discarded before a connection closes.
 const MAX_DISCARDED_READS: usize = 16;
-/// What a client that expects it gets before it sends its body.
+/// The interim response for a client that expects it before it sends its body.
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Messages come and go.
+    /// Messages are read and answered.
     Open,
-    /// What is written goes out, then the connection ends.
+    /// The rest of the outbox is being written; then the sending side is shut down.
     Closing,
-    /// All is written. What still comes is thrown away: closing at once would reset the connection
-    /// and could take the answer with it.
+    /// Everything is written and the sending side is shut down. Bytes that still arrive are
+    /// discarded: closing at once would reset the connection, which could destroy the answer.
     Lingering,
 }
 
-/// What reading a connection came to.
+/// The result of reading a client connection.
 pub enum ReadEvent {
-    /// No message is complete.
+    /// No complete message is available.
     Incomplete,
-    /// The machine lacks resources for a moment: read again a little later.
+    /// This machine has a temporary shortage of a resource: read again a little later.
     RetryLater,
     /// A complete message.
     Message(Message),
-    /// What has come is no message.
+    /// The received bytes can't be parsed as a message.
     Invalid(ParseError),
-    /// The client has closed its side.
+    /// The client has closed its sending side.
     EndOfStream,
-    /// The connection has broken.
+    /// The connection is broken.
     Broken,
 }
 
-/// A connection of a client.
+/// A connection from a client.
 pub struct ClientConnection {
     socket: OwnedFd,
     outbox: RingBuffer,
@@ -79,10 +80,12 @@
     state: ConnectionState,
     /// The request that waits for its answer.
     request: Option<u32>,
-    /// The client has closed its side, or the connection has broken. A half-close looks the same.
+    /// The client has closed its side, or the connection is broken. A half-close can't be
+    /// distinguished from a full close.
     peer_closed: bool,
-    /// When it came to its present state: every time limit on a client counts from here, so that a
-    /// client which sends or reads a byte now and then does not stay for ever.
+    /// When the present state began, in nanoseconds on the node's clock. The time limits of a
+    /// client count from here, so that a client that sends or reads one byte now and then doesn't
+    /// keep its connection forever.
     state_since: Nanos,
     deadline: Deadline,
     registration: Registration,
@@ -98,7 +101,7 @@
     ) -> ClientConnection {
         ClientConnection {
             socket,
-            // An answer, its head, and `100 Continue` before it.
+            // Space for one answer with its head, and for `100 Continue` before it.
             outbox: RingBuffer::new(MAX_RESPONSE_BODY + 2 * MAX_HEAD).with_budget(budget),
             input: ClientInput::new(now, queued_at, budget),
             state: ConnectionState::Open,
@@ -115,32 +118,34 @@
         self.request
     }
 
-    /// A request of the last message waits for its answer from now on.
+    /// Sets the number of the request that the last message has opened and that waits for its
+    /// answer.
     pub fn set_request(&mut self, request: u32) {
         self.request = Some(request);
     }
 
-    /// Whether the client is known to have closed its side.
+    /// Whether the client is known to have closed its sending side, or the connection to be broken.
     pub fn is_peer_closed(&self) -> bool {
         self.peer_closed
     }
 
-    /// Takes note that the client has closed its side.
+    /// Records that the client has closed its sending side, or that the connection is broken.
     pub fn note_peer_closed(&mut self) {
         self.peer_closed = true;
     }
 
-    /// Whether the client has closed its side by a fresh check of the socket.
+    /// Checks the socket for an end of the client's stream or a reset that has not been read yet.
     pub fn has_peer_closed_now(&self) -> bool {
         net::has_peer_closed(&self.socket)
     }
 
-    /// Whether nothing is left to write.
+    /// Whether the outbox is empty.
     pub fn is_written(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// When it has taken too long over its present state.
+    /// When the present state times out, in nanoseconds on the node's clock; [`Deadline::NEVER`]
+    /// while a request waits for its answer.
     fn state_deadline(&self) -> Nanos {
         let timeout = match self.state {
             ConnectionState::Lingering => LINGER_TIMEOUT,
@@ -157,8 +162,8 @@
         self.state_since.saturating_add(timeout)
     }
 
-    /// How readily the connection, which has this number, is closed for another one. `None`: not at
-    /// all, as a request waits or an answer is on its way.
+    /// This connection, whose number is `number`, as a candidate for eviction. `None` while a
+    /// request waits for its answer or an answer is being written.
     pub fn eviction_candidate(&self, number: u32, now: Nanos) -> Option<EvictionCandidate> {
         if self.request.is_some() || !self.is_written() {
             return None;
@@ -182,22 +187,24 @@
         })
     }
 
-    /// Whether it has had a complete message.
+    /// Whether the client has sent at least one complete message.
     pub fn has_sent_message(&self) -> bool {
         self.input.message_count() > 0
     }
 
-    /// Whether it stands between two messages.
+    /// Whether the connection is between two messages: no request waits for its answer, nothing is
+    /// left to write, and no byte of a message is buffered.
     pub fn is_idle(&self) -> bool {
         self.accepts_message() && self.input.is_between_messages()
     }
 
-    /// Whether its client takes its time over a message.
+    /// Whether a message has been received in part. Meaningful only while no request waits for its
+    /// answer.
     pub fn has_partial_message(&self) -> bool {
         self.state == ConnectionState::Open && self.is_written() && !self.is_idle()
     }
 
-    /// Whether its last message is answered, and the next has come behind it.
+    /// Whether the last message is answered and at least a part of the next one has been received.
     fn has_next_message(&self) -> bool {
         self.accepts_message() && self.input.has_next_message()
     }
@@ -206,12 +213,14 @@
         self.state == ConnectionState::Open && self.request.is_none() && self.is_written()
     }
 
-    /// Whether it can read no more until the current request is answered.
+    /// Whether the inbox is full, so that nothing more can be read until the current request is
+    /// answered.
     pub fn is_input_full(&self) -> bool {
         self.input.is_full()
     }
 
-    /// Writes what it can; a closing connection whose last byte is written shows its end.
+    /// Writes as much of the outbox as the socket accepts. After the last byte of a closing
+    /// connection, shuts down its sending side.
     pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
         let outcome = self.outbox.write_to(&self.socket);
         if self.state == ConnectionState::Closing && self.is_written() {
@@ -223,13 +232,14 @@
     }
 
     fn shut_down_write(&self) {
-        // One that is broken already shows so when it is read.
+        // An error means that the connection is broken, which the next read reports.
         let _ = rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write);
     }
 
-    /// Reads what has come, up to a complete message. While a request waits or an answer is not
-    /// written, what comes waits in the ring. `previous_poll_at` is when the loop last saw all
-    /// sockets without an event.
+    /// Reads received bytes up to the end of one complete message. While a request waits for its
+    /// answer or an answer is not written, further bytes stay unparsed in the inbox.
+    /// `previous_poll_at` is the time of the previous poll, which reported no event for this
+    /// socket.
     pub fn read(&mut self, now: Nanos, previous_poll_at: Nanos) -> ReadEvent {
         let arrived_at = self.input.earliest_arrival(now, previous_poll_at);
         let mut has_read = false;
@@ -248,7 +258,8 @@
                 return event;
             }
             match self.input.fill(&self.socket, now, arrived_at) {
-                // One piece an iteration: a client that never stops must not hold the loop.
+                // One read per iteration: a client that never stops sending must not block the
+                // loop.
                 ReadOutcome::Data if self.state != ConnectionState::Open => {
                     self.input.discard();
                     return ReadEvent::Incomplete;
@@ -273,14 +284,15 @@
             return Some(ReadEvent::Invalid(error));
         }
         if self.input.awaits_continue() {
-            // Small, and before any answer: it always fits.
+            // It is small and precedes any answer, so it always fits.
             let is_sent = self.outbox.push(CONTINUE_RESPONSE);
             self.input.set_continue_sent(is_sent);
         }
         self.input.take_message(now).map(ReadEvent::Message)
     }
 
-    /// What decides whether it may be closed for a reason of the node's own.
+    /// The facts by which the rules decide whether the node may close the connection on its own
+    /// initiative.
     pub fn close_facts(&self) -> CloseFacts {
         CloseFacts {
             answer_pending: self.request.is_some() || !self.is_written(),
@@ -288,16 +300,18 @@
         }
     }
 
-    /// Whether bytes may have come, maybe of a request, that nobody has read.
+    /// Whether the socket may hold unread bytes, possibly of a request.
     fn may_have_unread(&self) -> bool {
         self.state == ConnectionState::Open
             && matches!(net::unread(&self.socket), Unread::Bytes | Unread::Unknown)
     }
 
-    /// The last act before its socket closes. With bytes unread that is a reset, which throws away
-    /// what the kernel has not yet sent of an answer. The end goes out first: a request that comes
-    /// in this very moment has met a close, and its client retries elsewhere; read before the end
-    /// it would look accepted.
+    /// Shuts down the sending side and then discards received bytes, before the socket is closed.
+    /// Closing a socket with unread bytes resets the connection, which discards what the kernel has
+    /// not yet sent of an answer. The end of the stream is sent before the bytes are read: a
+    /// request that arrives at this moment then meets a closed connection, and its client retries
+    /// elsewhere; read first, it would look accepted. Does nothing on an open connection without a
+    /// complete message.
     pub fn close_gracefully(&mut self) {
         if !self.has_sent_message() && self.state == ConnectionState::Open {
             return;
@@ -310,7 +324,8 @@
         }
     }
 
-    /// Puts an answer in the outbox.
+    /// Puts an answer into the outbox. The connection closes after it if the answer or the last
+    /// message requires that.
     pub fn reply(&mut self, now: Nanos, reply: Reply) {
         self.request = None;
         self.state_since = now;
@@ -318,8 +333,8 @@
             close: reply.close || !self.input.is_kept_alive(),
             ..reply
         };
-        // An answer that doesn't fit can't be distinguished from none: the connection ends
-        // without a complete one.
+        // An answer that doesn't fit the outbox is dropped and the connection closes: to the client
+        // this is a connection that ends without a complete answer.
         if !self.outbox.push(&reply.encode()) || reply.close {
             self.state = ConnectionState::Closing;
         }
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -1,46 +1,48 @@
-//! Which client connections are closed first where descriptors are short.
+//! The order in which client connections are closed when descriptors are short.
 //!
-//! Some clients send one request and then keep their connection for good, others send nothing at
-//! all; those that have come back are of use. By age alone, a flood of the former would push the
-//! latter out.
+//! Some clients send one request and then keep their idle connection open indefinitely, others send
+//! nothing at all; connections that carry further requests are useful. An eviction by age alone
+//! would close useful connections in favour of a flood of the others.
 
 use kitefork_balancer::Nanos;
 
-/// How readily a connection is closed for another one: the first variant first.
+/// How readily a connection is closed to free its descriptor for another one; connections of the
+/// first variant are closed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// Its client has sent one request and not come back soon.
+    /// The client has sent one message and no second one within the grace period.
     SentOnce,
-    /// Its client has sent nothing soon after it connected.
+    /// The client has sent no message within the grace period after it connected.
     NeverSent,
-    /// Its client has come back, but not lately.
+    /// The client has sent more than one message, but none recently.
     Returned,
-    /// Its last answer is written.
+    /// The last answer is written and the sending side is shut down.
     Lingering,
-    /// New, or just answered for the first time.
+    /// The connection is new, or was recently answered for the first time.
     Recent,
-    /// Its client has come back lately.
+    /// The client has sent more than one message, the last one recently.
     RecentlyReturned,
-    /// In the middle of a message, or closing.
+    /// A message has been received in part, or the connection is closing.
     Active,
 }
 
 impl EvictionRank {
-    /// Whether it is hardly missed: its client has not come back, or not lately.
+    /// Whether closing the connection does little harm: its client has sent no message within the
+    /// grace period.
     pub fn is_expendable(self) -> bool {
         self <= EvictionRank::Returned
     }
 }
 
-/// A connection that may be closed for another one. The least is closed first: by rank, then the
-/// one that has been in its state for longest.
+/// A connection that may be closed to free its descriptor for another one. The smallest candidate
+/// is closed first: the lowest rank, then the longest time in the present state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionCandidate {
-    /// How readily it is closed.
+    /// How readily the connection is closed.
     pub rank: EvictionRank,
-    /// Since when it is in its state, in nanoseconds on the node's clock.
+    /// When the present state of the connection began, in nanoseconds on the node's clock.
     pub state_since: Nanos,
-    /// Its number in the table of client connections.
+    /// The number of the connection in the table of client connections.
     pub number: u32,
 }
 
--- a/crates/node/src/downstream/eviction_tests.rs
+++ b/crates/node/src/downstream/eviction_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the order of evictions.
+//! Unit tests of the order of eviction.
 
 use super::*;
 
--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -1,21 +1,22 @@
-//! A request on its way to a backend, as HTTP carries it.
+//! A request that is forwarded to a backend, in its HTTP form.
 
 use crate::http1::{self, Head, Start};
 use crate::ring_buffer::Body;
 
-/// The payload that the request table holds for a request.
+/// The payload that the request table stores for a request.
 pub struct ForwardedRequest {
     head: Head,
     body: Body,
 }
 
 impl ForwardedRequest {
-    /// The request of this message.
+    /// The request with the head and the body of a client's message.
     pub fn new(head: Head, body: Body) -> ForwardedRequest {
         ForwardedRequest { head, body }
     }
 
-    /// The idempotency key, which the client's own retries share, for the trace; `-` without one.
+    /// The idempotency key, which the client's own retries share, for the trace; `-` if it is
+    /// absent or occurs more than once.
     pub fn key(&self) -> &str {
         self.head
             .unique("idempotency-key")
@@ -24,7 +25,7 @@
             .unwrap_or("-")
     }
 
-    /// The bytes for a backend that has `timeout_ms` milliseconds to answer.
+    /// The serialised request for a backend that has `timeout_ms` milliseconds to answer.
     pub fn bytes(&self, timeout_ms: u64) -> Vec<u8> {
         let Start::Request { method, target } = &self.head.start else {
             return Vec::new();
@@ -34,7 +35,7 @@
             .head
             .end_to_end_headers()
             .filter(|(name, _)| *name != "x-remaining-ms");
-        // A client of HTTP/1.0 need not name a host; backends speak 1.1.
+        // An HTTP/1.0 request may lack `Host`, which the forwarded HTTP/1.1 request must have.
         let host = self
             .head
             .unique("host")
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -1,4 +1,4 @@
-//! What is read from a client: bytes, messages, and when they can have arrived.
+//! The input of a client connection: received bytes, complete messages, and their arrival times.
 
 use std::os::fd::OwnedFd;
 
@@ -9,32 +9,32 @@
 use crate::net;
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer};
 
-/// Capacity of the inbox beside a head of the longest length, in bytes.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// A complete message.
 pub struct Message {
-    /// Its head.
+    /// The head of the message.
     pub head: Head,
-    /// Its body; may be empty.
+    /// The body of the message; may be empty.
     pub body: Body,
-    /// When its first byte can have arrived at the earliest, in nanoseconds on the node's clock.
+    /// Earliest arrival time of the first byte, in nanoseconds on the node's clock.
     pub started_at: Nanos,
 }
 
-/// The reading side of a client connection.
+/// The receiving side of a client connection.
 pub struct ClientInput {
     inbox: RingBuffer,
     parser: Parser,
     arrival: ArrivalTracker,
-    /// When the first byte of the current message can have arrived; `None` between two messages.
+    /// Earliest arrival time of the first byte of the current message; `None` between two messages.
     message_started_at: Option<Nanos>,
     last_byte_at: Nanos,
-    /// Complete messages so far.
+    /// Number of complete messages so far.
     message_count: u32,
-    /// `100 Continue` was sent for the current message.
+    /// Whether `100 Continue` was sent for the current message.
     continue_sent: bool,
-    /// The last message lets the connection live on.
+    /// Whether the last message allows the connection to stay open after its answer.
     keep_alive: bool,
 }
 
@@ -54,27 +54,28 @@
         }
     }
 
-    /// Complete messages so far.
+    /// Number of complete messages so far.
     pub fn message_count(&self) -> u32 {
         self.message_count
     }
 
-    /// When the last byte arrived.
+    /// When bytes were last read, in nanoseconds on the node's clock; before that, when the
+    /// connection was accepted.
     pub fn last_byte_at(&self) -> Nanos {
         self.last_byte_at
     }
 
-    /// Whether the last message lets the connection live on.
+    /// Whether the last message allows the connection to stay open after its answer.
     pub fn is_kept_alive(&self) -> bool {
         self.keep_alive
     }
 
-    /// Whether it holds nothing of a message.
+    /// Whether no part of a message is buffered or begun.
     pub fn is_between_messages(&self) -> bool {
         self.inbox.is_empty() && self.message_started_at.is_none()
     }
 
-    /// Whether the next message has arrived, at least in part, and is not begun.
+    /// Whether at least a part of the next message is buffered and the parser has not begun it.
     pub fn has_next_message(&self) -> bool {
         self.parser.is_at_start() && !self.inbox.is_empty()
     }
@@ -84,45 +85,48 @@
         self.parser.head.is_some()
     }
 
-    /// Whether nothing that is read is left to parse.
+    /// Whether the inbox is empty.
     pub fn is_empty(&self) -> bool {
         self.inbox.is_empty()
     }
 
-    /// Whether it can hold no more until the current request is answered.
+    /// Whether the inbox holds more than a head of the maximum length: it counts as full until the
+    /// current request is answered.
     pub fn is_full(&self) -> bool {
         self.inbox.len() > MAX_HEAD
     }
 
-    /// Throws away what is read.
+    /// Discards the content of the inbox.
     pub fn discard(&mut self) {
         let count = self.inbox.len();
         self.inbox.consume(count);
     }
 
-    /// Reads once and throws away what came; whether something did.
+    /// Discards the content of the inbox, then reads once; returns whether bytes were read.
     pub fn discard_from(&mut self, socket: &OwnedFd) -> bool {
         self.discard();
         self.inbox.read_from(socket) == ReadOutcome::Data
     }
 
-    /// The socket is watched for bytes from now on.
+    /// Records that the socket is registered for readable events since `now`.
     pub fn note_watched(&mut self, now: Nanos) {
         self.arrival.note_watched(now);
     }
 
-    /// When bytes that are read at `now` can have arrived at the earliest; see
-    /// [`Arrival::earliest_arrival`].
+    /// Earliest arrival time of bytes that are read at `now`; see
+    /// [`ArrivalTracker::earliest_arrival`].
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
         self.arrival.earliest_arrival(now, previous_poll_at)
     }
 
-    /// What lies behind a message that has only now become complete arrived with its end.
+    /// Sets the earliest arrival time of the bytes after a message that the last read has
+    /// completed: it is the arrival time of that message's end.
     pub fn set_first_byte_at(&mut self, arrived_at: Nanos) {
         self.arrival.set_first_byte_at(arrived_at);
     }
 
-    /// Reads one piece of what has arrived.
+    /// Reads from the socket once and updates the arrival times. `arrived_at` is the earliest
+    /// arrival time of the bytes that are read.
     pub fn fill(&mut self, socket: &OwnedFd, now: Nanos, arrived_at: Nanos) -> ReadOutcome {
         let was_empty = self.inbox.is_empty();
         let outcome = self.inbox.read_from(socket);
@@ -140,8 +144,9 @@
         outcome
     }
 
-    /// Whether the client has closed its side behind its message, as it may have while that waited
-    /// in the accept queue, in a buffer or through a stall.
+    /// Reads on after a complete message; returns whether the client has closed its sending side or
+    /// the connection is broken. The client may have done so while its message waited in the accept
+    /// queue, in a buffer or during a stall of the process.
     pub fn has_peer_closed_after_message(
         &mut self,
         socket: &OwnedFd,
@@ -167,8 +172,8 @@
         }
     }
 
-    /// Begins the current message with the oldest unread byte, if none is begun; whether that is a
-    /// further message of this connection.
+    /// Begins a message with the first byte in the inbox, unless one is begun already. Returns
+    /// whether it has begun a message that is not the first one on the connection.
     pub fn begin_message(&mut self) -> bool {
         if self.message_started_at.is_some() {
             return false;
@@ -177,11 +182,11 @@
         self.message_count > 0
     }
 
-    /// Parses what is read.
+    /// Parses the content of the inbox up to the end of a message.
     ///
     /// # Errors
     ///
-    /// What is wrong with the message.
+    /// The reason why the message can't be parsed.
     pub fn parse(&mut self) -> Result<(), ParseError> {
         let consumed = self.parser.feed(self.inbox.bytes())?;
         self.inbox.consume(consumed);
@@ -199,12 +204,12 @@
                 .is_some_and(Head::expects_continue)
     }
 
-    /// Whether `100 Continue` was sent for the current message.
+    /// Records whether `100 Continue` was sent for the current message.
     pub fn set_continue_sent(&mut self, is_sent: bool) {
         self.continue_sent = is_sent;
     }
 
-    /// The current message, once it is complete.
+    /// Takes the current message out; `None` while it is incomplete.
     pub fn take_message(&mut self, now: Nanos) -> Option<Message> {
         if self.parser.is_at_start() && self.inbox.is_empty() {
             self.message_started_at = None;
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: pauses of accepting, and how long waiting clients can have waited.
+//! The listening socket: pausing and resuming accepts, and how long queued clients can have waited.
 
 use std::os::fd::OwnedFd;
 
@@ -11,40 +11,42 @@
 use crate::event_loop::{EventLoop, MIN_RETRY, TimerEvent, Token};
 use crate::net;
 
-/// Accepting is paused for this long, in nanoseconds, where clients can't be accepted.
+/// How long accepting is paused, in nanoseconds, when no client can be accepted; also the maximum
+/// delay after a shortage of resources.
 pub const ACCEPT_PAUSE: Nanos = 50 * MS;
 
 enum ListenerState {
-    /// Events are given for clients that connect.
+    /// The socket is registered for events of connecting clients.
     Accepting(OwnedFd),
-    /// Clients wait in the kernel's queue.
+    /// The socket has no events, and clients wait in the kernel's accept queue.
     Paused(OwnedFd),
-    /// No more clients can connect.
+    /// The socket is closed; no more clients can connect.
     Closed,
 }
 
-/// What an accept came to.
+/// The result of accepting a client.
 pub enum AcceptOutcome {
-    /// A client has connected.
+    /// A client connection was accepted.
     Client(OwnedFd),
-    /// Nobody waits.
+    /// No client is queued, or clients are not accepted now.
     QueueEmpty,
-    /// The client that waited has gone.
+    /// The queued client has disconnected, or the call was interrupted: accept again.
     ClientDisconnected,
-    /// The machine lacks resources for a moment.
+    /// This machine has a temporary shortage of a resource.
     RetryLater(Errno),
-    /// The process is out of descriptors, or the call itself is wrong.
+    /// The process has no free descriptor, or the call itself is wrong.
     Failed(Errno),
 }
 
 /// The listening socket.
 pub struct Listener {
     state: ListenerState,
-    /// When the accept queue was last read empty.
+    /// When the accept queue was last found empty.
     queue_empty_at: Nanos,
-    /// Since when an event is given for a client that connects.
+    /// Since when the polls report every client that connects; [`Nanos::MAX`] from a pause, or a
+    /// queue that was not emptied, until the queue is found empty again.
     watched_since: Nanos,
-    /// The next pause after a shortage of resources.
+    /// The next delay after a temporary shortage of resources, in nanoseconds.
     retry_delay: Nanos,
 }
 
@@ -64,7 +66,7 @@
         matches!(self.state, ListenerState::Accepting(_))
     }
 
-    /// Whether clients may wait that are accepted later.
+    /// Whether accepting is paused; queued clients are accepted later.
     pub fn is_paused(&self) -> bool {
         matches!(self.state, ListenerState::Paused(_))
     }
@@ -74,7 +76,7 @@
         matches!(self.state, ListenerState::Closed)
     }
 
-    /// Closes the listening socket: clients in its queue are reset.
+    /// Closes the listening socket; the connections in its accept queue are reset.
     pub fn close(&mut self) {
         self.state = ListenerState::Closed;
     }
@@ -83,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// As `poll(2)`.
+    /// Those of poll(2).
     pub fn has_waiting_client(&self) -> Result<bool, Errno> {
         match &self.state {
             ListenerState::Accepting(socket) | ListenerState::Paused(socket) => {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Accepts the next client.
+    /// Accepts the next queued client.
     pub fn accept(&mut self) -> AcceptOutcome {
         let ListenerState::Accepting(socket) = &self.state else {
             return AcceptOutcome::QueueEmpty;
@@ -112,15 +114,15 @@
         }
     }
 
-    /// Pauses accepting where clients can't be accepted.
+    /// Pauses accepting for [`ACCEPT_PAUSE`], when no client can be accepted.
     pub fn pause(&mut self, event_loop: &mut EventLoop) {
         self.set_paused(event_loop);
         let resume_at = event_loop.now() + ACCEPT_PAUSE;
         event_loop.schedule(resume_at, TimerEvent::ResumeAccepting);
     }
 
-    /// Pauses accepting where the machine lacks resources, and clients wait: shortly at first, then
-    /// for ever longer.
+    /// Pauses accepting after a temporary shortage of resources. The delay starts at [`MIN_RETRY`],
+    /// doubles with each call up to [`ACCEPT_PAUSE`], and is reset by an accepted client.
     pub fn retry_later(&mut self, event_loop: &mut EventLoop) {
         self.set_paused(event_loop);
         let resume_at = event_loop.now() + self.retry_delay;
@@ -129,11 +131,11 @@
     }
 
     fn set_paused(&mut self, event_loop: &EventLoop) {
-        // What waits when accepting begins again may have waited all the while.
+        // Clients that are queued on resumption may have waited since the pause began.
         self.watched_since = Nanos::MAX;
         self.state = match std::mem::replace(&mut self.state, ListenerState::Closed) {
             ListenerState::Accepting(socket) | ListenerState::Paused(socket) => {
-                // Where this fails, events come early and find the pause.
+                // If this fails, events arrive during the pause and are ignored.
                 let _ = event_loop.modify(&socket, Token::Listener, EventFlags::empty());
                 ListenerState::Paused(socket)
             }
@@ -147,7 +149,7 @@
         self.state = match std::mem::replace(&mut self.state, ListenerState::Closed) {
             ListenerState::Accepting(socket) | ListenerState::Paused(socket) => {
                 let registered = event_loop.modify(&socket, Token::Listener, EventFlags::IN);
-                // Without its events no client would ever be accepted again.
+                // Retried after an error: without events no client would ever be accepted again.
                 if registered.is_err() {
                     let resume_at = event_loop.now() + MIN_RETRY;
                     event_loop.schedule(resume_at, TimerEvent::ResumeAccepting);
@@ -158,7 +160,7 @@
         };
     }
 
-    /// The accept queue was found empty.
+    /// Records that the accept queue was found empty.
     pub fn note_queue_empty(&mut self, now: Nanos) {
         self.queue_empty_at = now;
         if self.is_accepting() {
@@ -166,13 +168,14 @@
         }
     }
 
-    /// More clients wait than one iteration accepts: how long they have is not known any more.
+    /// Records that more clients are queued than one iteration accepts, so that it is unknown how
+    /// long they have waited.
     pub fn note_queue_not_emptied(&mut self) {
         self.watched_since = Nanos::MAX;
     }
 
-    /// When the accept queue was last known empty: read so, or by a poll of the loop while it was
-    /// watched.
+    /// When the accept queue was last known to be empty, in nanoseconds on the node's clock: it was
+    /// found empty, or the previous poll reported no client while it covered the socket.
     pub fn queue_empty_at(&self, previous_poll_at: Nanos) -> Nanos {
         let polled_empty_at = if self.watched_since <= previous_poll_at {
             previous_poll_at
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Downstream: the listener, the clients' connections, and what their messages request.
+//! Downstream: the listener, the client connections, and the routing of their messages.
 
 mod arrival;
 mod connection;
--- a/crates/node/src/downstream/reply.rs
+++ b/crates/node/src/downstream/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: status lines, and the answers of the node's own.
+//! Answers to clients: their encoding, and the answers that the node itself makes.
 
 use crate::clock::SECOND;
 use crate::http1;
@@ -9,11 +9,11 @@
 pub struct Reply<'a> {
     /// The HTTP status.
     pub status: u16,
-    /// Headers beside the length and the end of the connection.
+    /// Headers other than `content-length` and `connection`.
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: &'a [u8],
-    /// Whether the connection closes after it.
+    /// Whether the connection closes after the answer.
     pub close: bool,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The bytes of the answer.
+    /// The serialised answer.
     pub fn encode(&self) -> Vec<u8> {
         let connection_header = self.close.then_some(("connection", "close"));
         let status_line = format!("HTTP/1.1 {} {}", self.status, reason_phrase(self.status));
@@ -62,26 +62,26 @@
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
         505 => "HTTP Version Not Supported",
-        // A backend's own; the words mean nothing to a reader.
+        // Any other status comes from a backend. The reason phrase has no meaning for clients.
         _ => "Rejected",
     }
 }
 
-/// How an answer that no backend made looks to a client.
+/// The status and the header of an answer that the node itself makes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalReplyHead {
     /// The HTTP status.
     pub status: u16,
-    /// The value of `Retry-After`, in seconds.
+    /// The value of `Retry-After`, in seconds; `None` for an answer without the header.
     pub retry_after: Option<String>,
 }
 
 impl LocalReplyHead {
-    /// The head of this answer.
+    /// The status and the header for `reply`.
     pub fn new(reply: LocalReply) -> LocalReplyHead {
         let (status, retry_after) = match reply {
             LocalReply::Rejected { retry_after: 0 } => (503, None),
-            // Whole seconds are what every client reads.
+            // Rounded up to whole seconds, which all clients understand.
             LocalReply::Rejected { retry_after } => {
                 (503, Some(retry_after.div_ceil(SECOND).to_string()))
             }
--- a/crates/node/src/downstream/reply_tests.rs
+++ b/crates/node/src/downstream/reply_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the node's own answers.
+//! Unit tests of the answers that the node itself makes.
 
 use super::*;
 use crate::clock::MS;
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -1,5 +1,5 @@
-//! What a message requests. What is invalid about it is found here, before the decision module or a
-//! backend come to see it.
+//! Routes a message by its path and headers. Invalid requests are found here, before the decision
+//! module or a backend sees them.
 
 use kitefork_balancer::{Idempotency, Nanos};
 use kitefork_settings::Deployment;
@@ -12,23 +12,23 @@
 
 /// The path of requests for backends.
 const API_PATH: &str = "/api";
-/// The path on which the node answers for its own health.
+/// The path of requests for the health of the node itself.
 const HEALTH_PATH: &str = "/_health";
-/// Longest name of a request, in bytes.
+/// Longest name of a request (`X-Txn`), in bytes.
 const MAX_TXN_BYTES: usize = 256;
 
-/// What a message requests.
+/// What a message requests, or why it can't be served.
 pub enum Route {
-    /// The health of the node itself.
+    /// A request for the health of the node itself.
     Health,
     /// A request for a backend.
     Request {
-        /// What the request table has to know of it.
+        /// The properties of the request that the request table needs.
         spec: RequestSpec,
-        /// What is forwarded.
+        /// The message to forward.
         payload: ForwardedRequest,
     },
-    /// Nothing that can be served.
+    /// A message that can't be served.
     Invalid(InvalidRequest),
 }
 
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The value of the header `allow`, if the answer has one.
+    /// The value of the header `allow`; `None` if the status is not 405.
     pub fn allow(&self) -> Option<&'static str> {
         (self.status == 405).then_some(self.reason)
     }
 }
 
-/// Reads what a message requests. `waited` nanoseconds have passed since its first byte arrived.
+/// Routes a message whose first byte arrived `elapsed` nanoseconds ago.
 pub fn route(head: Head, body: Body, deployment: &Deployment, elapsed: Nanos) -> Route {
     let fields = RequestFields {
         head: &head,
@@ -78,14 +78,14 @@
     }
 }
 
-/// The fields of a message's head, as the deployment defines them.
+/// The request line and the headers of a message, read as the deployment defines them.
 struct RequestFields<'a> {
     head: &'a Head,
     deployment: &'a Deployment,
 }
 
 impl<'a> RequestFields<'a> {
-    /// The request; `None` for one of the node's own health.
+    /// The request; `None` if it is for the health of the node itself.
     fn parse(&self, elapsed: Nanos) -> Result<Option<RequestSpec>, InvalidRequest> {
         let Start::Request { method, target } = &self.head.start else {
             return Err(InvalidRequest::bad_request("not a request"));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The fields in the order in which their faults are reported.
+    /// Reads the fields in a fixed order; the first fault is the one that is reported.
     fn parse_request(&self, method: &str, elapsed: Nanos) -> Result<RequestSpec, InvalidRequest> {
         let txn = self.txn()?;
         let class = self.class()?;
@@ -118,7 +118,8 @@
             txn: txn.into(),
             class,
             tenant,
-            // Counted from when the client sent it: what its last bytes took to come has passed.
+            // The client's time counts from when it sent the request, so the time since the first
+            // byte arrived has already passed.
             client_timeout: (remaining_ms * MS).saturating_sub(elapsed),
             work_hint: estimate_us.map(|us| us * 1_000),
             client_retry: self.header("x-resent")? == Some("1"),
@@ -150,7 +151,8 @@
         }
     }
 
-    /// A header that holds a whole number of 32 bits.
+    /// The value of a header that holds a decimal integer of up to 32 bits; `None` if the header is
+    /// absent. Any other value is rejected with `reason`.
     fn integer_header(
         &self,
         name: &str,
@@ -166,8 +168,8 @@
         }
     }
 
-    /// The class fixes the method, and a request with an idempotency key must have its key: without
-    /// it backends can't drop repeats.
+    /// Checks the method, which the class determines, and the presence of the idempotency key in
+    /// classes that use one: without it backends can't drop repeated requests.
     fn check_idempotency(&self, method: &str, class: u16) -> Result<(), InvalidRequest> {
         let idempotency = self.deployment.settings.classes[usize::from(class)].idempotency;
         match (method, idempotency) {
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of routing: what a message requests.
+//! Unit tests of routing.
 
 use kitefork_settings::json::Document;
 
@@ -61,7 +61,7 @@
         ("POST /api", "POST /_health", 405),
     ] {
         let Route::Invalid(invalid) = route_text(&REQUEST.replace(old, new)) else {
-            panic!("{new} passes")
+            panic!("accepted a request with {new}")
         };
         assert_eq!(invalid.status, expected_status, "{new}");
     }
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -1,4 +1,5 @@
-//! The table of client connections, and which of them are next to be flushed or trimmed.
+//! The table of client connections, the queue of answers to flush, and the trimming of expendable
+//! connections.
 
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
@@ -14,15 +15,15 @@
 /// All client connections.
 pub struct ClientConnections {
     table: Slab<ClientConnection>,
-    /// Connections whose request has been answered: the answer is to be written, and the next
-    /// message may be there.
+    /// Numbers of connections whose answer is still to be written and whose next message may
+    /// already have been received.
     answered: VecDeque<u32>,
-    /// A timer for the next trim is running.
+    /// Whether a timer for the next trim is running.
     is_trim_scheduled: bool,
 }
 
 impl ClientConnections {
-    /// A table for `max` connections at a time.
+    /// An empty table for at most `capacity` open connections.
     pub fn new(capacity: usize) -> ClientConnections {
         ClientConnections {
             table: Slab::new(capacity),
@@ -41,18 +42,18 @@
         self.table.iter().map(|(number, _)| number).collect()
     }
 
-    /// A connection by its number.
+    /// The connection with this number; `None` if it has been removed.
     pub fn get(&self, number: u32) -> Option<&ClientConnection> {
         self.table.get(number)
     }
 
-    /// A connection by its number.
+    /// The connection with this number; `None` if it has been removed.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut ClientConnection> {
         self.table.get_mut(number)
     }
 
-    /// Adds a connection that was accepted at `now`, and was established at `queued_at` at the
-    /// earliest; `None` if the table is full.
+    /// Adds a connection that was accepted at `now` and established at `queued_at` at the earliest.
+    /// Returns its number, or `None` if the table is full.
     pub fn add(
         &mut self,
         socket: OwnedFd,
@@ -64,17 +65,17 @@
             .insert(ClientConnection::new(socket, now, queued_at, budget))
     }
 
-    /// Removes a connection.
+    /// Removes the connection with this number and returns it; `None` if it has been removed.
     pub fn remove(&mut self, number: u32) -> Option<ClientConnection> {
         self.table.remove(number)
     }
 
-    /// A connection has got its answer, which is still to be written.
+    /// Queues a connection whose answer is still to be written.
     pub fn push_answered(&mut self, number: u32) {
         self.answered.push_back(number);
     }
 
-    /// The next connection whose answer is to be written.
+    /// Takes the next connection whose answer is to be written from the queue.
     pub fn pop_answered(&mut self) -> Option<u32> {
         self.answered.pop_front()
     }
@@ -85,14 +86,15 @@
             .filter_map(move |(number, connection)| connection.eviction_candidate(number, now))
     }
 
-    /// The connection that can be closed with least harm.
+    /// The connection that is closed first; `None` if no connection may be closed.
     pub fn eviction_candidate(&self, now: Nanos) -> Option<EvictionCandidate> {
         self.eviction_candidates(now).min()
     }
 
-    /// The timer for a trim has fired: the connections to close, where more than `max_active` have
-    /// sent a request and some of these are expendable. Clients that keep theirs for good would
-    /// otherwise leave others no connection, of which nothing shows here.
+    /// Returns the connections to close when the trim timer has fired. If more than `max_active`
+    /// clients have sent a request, these are the expendable ones among them, at most as many as
+    /// exceed that number. Clients that keep their connections indefinitely would otherwise leave
+    /// none to others, which the node can't observe.
     pub fn trim(&mut self, now: Nanos, max_active: usize) -> Vec<EvictionCandidate> {
         self.is_trim_scheduled = false;
         let has_sent = |number| {
@@ -113,7 +115,8 @@
         expendable
     }
 
-    /// While there may be too many that have sent a request, they are reviewed now and then.
+    /// Schedules the next trim while more than `max_active` connections are open, so that too many
+    /// clients may have sent a request.
     pub fn schedule_trim(&mut self, max_active: usize, event_loop: &mut EventLoop) {
         if !self.is_trim_scheduled && self.len() > max_active {
             self.is_trim_scheduled = true;
