--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -17,8 +17,8 @@
 use crate::timer_wheel::Deadline;
 
 /// Time limit for the first message to begin, and for the head of any message to be complete, in
-/// nanoseconds. It is short because hundreds of connections may never send more. For the first
-/// message it counts from when the connection was accepted.
+/// nanoseconds. A connection that exceeds it may be one of hundreds that never send more. For the
+/// first message the time counts from when the connection was accepted.
 const HEAD_TIMEOUT: Nanos = 2_500 * MS;
 /// Longest pause between two reads of a body, in nanoseconds. A slow client that keeps sending is
 /// limited only by [`STALL_TIMEOUT`].
@@ -78,7 +78,7 @@
     outbox: RingBuffer,
     input: ClientInput,
     state: ConnectionState,
-    /// The request that waits for its answer.
+    /// The number of the request that waits for its answer; `None` if there is none.
     request: Option<u32>,
     /// The client has closed its side, or the connection is broken. A half-close can't be
     /// distinguished from a full close.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The request that waits for its answer.
+    /// The number of the request that waits for its answer; `None` if there is none.
     pub fn request(&self) -> Option<u32> {
         self.request
     }
@@ -134,7 +134,8 @@
         self.peer_closed = true;
     }
 
-    /// Checks the socket for an end of the client's stream or a reset that has not been read yet.
+    /// Whether a new check of the socket shows that the client has closed its sending side or reset
+    /// the connection.
     pub fn has_peer_closed_now(&self) -> bool {
         net::has_peer_closed(&self.socket)
     }
