--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -1,4 +1,4 @@
-//! What a client connection wants of the event loop: events, and a timer for its time limit.
+//! The events and the timer that a client connection registers with the event loop.
 
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
@@ -11,10 +11,11 @@
 use crate::ring_buffer::WriteOutcome;
 
 impl ClientConnection {
-    /// The events that its state needs.
+    /// The events that the present state of the connection needs.
     fn wanted_events(&self) -> EventFlags {
         match (self.is_written(), self.is_input_full()) {
-            // Its end is known and would be reported again without a pause.
+            // The end of the client's stream is already known, and every poll would report it
+            // again.
             _ if self.peer_closed => EventFlags::OUT,
             (true, false) => READ,
             (true, true) => EventFlags::RDHUP,
@@ -39,30 +40,31 @@
     }
 
     fn update_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
-        let at = self.time_limit();
+        let at = self.state_deadline();
         event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
     }
 
-    /// Whether its time limit is over, now that its timer has fired.
+    /// Whether the deadline whose timer has fired is due; one that has moved is scheduled again.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
     }
 
-    /// The machine lacks resources for a moment: the connection `number` is resumed a little later,
-    /// and has no event before that, which would come without a pause.
+    /// Suspends the events of the connection `number` and schedules its resumption after
+    /// [`MIN_RETRY`]. During a temporary shortage of resources every poll would otherwise report
+    /// them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // Where this fails too, events come early and find the same.
+        // If this fails too, events arrive before the resumption and meet the same shortage.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
-        let at = event_loop.now() + MIN_RETRY;
-        event_loop.schedule(at, TimerEvent::ResumeClient(number));
+        let resume_at = event_loop.now() + MIN_RETRY;
+        event_loop.schedule(resume_at, TimerEvent::ResumeClient(number));
     }
 
-    /// Writes what there is to write, and has the right events and time limit set.
+    /// Writes the outbox, then sets the events and the deadline that the resulting state needs.
     ///
     /// # Errors
     ///
-    /// Why the connection is to be closed now.
+    /// The reason why the connection must be closed now.
     pub fn flush_and_register(
         &mut self,
         number: u32,
@@ -70,8 +72,8 @@
         diagnostics: &mut Diagnostics,
     ) -> Result<(), CloseReason> {
         let now = event_loop.now();
-        let written = self.flush(now);
-        if written == WriteOutcome::Broken {
+        let outcome = self.flush(now);
+        if outcome == WriteOutcome::Broken {
             return Err(CloseReason::Broken);
         }
         if self.peer_closed && self.is_written() && self.request.is_none() {
@@ -80,7 +82,7 @@
                 ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientDisconnected,
             });
         }
-        if written == WriteOutcome::RetryLater {
+        if outcome == WriteOutcome::RetryLater {
             self.pause(number, event_loop);
             return Ok(());
         }
@@ -92,7 +94,7 @@
             event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeClient(number));
         }
         self.update_deadline(number, event_loop);
-        if self.has_next() {
+        if self.has_next_message() {
             event_loop.schedule(now, TimerEvent::ResumeClient(number));
         }
         Ok(())
