--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -25,12 +25,12 @@
         self.renew_slow_start(now, step, &members);
         self.renew_total_limit(now);
         let inputs = SplitInputs {
-            arrivals: self.fleet_arrivals(now),
+            arrivals_per_slot: self.fleet_arrivals(now),
             service_rates: self.service_rates(now, &priors, &members),
             capacity_fractions: self.capacity_fractions(now),
-            members: members.len(),
-            pooled_kinds: self
-                .is_starved(now)
+            member_count: members.len(),
+            pooled_kind_count: self
+                .is_data_sparse(now)
                 .then(|| self.estimation.estimator.kinds().len()),
             local_to_remote_ratio: priors.local_to_remote_ratio,
         };
@@ -40,14 +40,14 @@
     }
 
     fn decay_backends(&mut self, now: Nanos, step: f64) {
-        let memory = self
+        let time_constant = self
             .estimation
             .estimator
             .completion_memory(now, self.endpoints.len());
-        let keep = (-step / memory).exp();
+        let decay_factor = (-step / time_constant).exp();
         for record in self.endpoints.iter_mut() {
-            record.service_times.decay(keep);
-            record.failure_history.decay(keep);
+            record.service_times.decay(decay_factor);
+            record.failure_history.decay(decay_factor);
         }
     }
 
@@ -67,10 +67,10 @@
 
     /// The backends of this proxy's subset that are not ejected.
     pub(super) fn subset_members(&self, now: Nanos) -> BTreeSet<BackendId> {
-        let knowable = self.estimation.estimator.knowable_backends(now);
+        let estimable_backends = self.estimation.estimator.estimable_backends(now);
         self.estimation
             .subset
-            .members(&self.endpoints, knowable, |record| {
+            .members(&self.endpoints, estimable_backends, |record| {
                 !self.outliers.is_ejected(now, &record.failure_history)
             })
     }
@@ -80,10 +80,10 @@
         record.is_ready() && !self.outliers.is_ejected(now, &record.failure_history)
     }
 
-    fn is_starved(&self, now: Nanos) -> bool {
+    fn is_data_sparse(&self, now: Nanos) -> bool {
         self.estimation
             .estimator
-            .is_starved(now, self.endpoints.len())
+            .is_data_sparse(now, self.endpoints.len())
     }
 
     /// Arrivals in a slot at all proxies together, if each has as many as this one.
@@ -98,17 +98,17 @@
         priors: &PriorLatencies,
         members: &BTreeSet<BackendId>,
     ) -> Vec<f64> {
-        let is_starved = self.is_starved(now);
+        let is_data_sparse = self.is_data_sparse(now);
         let rate = |(record, prior): (&EndpointRecord, &PriorLatency)| {
-            let waited = record.load.summed_wait_seconds(seconds(now));
+            let summed_wait = record.load.summed_wait_seconds(seconds(now));
             let latency = record
                 .service_times
-                .estimated_latency(waited, prior.expected);
-            let is_known =
-                record.service_times.has_completions() || is_starved && prior.expected > 0.0;
+                .estimated_latency(summed_wait, prior.expected);
+            let has_estimate =
+                record.service_times.has_completions() || is_data_sparse && prior.expected > 0.0;
             let is_member = members.contains(&record.id()) && !self.is_overloaded(latency, prior);
-            let is_split_among = self.is_usable(now, record) && is_known && is_member;
-            if is_split_among {
+            let is_in_split = self.is_usable(now, record) && has_estimate && is_member;
+            if is_in_split {
                 service_rate(latency, self.slot_seconds())
             } else {
                 0.0
@@ -142,13 +142,15 @@
 
     /// Saves up attempts at backends in slow start over `step` seconds.
     fn renew_slow_start(&mut self, now: Nanos, step: f64, members: &BTreeSet<BackendId>) {
-        let fractions = members
+        let fraction_sum = members
             .iter()
             .filter_map(|id| self.endpoints.get(*id))
             .map(|record| self.slow_start.capacity_fraction(now, record.endpoint()))
             .sum();
-        self.slow_start
-            .set_completions(self.admission.rate.completions_per_second(now), fractions);
+        self.slow_start.set_completions(
+            self.admission.rate.completions_per_second(now),
+            fraction_sum,
+        );
         for record in self.endpoints.iter_mut() {
             let fraction = self.slow_start.capacity_fraction(now, record.endpoint());
             self.slow_start
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -12,11 +12,11 @@
 #[derive(Default)]
 pub(crate) struct Candidates {
     support: Vec<BackendId>,
-    explored: Vec<Explored>,
+    explorations: Vec<ExplorationEntry>,
 }
 
 /// A backend and the sum of the exploration weights up to and including its own.
-struct Explored {
+struct ExplorationEntry {
     cumulative_weight: f64,
     backend: BackendId,
 }
@@ -35,7 +35,7 @@
             }
             if weights.exploration() > 0.0 {
                 cumulative_weight += weights.exploration();
-                candidates.explored.push(Explored {
+                candidates.explorations.push(ExplorationEntry {
                     cumulative_weight,
                     backend: record.id(),
                 });
@@ -46,7 +46,7 @@
 
     /// Whether no backend has weight of either kind.
     pub(crate) fn is_empty(&self) -> bool {
-        self.support.is_empty() && self.explored.is_empty()
+        self.support.is_empty() && self.explorations.is_empty()
     }
 
     /// The backends that have a share or a service rate.
@@ -56,21 +56,21 @@
 
     /// Sum of the exploration weights: the probability of an exploration where it is under 1.
     pub(crate) fn exploration_sum(&self) -> f64 {
-        self.explored
+        self.explorations
             .last()
             .map_or(0.0, |last| last.cumulative_weight)
     }
 
     /// The backend at `fraction`, from 0 to 1, of the summed exploration weights.
     pub(crate) fn explored_at(&self, fraction: f64) -> Option<BackendId> {
-        let at = fraction * self.exploration_sum();
-        let found = self
-            .explored
-            .partition_point(|explored| explored.cumulative_weight <= at);
-        self.explored
-            .get(found)
-            .or(self.explored.last())
-            .map(|explored| explored.backend)
+        let target_weight = fraction * self.exploration_sum();
+        let index = self
+            .explorations
+            .partition_point(|entry| entry.cumulative_weight <= target_weight);
+        self.explorations
+            .get(index)
+            .or(self.explorations.last())
+            .map(|entry| entry.backend)
     }
 }
 
--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -11,7 +11,7 @@
         id: BackendId(id),
         ..Endpoint::default()
     };
-    let weights = PickWeights::with(share, exploration);
+    let weights = PickWeights::for_test(share, exploration);
     EndpointRecord::new(
         endpoint,
         BackendLoad::default(),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_explored_backend_is_found_in_proportion_to_its_weight() {
+fn explored_at_selects_backends_in_proportion_to_their_weight() {
     let records = [
         record(1, 0.0, 0.1),
         record(2, 0.5, 0.0),
@@ -31,14 +31,16 @@
     assert_eq!(candidates.support(), [BackendId(2), BackendId(3)]);
     assert!((candidates.exploration_sum() - 0.4).abs() < 1e-12);
     let count = |id| {
-        let at = |n: u32| candidates.explored_at(f64::from(n) / 1000.0);
-        (0..1000).filter(|n| at(*n) == Some(BackendId(id))).count()
+        let backend_at = |n: u32| candidates.explored_at(f64::from(n) / 1000.0);
+        (0..1000)
+            .filter(|n| backend_at(*n) == Some(BackendId(id)))
+            .count()
     };
     assert_eq!((count(1), count(2), count(3)), (250, 0, 750));
 }
 
 #[test]
-fn nothing_is_found_where_nothing_has_weight() {
+fn explored_at_returns_none_when_empty_and_the_last_at_one() {
     let candidates = Candidates::from_records(std::iter::empty());
     assert_eq!(
         (candidates.exploration_sum(), candidates.explored_at(0.5)),
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -15,7 +15,7 @@
 pub(crate) const LATENCY_SAMPLES: f64 = 64.0;
 
 /// Longest latency objectives over which the lowest mean is forgotten.
-const LOWEST_MEMORY: f64 = 100.0;
+const MINIMUM_MEMORY_OBJECTIVES: f64 = 100.0;
 
 /// What is known of one class. Latencies are in seconds.
 #[derive(Clone, Default)]
@@ -50,13 +50,13 @@
     /// The latency of an attempt in a zone, as a multiple of what it is without load there; that of
     /// an answer is taken in.
     pub(crate) fn latency_ratio(&mut self, zone: ZoneId, latency: f64, outcome: Outcome) -> f64 {
-        let in_zone = self.zone_latencies.entry(zone).or_default();
+        let zone_latency = self.zone_latencies.entry(zone).or_default();
         if outcome == Outcome::Success {
-            in_zone.add(latency, LATENCY_SAMPLES);
+            zone_latency.add(latency, LATENCY_SAMPLES);
         }
-        let is_known = in_zone.count >= LATENCY_SAMPLES;
-        let unloaded = if is_known {
-            in_zone.minimum
+        let has_full_window = zone_latency.count >= LATENCY_SAMPLES;
+        let unloaded = if has_full_window {
+            zone_latency.minimum
         } else {
             self.latencies.minimum
         };
@@ -74,10 +74,10 @@
         client_timeout: Nanos,
         class_timeout: Nanos,
     ) -> Nanos {
-        let is_usual = self
+        let is_most_frequent = self
             .client_timeouts
             .add(client_timeout as f64 / class_timeout as f64);
-        if is_usual {
+        if is_most_frequent {
             0
         } else {
             class_timeout.saturating_sub(client_timeout)
@@ -86,7 +86,7 @@
 
     /// Forgets a part of the lowest means after `step` seconds.
     pub(crate) fn raise_minimums(&mut self, step: f64, longest_objective: f64) {
-        let fraction = step / (LOWEST_MEMORY * longest_objective);
+        let fraction = step / (MINIMUM_MEMORY_OBJECTIVES * longest_objective);
         for latencies in self
             .zone_latencies
             .values_mut()
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -33,13 +33,13 @@
 const LIMIT_GAIN: f64 = 0.2;
 
 /// Answers that the mean latency ratio of a backend remembers.
-const RATIO_SAMPLES: f64 = 12.0;
+const LATENCY_RATIO_SAMPLES: f64 = 12.0;
 
 /// Largest latency ratio that is taken in.
-const MAX_RATIO: f64 = 10.0;
+const MAX_LATENCY_RATIO: f64 = 10.0;
 
 /// Fraction of this proxy's share that a limit never falls below.
-const LEAST_LIMIT_FRACTION: f64 = 0.25;
+const MIN_LIMIT_FRACTION: f64 = 0.25;
 
 /// Attempts in flight at one backend, its limit, and its latest latencies.
 #[derive(Clone, Copy, Default)]
@@ -214,29 +214,31 @@
             Outcome::Timeout | Outcome::Overloaded => sample.latency_ratio.max(2.0 * TOLERANCE),
             _ => return,
         };
-        let is_answer = sample.outcome == Outcome::Success;
-        load.last_latency_ratio = if is_answer {
+        let is_success = sample.outcome == Outcome::Success;
+        load.last_latency_ratio = if is_success {
             sample.ratio_to_mean
         } else {
             f64::INFINITY
         };
         load.last_answer_at = sample.at;
-        load.latency_ratio += (ratio.min(MAX_RATIO) - load.latency_ratio) / RATIO_SAMPLES;
+        load.latency_ratio +=
+            (ratio.min(MAX_LATENCY_RATIO) - load.latency_ratio) / LATENCY_RATIO_SAMPLES;
         let growth = LIMIT_GAIN * (TOLERANCE / load.latency_ratio - 1.0);
         if growth < 0.0 || load.in_flight + 1.0 >= load.concurrency_limit.floor() {
-            let least = LEAST_LIMIT_FRACTION * self.share;
-            let most = self.largest_limit(longest_unloaded_latency).max(1.0);
-            load.concurrency_limit = (load.concurrency_limit * (1.0 + growth)).clamp(least, most);
+            let min_limit = MIN_LIMIT_FRACTION * self.share;
+            let max_limit = self.max_backend_limit(longest_unloaded_latency).max(1.0);
+            load.concurrency_limit =
+                (load.concurrency_limit * (1.0 + growth)).clamp(min_limit, max_limit);
         }
     }
 
     /// Largest limit of one backend: behind as many of the longest work as all proxies let it
     /// hold, an answer to the tightest class is still in time. This proxy's share of that, and the
     /// root of it, as others are not all at their shares at the same time.
-    fn largest_limit(&self, longest_unloaded_latency: f64) -> f64 {
-        let in_time = self.shortest_objective / longest_unloaded_latency - 1.0;
-        let fitting = SHARED_LIMIT.min(in_time).max(1.0) / self.proxy_count;
-        (fitting + fitting.sqrt()).round()
+    fn max_backend_limit(&self, longest_unloaded_latency: f64) -> f64 {
+        let max_attempts_in_time = self.shortest_objective / longest_unloaded_latency - 1.0;
+        let proxy_share = SHARED_LIMIT.min(max_attempts_in_time).max(1.0) / self.proxy_count;
+        (proxy_share + proxy_share.sqrt()).round()
     }
 }
 
@@ -247,30 +249,30 @@
 #[derive(Default)]
 pub(crate) struct Pressure {
     latency_sum: f64,
-    waited: f64,
-    weighted_ratios: f64,
+    summed_wait: f64,
+    weighted_ratio_sum: f64,
     completions: f64,
 }
 
 impl Pressure {
     /// What attempts in flight have waited counts up to this multiple of what answers took: a few
     /// silent connections must not outweigh all that is answered.
-    const MAX_WAITED: f64 = 3.0;
+    const MAX_WAIT_RATIO: f64 = 3.0;
 
     /// Takes in a backend that has completed something. Its latency ratio counts by completions:
     /// that of a backend which is met no more would else stay for good.
-    pub(crate) fn add(&mut self, load: &BackendLoad, service: &ServiceTimes, now: Nanos) {
-        let most_waited = Self::MAX_WAITED * service.latency_sum();
-        self.latency_sum += service.latency_sum();
-        self.waited += load.summed_wait_seconds(seconds(now)).min(most_waited);
-        self.weighted_ratios += load.latency_ratio * service.completions();
-        self.completions += service.completions();
+    pub(crate) fn add(&mut self, load: &BackendLoad, service_times: &ServiceTimes, now: Nanos) {
+        let max_wait = Self::MAX_WAIT_RATIO * service_times.latency_sum();
+        self.latency_sum += service_times.latency_sum();
+        self.summed_wait += load.summed_wait_seconds(seconds(now)).min(max_wait);
+        self.weighted_ratio_sum += load.latency_ratio * service_times.completions();
+        self.completions += service_times.completions();
     }
 
     /// The mean latency ratio, raised by what attempts in flight have waited.
     pub(crate) fn value(&self) -> f64 {
-        self.weighted_ratios / f64::max(self.completions, 1e-9)
-            * (1.0 + self.waited / f64::max(self.latency_sum, 1e-3))
+        self.weighted_ratio_sum / f64::max(self.completions, 1e-9)
+            * (1.0 + self.summed_wait / f64::max(self.latency_sum, 1e-3))
     }
 }
 
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// The limit of a backend with so many attempts in flight, after many samples of one kind.
-fn adjusted(limiter: &ConcurrencyLimiter, in_flight: usize, sample: &LoadSample) -> f64 {
+fn limit_after_samples(limiter: &ConcurrencyLimiter, in_flight: usize, sample: &LoadSample) -> f64 {
     let mut load = BackendLoad::new(limiter.initial_limit());
     (0..in_flight).for_each(|_| load.on_sent(0));
     (0..200).for_each(|_| limiter.adjust(&mut load, sample, 0.01));
@@ -20,18 +20,21 @@
 }
 
 #[test]
-fn a_limit_in_use_grows_with_fast_answers_up_to_this_proxys_share() {
+fn limit_in_use_grows_with_fast_answers_up_to_the_proxy_share() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     assert_eq!(limiter.initial_limit(), 1.0);
     // All proxies let a backend hold four; one alone may use four and the root of that.
-    assert_eq!(adjusted(&limiter, 6, &sample(Outcome::Success, 1.0)), 6.0);
+    assert_eq!(
+        limit_after_samples(&limiter, 6, &sample(Outcome::Success, 1.0)),
+        6.0
+    );
     // What is not used says nothing of more.
-    let unused = adjusted(&limiter, 0, &sample(Outcome::Success, 1.0));
+    let unused = limit_after_samples(&limiter, 0, &sample(Outcome::Success, 1.0));
     assert!((2.0..2.1).contains(&unused), "{unused}");
 }
 
 #[test]
-fn a_limit_leaves_the_tightest_class_in_time_behind_the_longest_work() {
+fn limit_keeps_the_shortest_objective_behind_the_longest_work() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
@@ -41,17 +44,20 @@
 }
 
 #[test]
-fn a_limit_shrinks_with_slow_answers_timeouts_and_rejections_but_keeps_a_part() {
+fn slow_answers_timeouts_and_rejections_shrink_limit_to_its_minimum() {
     let limiter = ConcurrencyLimiter::new(2.0, 0.3);
     for (outcome, ratio) in [
         (Outcome::Success, 4.0),
         (Outcome::Timeout, 0.1),
         (Outcome::Overloaded, 0.1),
     ] {
-        let found = adjusted(&limiter, 2, &sample(outcome, ratio));
-        assert_eq!(found, 0.5, "{outcome:?}");
+        let limit = limit_after_samples(&limiter, 2, &sample(outcome, ratio));
+        assert_eq!(limit, 0.5, "{outcome:?}");
     }
-    assert_eq!(adjusted(&limiter, 2, &sample(Outcome::Reset, 9.0)), 1.0);
+    assert_eq!(
+        limit_after_samples(&limiter, 2, &sample(Outcome::Reset, 9.0)),
+        1.0
+    );
 }
 
 #[test]
@@ -65,7 +71,7 @@
 }
 
 #[test]
-fn a_new_process_is_given_the_attempts_in_flight_of_the_old_one_and_nothing_else() {
+fn restarted_backend_keeps_only_the_attempts_in_flight() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     load.on_sent(2_000_000_000);
@@ -82,18 +88,18 @@
 }
 
 #[test]
-fn limits_are_below_one_from_eleven_proxies_on() {
-    for (proxies, below) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
+fn limit_is_below_one_with_eleven_or_more_proxies() {
+    for (proxy_count, is_below_one) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
         assert_eq!(
-            ConcurrencyLimiter::new(proxies, 0.3).is_below_one(),
-            below,
-            "{proxies}"
+            ConcurrencyLimiter::new(proxy_count, 0.3).is_below_one(),
+            is_below_one,
+            "{proxy_count}"
         );
     }
 }
 
 #[test]
-fn pressure_cuts_the_total_but_leaves_one_attempt() {
+fn pressure_reduces_the_total_limit_to_no_less_than_one_attempt() {
     let mut limiter = ConcurrencyLimiter::new(1.0, 0.3);
     limiter.set_total(8.0, 1.0);
     (0..7).for_each(|_| limiter.on_sent());
@@ -106,15 +112,15 @@
 }
 
 #[test]
-fn silence_counts_as_pressure_up_to_a_multiple_of_what_answers_took() {
-    let mut service = ServiceTimes::default();
-    service.on_ended(Outcome::Success, 0.1, 0.0);
+fn unanswered_attempts_raise_pressure_up_to_a_maximum() {
+    let mut service_times = ServiceTimes::default();
+    service_times.on_ended(Outcome::Success, 0.1, 0.0);
     let mut load = BackendLoad::new(1.0);
-    let mut calm = Pressure::default();
-    calm.add(&load, &service, 0);
-    assert_eq!(calm.value(), 1.0);
+    let mut idle_pressure = Pressure::default();
+    idle_pressure.add(&load, &service_times, 0);
+    assert_eq!(idle_pressure.value(), 1.0);
     load.on_sent(0);
-    let mut silent = Pressure::default();
-    silent.add(&load, &service, 3_600_000_000_000);
-    assert!((silent.value() - 4.0).abs() < 1e-9);
+    let mut waiting_pressure = Pressure::default();
+    waiting_pressure.add(&load, &service_times, 3_600_000_000_000);
+    assert!((waiting_pressure.value() - 4.0).abs() < 1e-9);
 }
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -18,10 +18,10 @@
 use crate::timescale::Timescale;
 
 /// Completions of a backend that the decay keeps: the standard error of a rate is near a quarter.
-pub(crate) const COMPLETIONS_KEPT: f64 = 12.0;
+pub(crate) const TARGET_COMPLETIONS: f64 = 12.0;
 
 /// Longest memory of a backend's completions, in longest latency objectives.
-pub(crate) const MEMORY_OBJECTIVES: f64 = 10.0;
+pub(crate) const MAX_MEMORY_OBJECTIVES: f64 = 10.0;
 
 /// Completions of a kind of machine that are remembered, as for the latencies of a class.
 const KIND_SAMPLES: f64 = crate::class_statistics::LATENCY_SAMPLES;
@@ -60,13 +60,13 @@
 
     /// Whether it completes enough for an estimate of its own.
     pub(crate) fn has_enough_completions(&self) -> bool {
-        self.completions > 0.5 * COMPLETIONS_KEPT
+        self.completions > 0.5 * TARGET_COMPLETIONS
     }
 
     /// Keeps this fraction of the weight of each completion.
-    pub(crate) fn decay(&mut self, keep: f64) {
-        self.completions *= keep;
-        self.latency_sum *= keep;
+    pub(crate) fn decay(&mut self, decay_factor: f64) {
+        self.completions *= decay_factor;
+        self.latency_sum *= decay_factor;
     }
 
     /// Forgets all.
@@ -77,10 +77,10 @@
     /// An attempt has ended after `latency` seconds. `least` is what a rejection and a failed
     /// connection count at least, however fast: the request has to begin again elsewhere, and a
     /// backend that is leaving while the list is late would else look like the fastest.
-    pub(crate) fn on_ended(&mut self, outcome: Outcome, latency: f64, least: f64) {
+    pub(crate) fn on_ended(&mut self, outcome: Outcome, latency: f64, min_failure_latency: f64) {
         self.latency_sum += match outcome {
             Outcome::BadRequest => 0.0,
-            Outcome::ConnectFailed | Outcome::Overloaded => latency.max(least),
+            Outcome::ConnectFailed | Outcome::Overloaded => latency.max(min_failure_latency),
             _ => latency,
         };
         if outcome == Outcome::Success {
@@ -90,15 +90,15 @@
 
     /// The mean latency, in seconds, drawn to `prior`; `waited` is what attempts in flight have
     /// waited.
-    pub(crate) fn estimated_latency(&self, waited: f64, prior: f64) -> f64 {
-        (self.latency_sum + waited + PRIOR_COMPLETIONS * prior)
+    pub(crate) fn estimated_latency(&self, summed_wait: f64, prior: f64) -> f64 {
+        (self.latency_sum + summed_wait + PRIOR_COMPLETIONS * prior)
             / (self.completions + PRIOR_COMPLETIONS)
     }
 }
 
 /// The service rate for a mean latency in seconds: completions in a slot of `slot` seconds.
-pub(crate) fn service_rate(latency: f64, slot: f64) -> f64 {
-    (CONCURRENCY * slot / latency.max(1e-9)).min(MAX_RATE)
+pub(crate) fn service_rate(latency: f64, slot_seconds: f64) -> f64 {
+    (CONCURRENCY * slot_seconds / latency.max(1e-9)).min(MAX_RATE)
 }
 
 /// What this proxy knows of its arrivals and of the kinds of machines.
@@ -124,8 +124,8 @@
     }
 
     /// Keeps this fraction of the weight of each arrival.
-    pub(crate) fn decay(&mut self, keep: f64) {
-        self.arrivals *= keep;
+    pub(crate) fn decay(&mut self, decay_factor: f64) {
+        self.arrivals *= decay_factor;
     }
 
     /// The first attempt of a request was sent.
@@ -155,29 +155,29 @@
     }
 
     /// Time constant, in seconds, with which the completions of a backend decay, so that about
-    /// [`COMPLETIONS_KEPT`] of them count.
+    /// [`TARGET_COMPLETIONS`] of them count.
     pub(crate) fn completion_memory(&self, now: Nanos, backends: usize) -> f64 {
-        let rate = self.rate_of_each(now, backends);
-        let longest = MEMORY_OBJECTIVES * self.timescale.longest_objective;
-        (COMPLETIONS_KEPT / rate.max(1e-9)).clamp(self.timescale.shortest_objective, longest)
+        let rate = self.arrival_rate_per_backend(now, backends);
+        let max_memory = MAX_MEMORY_OBJECTIVES * self.timescale.longest_objective;
+        (TARGET_COMPLETIONS / rate.max(1e-9)).clamp(self.timescale.shortest_objective, max_memory)
     }
 
     /// Whether fewer completions of a backend come in the longest memory than an estimate wants.
-    pub(crate) fn is_starved(&self, now: Nanos, backends: usize) -> bool {
-        let rate = self.rate_of_each(now, backends);
-        rate * MEMORY_OBJECTIVES * self.timescale.longest_objective < COMPLETIONS_KEPT
+    pub(crate) fn is_data_sparse(&self, now: Nanos, backends: usize) -> bool {
+        let rate = self.arrival_rate_per_backend(now, backends);
+        rate * MAX_MEMORY_OBJECTIVES * self.timescale.longest_objective < TARGET_COMPLETIONS
     }
 
-    fn rate_of_each(&self, now: Nanos, backends: usize) -> f64 {
+    fn arrival_rate_per_backend(&self, now: Nanos, backends: usize) -> f64 {
         self.arrival_rate(now) / (backends.max(1) as f64)
     }
 
     /// How many backends get the completions that an estimate wants within the longest memory, at
     /// the mean rate since the start.
-    pub(crate) fn knowable_backends(&self, now: Nanos) -> f64 {
-        let longest = self.timescale.longest_objective;
-        let age = self.timescale.age(now).max(longest);
-        self.first_attempts / age * MEMORY_OBJECTIVES * longest / COMPLETIONS_KEPT
+    pub(crate) fn estimable_backends(&self, now: Nanos) -> f64 {
+        let longest_objective = self.timescale.longest_objective;
+        let age = self.timescale.age(now).max(longest_objective);
+        self.first_attempts / age * MAX_MEMORY_OBJECTIVES * longest_objective / TARGET_COMPLETIONS
     }
 
     /// Latencies of each kind of machine, as multiples of the mean of their class.
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -9,22 +9,22 @@
 }
 
 #[test]
-fn a_service_rate_is_concurrency_over_latency_and_under_one_a_slot() {
+fn service_rate_is_concurrency_over_latency_and_below_one_per_slot() {
     assert!((service_rate(0.1, 0.001) - 0.08).abs() < 1e-12);
     assert_eq!(service_rate(0.001, 0.01), 0.99);
 }
 
 #[test]
-fn a_latency_is_drawn_to_its_prior_and_to_what_is_silent() {
-    let mut service = ServiceTimes::default();
-    assert_eq!(service.estimated_latency(0.0, 0.3), 0.3);
-    (0..9).for_each(|_| service.on_ended(Outcome::Success, 0.1, 0.0));
-    assert!((service.estimated_latency(0.0, 0.3) - 0.12).abs() < 1e-12);
-    assert!((service.estimated_latency(1.0, 0.3) - 0.22).abs() < 1e-12);
+fn estimated_latency_includes_the_prior_and_the_wait_in_flight() {
+    let mut service_times = ServiceTimes::default();
+    assert_eq!(service_times.estimated_latency(0.0, 0.3), 0.3);
+    (0..9).for_each(|_| service_times.on_ended(Outcome::Success, 0.1, 0.0));
+    assert!((service_times.estimated_latency(0.0, 0.3) - 0.12).abs() < 1e-12);
+    assert!((service_times.estimated_latency(1.0, 0.3) - 0.22).abs() < 1e-12);
 }
 
 #[test]
-fn what_fails_at_once_counts_as_slow_and_a_faulty_request_not_at_all() {
+fn fast_failures_count_as_slow_and_bad_requests_do_not_count() {
     let cases = [
         (Outcome::Success, 0.01, 1.0),
         (Outcome::ConnectFailed, 0.3, 0.0),
@@ -33,38 +33,38 @@
         (Outcome::BadRequest, 0.0, 0.0),
     ];
     for (outcome, latency_sum, completions) in cases {
-        let mut service = ServiceTimes::default();
-        service.on_ended(outcome, 0.01, 0.3);
+        let mut service_times = ServiceTimes::default();
+        service_times.on_ended(outcome, 0.01, 0.3);
         assert_eq!(
-            (service.latency_sum(), service.completions()),
+            (service_times.latency_sum(), service_times.completions()),
             (latency_sum, completions)
         );
     }
 }
 
 #[test]
-fn a_backend_is_remembered_for_as_long_as_it_takes_to_complete_enough() {
+fn completion_memory_spans_the_target_number_of_completions() {
     let mut estimator = estimator();
     // Without arrivals the longest memory, ten latency objectives, is too short.
     assert_eq!(estimator.completion_memory(10_000 * MS, 4), 3.0);
-    assert!(estimator.is_starved(10_000 * MS, 4));
+    assert!(estimator.is_data_sparse(10_000 * MS, 4));
     // Sixty in a window of 0.6 s are a hundred a second, or twenty for each of five backends.
     (0..60).for_each(|_| estimator.on_first_attempt());
     assert!((estimator.arrival_rate(100_000 * MS) - 100.0).abs() < 1e-6);
     assert!((estimator.completion_memory(100_000 * MS, 5) - 0.6).abs() < 1e-6);
-    assert!(!estimator.is_starved(100_000 * MS, 5));
+    assert!(!estimator.is_data_sparse(100_000 * MS, 5));
 }
 
 #[test]
-fn as_many_backends_can_be_known_as_get_the_completions_of_an_estimate() {
+fn estimable_backends_is_how_many_get_enough_completions() {
     let mut estimator = estimator();
     estimator.set_first_attempts(1_200.0);
     // Sixty a second for twenty seconds: 180 in ten latency objectives, for 15 backends.
-    assert!((estimator.knowable_backends(20_000 * MS) - 15.0).abs() < 1e-9);
+    assert!((estimator.estimable_backends(20_000 * MS) - 15.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_slow_kind_of_machine_shows_in_its_pool() {
+fn kind_pool_holds_latency_relative_to_the_class_mean() {
     let mut estimator = estimator();
     (0..64).for_each(|_| estimator.on_completion(KindId(1), 0.2, 0.1));
     estimator.on_completion(KindId(2), 0.2, 0.0);
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -15,14 +15,14 @@
 
 /// Fraction of its share that a backend of another zone keeps while the home zone keeps up: it
 /// shows what is there.
-const LEAST_SPILLOVER: f64 = 0.05;
+const MIN_SPILLOVER: f64 = 0.05;
 
 /// Renewals in a shortest latency objective at most: estimates move little within a small part of
 /// it, and renewing costs CPU time.
-const RENEWALS_PER_OBJECTIVE: f64 = 64.0;
+const MAX_RENEWALS_PER_OBJECTIVE: f64 = 64.0;
 
 /// Backends up to which weights are renewed at the full rate.
-const USUAL_BACKENDS: f64 = 200.0;
+const MAX_BACKENDS_AT_FULL_RATE: f64 = 200.0;
 
 /// Weights with which a backend is picked, as of the last renewal.
 #[derive(Clone, Copy, Default)]
@@ -68,7 +68,7 @@
 
     /// Weights for a test.
     #[cfg(test)]
-    pub(crate) fn with(share: f64, exploration: f64) -> PickWeights {
+    pub(crate) fn for_test(share: f64, exploration: f64) -> PickWeights {
         PickWeights {
             share,
             exploration,
@@ -80,15 +80,15 @@
 /// What a renewal works from.
 pub(crate) struct SplitInputs {
     /// Arrivals in a slot, of all proxies together.
-    pub(crate) arrivals: f64,
+    pub(crate) arrivals_per_slot: f64,
     /// Service rate of each backend, in the order of the endpoint list; 0: outside of the set.
     pub(crate) service_rates: Vec<f64>,
     /// Capacity fraction of each usable backend, in the same order; 0 for the others.
     pub(crate) capacity_fractions: Vec<f64>,
     /// Backends in the subset.
-    pub(crate) members: usize,
+    pub(crate) member_count: usize,
     /// Kinds of machines, if evidence is pooled over them because each backend has too little.
-    pub(crate) pooled_kinds: Option<usize>,
+    pub(crate) pooled_kind_count: Option<usize>,
     /// Latencies at home as a multiple of those in other zones.
     pub(crate) local_to_remote_ratio: f64,
 }
@@ -96,7 +96,7 @@
 /// The split of one proxy.
 pub(crate) struct OptimalSplit {
     zone: ZoneId,
-    cross_zone_costs: bool,
+    has_cross_zone_cost: bool,
     tick: Nanos,
     shortest_objective: f64,
     renewed_at: Nanos,
@@ -111,13 +111,13 @@
     /// Without weights until the first renewal. `cross_zone_costs`: attempts to other zones cost.
     pub(crate) fn new(
         zone: ZoneId,
-        cross_zone_costs: bool,
+        has_cross_zone_cost: bool,
         tick: Nanos,
         timescale: &Timescale,
     ) -> OptimalSplit {
         OptimalSplit {
             zone,
-            cross_zone_costs,
+            has_cross_zone_cost,
             tick,
             shortest_objective: timescale.shortest_objective,
             renewed_at: timescale.started_at,
@@ -145,16 +145,16 @@
     /// Whether weights are to be renewed now. A renewal walks the whole list: with long lists it
     /// comes more seldom and costs the same over time.
     pub(crate) fn is_due(&self, now: Nanos, backends: usize) -> bool {
-        let usual = self.shortest_objective * SECOND / RENEWALS_PER_OBJECTIVE;
-        let stretch = (backends as f64 / USUAL_BACKENDS).max(1.0);
-        let pause = usual
+        let base_interval = self.shortest_objective * SECOND / MAX_RENEWALS_PER_OBJECTIVE;
+        let interval_factor = (backends as f64 / MAX_BACKENDS_AT_FULL_RATE).max(1.0);
+        let interval = base_interval
             * if self.is_stale {
-                stretch - 1.0
+                interval_factor - 1.0
             } else {
-                stretch
+                interval_factor
             };
         self.is_stale && self.candidates.is_empty()
-            || now >= self.renewed_at.saturating_add(pause as Nanos)
+            || now >= self.renewed_at.saturating_add(interval as Nanos)
     }
 
     /// A pick had to look at the whole list.
@@ -171,18 +171,21 @@
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &mut EndpointList, inputs: &SplitInputs) {
         let spillover = self.spillover(endpoints, inputs);
         // The members of the subset meet their part of what all backends meet.
-        let part = inputs.members as f64 / endpoints.ready().count().max(1) as f64;
-        let shares = optimal_split(inputs.arrivals * part, &inputs.service_rates);
-        let unknown_rates = unknown_rates(endpoints.len(), inputs);
-        for (place, record) in endpoints.iter_mut().enumerate() {
-            let clock = self.exploration_clock(now, record, inputs);
-            let explores = unknown_rates * inputs.capacity_fractions[place];
-            let at_home = record.endpoint().zone == self.zone;
+        let member_fraction = inputs.member_count as f64 / endpoints.ready().count().max(1) as f64;
+        let shares = optimal_split(
+            inputs.arrivals_per_slot * member_fraction,
+            &inputs.service_rates,
+        );
+        let exploration_constant = exploration_constant(endpoints.len(), inputs);
+        for (index, record) in endpoints.iter_mut().enumerate() {
+            let age = self.exploration_age(now, record, inputs);
+            let scaled_constant = exploration_constant * inputs.capacity_fractions[index];
+            let is_local = record.endpoint().zone == self.zone;
             record.weights = PickWeights {
-                service_rate: inputs.service_rates[place],
-                share: shares[place] * if at_home { 1.0 } else { spillover },
-                exploration: explores * clock.ln()
-                    / clock
+                service_rate: inputs.service_rates[index],
+                share: shares[index] * if is_local { 1.0 } else { spillover },
+                exploration: scaled_constant * age.ln()
+                    / age
                     / (1.0 + record.failure_history.consecutive_failures()),
                 exploring_since: record.weights.exploring_since,
             };
@@ -194,9 +197,10 @@
 
     /// t of K ln t / t, in slots. The clock of a newcomer stands until it has completed something:
     /// late in t it would get next to nothing.
-    fn exploration_clock(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
-        let runs = record.service_times.has_completions() || inputs.pooled_kinds.is_some();
-        let since = if runs {
+    fn exploration_age(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
+        let has_started =
+            record.service_times.has_completions() || inputs.pooled_kind_count.is_some();
+        let since = if has_started {
             record.weights.exploring_since
         } else {
             now
@@ -214,18 +218,18 @@
                 count += 1.0;
             }
         }
-        if count == 0.0 || !self.cross_zone_costs {
+        if count == 0.0 || !self.has_cross_zone_cost {
             return 1.0;
         }
         let ratio = inputs.local_to_remote_ratio.min(ratio_sum / count);
-        ((ratio - 1.0) / (TOLERANCE - 1.0)).clamp(LEAST_SPILLOVER, 1.0)
+        ((ratio - 1.0) / (TOLERANCE - 1.0)).clamp(MIN_SPILLOVER, 1.0)
     }
 }
 
 /// K of K ln t / t, for each backend: 1 where each rate is unknown by itself. Where evidence is
 /// pooled, as many rates are unknown as there are kinds of machines.
-fn unknown_rates(backends: usize, inputs: &SplitInputs) -> f64 {
-    match inputs.pooled_kinds {
+fn exploration_constant(backends: usize, inputs: &SplitInputs) -> f64 {
+    match inputs.pooled_kind_count {
         Some(kinds) => kinds as f64 / backends.max(1) as f64,
         None => 1.0,
     }
@@ -248,25 +252,25 @@
     }
     let mut support: Vec<usize> = (0..rates.len()).filter(|i| rates[*i] > 0.0).collect();
     support.sort_by(|a, b| rates[*b].total_cmp(&rates[*a]).then(a.cmp(b)));
-    let mut root_sum: f64 = support.iter().map(|i| deviation(rates[*i])).sum();
-    let share = |rate: f64, rate_sum: f64, root_sum: f64| {
+    let mut deviation_sum: f64 = support.iter().map(|i| deviation(rates[*i])).sum();
+    let share = |rate: f64, rate_sum: f64, deviation_sum: f64| {
         let excess = rate_sum / arrivals - 1.0;
-        rate / arrivals - deviation(rate) / root_sum.max(f64::MIN_POSITIVE) * excess
+        rate / arrivals - deviation(rate) / deviation_sum.max(f64::MIN_POSITIVE) * excess
     };
     while let [.., slowest] = support[..]
         && support.len() > 1
-        && share(rates[slowest], rate_sum, root_sum) <= 0.0
+        && share(rates[slowest], rate_sum, deviation_sum) <= 0.0
     {
         rate_sum -= rates[slowest];
-        root_sum -= deviation(rates[slowest]);
+        deviation_sum -= deviation(rates[slowest]);
         support.pop();
     }
     for i in &support {
-        let alone = support.len() == 1;
-        shares[*i] = if alone {
+        let is_only = support.len() == 1;
+        shares[*i] = if is_only {
             1.0
         } else {
-            share(rates[*i], rate_sum, root_sum).max(0.0)
+            share(rates[*i], rate_sum, deviation_sum).max(0.0)
         };
     }
     shares
--- a/crates/balancer/src/optimal_split_tests.rs
+++ b/crates/balancer/src/optimal_split_tests.rs
@@ -2,15 +2,18 @@
 
 use super::optimal_split;
 
-fn assert_near(found: &[f64], wanted: &[f64]) {
+fn assert_near(actual: &[f64], expected: &[f64]) {
     assert!(
-        found.iter().zip(wanted).all(|(a, b)| (a - b).abs() < 1e-9),
-        "{found:?} {wanted:?}"
+        actual
+            .iter()
+            .zip(expected)
+            .all(|(a, b)| (a - b).abs() < 1e-9),
+        "{actual:?} {expected:?}"
     );
 }
 
 #[test]
-fn shares_by_hand() {
+fn shares_match_values_calculated_by_hand() {
     assert_near(&optimal_split(0.2, &[0.45, 0.55]), &[0.25, 0.75]);
     // Only the fastest gets a share; the slowest leave one by one.
     assert_near(
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -17,13 +17,13 @@
 
 /// An outlier fails by this fraction more often than the rest of the fleet. One that fails less
 /// still has capacity, which an overloaded fleet lacks; its service rate tells how much.
-const OUTLIER_EXCESS: f64 = 0.5;
+const OUTLIER_FAILURE_RATE_EXCESS: f64 = 0.5;
 
 /// Consecutive failures that make an outlier, whatever it did before: rare at a backend in use.
 const OUTLIER_CONSECUTIVE_FAILURES: f64 = 6.0;
 
 /// Largest fraction of the ready backends that is ejected.
-const MAX_EJECTED: f64 = 0.5;
+const MAX_EJECTED_FRACTION: f64 = 0.5;
 
 /// Doublings of the ejection time at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
@@ -52,13 +52,13 @@
     }
 
     /// Whether its last attempt to end was no failure.
-    pub(crate) fn is_proven(&self) -> bool {
+    pub(crate) fn is_not_failing(&self) -> bool {
         self.consecutive_failures == 0.0
     }
 
     /// Keeps this fraction of the weight of each failure.
-    pub(crate) fn decay(&mut self, keep: f64) {
-        self.failures *= keep;
+    pub(crate) fn decay(&mut self, decay_factor: f64) {
+        self.failures *= decay_factor;
     }
 
     /// An attempt was served.
@@ -88,7 +88,7 @@
 /// Decides which backends are ejected.
 pub(crate) struct OutlierDetector {
     /// Time of a first ejection, in seconds.
-    base_ejection: f64,
+    base_ejection_seconds: f64,
     /// As of the last renewal: so many look bad that none is left out.
     fails_open: bool,
 }
@@ -97,7 +97,7 @@
     /// No backend is ejected yet. A first ejection lasts about two longest latency objectives.
     pub(crate) fn new(timescale: &Timescale) -> OutlierDetector {
         OutlierDetector {
-            base_ejection: 2.0 * timescale.longest_objective,
+            base_ejection_seconds: 2.0 * timescale.longest_objective,
             fails_open: false,
         }
     }
@@ -110,7 +110,7 @@
     /// Decides anew whether ejection fails open.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &EndpointList) {
         let ejected = ejected_count(now, endpoints);
-        self.fails_open = ejected > MAX_EJECTED * endpoints.ready().count() as f64;
+        self.fails_open = ejected > MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
     }
 
     /// Counts a failure; returns the ejection if that makes the backend an outlier. `random` is a
@@ -122,21 +122,21 @@
         endpoints: &mut EndpointList,
         random: f64,
     ) -> Option<Ejection> {
-        let fleet = FleetFailures::of(endpoints);
-        let most = MAX_EJECTED * endpoints.ready().count() as f64;
-        let is_full = ejected_count(now, endpoints) + 1.0 > most;
+        let fleet = FleetFailures::from_endpoints(endpoints);
+        let max_ejected = MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
+        let is_at_limit = ejected_count(now, endpoints) + 1.0 > max_ejected;
         let record = endpoints.get_mut(id)?;
         let completions = record.service_times.completions();
         let history = &mut record.failure_history;
         history.failures += 1.0;
         history.consecutive_failures += 1.0;
         let is_outlier = history.is_outlier(completions, &fleet);
-        if !is_outlier || is_full || history.is_ejected(now) {
+        if !is_outlier || is_at_limit || history.is_ejected(now) {
             return None;
         }
         let jitter = 0.75 + 0.5 * random;
         let doublings = history.ejections.min(MAX_BACKOFF_DOUBLINGS);
-        let seconds = self.base_ejection * jitter * f64::from(1u32 << doublings);
+        let seconds = self.base_ejection_seconds * jitter * f64::from(1u32 << doublings);
         history.ejected_until = now + (seconds * SECOND) as Nanos;
         history.ejections += 1;
         history.failures = 0.0;
@@ -149,14 +149,14 @@
 
 impl FailureHistory {
     fn is_outlier(&self, completions: f64, fleet: &FleetFailures) -> bool {
-        let others = (fleet.failures - self.failures).max(0.0)
+        let rest_failure_rate = (fleet.failures - self.failures).max(0.0)
             / (fleet.failures + fleet.completions - completions).max(1.0);
-        let fraction = self.failures / (self.failures + completions);
-        let has_returned = self.ejections > 0 && completions < 1.0;
-        let is_judged = self.failures >= OUTLIER_FAILURES || has_returned;
-        is_judged
+        let failure_rate = self.failures / (self.failures + completions);
+        let has_not_recovered = self.ejections > 0 && completions < 1.0;
+        let has_enough_failures = self.failures >= OUTLIER_FAILURES || has_not_recovered;
+        has_enough_failures
             && (self.consecutive_failures >= OUTLIER_CONSECUTIVE_FAILURES
-                || fraction > others + OUTLIER_EXCESS)
+                || failure_rate > rest_failure_rate + OUTLIER_FAILURE_RATE_EXCESS)
     }
 }
 
@@ -167,12 +167,12 @@
 }
 
 impl FleetFailures {
-    fn of(endpoints: &EndpointList) -> FleetFailures {
-        let none = FleetFailures {
+    fn from_endpoints(endpoints: &EndpointList) -> FleetFailures {
+        let zero = FleetFailures {
             failures: 0.0,
             completions: 0.0,
         };
-        endpoints.ready().fold(none, |sum, record| FleetFailures {
+        endpoints.ready().fold(zero, |sum, record| FleetFailures {
             failures: sum.failures + record.failure_history.failures,
             completions: sum.completions + record.service_times.completions(),
         })
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn consecutive_failures_eject_a_backend_whatever_it_completed_before() {
+fn consecutive_failures_eject_a_backend_despite_earlier_completions() {
     let (detector, mut list) = (detector(), endpoints(4));
     complete(&mut list, 0, 100);
     assert!((0..5).all(|_| fail(&detector, 0, 0, &mut list).is_none()));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn where_all_fail_alike_none_is_ejected_for_its_fraction_alone() {
+fn no_backend_is_ejected_when_all_fail_at_the_same_rate() {
     let (detector, mut list) = (detector(), endpoints(4));
     for _ in 0..5 {
         assert!((0..4).all(|id| fail(&detector, 0, id, &mut list).is_none()));
@@ -54,23 +54,23 @@
 }
 
 #[test]
-fn ejections_in_a_row_take_longer_up_to_a_bound() {
+fn consecutive_ejections_double_in_duration_up_to_a_maximum() {
     let (detector, mut list) = (detector(), endpoints(4));
     (1..4).for_each(|id| complete(&mut list, id, 100));
     let mut now = 0;
-    let mut spans = Vec::new();
+    let mut durations = Vec::new();
     for _ in 0..6 {
         let ejection = (0..6)
             .find_map(|_| fail(&detector, now, 0, &mut list))
             .expect("an outlier");
-        spans.push((ejection.seconds * 10.0).round() as u32);
+        durations.push((ejection.seconds * 10.0).round() as u32);
         now = ejection.until;
     }
-    assert_eq!(spans, [6, 12, 24, 48, 48, 48]);
+    assert_eq!(durations, [6, 12, 24, 48, 48, 48]);
 }
 
 #[test]
-fn half_of_the_fleet_stays_and_beyond_that_ejection_fails_open() {
+fn at_most_half_are_ejected_and_beyond_that_ejection_fails_open() {
     let (mut detector, mut list) = (detector(), endpoints(4));
     for id in 0..4 {
         for _ in 0..6 {
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -26,18 +26,18 @@
 /// The draws of a pick among the candidates.
 pub(crate) struct CandidateDraws {
     explore: f64,
-    explored: f64,
-    shared: f64,
+    explored_fraction: f64,
+    share_fraction: f64,
 }
 
 impl CandidateDraws {
     /// Draws in the order that recordings rely on.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> CandidateDraws {
-        let (explore, explored) = (uniform(random), uniform(random));
+        let (explore, explored_fraction) = (uniform(random), uniform(random));
         CandidateDraws {
             explore,
-            explored,
-            shared: uniform(random),
+            explored_fraction,
+            share_fraction: uniform(random),
         }
     }
 }
@@ -45,7 +45,7 @@
 /// The draws of a pick among the whole list.
 pub(crate) struct FullScanDraws {
     explore: f64,
-    place: f64,
+    fraction: f64,
 }
 
 impl FullScanDraws {
@@ -53,7 +53,7 @@
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> FullScanDraws {
         FullScanDraws {
             explore: uniform(random),
-            place: uniform(random),
+            fraction: uniform(random),
         }
     }
 }
@@ -80,20 +80,22 @@
         candidates: &Candidates,
         draws: &CandidateDraws,
     ) -> Option<BackendId> {
-        let is_new = |record: &&EndpointRecord| {
+        let is_eligible = |record: &&EndpointRecord| {
             !self.pending.was_attempted_at(record.id()) && self.is_usable(record)
         };
-        let exploration = candidates.exploration_sum();
-        if draws.explore < exploration {
-            let drawn = candidates.explored_at(draws.explored);
-            let drawn = drawn.and_then(|id| self.endpoints.get(id)).filter(is_new);
-            let is_proven = |record: &&EndpointRecord| {
-                record.failure_history.is_proven() || !self.wants_proven()
+        let exploration_sum = candidates.exploration_sum();
+        if draws.explore < exploration_sum {
+            let drawn = candidates.explored_at(draws.explored_fraction);
+            let drawn = drawn
+                .and_then(|id| self.endpoints.get(id))
+                .filter(is_eligible);
+            let is_not_failing = |record: &&EndpointRecord| {
+                record.failure_history.is_not_failing() || !self.avoids_failing()
             };
-            if let Some(record) = drawn.filter(is_proven) {
+            if let Some(record) = drawn.filter(is_not_failing) {
                 return Some(record.id());
             }
-            if exploration >= 1.0 {
+            if exploration_sum >= 1.0 {
                 return None;
             }
         }
@@ -101,9 +103,9 @@
             .support()
             .iter()
             .filter_map(|id| self.endpoints.get(*id));
-        let mut pool: Vec<&EndpointRecord> = support.filter(is_new).collect();
-        self.prefer_proven(&mut pool);
-        self.by_share(&pool, draws.shared)
+        let mut pool: Vec<&EndpointRecord> = support.filter(is_eligible).collect();
+        self.prefer_not_failing(&mut pool);
+        self.by_share(&pool, draws.share_fraction)
     }
 
     /// Picks among the whole list.
@@ -113,18 +115,18 @@
             .iter()
             .filter(|record| self.is_usable(record))
             .collect();
-        self.prefer_new(&mut pool);
-        self.prefer_proven(&mut pool);
-        let exploration: f64 = pool.iter().map(|record| record.weights.exploration()).sum();
-        let shares = draws.explore >= exploration.min(1.0);
-        let drawn = if shares {
-            self.by_share(&pool, draws.place)
+        self.prefer_unattempted(&mut pool);
+        self.prefer_not_failing(&mut pool);
+        let exploration_sum: f64 = pool.iter().map(|record| record.weights.exploration()).sum();
+        let uses_shares = draws.explore >= exploration_sum.min(1.0);
+        let drawn = if uses_shares {
+            self.by_share(&pool, draws.fraction)
         } else {
             None
         };
         drawn
-            .or_else(|| weighted(&pool, draws.place, |record| record.weights.exploration()))
-            .or_else(|| weighted(&pool, draws.place, |_| 1.0))
+            .or_else(|| pick_weighted(&pool, draws.fraction, |record| record.weights.exploration()))
+            .or_else(|| pick_weighted(&pool, draws.fraction, |_| 1.0))
     }
 
     /// Whether an attempt may go to this backend now, and the backend is sound and has capacity.
@@ -139,89 +141,89 @@
     /// Whether this request should not be the one that finds out if a backend that failed is sound
     /// again, as it must not be executed twice. Not where many proxies share a backend: a timeout
     /// there tells of load.
-    fn wants_proven(&self) -> bool {
-        let is_once = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
+    fn avoids_failing(&self) -> bool {
+        let is_not_idempotent = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
         let classes = &self.settings.classes;
-        is_once(&classes[self.pending.class()])
-            && !classes.iter().all(is_once)
+        is_not_idempotent(&classes[self.pending.class()])
+            && !classes.iter().all(is_not_idempotent)
             && !self.limit_is_below_one
     }
 
     /// Leaves out backends with a failure since their last answer, where others are left.
-    fn prefer_proven(&self, pool: &mut Vec<&EndpointRecord>) {
-        let is_proven = |record: &&EndpointRecord| record.failure_history.is_proven();
-        if self.wants_proven() && pool.iter().any(is_proven) {
-            pool.retain(is_proven);
+    fn prefer_not_failing(&self, pool: &mut Vec<&EndpointRecord>) {
+        let is_not_failing = |record: &&EndpointRecord| record.failure_history.is_not_failing();
+        if self.avoids_failing() && pool.iter().any(is_not_failing) {
+            pool.retain(is_not_failing);
         }
     }
 
     /// Leaves out backends that the request was attempted at, where others are left.
-    fn prefer_new(&self, pool: &mut Vec<&EndpointRecord>) {
-        let is_old = |record: &&EndpointRecord| self.pending.was_attempted_at(record.id());
-        if !self.pending.attempts.is_empty() && !pool.iter().all(is_old) {
-            pool.retain(|record| !is_old(record));
+    fn prefer_unattempted(&self, pool: &mut Vec<&EndpointRecord>) {
+        let was_attempted = |record: &&EndpointRecord| self.pending.was_attempted_at(record.id());
+        if !self.pending.attempts.is_empty() && !pool.iter().all(was_attempted) {
+            pool.retain(|record| !was_attempted(record));
         }
     }
 
     /// Picks by the shares, idle backends first.
-    fn by_share(&self, pool: &[&EndpointRecord], place: f64) -> Option<BackendId> {
-        self.fast_and_idle(pool, place)
+    fn by_share(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
+        self.fast_and_idle(pool, fraction)
             // What this proxy knows to be idle goes first: there is no wait at it.
             .or_else(|| {
-                weighted(pool, place, |record| {
-                    only_if(is_own_idle(record), record.weights.share())
+                pick_weighted(pool, fraction, |record| {
+                    weight_if(is_preferred_and_idle(record), record.weights.share())
                 })
             })
             // One that (9) leaves out is slow, but there at once; not where it is overloaded.
             .or_else(|| {
-                weighted(pool, place, |record| {
-                    let keeps_up = record.load.latency_ratio() < OVERLOAD_RATIO;
-                    only_if(
-                        is_own_idle(record) && keeps_up,
+                pick_weighted(pool, fraction, |record| {
+                    let is_not_overloaded = record.load.latency_ratio() < OVERLOAD_RATIO;
+                    weight_if(
+                        is_preferred_and_idle(record) && is_not_overloaded,
                         record.weights.service_rate(),
                     )
                 })
             })
-            .or_else(|| weighted(pool, place, |record| record.weights.share()))
+            .or_else(|| pick_weighted(pool, fraction, |record| record.weights.share()))
     }
 
     /// Picks a backend that is idle as far as this proxy knows, and just now was faster than usual:
     /// it is likely idle still. For the most weighty requests of a proxy among many.
-    fn fast_and_idle(&self, pool: &[&EndpointRecord], place: f64) -> Option<BackendId> {
+    fn fast_and_idle(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
         if !self.limit_is_below_one || self.pending.admission_cost.keeps_reserve() {
             return None;
         }
-        let lately = self.now.saturating_sub(self.longest_objective);
-        weighted(pool, place, |record| {
-            let is_fast = record.load.is_idle() && record.load.was_fast_since(lately);
-            only_if(is_fast, record.weights.service_rate())
+        let since = self.now.saturating_sub(self.longest_objective);
+        pick_weighted(pool, fraction, |record| {
+            let is_fast_and_idle = record.load.is_idle() && record.load.was_fast_since(since);
+            weight_if(is_fast_and_idle, record.weights.service_rate())
         })
     }
 }
 
 /// Whether a backend is of this proxy's own stretch and has nothing of it in flight.
-fn is_own_idle(record: &EndpointRecord) -> bool {
-    record.subset_position.is_own() && record.load.is_idle()
+fn is_preferred_and_idle(record: &EndpointRecord) -> bool {
+    record.subset_position.is_preferred() && record.load.is_idle()
 }
 
-fn only_if(condition: bool, weight: f64) -> f64 {
+fn weight_if(condition: bool, weight: f64) -> f64 {
     if condition { weight } else { 0.0 }
 }
 
 /// The one of `pool` at `place`, from 0 to 1, of the summed weights; none where the sum is not
 /// positive.
-fn weighted(
+fn pick_weighted(
     pool: &[&EndpointRecord],
-    place: f64,
+    fraction: f64,
     weight: impl Fn(&EndpointRecord) -> f64,
 ) -> Option<BackendId> {
     let sum: f64 = pool.iter().map(|record| weight(record)).sum();
-    let mut left = place * sum;
+    let mut remaining = fraction * sum;
     let mut last = None;
     for record in pool.iter().filter(|record| weight(record) > 0.0) {
         last = Some(record.id());
-        left -= weight(record);
-        if left < 0.0 {
+        remaining -= weight(record);
+        if remaining < 0.0 {
             break;
         }
     }
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -13,7 +13,7 @@
 use crate::statistics::DecayedSum;
 
 /// Weight of the prior 1 of a pool, in completions.
-const POOL_PRIOR: f64 = 2.0;
+const POOL_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Prior latencies of one backend, in seconds.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
 struct Pools {
     cells: BTreeMap<CellId, DecayedSum>,
     zones: BTreeMap<ZoneId, DecayedSum>,
-    warm: DecayedSum,
+    past_slow_start: DecayedSum,
     slow_start: DecayedSum,
 }
 
@@ -59,24 +59,24 @@
     context: &PoolingContext,
     in_slow_start: impl Fn(&EndpointRecord) -> bool,
 ) -> PriorLatencies {
-    let mean = fleet_mean(endpoints);
-    let of_kind = |record: &EndpointRecord| mean * kind_factor(record, context);
+    let mean_latency = fleet_mean_latency(endpoints);
+    let kind_latency_of = |record: &EndpointRecord| mean_latency * kind_factor(record, context);
     let mut pools = Pools::default();
     for record in endpoints.ready() {
-        let usual = of_kind(record).max(1e-9);
-        pools.add(record, usual, in_slow_start(record), context);
+        let usual_latency = kind_latency_of(record).max(1e-9);
+        pools.add(record, usual_latency, in_slow_start(record), context);
     }
     let prior = |record: &EndpointRecord| {
-        let kind_latency = of_kind(record);
-        let age = if in_slow_start(record) {
+        let kind_latency = kind_latency_of(record);
+        let start_factor = if in_slow_start(record) {
             pools.slow_start_factor()
         } else {
             1.0
         };
-        let cell = pooled(pools.cells.get(&record.endpoint().cell));
-        let zone = pooled(pools.zones.get(&record.endpoint().zone));
+        let cell_factor = pooled_factor(pools.cells.get(&record.endpoint().cell));
+        let zone_factor = pooled_factor(pools.zones.get(&record.endpoint().zone));
         PriorLatency {
-            expected: kind_latency * cell * age * zone,
+            expected: kind_latency * cell_factor * start_factor * zone_factor,
             kind_latency,
         }
     };
@@ -90,70 +90,72 @@
     fn add(
         &mut self,
         record: &EndpointRecord,
-        usual: f64,
+        usual_latency: f64,
         in_slow_start: bool,
         context: &PoolingContext,
     ) {
-        let (service, load) = (&record.service_times, &record.load);
+        let (service_times, load) = (&record.service_times, &record.load);
         // Only what attempts in flight have waited beyond the usual speaks against them; a failure
         // counts as a latency objective.
-        let waited =
-            (load.summed_wait_seconds(context.now_seconds) - load.in_flight() * usual).max(0.0);
-        let failed = record.failure_history.failures() * context.shortest_objective;
-        let ratio_sum = (service.latency_sum() + waited + failed) / usual;
-        let age = if in_slow_start {
+        let excess_wait = (load.summed_wait_seconds(context.now_seconds)
+            - load.in_flight() * usual_latency)
+            .max(0.0);
+        let failure_latency = record.failure_history.failures() * context.shortest_objective;
+        let ratio_sum =
+            (service_times.latency_sum() + excess_wait + failure_latency) / usual_latency;
+        let start_pool = if in_slow_start {
             &mut self.slow_start
         } else {
-            &mut self.warm
+            &mut self.past_slow_start
         };
-        age.add(service.completions(), ratio_sum);
-        let cell = self.cells.entry(record.endpoint().cell).or_default();
-        cell.add(service.completions(), ratio_sum);
-        let zone = self.zones.entry(record.endpoint().zone).or_default();
-        zone.add(service.completions(), ratio_sum);
+        start_pool.add(service_times.completions(), ratio_sum);
+        let cell_pool = self.cells.entry(record.endpoint().cell).or_default();
+        cell_pool.add(service_times.completions(), ratio_sum);
+        let zone_pool = self.zones.entry(record.endpoint().zone).or_default();
+        zone_pool.add(service_times.completions(), ratio_sum);
     }
 
     fn slow_start_factor(&self) -> f64 {
-        pooled(Some(&self.slow_start)) / pooled(Some(&self.warm))
+        pooled_factor(Some(&self.slow_start)) / pooled_factor(Some(&self.past_slow_start))
     }
 
-    fn local_to_remote_ratio(&self, home_zone: ZoneId) -> f64 {
-        let (mut home, mut away) = (DecayedSum::default(), DecayedSum::default());
+    fn local_to_remote_ratio(&self, local_zone: ZoneId) -> f64 {
+        let (mut local, mut remote) = (DecayedSum::default(), DecayedSum::default());
         for (zone, pool) in &self.zones {
-            let side = if *zone == home_zone {
-                &mut home
+            let group = if *zone == local_zone {
+                &mut local
             } else {
-                &mut away
+                &mut remote
             };
-            side.add(pool.count, pool.sum);
+            group.add(pool.count, pool.sum);
         }
-        pooled(Some(&home)) / pooled(Some(&away))
+        pooled_factor(Some(&local)) / pooled_factor(Some(&remote))
     }
 }
 
 /// Mean latency of the ready backends, in seconds; 0 before the first completion.
-fn fleet_mean(endpoints: &EndpointList) -> f64 {
-    let mut all = DecayedSum::default();
+fn fleet_mean_latency(endpoints: &EndpointList) -> f64 {
+    let mut total = DecayedSum::default();
     for record in endpoints.ready() {
-        all.add(
+        total.add(
             record.service_times.completions(),
             record.service_times.latency_sum(),
         );
     }
-    if all.count > 0.0 {
-        all.sum / all.count
+    if total.count > 0.0 {
+        total.sum / total.count
     } else {
         0.0
     }
 }
 
 fn kind_factor(record: &EndpointRecord, context: &PoolingContext) -> f64 {
-    pooled(context.kinds.get(&record.endpoint().kind))
+    pooled_factor(context.kinds.get(&record.endpoint().kind))
 }
 
 /// The mean of a pool, drawn to 1; 1 where there is none.
-fn pooled(pool: Option<&DecayedSum>) -> f64 {
-    pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR))
+fn pooled_factor(pool: Option<&DecayedSum>) -> f64 {
+    pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR_WEIGHT))
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/pooled_latency_tests.rs
+++ b/crates/balancer/src/pooled_latency_tests.rs
@@ -15,8 +15,8 @@
     let mut list = EndpointList::default();
     list.apply(UpdateKind::Full, (0..4).map(in_zone).collect(), record);
     for (id, latency) in [(0, 0.1), (1, 0.1), (2, 0.3)] {
-        let service = &mut list.get_mut(BackendId(id)).unwrap().service_times;
-        (0..50).for_each(|_| service.on_ended(Outcome::Success, latency, 0.0));
+        let service_times = &mut list.get_mut(BackendId(id)).unwrap().service_times;
+        (0..50).for_each(|_| service_times.on_ended(Outcome::Success, latency, 0.0));
     }
     list
 }
@@ -33,33 +33,38 @@
 }
 
 #[test]
-fn a_backend_without_completions_is_taken_for_one_of_its_zone() {
+fn backend_without_completions_gets_the_prior_of_its_zone() {
     let list = two_zones();
-    let found = priors(&list, |_| false);
-    let [.., silent] = found.by_backend[..] else {
+    let latencies = priors(&list, |_| false);
+    let [.., unused] = latencies.by_backend[..] else {
         panic!("four backends")
     };
-    assert!(silent.expected > 1.5 * silent.kind_latency, "{silent:?}");
-    assert!(found.by_backend[0].expected < found.by_backend[0].kind_latency);
+    assert!(unused.expected > 1.5 * unused.kind_latency, "{unused:?}");
+    assert!(latencies.by_backend[0].expected < latencies.by_backend[0].kind_latency);
     assert!(
-        found.local_to_remote_ratio < 0.5,
+        latencies.local_to_remote_ratio < 0.5,
         "{}",
-        found.local_to_remote_ratio
+        latencies.local_to_remote_ratio
     );
 }
 
 #[test]
-fn being_in_slow_start_is_pooled_like_a_label() {
+fn backends_in_slow_start_are_pooled_separately() {
     let mut list = two_zones();
-    let slow = &mut list.get_mut(BackendId(1)).unwrap().service_times;
-    (0..50).for_each(|_| slow.on_ended(Outcome::Success, 1.0, 0.0));
-    let found = priors(&list, |record| record.id() == BackendId(1));
-    assert!(found.by_backend[1].expected > 2.0 * found.by_backend[0].expected);
+    let service_times = &mut list.get_mut(BackendId(1)).unwrap().service_times;
+    (0..50).for_each(|_| service_times.on_ended(Outcome::Success, 1.0, 0.0));
+    let latencies = priors(&list, |record| record.id() == BackendId(1));
+    assert!(latencies.by_backend[1].expected > 2.0 * latencies.by_backend[0].expected);
 }
 
 #[test]
-fn without_any_completion_there_is_no_prior() {
-    let found = priors(&crate::test_support::endpoints(2), |_| false);
-    assert!(found.by_backend.iter().all(|prior| prior.expected == 0.0));
-    assert_eq!(found.local_to_remote_ratio, 1.0);
+fn prior_latency_is_zero_before_the_first_completion() {
+    let latencies = priors(&crate::test_support::endpoints(2), |_| false);
+    assert!(
+        latencies
+            .by_backend
+            .iter()
+            .all(|prior| prior.expected == 0.0)
+    );
+    assert_eq!(latencies.local_to_remote_ratio, 1.0);
 }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -16,11 +16,11 @@
 
 /// Fraction of what is believed safe that this proxy sends a backend in slow start; the rest is for
 /// what it can't see.
-const SAFETY_MARGIN: f64 = 0.5;
+const SAFE_RATE_FRACTION: f64 = 0.5;
 
 /// Attempts that can be saved up in any case: a proxy that picks the backend seldom would else lose
 /// a part of one at most picks.
-const MIN_SAVED_ATTEMPTS: f64 = 2.0;
+const MIN_TOKEN_CAPACITY: f64 = 2.0;
 
 /// Attempts that slow start leaves to this proxy at one backend.
 #[derive(Clone, Copy, Default)]
@@ -43,7 +43,7 @@
 pub(crate) struct SlowStart {
     rules: Rules,
     /// Completions a second of a backend that nothing is known of.
-    least_completion_rate: f64,
+    min_completion_rate: f64,
     /// Completions a second that this proxy sees of each warm backend.
     completion_rate: f64,
 }
@@ -54,7 +54,7 @@
     pub(crate) fn new(rules: &Rules, timescale: &Timescale, proxy_count: f64) -> SlowStart {
         SlowStart {
             rules: rules.clone(),
-            least_completion_rate: 1.0 / (proxy_count * timescale.shortest_objective),
+            min_completion_rate: 1.0 / (proxy_count * timescale.shortest_objective),
             completion_rate: 0.0,
         }
     }
@@ -80,8 +80,8 @@
 
     /// Takes in what this proxy completes a second, and the summed capacity fractions of the
     /// backends that it does so at.
-    pub(crate) fn set_completions(&mut self, per_second: f64, capacity_fractions: f64) {
-        self.completion_rate = per_second / capacity_fractions.max(1e-9);
+    pub(crate) fn set_completions(&mut self, per_second: f64, capacity_fraction_sum: f64) {
+        self.completion_rate = per_second / capacity_fraction_sum.max(1e-9);
     }
 
     /// Completions a second that this proxy sees of each warm backend.
@@ -93,10 +93,12 @@
     /// Saves up attempts at a backend over `step` seconds.
     pub(crate) fn refill(&self, tokens: &mut SlowStartTokens, capacity_fraction: f64, step: f64) {
         let rules = &self.rules;
-        let completion_rate = self.completion_rate.max(self.least_completion_rate);
-        let rate = SAFETY_MARGIN * rules.overload_multiple * capacity_fraction * completion_rate;
-        let most = (rate * rules.overload_duration as f64 / SECOND).max(MIN_SAVED_ATTEMPTS);
-        tokens.0 = (tokens.0 + rate * step).min(most);
+        let completion_rate = self.completion_rate.max(self.min_completion_rate);
+        let refill_rate =
+            SAFE_RATE_FRACTION * rules.overload_multiple * capacity_fraction * completion_rate;
+        let token_capacity =
+            (refill_rate * rules.overload_duration as f64 / SECOND).max(MIN_TOKEN_CAPACITY);
+        tokens.0 = (tokens.0 + refill_rate * step).min(token_capacity);
     }
 }
 
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -14,7 +14,7 @@
     SlowStart::new(&settings.rules, &Timescale::new(&settings, 0), proxy_count)
 }
 
-fn started(at: Nanos) -> Endpoint {
+fn endpoint_started_at(at: Nanos) -> Endpoint {
     Endpoint {
         started_at: Some(at),
         ..endpoint(0)
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn capacity_rises_evenly_over_the_duration() {
+fn capacity_rises_linearly_over_the_slow_start_duration() {
     let slow_start = slow_start(1.0);
-    let fraction = |now| slow_start.capacity_fraction(now, &started(0));
+    let fraction = |now| slow_start.capacity_fraction(now, &endpoint_started_at(0));
     assert_eq!((fraction(0), fraction(10_000 * MS)), (0.2, 1.0));
     assert!((fraction(5_000 * MS) - 0.6).abs() < 1e-12);
     assert_eq!(
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn a_warm_backend_is_not_limited_and_a_starting_one_needs_a_whole_token() {
+fn only_backends_in_slow_start_need_a_whole_token() {
     let slow_start = slow_start(1.0);
     assert!(slow_start.allows(0, &record(endpoint(0))));
-    let mut starting = record(started(0));
+    let mut starting = record(endpoint_started_at(0));
     starting.slow_start_tokens = SlowStartTokens::new(0.99);
     assert!(!slow_start.allows(MS, &starting));
     starting.slow_start_tokens = SlowStartTokens::new(1.5);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn tokens_come_at_half_of_what_is_believed_safe_and_are_kept_for_the_overload_duration() {
+fn tokens_refill_at_half_the_safe_rate_up_to_the_overload_duration() {
     let mut slow_start = slow_start(1.0);
     slow_start.set_completions(40.0, 4.0);
     // Half of three times the fifth of ten a second.
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn tokens_for_two_attempts_are_kept_at_the_least() {
+fn token_capacity_is_at_least_two_attempts() {
     let slow_start = slow_start(300.0);
     let mut tokens = SlowStartTokens::default();
     slow_start.refill(&mut tokens, 0.2, 1_000.0);
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -48,9 +48,9 @@
     }
 
     /// Keeps this fraction of the weight of each term.
-    pub(crate) fn decay(&mut self, keep: f64) {
-        self.count *= keep;
-        self.sum *= keep;
+    pub(crate) fn decay(&mut self, decay_factor: f64) {
+        self.count *= decay_factor;
+        self.sum *= decay_factor;
     }
 
     /// The mean, drawn to 1 with the weight of `prior` terms.
@@ -62,33 +62,33 @@
 /// A histogram of fractions in 32 steps, whose counts decay with each new value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FractionHistogram {
-    steps: [f64; FractionHistogram::STEPS + 1],
+    buckets: [f64; FractionHistogram::BUCKETS + 1],
 }
 
 impl Default for FractionHistogram {
     fn default() -> Self {
         FractionHistogram {
-            steps: [0.0; FractionHistogram::STEPS + 1],
+            buckets: [0.0; FractionHistogram::BUCKETS + 1],
         }
     }
 }
 
 impl FractionHistogram {
-    const STEPS: usize = 32;
+    const BUCKETS: usize = 32;
     /// Values that it remembers.
-    const MEMORY: f64 = 256.0;
+    const WINDOW: f64 = 256.0;
 
     /// Takes in a fraction from 0 to 1. Returns whether it is in the most frequent step or beside
     /// it.
     pub(crate) fn add(&mut self, fraction: f64) -> bool {
-        self.steps
+        self.buckets
             .iter_mut()
-            .for_each(|n| *n *= 1.0 - 1.0 / FractionHistogram::MEMORY);
-        let at = (fraction.clamp(0.0, 1.0) * FractionHistogram::STEPS as f64) as usize;
-        self.steps[at] += 1.0;
-        let most =
-            (0..=FractionHistogram::STEPS).max_by(|a, b| self.steps[*a].total_cmp(&self.steps[*b]));
-        most.is_some_and(|most| most.abs_diff(at) <= 1)
+            .for_each(|count| *count *= 1.0 - 1.0 / FractionHistogram::WINDOW);
+        let bucket = (fraction.clamp(0.0, 1.0) * FractionHistogram::BUCKETS as f64) as usize;
+        self.buckets[bucket] += 1.0;
+        let mode = (0..=FractionHistogram::BUCKETS)
+            .max_by(|a, b| self.buckets[*a].total_cmp(&self.buckets[*b]));
+        mode.is_some_and(|mode| mode.abs_diff(bucket) <= 1)
     }
 }
 
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_lowest_mean_stands_until_it_is_forgotten() {
+fn minimum_mean_is_kept_until_it_is_raised() {
     let mut mean = MovingMean::default();
     for value in [1.0, 3.0, 2.0, 5.0] {
         mean.add(value, 2.0);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_most_frequent_fraction_is_recognised_and_changes_with_the_values() {
+fn histogram_detects_the_most_frequent_fraction_as_values_change() {
     let mut histogram = FractionHistogram::default();
     assert!(histogram.add(0.51));
     for n in 0..100 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_sum_without_terms_has_the_mean_of_its_prior() {
+fn empty_sum_has_the_prior_mean() {
     let mut sum = DecayedSum::default();
     assert_eq!(sum.prior_weighted_mean(2.0), 1.0);
     sum.add(2.0, 6.0);
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -17,21 +17,21 @@
 use crate::settings::Settings;
 
 /// Least backends of a zone that a proxy knows: as many as it takes failures to make an outlier.
-const LEAST_MEMBERS: f64 = crate::outlier_detector::OUTLIER_FAILURES;
+const MIN_MEMBERS_PER_ZONE: f64 = crate::outlier_detector::OUTLIER_FAILURES;
 
 /// Place of one backend in this proxy's order of its zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SubsetPosition {
     /// From 0 to 1: the first are known and used first.
-    place: f64,
+    relative_rank: f64,
     /// Whether it is of the stretch of the home zone that this proxy uses first.
-    is_own: bool,
+    is_preferred: bool,
 }
 
 impl SubsetPosition {
     /// Whether it is of the stretch of the home zone that this proxy uses first.
-    pub(crate) fn is_own(&self) -> bool {
-        self.is_own
+    pub(crate) fn is_preferred(&self) -> bool {
+        self.is_preferred
     }
 }
 
@@ -40,7 +40,7 @@
     zone: ZoneId,
     proxy_index: u32,
     proxy_count: f64,
-    cross_zone_costs: bool,
+    has_cross_zone_cost: bool,
     /// Whether the endpoint list has changed since positions were worked out.
     is_stale: bool,
 }
@@ -52,7 +52,7 @@
             zone: settings.zone,
             proxy_index: settings.proxy_index,
             proxy_count,
-            cross_zone_costs: settings.cross_zone_cost > 0.0,
+            has_cross_zone_cost: settings.cross_zone_cost > 0.0,
             is_stale: false,
         }
     }
@@ -68,18 +68,18 @@
             return;
         }
         let hashes = sorted_hashes(endpoints);
-        let proxies_of_zone = (self.proxy_count / hashes.len().max(1) as f64).max(1.0);
-        let start = f64::from(self.proxy_index) * step(hashes.len(), proxies_of_zone);
+        let proxies_per_zone = (self.proxy_count / hashes.len().max(1) as f64).max(1.0);
+        let offset = f64::from(self.proxy_index) * offset_step(hashes.len(), proxies_per_zone);
         for record in endpoints.iter_mut() {
-            let Some(zone) = hashes.get(&record.endpoint().zone) else {
+            let Some(zone_hashes) = hashes.get(&record.endpoint().zone) else {
                 continue;
             };
-            let rank = zone.partition_point(|hash| *hash < record.endpoint().hash) as f64;
-            let place = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
-            let is_home = record.endpoint().zone == self.zone;
+            let rank = zone_hashes.partition_point(|hash| *hash < record.endpoint().hash) as f64;
+            let relative_rank = ((rank + 0.5) / zone_hashes.len() as f64 - offset).rem_euclid(1.0);
+            let is_local = record.endpoint().zone == self.zone;
             record.subset_position = SubsetPosition {
-                place,
-                is_own: is_home && place < 1.0 / proxies_of_zone,
+                relative_rank,
+                is_preferred: is_local && relative_rank < 1.0 / proxies_per_zone,
             };
         }
     }
@@ -89,7 +89,7 @@
     pub(crate) fn members(
         &self,
         endpoints: &EndpointList,
-        knowable: f64,
+        estimable_backends: f64,
         is_usable: impl Fn(&EndpointRecord) -> bool,
     ) -> BTreeSet<BackendId> {
         let mut order: Vec<Candidate> = endpoints
@@ -97,35 +97,42 @@
             .filter(|record| is_usable(record))
             .map(Candidate::new)
             .collect();
-        order.sort_by(|a, b| a.zone.cmp(&b.zone).then(a.place.total_cmp(&b.place)));
+        order.sort_by(|a, b| {
+            a.zone
+                .cmp(&b.zone)
+                .then(a.relative_rank.total_cmp(&b.relative_rank))
+        });
         let zones: Vec<_> = order.chunk_by(|a, b| a.zone == b.zone).collect();
-        let most = |zone: ZoneId| self.most_members(zone, knowable, zones.len());
+        let max_members =
+            |zone: ZoneId| self.zone_member_limit(zone, estimable_backends, zones.len());
         zones
             .iter()
-            .flat_map(|zone| zone.iter().take(most(zone[0].zone)))
+            .flat_map(|zone| zone.iter().take(max_members(zone[0].zone)))
             .map(|candidate| candidate.id)
             .collect()
     }
 
-    fn most_members(&self, zone: ZoneId, knowable: f64, zone_count: usize) -> usize {
-        let other_zones = if self.cross_zone_costs {
+    fn zone_member_limit(&self, zone: ZoneId, estimable_backends: f64, zone_count: usize) -> usize {
+        let remote_sharing_zones = if self.has_cross_zone_cost {
             zone_count as f64 - 1.0
         } else {
             1.0
         };
-        let sharing = if zone == self.zone {
+        let sharing_zones = if zone == self.zone {
             1.0
         } else {
-            other_zones.max(1.0)
+            remote_sharing_zones.max(1.0)
         };
-        (knowable / sharing).max(LEAST_MEMBERS).ceil() as usize
+        (estimable_backends / sharing_zones)
+            .max(MIN_MEMBERS_PER_ZONE)
+            .ceil() as usize
     }
 }
 
 /// A backend that can be in the subset.
 struct Candidate {
     zone: ZoneId,
-    place: f64,
+    relative_rank: f64,
     id: BackendId,
 }
 
@@ -133,7 +140,7 @@
     fn new(record: &EndpointRecord) -> Candidate {
         Candidate {
             zone: record.endpoint().zone,
-            place: record.subset_position.place,
+            relative_rank: record.subset_position.relative_rank,
             id: record.id(),
         }
     }
@@ -148,19 +155,19 @@
             .or_default()
             .push(record.endpoint().hash);
     }
-    for zone in hashes.values_mut() {
-        zone.sort_unstable();
+    for zone_hashes in hashes.values_mut() {
+        zone_hashes.sort_unstable();
     }
     hashes
 }
 
 /// Distance of the starts of two proxies with successive indices. Where only some of the proxies
 /// are of this zone, multiples of the golden ratio lie evenly whichever they are.
-fn step(zone_count: usize, proxies_of_zone: f64) -> f64 {
+fn offset_step(zone_count: usize, proxies_per_zone: f64) -> f64 {
     if zone_count > 1 {
         std::f64::consts::GOLDEN_RATIO
     } else {
-        1.0 / proxies_of_zone
+        1.0 / proxies_per_zone
     }
 }
 
--- a/crates/balancer/src/timescale.rs
+++ b/crates/balancer/src/timescale.rs
@@ -57,8 +57,8 @@
     /// start the window is not full, which this corrects for.
     pub(crate) fn per_second(&self, now: Nanos, decayed_count: f64) -> f64 {
         let window = self.arrival_window();
-        let full = window * (1.0 - (-self.age(now) / window).exp());
-        decayed_count / full.max(self.shortest_objective)
+        let effective_window = window * (1.0 - (-self.age(now) / window).exp());
+        decayed_count / effective_window.max(self.shortest_objective)
     }
 }
 
