--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -1,5 +1,5 @@
-//! Renewal of the weights: from the estimates of each backend to the optimal split, the budget of
-//! slow start and the limit of all backends together.
+//! Renewal of the weights: derives the optimal split, the tokens of backends in slow start and the
+//! total concurrency limit from the estimates of each backend.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use super::Balancer;
 
 impl Balancer {
-    /// Decays what was counted of backends and renews all that follows from it.
+    /// Decays the counts of all backends and renews everything that depends on them.
     pub(super) fn renew_weights(&mut self, now: Nanos) {
         self.estimation.subset.renew(&mut self.endpoints);
         let step = self.estimation.split.seconds_since_renewal(now);
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The backends of this proxy's subset that are not ejected.
+    /// The ready backends of this proxy's subset that are not ejected.
     pub(super) fn subset_members(&self, now: Nanos) -> BTreeSet<BackendId> {
         let estimable_backends = self.estimation.estimator.estimable_backends(now);
         self.estimation
@@ -75,7 +75,7 @@
             })
     }
 
-    /// Whether the list calls a backend ready and it is not ejected.
+    /// Whether a backend is ready according to the endpoint list and not ejected.
     fn is_usable(&self, now: Nanos, record: &EndpointRecord) -> bool {
         record.is_ready() && !self.outliers.is_ejected(now, &record.failure_history)
     }
@@ -86,12 +86,13 @@
             .is_data_sparse(now, self.endpoints.len())
     }
 
-    /// Arrivals in a slot at all proxies together, if each has as many as this one.
+    /// Arrivals per slot at all proxies together, if each proxy receives as many as this one.
     fn fleet_arrivals(&self, now: Nanos) -> f64 {
         self.estimation.estimator.arrival_rate(now) * self.proxy_count() * self.slot_seconds()
     }
 
-    /// Service rate of each backend in a slot; 0 for those that are not split among.
+    /// Service rate of each backend, in completions per slot; 0 for backends that are not part of
+    /// the split.
     fn service_rates(
         &self,
         now: Nanos,
@@ -121,9 +122,10 @@
             .collect()
     }
 
-    /// Whether a backend is overloaded so clearly that it needs rest, which a smaller share is not.
-    /// It is back in the set as its samples age. Slow but sound ones rest too, so this holds only
-    /// where the other backends of the subset are shared by many proxies.
+    /// Whether a backend is so clearly overloaded that it should receive nothing for a while, as a
+    /// smaller share would not relieve it. It is part of the split again once its samples have
+    /// decayed. Slow but healthy backends are left out as well, so this applies only where many
+    /// proxies share the other backends of the subset.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
@@ -140,7 +142,7 @@
         self.endpoints.iter().map(fraction).collect()
     }
 
-    /// Saves up attempts at backends in slow start over `step` seconds.
+    /// Refills the tokens of backends in slow start for `step` seconds.
     fn renew_slow_start(&mut self, now: Nanos, step: f64, members: &BTreeSet<BackendId>) {
         let fraction_sum = members
             .iter()
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Sums up the limits of the usable backends, and how far they are under pressure.
+    /// Sets the total concurrency limit from the summed limits of the usable backends and the
+    /// pressure on them.
     fn renew_total_limit(&mut self, now: Nanos) {
         let mut limit = 0.0;
         let mut pressure = Pressure::default();
@@ -179,7 +182,7 @@
         f64::from(self.settings.proxy_count.max(1))
     }
 
-    /// Length of a slot in seconds: service rates count completions in one.
+    /// Length of a slot in seconds; service rates count completions per slot.
     fn slot_seconds(&self) -> f64 {
         seconds(self.settings.tick)
     }
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -1,14 +1,16 @@
-//! The backends that a pick looks at, so that its cost does not grow with the endpoint list.
+//! The backends that a pick considers, so that the cost of a pick does not grow with the endpoint
+//! list.
 //!
-//! Formula (9) gives a share to the backends of the subset, the support set; exploration gives a
-//! small weight to every ready backend. Both are renewed together. A pick then walks the support
-//! set alone, and finds an exploration by its place in the running sums of the weights. Where what
-//! is found is not legal now, the caller scans the whole list: the distribution stays the same.
+//! Formula (9) gives a share to backends of the subset, the support set; exploration gives a small
+//! weight to every ready backend. Both are renewed together. A pick then iterates over the support
+//! set alone, and finds the backend to explore by a binary search in the running sums of the
+//! exploration weights. If the backend found is not legal now, the caller scans the whole list; the
+//! distribution of picks stays the same.
 
 use crate::endpoint_list::EndpointRecord;
 use crate::ids::BackendId;
 
-/// The support set and the weights of exploration, as of the last renewal.
+/// The support set and the exploration weights, as of the last renewal.
 #[derive(Default)]
 pub(crate) struct Candidates {
     support: Vec<BackendId>,
@@ -22,7 +24,8 @@
 }
 
 impl Candidates {
-    /// Of the given backends, in their order; those without weight are left out.
+    /// Selects the candidates from `records` and keeps their order. Backends without a weight are
+    /// left out.
     pub(crate) fn from_records<'a>(
         records: impl Iterator<Item = &'a EndpointRecord>,
     ) -> Candidates {
@@ -44,7 +47,7 @@
         candidates
     }
 
-    /// Whether no backend has weight of either kind.
+    /// Whether no backend has a share, a service rate or an exploration weight.
     pub(crate) fn is_empty(&self) -> bool {
         self.support.is_empty() && self.explorations.is_empty()
     }
@@ -54,14 +57,15 @@
         &self.support
     }
 
-    /// Sum of the exploration weights: the probability of an exploration where it is under 1.
+    /// Sum of the exploration weights; a sum below 1 is the probability that a pick explores.
     pub(crate) fn exploration_sum(&self) -> f64 {
         self.explorations
             .last()
             .map_or(0.0, |last| last.cumulative_weight)
     }
 
-    /// The backend at `fraction`, from 0 to 1, of the summed exploration weights.
+    /// The backend at `fraction`, from 0 to 1, of the summed exploration weights. `None` if no
+    /// backend has an exploration weight.
     pub(crate) fn explored_at(&self, fraction: f64) -> Option<BackendId> {
         let target_weight = fraction * self.exploration_sum();
         let index = self
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -1,9 +1,9 @@
-//! The optimal split, formula (9) of Choudhury, Joshi, Wang and Shakkottai (2021), and the weights
-//! of exploration, K ln t / t.
+//! The optimal split, formula (9) of Choudhury, Joshi, Wang and Shakkottai (2021), and the
+//! exploration weights, K ln t / t.
 //!
-//! Both are worked out together at a bounded rate from the estimated service rates, and kept with
-//! each backend until the next renewal. It decides with what weight a backend is picked; which one
-//! is picked for a request is decided by [`pick`](crate::pick).
+//! Both are calculated together from the estimated service rates, at a limited frequency, and
+//! stored with each backend until the next renewal. This module decides the weight with which a
+//! backend is picked; [`pick`](crate::pick) decides which backend a request gets.
 
 use std::f64::consts::E;
 
@@ -13,32 +13,32 @@
 use crate::ids::{Nanos, ZoneId};
 use crate::timescale::{SECOND, Timescale};
 
-/// Fraction of its share that a backend of another zone keeps while the home zone keeps up: it
-/// shows what is there.
+/// Minimum fraction of its share that a backend of another zone keeps while the local zone is not
+/// overloaded, so that its latency stays known.
 const MIN_SPILLOVER: f64 = 0.05;
 
-/// Renewals in a shortest latency objective at most: estimates move little within a small part of
-/// it, and renewing costs CPU time.
+/// Maximum number of renewals within the shortest latency objective. Estimates change little within
+/// a small part of it, and a renewal costs CPU time.
 const MAX_RENEWALS_PER_OBJECTIVE: f64 = 64.0;
 
-/// Backends up to which weights are renewed at the full rate.
+/// Number of backends up to which weights are renewed at the full rate.
 const MAX_BACKENDS_AT_FULL_RATE: f64 = 200.0;
 
-/// Weights with which a backend is picked, as of the last renewal.
+/// Weights with which one backend is picked, as of the last renewal.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PickWeights {
-    /// Its service rate by the estimate; 0 if it is outside of the set that is split among.
+    /// Estimated service rate, in completions per slot; 0 if the backend is not part of the split.
     service_rate: f64,
-    /// Its share by formula (9).
+    /// Share by formula (9), from 0 to 1; reduced by the spillover fraction in other zones.
     share: f64,
-    /// Its weight in an exploration.
+    /// Exploration weight K ln t / t, reduced by consecutive failures.
     exploration: f64,
-    /// When its exploration clock started: t of K ln t / t counts from there.
+    /// Start of t in K ln t / t.
     exploring_since: Nanos,
 }
 
 impl PickWeights {
-    /// Of a backend that is listed at `now`.
+    /// Weights of a backend that is listed since `now`: 0 until the next renewal.
     pub(crate) fn new(now: Nanos) -> PickWeights {
         PickWeights {
             exploring_since: now,
@@ -46,27 +46,27 @@
         }
     }
 
-    /// Its service rate by the estimate, in completions a slot.
+    /// Estimated service rate, in completions per slot; 0 if the backend is not part of the split.
     pub(crate) fn service_rate(&self) -> f64 {
         self.service_rate
     }
 
-    /// Its share by formula (9).
+    /// Share by formula (9), from 0 to 1; reduced by the spillover fraction in other zones.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
 
-    /// Its weight in an exploration.
+    /// Exploration weight K ln t / t, reduced by consecutive failures.
     pub(crate) fn exploration(&self) -> f64 {
         self.exploration
     }
 
-    /// Starts its exploration clock anew.
+    /// Restarts t of K ln t / t at `at`; the exploration weight changes at the next renewal.
     pub(crate) fn restart_exploration(&mut self, at: Nanos) {
         self.exploring_since = at;
     }
 
-    /// Weights for a test.
+    /// Weights with a service rate of 0, for tests.
     #[cfg(test)]
     pub(crate) fn for_test(share: f64, exploration: f64) -> PickWeights {
         PickWeights {
@@ -77,38 +77,41 @@
     }
 }
 
-/// What a renewal works from.
+/// Inputs of a renewal.
 pub(crate) struct SplitInputs {
-    /// Arrivals in a slot, of all proxies together.
+    /// Arrivals per slot at all proxies together.
     pub(crate) arrivals_per_slot: f64,
-    /// Service rate of each backend, in the order of the endpoint list; 0: outside of the set.
+    /// Service rate of each backend, in completions per slot and in the order of the endpoint list;
+    /// 0 for backends that are not part of the split.
     pub(crate) service_rates: Vec<f64>,
     /// Capacity fraction of each usable backend, in the same order; 0 for the others.
     pub(crate) capacity_fractions: Vec<f64>,
-    /// Backends in the subset.
+    /// Number of backends in the subset.
     pub(crate) member_count: usize,
-    /// Kinds of machines, if evidence is pooled over them because each backend has too little.
+    /// Number of kinds of machines if evidence is pooled over them because each backend has too few
+    /// completions; `None` if it is not pooled.
     pub(crate) pooled_kind_count: Option<usize>,
-    /// Latencies at home as a multiple of those in other zones.
+    /// Latencies in the local zone as a multiple of those in other zones.
     pub(crate) local_to_remote_ratio: f64,
 }
 
-/// The split of one proxy.
+/// The split of one proxy's attempts among the backends.
 pub(crate) struct OptimalSplit {
     zone: ZoneId,
     has_cross_zone_cost: bool,
     tick: Nanos,
     shortest_objective: f64,
     renewed_at: Nanos,
-    /// Whether the endpoint list or an ejection has changed what there is to pick.
+    /// Whether the endpoint list has changed, or a backend was ejected, since the last renewal.
     is_stale: bool,
     candidates: Candidates,
-    /// Picks that had to look at the whole list.
+    /// Number of picks that scanned the whole endpoint list.
     full_scans: u64,
 }
 
 impl OptimalSplit {
-    /// Without weights until the first renewal. `cross_zone_costs`: attempts to other zones cost.
+    /// A split without weights until the first renewal. `has_cross_zone_cost` tells whether
+    /// attempts to other zones have a cost.
     pub(crate) fn new(
         zone: ZoneId,
         has_cross_zone_cost: bool,
@@ -127,12 +130,12 @@
         }
     }
 
-    /// What there is to pick has changed.
+    /// Marks the weights as outdated: the backends that can be picked have changed.
     pub(crate) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// The backends that have weight.
+    /// The backends that had a weight at the last renewal.
     pub(crate) fn candidates(&self) -> &Candidates {
         &self.candidates
     }
@@ -142,8 +145,9 @@
         now.saturating_sub(self.renewed_at) as f64 / SECOND
     }
 
-    /// Whether weights are to be renewed now. A renewal walks the whole list: with long lists it
-    /// comes more seldom and costs the same over time.
+    /// Whether the weights are to be renewed now. A renewal iterates over the whole list, so with
+    /// long lists renewals are less frequent and cost the same over time. A stale split is renewed
+    /// earlier, and at once if no backend has a weight.
     pub(crate) fn is_due(&self, now: Nanos, backends: usize) -> bool {
         let base_interval = self.shortest_objective * SECOND / MAX_RENEWALS_PER_OBJECTIVE;
         let interval_factor = (backends as f64 / MAX_BACKENDS_AT_FULL_RATE).max(1.0);
@@ -157,20 +161,20 @@
             || now >= self.renewed_at.saturating_add(interval as Nanos)
     }
 
-    /// A pick had to look at the whole list.
+    /// Counts a pick that scanned the whole endpoint list.
     pub(crate) fn count_full_scan(&mut self) {
         self.full_scans += 1;
     }
 
-    /// Picks that had to look at the whole list so far.
+    /// Number of picks so far that scanned the whole endpoint list.
     pub(crate) fn full_scans(&self) -> u64 {
         self.full_scans
     }
 
-    /// Renews the weights of all backends.
+    /// Recalculates the weights of all backends.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &mut EndpointList, inputs: &SplitInputs) {
         let spillover = self.spillover(endpoints, inputs);
-        // The members of the subset meet their part of what all backends meet.
+        // The subset receives its proportion of the arrivals at all ready backends.
         let member_fraction = inputs.member_count as f64 / endpoints.ready().count().max(1) as f64;
         let shares = optimal_split(
             inputs.arrivals_per_slot * member_fraction,
@@ -195,8 +199,8 @@
         self.is_stale = false;
     }
 
-    /// t of K ln t / t, in slots. The clock of a newcomer stands until it has completed something:
-    /// late in t it would get next to nothing.
+    /// t of K ln t / t, in slots; at least e. Unless evidence is pooled, t does not advance before
+    /// the first completion of a backend: the exploration weight would fall to nearly 0 by then.
     fn exploration_age(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
         let has_started =
             record.service_times.has_completions() || inputs.pooled_kind_count.is_some();
@@ -208,8 +212,9 @@
         now.saturating_sub(since) as f64 / self.tick as f64 + E
     }
 
-    /// Fraction of their shares that backends of other zones get: where attempts to them cost, by
-    /// how far the home zone is from its tolerance.
+    /// Fraction of their shares that backends of other zones get. 1 if attempts to other zones have
+    /// no cost or no backend of the local zone is part of the split; otherwise it rises to 1 as the
+    /// latencies of the local zone reach the tolerance.
     fn spillover(&self, endpoints: &EndpointList, inputs: &SplitInputs) -> f64 {
         let (mut ratio_sum, mut count) = (0.0, 0.0);
         for (record, rate) in endpoints.iter().zip(&inputs.service_rates) {
@@ -226,8 +231,9 @@
     }
 }
 
-/// K of K ln t / t, for each backend: 1 where each rate is unknown by itself. Where evidence is
-/// pooled, as many rates are unknown as there are kinds of machines.
+/// K of K ln t / t for each backend: 1 if the rate of each backend is estimated by itself. If
+/// evidence is pooled, only as many rates are unknown as there are kinds of machines, and K is
+/// divided among the backends accordingly.
 fn exploration_constant(backends: usize, inputs: &SplitInputs) -> f64 {
     match inputs.pooled_kind_count {
         Some(kinds) => kinds as f64 / backends.max(1) as f64,
@@ -235,12 +241,13 @@
     }
 }
 
-/// Formula (9): the shares that minimise the mean latency for `arrivals` in a slot, given the
-/// service rates in a slot, from 0 to 1 each.
+/// Formula (9): the shares that minimise the mean latency for `arrivals` per slot, given the
+/// service rates in completions per slot, from 0 to 1 each. The shares sum to 1, or are all 0 if no
+/// rate is positive.
 ///
-/// The slowest backends leave the support set while any share is not positive. Where the arrivals
-/// reach the summed rates (9) has no answer; its limit from below is proportional to the rates. A
-/// rate of 0 is outside of the support set.
+/// The slowest backends are removed from the support set until all shares are positive. If the
+/// arrivals reach the summed rates, formula (9) has no solution, and the shares are proportional to
+/// the rates, which is its limit from below. A backend with a rate of 0 gets no share.
 pub(crate) fn optimal_split(arrivals: f64, rates: &[f64]) -> Vec<f64> {
     let mut rate_sum: f64 = rates.iter().sum();
     let mut shares = vec![0.0; rates.len()];
@@ -276,7 +283,7 @@
     shares
 }
 
-/// sqrt(mu (1 - mu)), the standard deviation of completions in a slot.
+/// Standard deviation of the completions in a slot, sqrt(mu (1 - mu)).
 fn deviation(rate: f64) -> f64 {
     (rate * (1.0 - rate)).max(0.0).sqrt()
 }
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -1,9 +1,10 @@
-//! Picks a backend for one attempt: an independent draw by the shares of the optimal split and the
-//! weights of exploration, among the backends that may be sent to now.
+//! Picks the backend of one attempt: an independent random draw, weighted by the shares of the
+//! optimal split and by the exploration weights, among the backends that may receive an attempt
+//! now.
 //!
-//! Random numbers come in as arguments, so that equal draws give equal picks. Within the draw,
-//! backends that are known to be idle go first, as there is no wait at them. It never decides
-//! whether there is capacity for another attempt as a whole.
+//! Random draws are passed in as arguments, so that equal draws give equal picks. Backends that are
+//! known to be idle are preferred, as an attempt does not wait there. Whether there is capacity for
+//! another attempt at all is not decided here.
 
 use rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -18,20 +19,24 @@
 use crate::settings::{Class, Idempotency, Settings};
 use crate::slow_start::SlowStart;
 
-/// A draw from [0, 1).
+/// A random number from [0, 1).
 pub(crate) fn uniform(random: &mut Xoshiro256PlusPlus) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The draws of a pick among the candidates.
+/// Random draws for a pick among the candidates, from [0, 1) each.
 pub(crate) struct CandidateDraws {
+    /// Decides between exploration and the shares: a draw below the summed exploration weights
+    /// explores.
     explore: f64,
+    /// Selects the backend to explore, as a fraction of the summed exploration weights.
     explored_fraction: f64,
+    /// Selects the backend by share, as a fraction of the summed weights.
     share_fraction: f64,
 }
 
 impl CandidateDraws {
-    /// Draws in the order that recordings rely on.
+    /// Draws in a fixed order: recorded decisions depend on it.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> CandidateDraws {
         let (explore, explored_fraction) = (uniform(random), uniform(random));
         CandidateDraws {
@@ -42,14 +47,17 @@
     }
 }
 
-/// The draws of a pick among the whole list.
+/// Random draws for a pick among the whole list, from [0, 1) each.
 pub(crate) struct FullScanDraws {
+    /// Decides between exploration and the shares: a draw below the summed exploration weights
+    /// explores.
     explore: f64,
+    /// Selects the backend, as a fraction of the summed weights.
     fraction: f64,
 }
 
 impl FullScanDraws {
-    /// Draws in the order that recordings rely on.
+    /// Draws in a fixed order: recorded decisions depend on it.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> FullScanDraws {
         FullScanDraws {
             explore: uniform(random),
@@ -58,7 +66,7 @@
     }
 }
 
-/// All that a pick for one request looks at.
+/// Everything that the pick for one request depends on.
 pub(crate) struct Picker<'a> {
     pub(crate) now: Nanos,
     pub(crate) settings: &'a Settings,
@@ -66,15 +74,15 @@
     pub(crate) outliers: &'a OutlierDetector,
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) pending: &'a PendingRequest,
-    /// Whether this proxy's share of a backend is less than one attempt.
+    /// Whether this proxy's share of a backend's concurrency limit is less than one attempt.
     pub(crate) limit_is_below_one: bool,
-    /// Longest latency objective.
+    /// Longest latency objective of a class.
     pub(crate) longest_objective: Nanos,
 }
 
 impl Picker<'_> {
-    /// Picks among the support set, or explores. `None` where neither finds a backend that is legal
-    /// now and that the request was not attempted at.
+    /// Explores, or picks from the support set. `None` if neither yields a backend that is usable
+    /// now and to which the request was not sent before.
     pub(crate) fn among_candidates(
         &self,
         candidates: &Candidates,
@@ -108,7 +116,7 @@
         self.by_share(&pool, draws.share_fraction)
     }
 
-    /// Picks among the whole list.
+    /// Picks from the whole endpoint list. `None` if no backend is usable now.
     pub(crate) fn among_all(&self, draws: &FullScanDraws) -> Option<BackendId> {
         let mut pool: Vec<&EndpointRecord> = self
             .endpoints
@@ -129,8 +137,9 @@
             .or_else(|| pick_weighted(&pool, draws.fraction, |_| 1.0))
     }
 
-    /// Whether an attempt may go to this backend now, and the backend is sound and has capacity.
-    /// An ejected one has no share, so it would get all that finds no capacity elsewhere.
+    /// Whether an attempt of this request may go to the backend now, and the backend is not ejected
+    /// and has capacity. An ejected backend has no share, but without this check it would receive
+    /// every attempt that finds no capacity elsewhere.
     fn is_usable(&self, record: &EndpointRecord) -> bool {
         !self.outliers.is_ejected(self.now, &record.failure_history)
             && record.load.has_capacity()
@@ -138,9 +147,10 @@
             && self.slow_start.allows(self.now, record)
     }
 
-    /// Whether this request should not be the one that finds out if a backend that failed is sound
-    /// again, as it must not be executed twice. Not where many proxies share a backend: a timeout
-    /// there tells of load.
+    /// Whether this request avoids failing backends, those with a failure since their last
+    /// completion. A request that must not be executed twice should not be the one that tests
+    /// whether such a backend has recovered. Doesn't apply if no class may be executed twice, nor
+    /// where many proxies share a backend: a timeout there indicates load.
     fn avoids_failing(&self) -> bool {
         let is_not_idempotent = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
         let classes = &self.settings.classes;
@@ -149,7 +159,7 @@
             && !self.limit_is_below_one
     }
 
-    /// Leaves out backends with a failure since their last answer, where others are left.
+    /// Removes failing backends from the pool if others remain and the request avoids them.
     fn prefer_not_failing(&self, pool: &mut Vec<&EndpointRecord>) {
         let is_not_failing = |record: &&EndpointRecord| record.failure_history.is_not_failing();
         if self.avoids_failing() && pool.iter().any(is_not_failing) {
@@ -157,7 +167,7 @@
         }
     }
 
-    /// Leaves out backends that the request was attempted at, where others are left.
+    /// Removes backends to which the request was sent before, if others remain.
     fn prefer_unattempted(&self, pool: &mut Vec<&EndpointRecord>) {
         let was_attempted = |record: &&EndpointRecord| self.pending.was_attempted_at(record.id());
         if !self.pending.attempts.is_empty() && !pool.iter().all(was_attempted) {
@@ -165,16 +175,18 @@
         }
     }
 
-    /// Picks by the shares, idle backends first.
+    /// Picks by share; idle backends come first.
     fn by_share(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
         self.fast_and_idle(pool, fraction)
-            // What this proxy knows to be idle goes first: there is no wait at it.
+            // Backends that this proxy knows to be idle come first, as an attempt does not wait
+            // there.
             .or_else(|| {
                 pick_weighted(pool, fraction, |record| {
                     weight_if(is_preferred_and_idle(record), record.weights.share())
                 })
             })
-            // One that (9) leaves out is slow, but there at once; not where it is overloaded.
+            // A backend without a share by formula (9) is slow, but an idle one starts at once.
+            // Overloaded backends are left out.
             .or_else(|| {
                 pick_weighted(pool, fraction, |record| {
                     let is_not_overloaded = record.load.latency_ratio() < OVERLOAD_RATIO;
@@ -187,8 +199,10 @@
             .or_else(|| pick_weighted(pool, fraction, |record| record.weights.share()))
     }
 
-    /// Picks a backend that is idle as far as this proxy knows, and just now was faster than usual:
-    /// it is likely idle still. For the most weighty requests of a proxy among many.
+    /// Picks a backend with no attempt of this proxy in flight whose last answer was recent and
+    /// faster than the mean of its class: it is probably still idle. Applies only where many
+    /// proxies share a backend, and only to requests of high weight, which may use the reserve of
+    /// admission tokens.
     fn fast_and_idle(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
         if !self.limit_is_below_one || self.pending.admission_cost.keeps_reserve() {
             return None;
@@ -201,7 +215,7 @@
     }
 }
 
-/// Whether a backend is of this proxy's own stretch and has nothing of it in flight.
+/// Whether this proxy prefers the backend and has no attempt in flight there.
 fn is_preferred_and_idle(record: &EndpointRecord) -> bool {
     record.subset_position.is_preferred() && record.load.is_idle()
 }
@@ -210,8 +224,8 @@
     if condition { weight } else { 0.0 }
 }
 
-/// The one of `pool` at `place`, from 0 to 1, of the summed weights; none where the sum is not
-/// positive.
+/// The backend of `pool` at `fraction`, from 0 to 1, of the summed weights. `None` if the sum is
+/// not positive.
 fn pick_weighted(
     pool: &[&EndpointRecord],
     fraction: f64,
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,14 +1,15 @@
-//! Subsetting: which backends this proxy gets to know, and which it uses first.
+//! Subsetting: which backends this proxy uses, and which of them it prefers.
 //!
-//! All proxies order the backends of a zone alike, by the hash of their names, and each starts at a
-//! place of its own. Nothing is exchanged; together they cover the fleet evenly. Of each zone a
-//! proxy knows the first backends in its order, as many as get the completions that an estimate
-//! wants, and it uses its own stretch of its own zone first, so that proxies which don't know what
-//! the others have in flight don't crowd one backend beside an idle one.
+//! All proxies order the backends of a zone in the same way, by the hash of their names, and each
+//! proxy starts at an offset of its own. The proxies exchange no messages, and together they cover
+//! the fleet evenly. In each zone, a proxy's subset consists of the first backends in its order, as
+//! many as get the completions that an estimate needs. In its own zone it prefers a section of
+//! backends of its own: as proxies do not know each other's attempts in flight, several could
+//! otherwise send to one backend while another one is idle.
 //!
-//! Where attempts to other zones cost, little goes to other zones: all of them together have as
-//! many backends in the subset as the proxy's own. If the few of one proxy fail together, picks go
-//! to all others. It never decides whether an attempt is legal.
+//! If attempts to other zones have a cost, few are sent there: all other zones together have as
+//! many backends in the subset as the proxy's own zone. If all backends of the subset fail at once,
+//! picks fall back to all other backends. This module does not decide whether an attempt is legal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,37 +17,37 @@
 use crate::ids::{BackendId, ZoneId};
 use crate::settings::Settings;
 
-/// Least backends of a zone that a proxy knows: as many as it takes failures to make an outlier.
+/// Minimum number of backends of a zone in the subset: the number of failures that make an outlier.
 const MIN_MEMBERS_PER_ZONE: f64 = crate::outlier_detector::OUTLIER_FAILURES;
 
-/// Place of one backend in this proxy's order of its zone.
+/// Position of one backend in this proxy's order of the backend's zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SubsetPosition {
-    /// From 0 to 1: the first are known and used first.
+    /// Rank from 0 to 1; the backends with the lowest ranks are in the subset.
     relative_rank: f64,
-    /// Whether it is of the stretch of the home zone that this proxy uses first.
+    /// Whether it is in the section of the local zone that this proxy prefers.
     is_preferred: bool,
 }
 
 impl SubsetPosition {
-    /// Whether it is of the stretch of the home zone that this proxy uses first.
+    /// Whether it is in the section of the local zone that this proxy prefers.
     pub(crate) fn is_preferred(&self) -> bool {
         self.is_preferred
     }
 }
 
-/// The subset of one proxy.
+/// Calculates the subset of one proxy.
 pub(crate) struct Subset {
     zone: ZoneId,
     proxy_index: u32,
     proxy_count: f64,
     has_cross_zone_cost: bool,
-    /// Whether the endpoint list has changed since positions were worked out.
+    /// Whether the endpoint list has changed since positions were calculated.
     is_stale: bool,
 }
 
 impl Subset {
-    /// Positions are worked out at the first [`renew`](Subset::renew) after a change of the list.
+    /// Positions are calculated by [`renew`](Subset::renew) after a change of the endpoint list.
     pub(crate) fn new(settings: &Settings, proxy_count: f64) -> Subset {
         Subset {
             zone: settings.zone,
@@ -57,12 +58,12 @@
         }
     }
 
-    /// The endpoint list has changed.
+    /// Marks the positions as outdated: the endpoint list has changed.
     pub(crate) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Works out the position of each backend anew if the list has changed.
+    /// Recalculates the position of each backend if the endpoint list has changed.
     pub(crate) fn renew(&mut self, endpoints: &mut EndpointList) {
         if !std::mem::take(&mut self.is_stale) {
             return;
@@ -84,8 +85,10 @@
         }
     }
 
-    /// The backends of the subset among the usable ones: the first of each zone, `knowable` in the
-    /// home zone. All of them where `knowable` is more.
+    /// The backends of the subset among the ready and usable ones: the first of each zone in this
+    /// proxy's order. Each zone has `estimable_backends` of them, rounded up, or all if it has
+    /// fewer; if attempts to other zones have a cost, the other zones divide that number among
+    /// themselves. Each zone has at least [`MIN_MEMBERS_PER_ZONE`] if as many are usable.
     pub(crate) fn members(
         &self,
         endpoints: &EndpointList,
@@ -112,6 +115,7 @@
             .collect()
     }
 
+    /// Maximum number of members of a zone, where `zone_count` zones have usable backends.
     fn zone_member_limit(&self, zone: ZoneId, estimable_backends: f64, zone_count: usize) -> usize {
         let remote_sharing_zones = if self.has_cross_zone_cost {
             zone_count as f64 - 1.0
@@ -146,7 +150,7 @@
     }
 }
 
-/// Hashes of the ready backends of each zone, in order.
+/// Hashes of the ready backends of each zone, in ascending order.
 fn sorted_hashes(endpoints: &EndpointList) -> BTreeMap<ZoneId, Vec<u64>> {
     let mut hashes: BTreeMap<ZoneId, Vec<u64>> = BTreeMap::new();
     for record in endpoints.ready() {
@@ -161,8 +165,9 @@
     hashes
 }
 
-/// Distance of the starts of two proxies with successive indices. Where only some of the proxies
-/// are of this zone, multiples of the golden ratio lie evenly whichever they are.
+/// Distance between the offsets of two proxies with successive indices, as a fraction of a zone.
+/// With several zones, only some of the proxies are in each of them; multiples of the golden ratio
+/// are spread evenly whichever proxies these are.
 fn offset_step(zone_count: usize, proxies_per_zone: f64) -> f64 {
     if zone_count > 1 {
         std::f64::consts::GOLDEN_RATIO
