--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -1,9 +1,9 @@
-//! What is usual for each class of requests: its latencies, as a whole and by zone, and the
-//! timeouts that its clients come with.
+//! Statistics of each class of requests: its latencies, as a whole and by zone, and the client
+//! timeouts of its requests.
 //!
-//! Latencies are kept for each zone because the way to a distant zone is no sign of overload there.
-//! The lowest mean stands for the latency without load; it is forgotten over a hundred latency
-//! objectives, should the work itself grow.
+//! Latencies are kept by zone because a longer network path to a distant zone is no sign of
+//! overload there. The minimum of the mean latency stands for the latency without load; it is
+//! raised slowly, over a hundred longest latency objectives, in case the work itself grows.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,28 @@
 use crate::ids::{Nanos, ZoneId};
 use crate::statistics::{FractionHistogram, MovingMean};
 
-/// Latencies that the means of a class remember: their standard error is under a tenth.
+/// Number of latencies in the moving means of a class: their standard error is under a tenth.
 pub(crate) const LATENCY_SAMPLES: f64 = 64.0;
 
-/// Longest latency objectives over which the lowest mean is forgotten.
+/// Time constant with which minimum means are raised, in longest latency objectives.
 const MINIMUM_MEMORY_OBJECTIVES: f64 = 100.0;
 
-/// What is known of one class. Latencies are in seconds.
+/// Statistics of one class. Latencies are in seconds.
 #[derive(Clone, Default)]
 pub(crate) struct ClassStatistics {
-    /// Client timeouts of its requests, as fractions of the class's.
+    /// Client timeouts of its requests, as fractions of the client timeout of the class.
     client_timeouts: FractionHistogram,
     latencies: MovingMean,
     zone_latencies: BTreeMap<ZoneId, MovingMean>,
 }
 
 impl ClassStatistics {
-    /// The mean latency; 0 before the first answer.
+    /// Mean latency, in seconds; 0 before the first answer.
     pub(crate) fn mean_latency(&self) -> f64 {
         self.latencies.mean
     }
 
-    /// The mean latency at its lowest: what it is without load.
+    /// Minimum of the mean latency, in seconds: the latency without load.
     pub(crate) fn unloaded_latency(&self) -> f64 {
         self.latencies.minimum
     }
@@ -42,13 +42,14 @@
         self.latencies.count > 0.0
     }
 
-    /// Takes in the latency of an answer or of a timeout.
+    /// Adds the latency of an answer or of a timeout, in seconds.
     pub(crate) fn add_latency(&mut self, latency: f64) {
         self.latencies.add(latency, LATENCY_SAMPLES);
     }
 
-    /// The latency of an attempt in a zone, as a multiple of what it is without load there; that of
-    /// an answer is taken in.
+    /// Latency of an attempt in a zone, as a multiple of the latency without load there. Also adds
+    /// the latency to the zone's mean if the attempt was answered. Until the zone's window is full,
+    /// the latencies of the class in all zones are the reference.
     pub(crate) fn latency_ratio(&mut self, zone: ZoneId, latency: f64, outcome: Outcome) -> f64 {
         let zone_latency = self.zone_latencies.entry(zone).or_default();
         if outcome == Outcome::Success {
@@ -63,12 +64,13 @@
         latency / unloaded.max(1e-9)
     }
 
-    /// Time since the first attempt of a client at its request, as its timeout tells: first
-    /// attempts come with one timeout and are the most frequent; what is left of a retry's tells
-    /// how much has passed. `class_timeout` is that of the class.
+    /// Estimates the time since the client's first attempt at this request, from its client
+    /// timeout: first attempts have the most frequent timeout, while a retry has only the remaining
+    /// time. `class_timeout` is the client timeout of the class.
     ///
-    /// This keeps capacity from being spent on answers that are too late to count. A client that
-    /// is impatient from the start is taken for one that retries and waits behind others.
+    /// The estimate keeps capacity from being spent on answers that come too late to count. A
+    /// client that uses a shorter timeout from the start is mistaken for one that retries, and
+    /// waits behind others.
     pub(crate) fn estimated_elapsed(
         &mut self,
         client_timeout: Nanos,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Forgets a part of the lowest means after `step` seconds.
+    /// Raises the minimum means for `step` seconds that have passed.
     pub(crate) fn raise_minimums(&mut self, step: f64, longest_objective: f64) {
         let fraction = step / (MINIMUM_MEMORY_OBJECTIVES * longest_objective);
         for latencies in self
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -1,10 +1,11 @@
-//! Prior latencies: what a backend with few completions is taken to need, pooled over those that
-//! share a label with it.
+//! Prior latencies: the expected latency of a backend with few completions, pooled over the
+//! backends that share a label with it.
 //!
-//! The prior is the fleet's mean latency, times what is pooled for the backend's kind of machine,
-//! its cell, its zone, and for being in slow start. It helps proxies that see little of each
-//! backend, and it tells of what strikes all backends of one label at once, such as a silent rack
-//! or a zone that is cut off. A sound backend among bad ones gets little by it.
+//! The prior is the mean latency of the fleet, multiplied by factors that are pooled for the
+//! backend's kind of machine, its cell, its zone, and slow start. It helps proxies that send few
+//! attempts to each backend, and it detects a fault that affects all backends with one label, such
+//! as a rack that stops answering or a zone that is cut off. As a drawback, a healthy backend among
+//! faulty ones gets a small share.
 
 use std::collections::BTreeMap;
 
@@ -12,39 +13,39 @@
 use crate::ids::{CellId, KindId, ZoneId};
 use crate::statistics::DecayedSum;
 
-/// Weight of the prior 1 of a pool, in completions.
+/// Weight, in completions, of the prior value 1 of a pool's factor.
 const POOL_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Prior latencies of one backend, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PriorLatency {
-    /// By all its labels.
+    /// Expected latency by all labels of the backend.
     pub(crate) expected: f64,
-    /// By its kind of machine alone: what it needs without a fault.
+    /// Expected latency by the kind of machine alone: the latency without a fault.
     pub(crate) kind_latency: f64,
 }
 
 /// Prior latencies of all backends.
 pub(crate) struct PriorLatencies {
-    /// In the order of the endpoint list.
+    /// One entry per backend, in the order of the endpoint list.
     pub(crate) by_backend: Vec<PriorLatency>,
     /// Latencies in this proxy's zone as a multiple of those in other zones.
     pub(crate) local_to_remote_ratio: f64,
 }
 
-/// What pooling looks at beside the endpoint list.
+/// Inputs of the pooling besides the endpoint list.
 pub(crate) struct PoolingContext<'a> {
-    /// Latencies of each kind of machine, as multiples of the mean.
+    /// Latencies of each kind of machine, as multiples of the mean latency.
     pub(crate) kinds: &'a BTreeMap<KindId, DecayedSum>,
     /// Zone of this proxy.
     pub(crate) zone: ZoneId,
-    /// Shortest latency objective, in seconds: what a failure counts.
+    /// Shortest latency objective, in seconds: the latency that a failure counts as.
     pub(crate) shortest_objective: f64,
-    /// Now, in seconds.
+    /// Current time, in seconds.
     pub(crate) now_seconds: f64,
 }
 
-/// Latencies as multiples of what is usual, pooled by label.
+/// Latencies as multiples of the usual latency of the kind of machine, pooled by label.
 #[derive(Default)]
 struct Pools {
     cells: BTreeMap<CellId, DecayedSum>,
@@ -53,7 +54,8 @@
     slow_start: DecayedSum,
 }
 
-/// Works out the prior latencies. `in_slow_start` tells which backends are in slow start.
+/// Calculates the prior latencies of all backends. `in_slow_start` tells whether a backend is in
+/// slow start.
 pub(crate) fn prior_latencies(
     endpoints: &EndpointList,
     context: &PoolingContext,
@@ -95,8 +97,8 @@
         context: &PoolingContext,
     ) {
         let (service_times, load) = (&record.service_times, &record.load);
-        // Only what attempts in flight have waited beyond the usual speaks against them; a failure
-        // counts as a latency objective.
+        // Attempts in flight count only with the time that they have waited beyond the usual
+        // latency; a failure counts as the shortest latency objective.
         let excess_wait = (load.summed_wait_seconds(context.now_seconds)
             - load.in_flight() * usual_latency)
             .max(0.0);
@@ -153,7 +155,7 @@
     pooled_factor(context.kinds.get(&record.endpoint().kind))
 }
 
-/// The mean of a pool, drawn to 1; 1 where there is none.
+/// Mean of a pool, drawn towards 1; 1 if there is no pool.
 fn pooled_factor(pool: Option<&DecayedSum>) -> f64 {
     pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR_WEIGHT))
 }
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -1,20 +1,20 @@
-//! Running statistics: a moving mean, a decayed sum, and a histogram. Equal calls give equal
+//! Running statistics: a moving mean, a decayed sum and a histogram. Equal calls give equal
 //! results.
 
-/// A mean over about the last `window` values, and the lowest that it was since the window was
+/// A mean over about the last `window` values, and the minimum of the mean since the window was
 /// first full.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct MovingMean {
     /// The moving mean.
     pub(crate) mean: f64,
-    /// How many values are in it, up to the window.
+    /// Number of values in the mean, up to the window.
     pub(crate) count: f64,
-    /// The mean at its lowest.
+    /// Minimum of the mean.
     pub(crate) minimum: f64,
 }
 
 impl MovingMean {
-    /// Takes in a value.
+    /// Adds a value to a mean over about `window` values.
     pub(crate) fn add(&mut self, value: f64, window: f64) {
         self.count = (self.count + 1.0).min(window);
         self.mean += (value - self.mean) / self.count;
@@ -25,18 +25,19 @@
         };
     }
 
-    /// Lets the lowest mean rise by `fraction` of itself, up to the mean: it is forgotten slowly.
+    /// Raises the minimum by `fraction` of itself, but not above the mean, so that it follows a
+    /// mean that stays higher.
     pub(crate) fn raise_minimum(&mut self, fraction: f64) {
         self.minimum = (self.minimum * (1.0 + fraction)).min(self.mean);
     }
 }
 
-/// A sum whose terms lose weight with time, and the likewise decayed number of terms.
+/// A sum whose terms lose weight with time, and the number of terms, decayed likewise.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DecayedSum {
     /// Decayed number of terms.
     pub(crate) count: f64,
-    /// Their decayed sum.
+    /// Decayed sum of the terms.
     pub(crate) sum: f64,
 }
 
@@ -47,19 +48,19 @@
         self.sum += sum;
     }
 
-    /// Keeps this fraction of the weight of each term.
+    /// Multiplies the weight of past terms by `decay_factor`, from 0 to 1.
     pub(crate) fn decay(&mut self, decay_factor: f64) {
         self.count *= decay_factor;
         self.sum *= decay_factor;
     }
 
-    /// The mean, drawn to 1 with the weight of `prior` terms.
+    /// Mean of the terms and `prior` additional terms of value 1.
     pub(crate) fn prior_weighted_mean(&self, prior: f64) -> f64 {
         (self.sum + prior) / (self.count + prior)
     }
 }
 
-/// A histogram of fractions in 32 steps, whose counts decay with each new value.
+/// A histogram of fractions from 0 to 1, whose counts decay with each new value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FractionHistogram {
     buckets: [f64; FractionHistogram::BUCKETS + 1],
@@ -75,11 +76,11 @@
 
 impl FractionHistogram {
     const BUCKETS: usize = 32;
-    /// Values that it remembers.
+    /// Number of values that count after decay.
     const WINDOW: f64 = 256.0;
 
-    /// Takes in a fraction from 0 to 1. Returns whether it is in the most frequent step or beside
-    /// it.
+    /// Adds a value, limited to the range from 0 to 1. Returns whether it is in the most frequent
+    /// bucket or next to it.
     pub(crate) fn add(&mut self, fraction: f64) -> bool {
         self.buckets
             .iter_mut()
--- a/crates/balancer/src/timescale.rs
+++ b/crates/balancer/src/timescale.rs
@@ -1,22 +1,22 @@
-//! Times that several decisions derive from the settings, worked out once.
+//! Durations that several decisions derive from the settings, calculated once.
 
 use crate::ids::Nanos;
 use crate::settings::Settings;
 
-/// Nanoseconds of a second.
+/// Nanoseconds per second.
 pub(crate) const SECOND: f64 = 1e9;
 
-/// A time or span in seconds.
+/// Converts a time or duration to seconds.
 pub(crate) fn seconds(nanos: Nanos) -> f64 {
     nanos as f64 / SECOND
 }
 
-/// A span in nanoseconds; fractions of one are cut off.
+/// Converts a duration in seconds to nanoseconds and truncates fractions of a nanosecond.
 pub(crate) fn nanos(seconds: f64) -> Nanos {
     (seconds * SECOND) as Nanos
 }
 
-/// When the balancer started, and the span of its latency objectives.
+/// Start of the balancer and range of its latency objectives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timescale {
     /// When the balancer started.
@@ -28,7 +28,8 @@
 }
 
 impl Timescale {
-    /// Works them out. Without classes both objectives are 1 s.
+    /// Derives the objectives from the classes; both are 1 s without classes. `now` is the start of
+    /// the balancer.
     pub(crate) fn new(settings: &Settings, now: Nanos) -> Timescale {
         let objectives = || {
             settings
@@ -43,18 +44,18 @@
         }
     }
 
-    /// Seconds since the start.
+    /// Seconds since the balancer started.
     pub(crate) fn age(&self, now: Nanos) -> f64 {
         seconds(now.saturating_sub(self.started_at))
     }
 
-    /// Time constant, in seconds, with which arrivals and completions of the whole fleet decay.
+    /// Time constant, in seconds, with which the arrivals and completions of the whole fleet decay.
     pub(crate) fn arrival_window(&self) -> f64 {
         2.0 * self.longest_objective
     }
 
-    /// The rate a second of events whose count decays with the arrival window. Soon after the
-    /// start the window is not full, which this corrects for.
+    /// Rate per second of events whose count decays with the arrival window. Corrects for the
+    /// window not being full soon after the start.
     pub(crate) fn per_second(&self, now: Nanos, decayed_count: f64) -> f64 {
         let window = self.arrival_window();
         let effective_window = window * (1.0 - (-self.age(now) / window).exp());
