--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -1,12 +1,13 @@
-//! Concurrency limits: how many attempts each backend, and all of them together, may have in
-//! flight.
+//! Concurrency limits: how many attempts may be in flight at each backend, and at all backends
+//! together.
 //!
 //! The limit of a backend follows its latency: it grows while answers take up to [`TOLERANCE`]
-//! times what they take without load, and shrinks beyond. Each proxy's limits count against its
-//! share of the attempts that a backend is taken to work on at once. Against overload, silence and
-//! a fleet that chokes; too small a limit wastes capacity, so it grows with each success.
+//! times the unloaded latency, and shrinks beyond that. It is bounded by this proxy's share of the
+//! attempts that a backend is assumed to execute at once. The limits protect against overload,
+//! against backends that stop answering and against the collapse of a whole fleet. A limit that is
+//! too small wastes capacity, so it grows with each success.
 //!
-//! Where that share is less than one attempt, limits are too coarse a measure and the
+//! Where that share is less than one attempt, limits are too coarse and the
 //! [admission rate](crate::admission_rate) takes their place.
 
 use crate::estimator::ServiceTimes;
@@ -14,49 +15,51 @@
 use crate::ids::Nanos;
 use crate::timescale::seconds;
 
-/// c of the design: how many requests a backend is taken to work on at once, so that c completions
-/// come in one latency. One figure everywhere; summed service rates exceed the arrivals under
-/// ordinary load.
+/// c of the service rate c N / L: the number of requests that a backend is assumed to execute at
+/// once, so that c completions come in one latency. The same value applies to all backends; the
+/// summed service rates exceed the arrivals under ordinary load.
 pub(crate) const CONCURRENCY: f64 = 8.0;
 
-/// Attempts that all proxies together let a backend hold: half of c, as the limit must bind before
-/// the estimates of service rates do.
+/// Attempts that all proxies together may have in flight at a backend: half of c, as the limit must
+/// take effect before the estimates of the service rates do.
 const SHARED_LIMIT: f64 = CONCURRENCY / 2.0;
 
-/// Multiple of the unloaded latency up to which a backend keeps up.
+/// Multiple of the unloaded latency up to which a backend counts as not overloaded.
 pub(crate) const TOLERANCE: f64 = 1.3;
 
-/// Latency ratio from which a backend is overloaded clearly.
+/// Latency ratio from which a backend is clearly overloaded.
 pub(crate) const OVERLOAD_RATIO: f64 = TOLERANCE * TOLERANCE;
 
-/// Fraction by which a limit moves at an answer that is off by as much as the tolerance.
+/// Gain of the limit: its relative change at an answer is this multiple of the relative distance
+/// between the tolerance and the mean latency ratio.
 const LIMIT_GAIN: f64 = 0.2;
 
-/// Answers that the mean latency ratio of a backend remembers.
+/// Number of answers in the moving mean of a backend's latency ratio.
 const LATENCY_RATIO_SAMPLES: f64 = 12.0;
 
-/// Largest latency ratio that is taken in.
+/// Latency ratios above this value count as this value.
 const MAX_LATENCY_RATIO: f64 = 10.0;
 
-/// Fraction of this proxy's share that a limit never falls below.
+/// Minimum of a backend's limit, as a fraction of this proxy's share.
 const MIN_LIMIT_FRACTION: f64 = 0.25;
 
-/// Attempts in flight at one backend, its limit, and its latest latencies.
+/// Attempts in flight at one backend, its limit and its latest latencies.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct BackendLoad {
     in_flight: f64,
-    /// Sum of the times at which these were sent, in seconds.
+    /// Sum of the times at which the attempts in flight were sent, in seconds.
     in_flight_sent_at_sum: f64,
     concurrency_limit: f64,
-    /// Moving mean of its latencies as multiples of the unloaded latency.
+    /// Moving mean of the backend's latencies as multiples of the unloaded latency.
     latency_ratio: f64,
-    /// Its last answer as a multiple of the class's mean latency.
+    /// Latency of the last answer as a multiple of the mean latency of its class; infinite after a
+    /// timeout or a rejection.
     last_latency_ratio: f64,
     last_answer_at: Nanos,
 }
 
 impl BackendLoad {
-    /// Of a backend that has had no attempt yet.
+    /// The load of a backend that has had no attempt yet.
     pub(crate) fn new(concurrency_limit: f64) -> BackendLoad {
         BackendLoad {
             concurrency_limit,
@@ -65,8 +68,8 @@
         }
     }
 
-    /// Of a new process of the same backend: what was learned says nothing of it, but attempts in
-    /// flight at the old one will still end.
+    /// The load of a new process of the same backend: past latencies say nothing about it, but the
+    /// attempts in flight at the old process will still end.
     pub(crate) fn restarted(&self, concurrency_limit: f64) -> BackendLoad {
         BackendLoad {
             in_flight: self.in_flight,
@@ -75,84 +78,84 @@
         }
     }
 
-    /// Attempts in flight.
+    /// Number of attempts of this proxy in flight at the backend.
     pub(crate) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// Whether nothing of this proxy is in flight there.
+    /// Whether no attempt of this proxy is in flight at the backend.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight == 0.0
     }
 
-    /// Whether one more attempt is within the limit; one may always be in flight.
+    /// Whether one more attempt is within the limit. One attempt may always be in flight.
     pub(crate) fn has_capacity(&self) -> bool {
         self.is_idle() || self.in_flight + 1.0 <= self.concurrency_limit
     }
 
-    /// Attempts in flight that the limit allows.
+    /// Maximum number of attempts in flight. May be a fraction, also below 1.
     pub(crate) fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit
     }
 
-    /// Sets the limit back, as for a backend that nothing is known of.
+    /// Sets the limit to that of a backend without known latencies.
     pub(crate) fn reset_limit(&mut self, concurrency_limit: f64) {
         self.concurrency_limit = concurrency_limit;
     }
 
-    /// Moving mean of its latencies as multiples of the unloaded latency.
+    /// Moving mean of the backend's latencies as multiples of the unloaded latency.
     pub(crate) fn latency_ratio(&self) -> f64 {
         self.latency_ratio
     }
 
-    /// Whether its last answer came after `since` and faster than the mean of its class.
+    /// Whether the last answer came at `since` or later and was faster than the mean of its class.
     pub(crate) fn was_fast_since(&self, since: Nanos) -> bool {
         self.last_latency_ratio < 1.0 && self.last_answer_at >= since
     }
 
-    /// Seconds that the attempts in flight have waited in sum.
+    /// Summed time, in seconds, that the attempts in flight have waited.
     pub(crate) fn summed_wait_seconds(&self, now_seconds: f64) -> f64 {
         self.in_flight * now_seconds - self.in_flight_sent_at_sum
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt that is sent at `now`.
     pub(crate) fn on_sent(&mut self, now: Nanos) {
         self.in_flight += 1.0;
         self.in_flight_sent_at_sum += seconds(now);
     }
 
-    /// An attempt that was sent at `sent_at` has ended.
+    /// Counts the end of an attempt that was sent at `sent_at`.
     pub(crate) fn on_ended(&mut self, sent_at: Nanos) {
         self.in_flight -= 1.0;
         self.in_flight_sent_at_sum -= seconds(sent_at);
     }
 }
 
-/// What the end of an attempt tells of the load of its backend.
+/// The end of an attempt, as a sample of its backend's load.
 pub(crate) struct LoadSample {
     pub(crate) outcome: Outcome,
     /// Latency as a multiple of the unloaded latency.
     pub(crate) latency_ratio: f64,
-    /// Latency as a multiple of the class's mean.
+    /// Latency as a multiple of the mean latency of the class.
     pub(crate) ratio_to_mean: f64,
-    /// When it ended.
+    /// When the attempt ended.
     pub(crate) at: Nanos,
 }
 
-/// The limits of this proxy.
+/// Sets and applies the concurrency limits of this proxy.
 pub(crate) struct ConcurrencyLimiter {
-    /// This proxy's share of the attempts that a backend is taken to work on at once.
+    /// This proxy's share of the attempts that a backend is assumed to execute at once.
     share: f64,
     proxy_count: f64,
     shortest_objective: f64,
     /// Attempts in flight at all backends.
     in_flight: f64,
-    /// Summed limits of the usable backends, less what pressure takes off.
+    /// Summed limits of the usable backends, reduced under pressure.
     limit: f64,
 }
 
 impl ConcurrencyLimiter {
-    /// For one of `proxy_count` proxies; `shortest_objective` is in seconds.
+    /// A limiter of one of `proxy_count` proxies. `shortest_objective` is in seconds.
     pub(crate) fn new(proxy_count: f64, shortest_objective: f64) -> ConcurrencyLimiter {
         let share = SHARED_LIMIT / proxy_count;
         ConcurrencyLimiter {
@@ -164,36 +167,36 @@
         }
     }
 
-    /// Limit of a backend of which nothing is known: one attempt, or this proxy's share if that is
+    /// Limit of a backend without known latencies: one attempt, or this proxy's share if that is
     /// less.
     pub(crate) fn initial_limit(&self) -> f64 {
         self.share.min(1.0)
     }
 
-    /// Whether this proxy's share at a backend is less than one attempt. The root of it allows for
-    /// other proxies that are not all at their shares at the same time.
+    /// Whether this proxy's share of a backend is less than one attempt. The square root of the
+    /// share is added, as not all other proxies use their whole shares at the same time.
     pub(crate) fn is_below_one(&self) -> bool {
         self.share + self.share.sqrt() < 1.0
     }
 
-    /// Whether no further attempt may be in flight.
+    /// Whether no further attempt may be sent to any backend. One attempt may always be in flight.
     pub(crate) fn is_full(&self) -> bool {
         self.in_flight >= self.limit.max(1.0) && self.in_flight > 0.0
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt that is sent.
     pub(crate) fn on_sent(&mut self) {
         self.in_flight += 1.0;
     }
 
-    /// An attempt has ended.
+    /// Counts the end of an attempt.
     pub(crate) fn on_ended(&mut self) {
         self.in_flight -= 1.0;
     }
 
-    /// Sets the limit of all backends together: their summed limits, cut by the square of the
-    /// pressure beyond what is clear overload. Where limits are below one attempt they don't bind,
-    /// and are not cut.
+    /// Sets the limit of all backends together to their summed limits. A pressure above
+    /// [`OVERLOAD_RATIO`] reduces it by the square of pressure over that ratio. Where this proxy's
+    /// share of a backend is below one attempt, the limits don't apply and are not reduced.
     pub(crate) fn set_total(&mut self, summed_limits: f64, pressure: f64) {
         self.limit = summed_limits;
         if !self.is_below_one() {
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Moves a backend's limit so that its mean latency ratio nears the tolerance.
-    /// `longest_unloaded_latency` is the longest of the classes', in seconds.
+    /// Changes the limit of a backend so that its mean latency ratio approaches the tolerance.
+    /// `longest_unloaded_latency` is the longest one of all classes, in seconds.
     pub(crate) fn adjust(
         &self,
         load: &mut BackendLoad,
@@ -232,9 +235,11 @@
         }
     }
 
-    /// Largest limit of one backend: behind as many of the longest work as all proxies let it
-    /// hold, an answer to the tightest class is still in time. This proxy's share of that, and the
-    /// root of it, as others are not all at their shares at the same time.
+    /// Maximum limit of one backend. All proxies together may have at most [`SHARED_LIMIT`]
+    /// attempts in flight there, and only so many of the longest work that an attempt of the class
+    /// with the shortest objective is still answered in time behind them. The limit is this proxy's
+    /// share of that plus the square root of the share, as not all other proxies use their whole
+    /// shares at the same time.
     fn max_backend_limit(&self, longest_unloaded_latency: f64) -> f64 {
         let max_attempts_in_time = self.shortest_objective / longest_unloaded_latency - 1.0;
         let proxy_share = SHARED_LIMIT.min(max_attempts_in_time).max(1.0) / self.proxy_count;
@@ -242,10 +247,11 @@
     }
 }
 
-/// How far latencies and silence show overload: 1 is none.
+/// How much overload the latencies and the attempts without an answer indicate; 1 means none.
 ///
-/// What has waited shows overload before outcomes do: a whole fleet that breaks down or falls
-/// silent at once. It could waste capacity where latencies are long for another cause.
+/// The time that attempts have waited shows overload earlier than outcomes do when a whole fleet
+/// breaks down or stops answering at once. This could waste capacity where latencies are long for
+/// another reason.
 #[derive(Default)]
 pub(crate) struct Pressure {
     latency_sum: f64,
@@ -255,12 +261,12 @@
 }
 
 impl Pressure {
-    /// What attempts in flight have waited counts up to this multiple of what answers took: a few
-    /// silent connections must not outweigh all that is answered.
+    /// Maximum wait that counts at a backend, as a multiple of the summed latencies of its answers:
+    /// a few connections without an answer must not outweigh all answers.
     const MAX_WAIT_RATIO: f64 = 3.0;
 
-    /// Takes in a backend that has completed something. Its latency ratio counts by completions:
-    /// that of a backend which is met no more would else stay for good.
+    /// Adds a backend that has completed an attempt. Latency ratios are weighted by completions,
+    /// since the ratio of a backend that receives no more attempts would otherwise count forever.
     pub(crate) fn add(&mut self, load: &BackendLoad, service_times: &ServiceTimes, now: Nanos) {
         let max_wait = Self::MAX_WAIT_RATIO * service_times.latency_sum();
         self.latency_sum += service_times.latency_sum();
@@ -269,7 +275,7 @@
         self.completions += service_times.completions();
     }
 
-    /// The mean latency ratio, raised by what attempts in flight have waited.
+    /// Mean latency ratio, increased by the relative wait of the attempts in flight.
     pub(crate) fn value(&self) -> f64 {
         self.weighted_ratio_sum / f64::max(self.completions, 1e-9)
             * (1.0 + self.summed_wait / f64::max(self.latency_sum, 1e-3))
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -1,34 +1,36 @@
-//! Outlier ejection: a backend that fails far more often than the rest gets nothing for a while.
+//! Outlier ejection: a backend that fails far more often than the others receives no attempts for a
+//! while.
 //!
-//! Judged are failures, not latencies, which the split already follows: fast errors, dead and
-//! unreachable backends answer too quickly for their latency to show. The time of an ejection
-//! doubles with each one in a row. At most half of the ready backends is ejected; where more look
-//! bad it can't be them alone, and ejection fails open. A fault of one class of requests only
-//! ejects a backend for all classes.
+//! Only failures are judged; the split already follows latencies. Fast errors and dead or
+//! unreachable backends fail too quickly for their latency to show. The duration of an ejection
+//! doubles with each consecutive ejection. At most half of the ready backends are ejected; if more
+//! look faulty, the backends alone can't be the cause, and ejection fails open. A fault in a single
+//! class of requests ejects a backend for all classes.
 //!
-//! It never rejects a request and never decides whether an attempt is legal.
+//! This module does not reject requests and does not decide whether an attempt is legal.
 
 use crate::endpoint_list::EndpointList;
 use crate::ids::{BackendId, Nanos};
 use crate::timescale::{SECOND, Timescale};
 
-/// Decayed failures that can make an outlier.
+/// Decayed number of failures from which a backend can be an outlier.
 pub(crate) const OUTLIER_FAILURES: f64 = 3.0;
 
-/// An outlier fails by this fraction more often than the rest of the fleet. One that fails less
-/// still has capacity, which an overloaded fleet lacks; its service rate tells how much.
+/// The failure rate of an outlier exceeds that of the other backends by this much. A backend below
+/// that still has capacity, which an overloaded fleet needs; its service rate shows how much.
 const OUTLIER_FAILURE_RATE_EXCESS: f64 = 0.5;
 
-/// Consecutive failures that make an outlier, whatever it did before: rare at a backend in use.
+/// Consecutive failures that make an outlier regardless of earlier completions; they are rare at a
+/// backend in use.
 const OUTLIER_CONSECUTIVE_FAILURES: f64 = 6.0;
 
-/// Largest fraction of the ready backends that is ejected.
+/// Maximum fraction of the ready backends that is ejected.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
-/// Doublings of the ejection time at most.
+/// Maximum number of times that the duration of an ejection doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Failures of one backend, and its ejections.
+/// Failures and ejections of one backend.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct FailureHistory {
     /// Decayed number of failures.
@@ -36,7 +38,7 @@
     /// Failures since its last completion.
     consecutive_failures: f64,
     ejected_until: Nanos,
-    /// Ejections in a row.
+    /// Consecutive ejections, which determine the duration of the next one.
     ejections: u32,
 }
 
@@ -51,22 +53,23 @@
         self.consecutive_failures
     }
 
-    /// Whether its last attempt to end was no failure.
+    /// Whether it has had no failure since its last completion.
     pub(crate) fn is_not_failing(&self) -> bool {
         self.consecutive_failures == 0.0
     }
 
-    /// Keeps this fraction of the weight of each failure.
+    /// Multiplies the weight of past failures by `decay_factor`, from 0 to 1.
     pub(crate) fn decay(&mut self, decay_factor: f64) {
         self.failures *= decay_factor;
     }
 
-    /// An attempt was served.
+    /// Resets the consecutive failures after an attempt was served.
     pub(crate) fn on_completion(&mut self) {
         self.consecutive_failures = 0.0;
     }
 
-    /// It has been serving well for a while: its next ejection is as short as its first.
+    /// Resets the duration of the next ejection to that of a first one, after the backend has
+    /// served enough attempts.
     pub(crate) fn reset_backoff(&mut self) {
         self.ejections = 0;
     }
@@ -76,25 +79,25 @@
     }
 }
 
-/// An ejection that was decided.
+/// A new ejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
     /// When it ends.
     pub(crate) until: Nanos,
-    /// How many seconds it lasts.
+    /// Duration in seconds.
     pub(crate) seconds: f64,
 }
 
 /// Decides which backends are ejected.
 pub(crate) struct OutlierDetector {
-    /// Time of a first ejection, in seconds.
+    /// Duration of a first ejection before jitter, in seconds.
     base_ejection_seconds: f64,
-    /// As of the last renewal: so many look bad that none is left out.
+    /// Whether, at the last renewal, so many backends were ejected that ejections are ignored.
     fails_open: bool,
 }
 
 impl OutlierDetector {
-    /// No backend is ejected yet. A first ejection lasts about two longest latency objectives.
+    /// A detector without ejections. A first ejection lasts about two longest latency objectives.
     pub(crate) fn new(timescale: &Timescale) -> OutlierDetector {
         OutlierDetector {
             base_ejection_seconds: 2.0 * timescale.longest_objective,
@@ -102,19 +105,19 @@
         }
     }
 
-    /// Whether a backend gets nothing now.
+    /// Whether a backend must receive no attempts now.
     pub(crate) fn is_ejected(&self, now: Nanos, history: &FailureHistory) -> bool {
         history.is_ejected(now) && !self.fails_open
     }
 
-    /// Decides anew whether ejection fails open.
+    /// Decides again whether ejection fails open.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &EndpointList) {
         let ejected = ejected_count(now, endpoints);
         self.fails_open = ejected > MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
     }
 
-    /// Counts a failure; returns the ejection if that makes the backend an outlier. `random` is a
-    /// draw from [0, 1) that spreads the end of the ejection.
+    /// Counts a failure, and returns the ejection if the backend becomes an outlier by it. `random`
+    /// is a draw from [0, 1) that determines the jitter of the ejection's end.
     pub(crate) fn on_failure(
         &self,
         now: Nanos,
@@ -148,6 +151,8 @@
 }
 
 impl FailureHistory {
+    /// Whether the failures make this backend an outlier. After an ejection, one failure is enough
+    /// for a judgement until the backend has completed an attempt again.
     fn is_outlier(&self, completions: f64, fleet: &FleetFailures) -> bool {
         let rest_failure_rate = (fleet.failures - self.failures).max(0.0)
             / (fleet.failures + fleet.completions - completions).max(1.0);
@@ -160,7 +165,7 @@
     }
 }
 
-/// Failures and completions of all ready backends, before the failure that is judged.
+/// Failures and completions of all ready backends, without the failure being judged.
 struct FleetFailures {
     failures: f64,
     completions: f64,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,12 +1,13 @@
-//! Slow start: how much a backend may be sent while its process warms up.
+//! Slow start: how many attempts a backend may receive while its process warms up.
 //!
-//! Capacity rises linearly from [`Rules::slow_start_initial_capacity`] to the whole over
-//! [`Rules::slow_start_duration`] (the operators' lower bound). A backend that gets more than
-//! [`Rules::overload_multiple`] times its present capacity for [`Rules::overload_duration`] breaks
-//! down, from all proxies together (the fourth protocol rule). Each proxy therefore saves up whole
-//! attempts at a part of that rate, judged by what a warm backend completes for this proxy.
+//! Capacity rises linearly from [`Rules::slow_start_initial_capacity`] to the full capacity over
+//! [`Rules::slow_start_duration`]; the operators give this as a lower bound. A backend breaks down
+//! if it receives, from all proxies together, more than [`Rules::overload_multiple`] times its
+//! present capacity for [`Rules::overload_duration`] (the fourth protocol rule). Each proxy
+//! therefore accumulates tokens for attempts at a fraction of that rate, estimated from the
+//! completions of this proxy at backends of full capacity.
 //!
-//! It never decides whether an attempt is otherwise legal, nor which backend is picked.
+//! This module does not decide whether an attempt is otherwise legal, nor which backend is picked.
 
 use crate::endpoint_list::EndpointRecord;
 use crate::event::Endpoint;
@@ -14,43 +15,45 @@
 use crate::settings::Rules;
 use crate::timescale::{SECOND, Timescale};
 
-/// Fraction of what is believed safe that this proxy sends a backend in slow start; the rest is for
-/// what it can't see.
+/// Fraction of the rate believed to be safe at which this proxy sends attempts to a backend in slow
+/// start; the rest covers load that this proxy can't observe.
 const SAFE_RATE_FRACTION: f64 = 0.5;
 
-/// Attempts that can be saved up in any case: a proxy that picks the backend seldom would else lose
-/// a part of one at most picks.
+/// Minimum capacity of the token bucket of a backend, in attempts: a proxy that picks the backend
+/// seldom would otherwise lose a fraction of a token at most picks.
 const MIN_TOKEN_CAPACITY: f64 = 2.0;
 
-/// Attempts that slow start leaves to this proxy at one backend.
+/// Tokens of one backend: the attempts that this proxy may send to it in slow start.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartTokens(f64);
 
 impl SlowStartTokens {
-    /// Tokens of a backend that is listed now. They start at a random fraction of an attempt: many
-    /// proxies, each with less than an attempt in the rule's duration, then keep it by chance.
+    /// Tokens of a backend that is new in the list. They start at a random fraction of an attempt:
+    /// many proxies, each allowed less than one attempt within [`Rules::overload_duration`], then
+    /// keep the rule statistically.
     pub(crate) fn new(random_fraction: f64) -> SlowStartTokens {
         SlowStartTokens(random_fraction)
     }
 
-    /// An attempt was sent.
+    /// Takes the token of an attempt that was sent.
     pub(crate) fn spend(&mut self) {
         self.0 = (self.0 - 1.0).max(0.0);
     }
 }
 
-/// The budget of backends in slow start.
+/// Limits the attempts at backends in slow start.
 pub(crate) struct SlowStart {
     rules: Rules,
-    /// Completions a second of a backend that nothing is known of.
+    /// Minimum of the completion rate that the refill uses, in completions per second.
     min_completion_rate: f64,
-    /// Completions a second that this proxy sees of each warm backend.
+    /// Completions per second of this proxy at each backend of full capacity.
     completion_rate: f64,
 }
 
 impl SlowStart {
-    /// Without any completion yet. A fleet that starts as a whole gets something to be judged by:
-    /// all proxies together send a backend one attempt in each shortest latency objective.
+    /// A limit without any completion yet. The minimum completion rate is one completion per
+    /// shortest latency objective at each backend, by all proxies together, so that a fleet that
+    /// starts as a whole receives attempts.
     pub(crate) fn new(rules: &Rules, timescale: &Timescale, proxy_count: f64) -> SlowStart {
         SlowStart {
             rules: rules.clone(),
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Fraction of its capacity that a backend has at least; 1 once it is warm.
+    /// Minimum fraction of its full capacity that a backend has at `now`: 1 after slow start, or if
+    /// its `started_at` is `None`.
     pub(crate) fn capacity_fraction(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
         let rules = &self.rules;
         let duration = rules.slow_start_duration;
@@ -73,24 +77,24 @@
         initial + (1.0 - initial) * age as f64 / duration as f64
     }
 
-    /// Whether an attempt may be sent as far as slow start goes.
+    /// Whether slow start permits an attempt at this backend now.
     pub(crate) fn allows(&self, now: Nanos, record: &EndpointRecord) -> bool {
         self.capacity_fraction(now, record.endpoint()) >= 1.0 || record.slow_start_tokens.0 >= 1.0
     }
 
-    /// Takes in what this proxy completes a second, and the summed capacity fractions of the
-    /// backends that it does so at.
+    /// Sets this proxy's completions per second, and the summed capacity fractions of the backends
+    /// at which they happen.
     pub(crate) fn set_completions(&mut self, per_second: f64, capacity_fraction_sum: f64) {
         self.completion_rate = per_second / capacity_fraction_sum.max(1e-9);
     }
 
-    /// Completions a second that this proxy sees of each warm backend.
+    /// Completions per second of this proxy at each backend of full capacity.
     #[cfg(test)]
     pub(crate) fn completion_rate(&self) -> f64 {
         self.completion_rate
     }
 
-    /// Saves up attempts at a backend over `step` seconds.
+    /// Adds the tokens that one backend gains in `step` seconds, up to the capacity of its bucket.
     pub(crate) fn refill(&self, tokens: &mut SlowStartTokens, capacity_fraction: f64, step: f64) {
         let rules = &self.rules;
         let completion_rate = self.completion_rate.max(self.min_completion_rate);
