--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the running sums.
+//! Unit tests of the candidates of a pick.
 
 use super::*;
 use crate::concurrency_limiter::BackendLoad;
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// The limit of a backend with so many attempts in flight, after many samples of one kind.
+/// Limit of a backend with `in_flight` attempts in flight after 200 equal samples.
 fn limit_after_samples(limiter: &ConcurrencyLimiter, in_flight: usize, sample: &LoadSample) -> f64 {
     let mut load = BackendLoad::new(limiter.initial_limit());
     (0..in_flight).for_each(|_| load.on_sent(0));
@@ -23,12 +23,13 @@
 fn limit_in_use_grows_with_fast_answers_up_to_the_proxy_share() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     assert_eq!(limiter.initial_limit(), 1.0);
-    // All proxies let a backend hold four; one alone may use four and the root of that.
+    // All proxies together may have 4 attempts in flight at a backend; a single proxy may have 4
+    // plus the square root of 4.
     assert_eq!(
         limit_after_samples(&limiter, 6, &sample(Outcome::Success, 1.0)),
         6.0
     );
-    // What is not used says nothing of more.
+    // A limit that is not used grows no further.
     let unused = limit_after_samples(&limiter, 0, &sample(Outcome::Success, 1.0));
     assert!((2.0..2.1).contains(&unused), "{unused}");
 }
@@ -38,7 +39,7 @@
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
-    // Behind one attempt of 0.15 s another is still in time, behind two it is not.
+    // An attempt behind one of 0.15 s is still in time, but not behind two of them.
     (0..200).for_each(|_| limiter.adjust(&mut load, &sample(Outcome::Success, 1.0), 0.15));
     assert_eq!(load.concurrency_limit(), 2.0);
 }
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the estimates.
+//! Unit tests of the estimator.
 
 use super::*;
 use crate::settings::Idempotency;
@@ -45,10 +45,10 @@
 #[test]
 fn completion_memory_spans_the_target_number_of_completions() {
     let mut estimator = estimator();
-    // Without arrivals the longest memory, ten latency objectives, is too short.
+    // Without arrivals, even the maximum memory of ten latency objectives is too short.
     assert_eq!(estimator.completion_memory(10_000 * MS, 4), 3.0);
     assert!(estimator.is_data_sparse(10_000 * MS, 4));
-    // Sixty in a window of 0.6 s are a hundred a second, or twenty for each of five backends.
+    // 60 arrivals in a window of 0.6 s are 100 per second, or 20 for each of five backends.
     (0..60).for_each(|_| estimator.on_first_attempt());
     assert!((estimator.arrival_rate(100_000 * MS) - 100.0).abs() < 1e-6);
     assert!((estimator.completion_memory(100_000 * MS, 5) - 0.6).abs() < 1e-6);
@@ -59,7 +59,7 @@
 fn estimable_backends_is_how_many_get_enough_completions() {
     let mut estimator = estimator();
     estimator.set_first_attempts(1_200.0);
-    // Sixty a second for twenty seconds: 180 in ten latency objectives, for 15 backends.
+    // 60 arrivals per second for 20 s: 180 in ten latency objectives, enough for 15 backends.
     assert!((estimator.estimable_backends(20_000 * MS) - 15.0).abs() < 1e-9);
 }
 
--- a/crates/balancer/src/optimal_split_tests.rs
+++ b/crates/balancer/src/optimal_split_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the split against shares worked out by hand.
+//! Unit tests of the optimal split, against shares calculated by hand.
 
 use super::optimal_split;
 
@@ -15,12 +15,13 @@
 #[test]
 fn shares_match_values_calculated_by_hand() {
     assert_near(&optimal_split(0.2, &[0.45, 0.55]), &[0.25, 0.75]);
-    // Only the fastest gets a share; the slowest leave one by one.
+    // Only the fastest backend gets a share; the slower ones are removed one by one.
     assert_near(
         &optimal_split(0.01, &[0.5, 0.1, 0.0, 0.2]),
         &[1.0, 0.0, 0.0, 0.0],
     );
-    // At and over the summed rates: proportional, which is the limit from below.
+    // At and above the summed rates, the shares are proportional to the rates: the limit from
+    // below.
     assert_near(&optimal_split(0.9, &[0.2, 0.4]), &[1.0 / 3.0, 2.0 / 3.0]);
     assert_near(
         &optimal_split(0.6 - 1e-12, &[0.2, 0.4]),
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(fail(&detector, 0, 0, &mut list), None);
     assert_eq!(fail(&detector, 0, 0, &mut list), None);
     let ejection = fail(&detector, 0, 0, &mut list).expect("three failures, no completion");
-    // Two latency objectives of 0.3 s, in the middle of the jitter.
+    // Two latency objectives of 0.3 s, with the mean jitter.
     assert_eq!((ejection.seconds, ejection.until), (0.6, 600 * MS));
     let history = list.get(BackendId(0)).unwrap().failure_history;
     assert!(detector.is_ejected(599 * MS, &history) && !detector.is_ejected(600 * MS, &history));
@@ -85,7 +85,7 @@
     assert_eq!(ejected(&list, &detector), 2);
     detector.renew(1, &list);
     assert_eq!(ejected(&list, &detector), 2);
-    // Two of the sound ones leave the list: now two of two are ejected.
+    // The backends that are not ejected leave the list, so both remaining ones are ejected.
     let remaining = (0..4)
         .filter(|id| detector.is_ejected(1, &list.get(BackendId(*id)).unwrap().failure_history))
         .map(crate::test_support::endpoint)
--- a/crates/balancer/src/pooled_latency_tests.rs
+++ b/crates/balancer/src/pooled_latency_tests.rs
@@ -1,12 +1,12 @@
-//! Unit tests of the pooled priors.
+//! Unit tests of the prior latencies.
 
 use super::*;
 use crate::event::{Endpoint, Outcome, UpdateKind};
 use crate::ids::BackendId;
 use crate::test_support::{endpoint, record};
 
-/// Four backends in two zones; each of zone 1 takes three times as long, and the last of it has
-/// completed nothing.
+/// Four backends in two zones. Those in zone 1 take three times as long, and the last one has no
+/// completions.
 fn two_zones() -> EndpointList {
     let in_zone = |id: u32| Endpoint {
         zone: ZoneId((id / 2) as u16),
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -1,10 +1,10 @@
-//! Unit tests of the slow-start budget.
+//! Unit tests of slow start.
 
 use super::*;
 use crate::settings::Idempotency;
 use crate::test_support::{MS, endpoint, record, settings};
 
-/// A fifth of the capacity at first, all of it after 10 s, an overload at three times that for 2 s.
+/// Initial capacity 0.2, full capacity after 10 s, overload at three times the capacity for 2 s.
 fn slow_start(proxy_count: f64) -> SlowStart {
     let mut settings = settings(Idempotency::Idempotent);
     settings.rules.slow_start_initial_capacity = 0.2;
@@ -51,7 +51,8 @@
 fn tokens_refill_at_half_the_safe_rate_up_to_the_overload_duration() {
     let mut slow_start = slow_start(1.0);
     slow_start.set_completions(40.0, 4.0);
-    // Half of three times the fifth of ten a second.
+    // Half of the safe rate, which is three times a fifth of 10 completions per second: 3 per
+    // second.
     let mut tokens = SlowStartTokens::default();
     slow_start.refill(&mut tokens, 0.2, 1.0);
     assert!((tokens.0 - 3.0).abs() < 1e-12);
--- a/crates/balancer/src/timescale_tests.rs
+++ b/crates/balancer/src/timescale_tests.rs
@@ -32,7 +32,7 @@
     let timescale = Timescale::new(&settings(Idempotency::Idempotent), 0);
     let window = timescale.arrival_window();
     for age in [0.5, 1.0, 10.0] {
-        // The decayed count of a hundred a second since the start.
+        // Decayed count of 100 events per second since the start.
         let count = 100.0 * window * (1.0 - (-age / window).exp());
         let rate = timescale.per_second(nanos(age), count);
         assert!((rate - 100.0).abs() < 1e-3, "{rate} after {age} s");
