--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -1,5 +1,5 @@
-//! Renewal of the weights: from the estimates of each backend to the optimal split, the budget of
-//! slow start and the limit of all backends together.
+//! Renewal of the weights: derives the optimal split, the tokens of backends in slow start and the
+//! total concurrency limit from the estimates of each backend.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use super::Balancer;
 
 impl Balancer {
-    /// Decays what was counted of backends and renews all that follows from it.
+    /// Decays the counts of all backends and renews everything that depends on them.
     pub(super) fn renew_weights(&mut self, now: Nanos) {
         self.estimation.subset.renew(&mut self.endpoints);
         let step = self.estimation.split.seconds_since_renewal(now);
@@ -25,12 +25,12 @@
         self.renew_slow_start(now, step, &members);
         self.renew_total_limit(now);
         let inputs = SplitInputs {
-            arrivals: self.fleet_arrivals(now),
+            arrivals_per_slot: self.fleet_arrivals(now),
             service_rates: self.service_rates(now, &priors, &members),
             capacity_fractions: self.capacity_fractions(now),
-            members: members.len(),
-            pooled_kinds: self
-                .is_starved(now)
+            member_count: members.len(),
+            pooled_kind_count: self
+                .is_data_sparse(now)
                 .then(|| self.estimation.estimator.kinds().len()),
             local_to_remote_ratio: priors.local_to_remote_ratio,
         };
@@ -40,14 +40,14 @@
     }
 
     fn decay_backends(&mut self, now: Nanos, step: f64) {
-        let memory = self
+        let time_constant = self
             .estimation
             .estimator
             .completion_memory(now, self.endpoints.len());
-        let keep = (-step / memory).exp();
+        let decay_factor = (-step / time_constant).exp();
         for record in self.endpoints.iter_mut() {
-            record.service_times.decay(keep);
-            record.failure_history.decay(keep);
+            record.service_times.decay(decay_factor);
+            record.failure_history.decay(decay_factor);
         }
     }
 
@@ -65,50 +65,51 @@
         })
     }
 
-    /// The backends of this proxy's subset that are not ejected.
+    /// The ready backends of this proxy's subset that are not ejected.
     pub(super) fn subset_members(&self, now: Nanos) -> BTreeSet<BackendId> {
-        let knowable = self.estimation.estimator.knowable_backends(now);
+        let estimable_backends = self.estimation.estimator.estimable_backends(now);
         self.estimation
             .subset
-            .members(&self.endpoints, knowable, |record| {
+            .members(&self.endpoints, estimable_backends, |record| {
                 !self.outliers.is_ejected(now, &record.failure_history)
             })
     }
 
-    /// Whether the list calls a backend ready and it is not ejected.
+    /// Whether a backend is ready according to the endpoint list and not ejected.
     fn is_usable(&self, now: Nanos, record: &EndpointRecord) -> bool {
         record.is_ready() && !self.outliers.is_ejected(now, &record.failure_history)
     }
 
-    fn is_starved(&self, now: Nanos) -> bool {
+    fn is_data_sparse(&self, now: Nanos) -> bool {
         self.estimation
             .estimator
-            .is_starved(now, self.endpoints.len())
+            .is_data_sparse(now, self.endpoints.len())
     }
 
-    /// Arrivals in a slot at all proxies together, if each has as many as this one.
+    /// Arrivals per slot at all proxies together, if each proxy receives as many as this one.
     fn fleet_arrivals(&self, now: Nanos) -> f64 {
         self.estimation.estimator.arrival_rate(now) * self.proxy_count() * self.slot_seconds()
     }
 
-    /// Service rate of each backend in a slot; 0 for those that are not split among.
+    /// Service rate of each backend, in completions per slot; 0 for backends that are not part of
+    /// the split.
     fn service_rates(
         &self,
         now: Nanos,
         priors: &PriorLatencies,
         members: &BTreeSet<BackendId>,
     ) -> Vec<f64> {
-        let is_starved = self.is_starved(now);
+        let is_data_sparse = self.is_data_sparse(now);
         let rate = |(record, prior): (&EndpointRecord, &PriorLatency)| {
-            let waited = record.load.summed_wait_seconds(seconds(now));
+            let summed_wait = record.load.summed_wait_seconds(seconds(now));
             let latency = record
                 .service_times
-                .estimated_latency(waited, prior.expected);
-            let is_known =
-                record.service_times.has_completions() || is_starved && prior.expected > 0.0;
+                .estimated_latency(summed_wait, prior.expected);
+            let has_estimate =
+                record.service_times.has_completions() || is_data_sparse && prior.expected > 0.0;
             let is_member = members.contains(&record.id()) && !self.is_overloaded(latency, prior);
-            let is_split_among = self.is_usable(now, record) && is_known && is_member;
-            if is_split_among {
+            let is_in_split = self.is_usable(now, record) && has_estimate && is_member;
+            if is_in_split {
                 service_rate(latency, self.slot_seconds())
             } else {
                 0.0
@@ -121,9 +122,10 @@
             .collect()
     }
 
-    /// Whether a backend is overloaded so clearly that it needs rest, which a smaller share is not.
-    /// It is back in the set as its samples age. Slow but sound ones rest too, so this holds only
-    /// where the other backends of the subset are shared by many proxies.
+    /// Whether a backend is so clearly overloaded that it should receive nothing for a while, as a
+    /// smaller share would not relieve it. It is part of the split again once its samples have
+    /// decayed. Slow but healthy backends are left out as well, so this applies only where many
+    /// proxies share the other backends of the subset.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
@@ -140,15 +142,17 @@
         self.endpoints.iter().map(fraction).collect()
     }
 
-    /// Saves up attempts at backends in slow start over `step` seconds.
+    /// Refills the tokens of backends in slow start for `step` seconds.
     fn renew_slow_start(&mut self, now: Nanos, step: f64, members: &BTreeSet<BackendId>) {
-        let fractions = members
+        let fraction_sum = members
             .iter()
             .filter_map(|id| self.endpoints.get(*id))
             .map(|record| self.slow_start.capacity_fraction(now, record.endpoint()))
             .sum();
-        self.slow_start
-            .set_completions(self.admission.rate.completions_per_second(now), fractions);
+        self.slow_start.set_completions(
+            self.admission.rate.completions_per_second(now),
+            fraction_sum,
+        );
         for record in self.endpoints.iter_mut() {
             let fraction = self.slow_start.capacity_fraction(now, record.endpoint());
             self.slow_start
@@ -156,7 +160,8 @@
         }
     }
 
-    /// Sums up the limits of the usable backends, and how far they are under pressure.
+    /// Sets the total concurrency limit from the summed limits of the usable backends and the
+    /// pressure on them.
     fn renew_total_limit(&mut self, now: Nanos) {
         let mut limit = 0.0;
         let mut pressure = Pressure::default();
@@ -177,7 +182,7 @@
         f64::from(self.settings.proxy_count.max(1))
     }
 
-    /// Length of a slot in seconds: service rates count completions in one.
+    /// Length of a slot in seconds; service rates count completions per slot.
     fn slot_seconds(&self) -> f64 {
         seconds(self.settings.tick)
     }
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -1,9 +1,10 @@
-//! Picks a backend for one attempt: an independent draw by the shares of the optimal split and the
-//! weights of exploration, among the backends that may be sent to now.
+//! Picks the backend of one attempt: an independent random draw, weighted by the shares of the
+//! optimal split and by the exploration weights, among the backends that may receive an attempt
+//! now.
 //!
-//! Random numbers come in as arguments, so that equal draws give equal picks. Within the draw,
-//! backends that are known to be idle go first, as there is no wait at them. It never decides
-//! whether there is capacity for another attempt as a whole.
+//! Random draws are passed in as arguments, so that equal draws give equal picks. Backends that are
+//! known to be idle are preferred, as an attempt does not wait there. Whether there is capacity for
+//! another attempt at all is not decided here.
 
 use rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -18,47 +19,54 @@
 use crate::settings::{Class, Idempotency, Settings};
 use crate::slow_start::SlowStart;
 
-/// A draw from [0, 1).
+/// A random number from [0, 1).
 pub(crate) fn uniform(random: &mut Xoshiro256PlusPlus) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The draws of a pick among the candidates.
+/// Random draws for a pick among the candidates, from [0, 1) each.
 pub(crate) struct CandidateDraws {
+    /// Decides between exploration and the shares: a draw below the summed exploration weights
+    /// explores.
     explore: f64,
-    explored: f64,
-    shared: f64,
+    /// Selects the backend to explore, as a fraction of the summed exploration weights.
+    explored_fraction: f64,
+    /// Selects the backend by share, as a fraction of the summed weights.
+    share_fraction: f64,
 }
 
 impl CandidateDraws {
-    /// Draws in the order that recordings rely on.
+    /// Draws in a fixed order: recorded decisions depend on it.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> CandidateDraws {
-        let (explore, explored) = (uniform(random), uniform(random));
+        let (explore, explored_fraction) = (uniform(random), uniform(random));
         CandidateDraws {
             explore,
-            explored,
-            shared: uniform(random),
+            explored_fraction,
+            share_fraction: uniform(random),
         }
     }
 }
 
-/// The draws of a pick among the whole list.
+/// Random draws for a pick among the whole list, from [0, 1) each.
 pub(crate) struct FullScanDraws {
+    /// Decides between exploration and the shares: a draw below the summed exploration weights
+    /// explores.
     explore: f64,
-    place: f64,
+    /// Selects the backend, as a fraction of the summed weights.
+    fraction: f64,
 }
 
 impl FullScanDraws {
-    /// Draws in the order that recordings rely on.
+    /// Draws in a fixed order: recorded decisions depend on it.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> FullScanDraws {
         FullScanDraws {
             explore: uniform(random),
-            place: uniform(random),
+            fraction: uniform(random),
         }
     }
 }
 
-/// All that a pick for one request looks at.
+/// Everything that the pick for one request depends on.
 pub(crate) struct Picker<'a> {
     pub(crate) now: Nanos,
     pub(crate) settings: &'a Settings,
@@ -66,34 +74,36 @@
     pub(crate) outliers: &'a OutlierDetector,
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) pending: &'a PendingRequest,
-    /// Whether this proxy's share of a backend is less than one attempt.
+    /// Whether this proxy's share of a backend's concurrency limit is less than one attempt.
     pub(crate) limit_is_below_one: bool,
-    /// Longest latency objective.
+    /// Longest latency objective of a class.
     pub(crate) longest_objective: Nanos,
 }
 
 impl Picker<'_> {
-    /// Picks among the support set, or explores. `None` where neither finds a backend that is legal
-    /// now and that the request was not attempted at.
+    /// Explores, or picks from the support set. `None` if neither yields a backend that is usable
+    /// now and to which the request was not sent before.
     pub(crate) fn among_candidates(
         &self,
         candidates: &Candidates,
         draws: &CandidateDraws,
     ) -> Option<BackendId> {
-        let is_new = |record: &&EndpointRecord| {
+        let is_eligible = |record: &&EndpointRecord| {
             !self.pending.was_attempted_at(record.id()) && self.is_usable(record)
         };
-        let exploration = candidates.exploration_sum();
-        if draws.explore < exploration {
-            let drawn = candidates.explored_at(draws.explored);
-            let drawn = drawn.and_then(|id| self.endpoints.get(id)).filter(is_new);
-            let is_proven = |record: &&EndpointRecord| {
-                record.failure_history.is_proven() || !self.wants_proven()
+        let exploration_sum = candidates.exploration_sum();
+        if draws.explore < exploration_sum {
+            let drawn = candidates.explored_at(draws.explored_fraction);
+            let drawn = drawn
+                .and_then(|id| self.endpoints.get(id))
+                .filter(is_eligible);
+            let is_not_failing = |record: &&EndpointRecord| {
+                record.failure_history.is_not_failing() || !self.avoids_failing()
             };
-            if let Some(record) = drawn.filter(is_proven) {
+            if let Some(record) = drawn.filter(is_not_failing) {
                 return Some(record.id());
             }
-            if exploration >= 1.0 {
+            if exploration_sum >= 1.0 {
                 return None;
             }
         }
@@ -101,34 +111,35 @@
             .support()
             .iter()
             .filter_map(|id| self.endpoints.get(*id));
-        let mut pool: Vec<&EndpointRecord> = support.filter(is_new).collect();
-        self.prefer_proven(&mut pool);
-        self.by_share(&pool, draws.shared)
+        let mut pool: Vec<&EndpointRecord> = support.filter(is_eligible).collect();
+        self.prefer_not_failing(&mut pool);
+        self.by_share(&pool, draws.share_fraction)
     }
 
-    /// Picks among the whole list.
+    /// Picks from the whole endpoint list. `None` if no backend is usable now.
     pub(crate) fn among_all(&self, draws: &FullScanDraws) -> Option<BackendId> {
         let mut pool: Vec<&EndpointRecord> = self
             .endpoints
             .iter()
             .filter(|record| self.is_usable(record))
             .collect();
-        self.prefer_new(&mut pool);
-        self.prefer_proven(&mut pool);
-        let exploration: f64 = pool.iter().map(|record| record.weights.exploration()).sum();
-        let shares = draws.explore >= exploration.min(1.0);
-        let drawn = if shares {
-            self.by_share(&pool, draws.place)
+        self.prefer_unattempted(&mut pool);
+        self.prefer_not_failing(&mut pool);
+        let exploration_sum: f64 = pool.iter().map(|record| record.weights.exploration()).sum();
+        let uses_shares = draws.explore >= exploration_sum.min(1.0);
+        let drawn = if uses_shares {
+            self.by_share(&pool, draws.fraction)
         } else {
             None
         };
         drawn
-            .or_else(|| weighted(&pool, draws.place, |record| record.weights.exploration()))
-            .or_else(|| weighted(&pool, draws.place, |_| 1.0))
+            .or_else(|| pick_weighted(&pool, draws.fraction, |record| record.weights.exploration()))
+            .or_else(|| pick_weighted(&pool, draws.fraction, |_| 1.0))
     }
 
-    /// Whether an attempt may go to this backend now, and the backend is sound and has capacity.
-    /// An ejected one has no share, so it would get all that finds no capacity elsewhere.
+    /// Whether an attempt of this request may go to the backend now, and the backend is not ejected
+    /// and has capacity. An ejected backend has no share, but without this check it would receive
+    /// every attempt that finds no capacity elsewhere.
     fn is_usable(&self, record: &EndpointRecord) -> bool {
         !self.outliers.is_ejected(self.now, &record.failure_history)
             && record.load.has_capacity()
@@ -136,92 +147,97 @@
             && self.slow_start.allows(self.now, record)
     }
 
-    /// Whether this request should not be the one that finds out if a backend that failed is sound
-    /// again, as it must not be executed twice. Not where many proxies share a backend: a timeout
-    /// there tells of load.
-    fn wants_proven(&self) -> bool {
-        let is_once = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
+    /// Whether this request avoids failing backends, those with a failure since their last
+    /// completion. A request that must not be executed twice should not be the one that tests
+    /// whether such a backend has recovered. Doesn't apply if no class may be executed twice, nor
+    /// where many proxies share a backend: a timeout there indicates load.
+    fn avoids_failing(&self) -> bool {
+        let is_not_idempotent = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
         let classes = &self.settings.classes;
-        is_once(&classes[self.pending.class()])
-            && !classes.iter().all(is_once)
+        is_not_idempotent(&classes[self.pending.class()])
+            && !classes.iter().all(is_not_idempotent)
             && !self.limit_is_below_one
     }
 
-    /// Leaves out backends with a failure since their last answer, where others are left.
-    fn prefer_proven(&self, pool: &mut Vec<&EndpointRecord>) {
-        let is_proven = |record: &&EndpointRecord| record.failure_history.is_proven();
-        if self.wants_proven() && pool.iter().any(is_proven) {
-            pool.retain(is_proven);
+    /// Removes failing backends from the pool if others remain and the request avoids them.
+    fn prefer_not_failing(&self, pool: &mut Vec<&EndpointRecord>) {
+        let is_not_failing = |record: &&EndpointRecord| record.failure_history.is_not_failing();
+        if self.avoids_failing() && pool.iter().any(is_not_failing) {
+            pool.retain(is_not_failing);
         }
     }
 
-    /// Leaves out backends that the request was attempted at, where others are left.
-    fn prefer_new(&self, pool: &mut Vec<&EndpointRecord>) {
-        let is_old = |record: &&EndpointRecord| self.pending.was_attempted_at(record.id());
-        if !self.pending.attempts.is_empty() && !pool.iter().all(is_old) {
-            pool.retain(|record| !is_old(record));
+    /// Removes backends to which the request was sent before, if others remain.
+    fn prefer_unattempted(&self, pool: &mut Vec<&EndpointRecord>) {
+        let was_attempted = |record: &&EndpointRecord| self.pending.was_attempted_at(record.id());
+        if !self.pending.attempts.is_empty() && !pool.iter().all(was_attempted) {
+            pool.retain(|record| !was_attempted(record));
         }
     }
 
-    /// Picks by the shares, idle backends first.
-    fn by_share(&self, pool: &[&EndpointRecord], place: f64) -> Option<BackendId> {
-        self.fast_and_idle(pool, place)
-            // What this proxy knows to be idle goes first: there is no wait at it.
+    /// Picks by share; idle backends come first.
+    fn by_share(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
+        self.fast_and_idle(pool, fraction)
+            // Backends that this proxy knows to be idle come first, as an attempt does not wait
+            // there.
             .or_else(|| {
-                weighted(pool, place, |record| {
-                    only_if(is_own_idle(record), record.weights.share())
+                pick_weighted(pool, fraction, |record| {
+                    weight_if(is_preferred_and_idle(record), record.weights.share())
                 })
             })
-            // One that (9) leaves out is slow, but there at once; not where it is overloaded.
+            // A backend without a share by formula (9) is slow, but an idle one starts at once.
+            // Overloaded backends are left out.
             .or_else(|| {
-                weighted(pool, place, |record| {
-                    let keeps_up = record.load.latency_ratio() < OVERLOAD_RATIO;
-                    only_if(
-                        is_own_idle(record) && keeps_up,
+                pick_weighted(pool, fraction, |record| {
+                    let is_not_overloaded = record.load.latency_ratio() < OVERLOAD_RATIO;
+                    weight_if(
+                        is_preferred_and_idle(record) && is_not_overloaded,
                         record.weights.service_rate(),
                     )
                 })
             })
-            .or_else(|| weighted(pool, place, |record| record.weights.share()))
+            .or_else(|| pick_weighted(pool, fraction, |record| record.weights.share()))
     }
 
-    /// Picks a backend that is idle as far as this proxy knows, and just now was faster than usual:
-    /// it is likely idle still. For the most weighty requests of a proxy among many.
-    fn fast_and_idle(&self, pool: &[&EndpointRecord], place: f64) -> Option<BackendId> {
+    /// Picks a backend with no attempt of this proxy in flight whose last answer was recent and
+    /// faster than the mean of its class: it is probably still idle. Applies only where many
+    /// proxies share a backend, and only to requests of high weight, which may use the reserve of
+    /// admission tokens.
+    fn fast_and_idle(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
         if !self.limit_is_below_one || self.pending.admission_cost.keeps_reserve() {
             return None;
         }
-        let lately = self.now.saturating_sub(self.longest_objective);
-        weighted(pool, place, |record| {
-            let is_fast = record.load.is_idle() && record.load.was_fast_since(lately);
-            only_if(is_fast, record.weights.service_rate())
+        let since = self.now.saturating_sub(self.longest_objective);
+        pick_weighted(pool, fraction, |record| {
+            let is_fast_and_idle = record.load.is_idle() && record.load.was_fast_since(since);
+            weight_if(is_fast_and_idle, record.weights.service_rate())
         })
     }
 }
 
-/// Whether a backend is of this proxy's own stretch and has nothing of it in flight.
-fn is_own_idle(record: &EndpointRecord) -> bool {
-    record.subset_position.is_own() && record.load.is_idle()
+/// Whether this proxy prefers the backend and has no attempt in flight there.
+fn is_preferred_and_idle(record: &EndpointRecord) -> bool {
+    record.subset_position.is_preferred() && record.load.is_idle()
 }
 
-fn only_if(condition: bool, weight: f64) -> f64 {
+fn weight_if(condition: bool, weight: f64) -> f64 {
     if condition { weight } else { 0.0 }
 }
 
-/// The one of `pool` at `place`, from 0 to 1, of the summed weights; none where the sum is not
-/// positive.
-fn weighted(
+/// The backend of `pool` at `fraction`, from 0 to 1, of the summed weights. `None` if the sum is
+/// not positive.
+fn pick_weighted(
     pool: &[&EndpointRecord],
-    place: f64,
+    fraction: f64,
     weight: impl Fn(&EndpointRecord) -> f64,
 ) -> Option<BackendId> {
     let sum: f64 = pool.iter().map(|record| weight(record)).sum();
-    let mut left = place * sum;
+    let mut remaining = fraction * sum;
     let mut last = None;
     for record in pool.iter().filter(|record| weight(record) > 0.0) {
         last = Some(record.id());
-        left -= weight(record);
-        if left < 0.0 {
+        remaining -= weight(record);
+        if remaining < 0.0 {
             break;
         }
     }
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -1,10 +1,11 @@
-//! Prior latencies: what a backend with few completions is taken to need, pooled over those that
-//! share a label with it.
+//! Prior latencies: the expected latency of a backend with few completions, pooled over the
+//! backends that share a label with it.
 //!
-//! The prior is the fleet's mean latency, times what is pooled for the backend's kind of machine,
-//! its cell, its zone, and for being in slow start. It helps proxies that see little of each
-//! backend, and it tells of what strikes all backends of one label at once, such as a silent rack
-//! or a zone that is cut off. A sound backend among bad ones gets little by it.
+//! The prior is the mean latency of the fleet, multiplied by factors that are pooled for the
+//! backend's kind of machine, its cell, its zone, and slow start. It helps proxies that send few
+//! attempts to each backend, and it detects a fault that affects all backends with one label, such
+//! as a rack that stops answering or a zone that is cut off. As a drawback, a healthy backend among
+//! faulty ones gets a small share.
 
 use std::collections::BTreeMap;
 
@@ -12,71 +13,72 @@
 use crate::ids::{CellId, KindId, ZoneId};
 use crate::statistics::DecayedSum;
 
-/// Weight of the prior 1 of a pool, in completions.
-const POOL_PRIOR: f64 = 2.0;
+/// Weight, in completions, of the prior value 1 of a pool's factor.
+const POOL_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Prior latencies of one backend, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PriorLatency {
-    /// By all its labels.
+    /// Expected latency by all labels of the backend.
     pub(crate) expected: f64,
-    /// By its kind of machine alone: what it needs without a fault.
+    /// Expected latency by the kind of machine alone: the latency without a fault.
     pub(crate) kind_latency: f64,
 }
 
 /// Prior latencies of all backends.
 pub(crate) struct PriorLatencies {
-    /// In the order of the endpoint list.
+    /// One entry per backend, in the order of the endpoint list.
     pub(crate) by_backend: Vec<PriorLatency>,
     /// Latencies in this proxy's zone as a multiple of those in other zones.
     pub(crate) local_to_remote_ratio: f64,
 }
 
-/// What pooling looks at beside the endpoint list.
+/// Inputs of the pooling besides the endpoint list.
 pub(crate) struct PoolingContext<'a> {
-    /// Latencies of each kind of machine, as multiples of the mean.
+    /// Latencies of each kind of machine, as multiples of the mean latency.
     pub(crate) kinds: &'a BTreeMap<KindId, DecayedSum>,
     /// Zone of this proxy.
     pub(crate) zone: ZoneId,
-    /// Shortest latency objective, in seconds: what a failure counts.
+    /// Shortest latency objective, in seconds: the latency that a failure counts as.
     pub(crate) shortest_objective: f64,
-    /// Now, in seconds.
+    /// Current time, in seconds.
     pub(crate) now_seconds: f64,
 }
 
-/// Latencies as multiples of what is usual, pooled by label.
+/// Latencies as multiples of the usual latency of the kind of machine, pooled by label.
 #[derive(Default)]
 struct Pools {
     cells: BTreeMap<CellId, DecayedSum>,
     zones: BTreeMap<ZoneId, DecayedSum>,
-    warm: DecayedSum,
+    past_slow_start: DecayedSum,
     slow_start: DecayedSum,
 }
 
-/// Works out the prior latencies. `in_slow_start` tells which backends are in slow start.
+/// Calculates the prior latencies of all backends. `in_slow_start` tells whether a backend is in
+/// slow start.
 pub(crate) fn prior_latencies(
     endpoints: &EndpointList,
     context: &PoolingContext,
     in_slow_start: impl Fn(&EndpointRecord) -> bool,
 ) -> PriorLatencies {
-    let mean = fleet_mean(endpoints);
-    let of_kind = |record: &EndpointRecord| mean * kind_factor(record, context);
+    let mean_latency = fleet_mean_latency(endpoints);
+    let kind_latency_of = |record: &EndpointRecord| mean_latency * kind_factor(record, context);
     let mut pools = Pools::default();
     for record in endpoints.ready() {
-        let usual = of_kind(record).max(1e-9);
-        pools.add(record, usual, in_slow_start(record), context);
+        let usual_latency = kind_latency_of(record).max(1e-9);
+        pools.add(record, usual_latency, in_slow_start(record), context);
     }
     let prior = |record: &EndpointRecord| {
-        let kind_latency = of_kind(record);
-        let age = if in_slow_start(record) {
+        let kind_latency = kind_latency_of(record);
+        let start_factor = if in_slow_start(record) {
             pools.slow_start_factor()
         } else {
             1.0
         };
-        let cell = pooled(pools.cells.get(&record.endpoint().cell));
-        let zone = pooled(pools.zones.get(&record.endpoint().zone));
+        let cell_factor = pooled_factor(pools.cells.get(&record.endpoint().cell));
+        let zone_factor = pooled_factor(pools.zones.get(&record.endpoint().zone));
         PriorLatency {
-            expected: kind_latency * cell * age * zone,
+            expected: kind_latency * cell_factor * start_factor * zone_factor,
             kind_latency,
         }
     };
@@ -90,70 +92,72 @@
     fn add(
         &mut self,
         record: &EndpointRecord,
-        usual: f64,
+        usual_latency: f64,
         in_slow_start: bool,
         context: &PoolingContext,
     ) {
-        let (service, load) = (&record.service_times, &record.load);
-        // Only what attempts in flight have waited beyond the usual speaks against them; a failure
-        // counts as a latency objective.
-        let waited =
-            (load.summed_wait_seconds(context.now_seconds) - load.in_flight() * usual).max(0.0);
-        let failed = record.failure_history.failures() * context.shortest_objective;
-        let ratio_sum = (service.latency_sum() + waited + failed) / usual;
-        let age = if in_slow_start {
+        let (service_times, load) = (&record.service_times, &record.load);
+        // Attempts in flight count only with the time that they have waited beyond the usual
+        // latency; a failure counts as the shortest latency objective.
+        let excess_wait = (load.summed_wait_seconds(context.now_seconds)
+            - load.in_flight() * usual_latency)
+            .max(0.0);
+        let failure_latency = record.failure_history.failures() * context.shortest_objective;
+        let ratio_sum =
+            (service_times.latency_sum() + excess_wait + failure_latency) / usual_latency;
+        let start_pool = if in_slow_start {
             &mut self.slow_start
         } else {
-            &mut self.warm
+            &mut self.past_slow_start
         };
-        age.add(service.completions(), ratio_sum);
-        let cell = self.cells.entry(record.endpoint().cell).or_default();
-        cell.add(service.completions(), ratio_sum);
-        let zone = self.zones.entry(record.endpoint().zone).or_default();
-        zone.add(service.completions(), ratio_sum);
+        start_pool.add(service_times.completions(), ratio_sum);
+        let cell_pool = self.cells.entry(record.endpoint().cell).or_default();
+        cell_pool.add(service_times.completions(), ratio_sum);
+        let zone_pool = self.zones.entry(record.endpoint().zone).or_default();
+        zone_pool.add(service_times.completions(), ratio_sum);
     }
 
     fn slow_start_factor(&self) -> f64 {
-        pooled(Some(&self.slow_start)) / pooled(Some(&self.warm))
+        pooled_factor(Some(&self.slow_start)) / pooled_factor(Some(&self.past_slow_start))
     }
 
-    fn local_to_remote_ratio(&self, home_zone: ZoneId) -> f64 {
-        let (mut home, mut away) = (DecayedSum::default(), DecayedSum::default());
+    fn local_to_remote_ratio(&self, local_zone: ZoneId) -> f64 {
+        let (mut local, mut remote) = (DecayedSum::default(), DecayedSum::default());
         for (zone, pool) in &self.zones {
-            let side = if *zone == home_zone {
-                &mut home
+            let group = if *zone == local_zone {
+                &mut local
             } else {
-                &mut away
+                &mut remote
             };
-            side.add(pool.count, pool.sum);
+            group.add(pool.count, pool.sum);
         }
-        pooled(Some(&home)) / pooled(Some(&away))
+        pooled_factor(Some(&local)) / pooled_factor(Some(&remote))
     }
 }
 
 /// Mean latency of the ready backends, in seconds; 0 before the first completion.
-fn fleet_mean(endpoints: &EndpointList) -> f64 {
-    let mut all = DecayedSum::default();
+fn fleet_mean_latency(endpoints: &EndpointList) -> f64 {
+    let mut total = DecayedSum::default();
     for record in endpoints.ready() {
-        all.add(
+        total.add(
             record.service_times.completions(),
             record.service_times.latency_sum(),
         );
     }
-    if all.count > 0.0 {
-        all.sum / all.count
+    if total.count > 0.0 {
+        total.sum / total.count
     } else {
         0.0
     }
 }
 
 fn kind_factor(record: &EndpointRecord, context: &PoolingContext) -> f64 {
-    pooled(context.kinds.get(&record.endpoint().kind))
+    pooled_factor(context.kinds.get(&record.endpoint().kind))
 }
 
-/// The mean of a pool, drawn to 1; 1 where there is none.
-fn pooled(pool: Option<&DecayedSum>) -> f64 {
-    pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR))
+/// Mean of a pool, drawn towards 1; 1 if there is no pool.
+fn pooled_factor(pool: Option<&DecayedSum>) -> f64 {
+    pool.map_or(1.0, |pool| pool.prior_weighted_mean(POOL_PRIOR_WEIGHT))
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,14 +1,15 @@
-//! Subsetting: which backends this proxy gets to know, and which it uses first.
+//! Subsetting: which backends this proxy uses, and which of them it prefers.
 //!
-//! All proxies order the backends of a zone alike, by the hash of their names, and each starts at a
-//! place of its own. Nothing is exchanged; together they cover the fleet evenly. Of each zone a
-//! proxy knows the first backends in its order, as many as get the completions that an estimate
-//! wants, and it uses its own stretch of its own zone first, so that proxies which don't know what
-//! the others have in flight don't crowd one backend beside an idle one.
+//! All proxies order the backends of a zone in the same way, by the hash of their names, and each
+//! proxy starts at an offset of its own. The proxies exchange no messages, and together they cover
+//! the fleet evenly. In each zone, a proxy's subset consists of the first backends in its order, as
+//! many as get the completions that an estimate needs. In its own zone it prefers a section of
+//! backends of its own: as proxies do not know each other's attempts in flight, several could
+//! otherwise send to one backend while another one is idle.
 //!
-//! Where attempts to other zones cost, little goes to other zones: all of them together have as
-//! many backends in the subset as the proxy's own. If the few of one proxy fail together, picks go
-//! to all others. It never decides whether an attempt is legal.
+//! If attempts to other zones have a cost, few are sent there: all other zones together have as
+//! many backends in the subset as the proxy's own zone. If all backends of the subset fail at once,
+//! picks fall back to all other backends. This module does not decide whether an attempt is legal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,80 +17,82 @@
 use crate::ids::{BackendId, ZoneId};
 use crate::settings::Settings;
 
-/// Least backends of a zone that a proxy knows: as many as it takes failures to make an outlier.
-const LEAST_MEMBERS: f64 = crate::outlier_detector::OUTLIER_FAILURES;
+/// Minimum number of backends of a zone in the subset: the number of failures that make an outlier.
+const MIN_MEMBERS_PER_ZONE: f64 = crate::outlier_detector::OUTLIER_FAILURES;
 
-/// Place of one backend in this proxy's order of its zone.
+/// Position of one backend in this proxy's order of the backend's zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SubsetPosition {
-    /// From 0 to 1: the first are known and used first.
-    place: f64,
-    /// Whether it is of the stretch of the home zone that this proxy uses first.
-    is_own: bool,
+    /// Rank from 0 to 1; the backends with the lowest ranks are in the subset.
+    relative_rank: f64,
+    /// Whether it is in the section of the local zone that this proxy prefers.
+    is_preferred: bool,
 }
 
 impl SubsetPosition {
-    /// Whether it is of the stretch of the home zone that this proxy uses first.
-    pub(crate) fn is_own(&self) -> bool {
-        self.is_own
+    /// Whether it is in the section of the local zone that this proxy prefers.
+    pub(crate) fn is_preferred(&self) -> bool {
+        self.is_preferred
     }
 }
 
-/// The subset of one proxy.
+/// Calculates the subset of one proxy.
 pub(crate) struct Subset {
     zone: ZoneId,
     proxy_index: u32,
     proxy_count: f64,
-    cross_zone_costs: bool,
-    /// Whether the endpoint list has changed since positions were worked out.
+    has_cross_zone_cost: bool,
+    /// Whether the endpoint list has changed since positions were calculated.
     is_stale: bool,
 }
 
 impl Subset {
-    /// Positions are worked out at the first [`renew`](Subset::renew) after a change of the list.
+    /// Positions are calculated by [`renew`](Subset::renew) after a change of the endpoint list.
     pub(crate) fn new(settings: &Settings, proxy_count: f64) -> Subset {
         Subset {
             zone: settings.zone,
             proxy_index: settings.proxy_index,
             proxy_count,
-            cross_zone_costs: settings.cross_zone_cost > 0.0,
+            has_cross_zone_cost: settings.cross_zone_cost > 0.0,
             is_stale: false,
         }
     }
 
-    /// The endpoint list has changed.
+    /// Marks the positions as outdated: the endpoint list has changed.
     pub(crate) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Works out the position of each backend anew if the list has changed.
+    /// Recalculates the position of each backend if the endpoint list has changed.
     pub(crate) fn renew(&mut self, endpoints: &mut EndpointList) {
         if !std::mem::take(&mut self.is_stale) {
             return;
         }
         let hashes = sorted_hashes(endpoints);
-        let proxies_of_zone = (self.proxy_count / hashes.len().max(1) as f64).max(1.0);
-        let start = f64::from(self.proxy_index) * step(hashes.len(), proxies_of_zone);
+        let proxies_per_zone = (self.proxy_count / hashes.len().max(1) as f64).max(1.0);
+        let offset = f64::from(self.proxy_index) * offset_step(hashes.len(), proxies_per_zone);
         for record in endpoints.iter_mut() {
-            let Some(zone) = hashes.get(&record.endpoint().zone) else {
+            let Some(zone_hashes) = hashes.get(&record.endpoint().zone) else {
                 continue;
             };
-            let rank = zone.partition_point(|hash| *hash < record.endpoint().hash) as f64;
-            let place = ((rank + 0.5) / zone.len() as f64 - start).rem_euclid(1.0);
-            let is_home = record.endpoint().zone == self.zone;
+            let rank = zone_hashes.partition_point(|hash| *hash < record.endpoint().hash) as f64;
+            let relative_rank = ((rank + 0.5) / zone_hashes.len() as f64 - offset).rem_euclid(1.0);
+            let is_local = record.endpoint().zone == self.zone;
             record.subset_position = SubsetPosition {
-                place,
-                is_own: is_home && place < 1.0 / proxies_of_zone,
+                relative_rank,
+                is_preferred: is_local && relative_rank < 1.0 / proxies_per_zone,
             };
         }
     }
 
-    /// The backends of the subset among the usable ones: the first of each zone, `knowable` in the
-    /// home zone. All of them where `knowable` is more.
+    /// The backends of the subset among the ready and usable ones: the first of each zone in this
+    /// proxy's order. Each zone has `estimable_backends` of them, rounded up, or all if it has
+    /// fewer; if attempts to other zones have a cost, the other zones divide that number among
+    /// themselves. Each zone has at least [`MIN_MEMBERS_PER_ZONE`] if as many are usable.
     pub(crate) fn members(
         &self,
         endpoints: &EndpointList,
-        knowable: f64,
+        estimable_backends: f64,
         is_usable: impl Fn(&EndpointRecord) -> bool,
     ) -> BTreeSet<BackendId> {
         let mut order: Vec<Candidate> = endpoints
@@ -97,35 +100,43 @@
             .filter(|record| is_usable(record))
             .map(Candidate::new)
             .collect();
-        order.sort_by(|a, b| a.zone.cmp(&b.zone).then(a.place.total_cmp(&b.place)));
+        order.sort_by(|a, b| {
+            a.zone
+                .cmp(&b.zone)
+                .then(a.relative_rank.total_cmp(&b.relative_rank))
+        });
         let zones: Vec<_> = order.chunk_by(|a, b| a.zone == b.zone).collect();
-        let most = |zone: ZoneId| self.most_members(zone, knowable, zones.len());
+        let max_members =
+            |zone: ZoneId| self.zone_member_limit(zone, estimable_backends, zones.len());
         zones
             .iter()
-            .flat_map(|zone| zone.iter().take(most(zone[0].zone)))
+            .flat_map(|zone| zone.iter().take(max_members(zone[0].zone)))
             .map(|candidate| candidate.id)
             .collect()
     }
 
-    fn most_members(&self, zone: ZoneId, knowable: f64, zone_count: usize) -> usize {
-        let other_zones = if self.cross_zone_costs {
+    /// Maximum number of members of a zone, where `zone_count` zones have usable backends.
+    fn zone_member_limit(&self, zone: ZoneId, estimable_backends: f64, zone_count: usize) -> usize {
+        let remote_sharing_zones = if self.has_cross_zone_cost {
             zone_count as f64 - 1.0
         } else {
             1.0
         };
-        let sharing = if zone == self.zone {
+        let sharing_zones = if zone == self.zone {
             1.0
         } else {
-            other_zones.max(1.0)
+            remote_sharing_zones.max(1.0)
         };
-        (knowable / sharing).max(LEAST_MEMBERS).ceil() as usize
+        (estimable_backends / sharing_zones)
+            .max(MIN_MEMBERS_PER_ZONE)
+            .ceil() as usize
     }
 }
 
 /// A backend that can be in the subset.
 struct Candidate {
     zone: ZoneId,
-    place: f64,
+    relative_rank: f64,
     id: BackendId,
 }
 
@@ -133,13 +144,13 @@
     fn new(record: &EndpointRecord) -> Candidate {
         Candidate {
             zone: record.endpoint().zone,
-            place: record.subset_position.place,
+            relative_rank: record.subset_position.relative_rank,
             id: record.id(),
         }
     }
 }
 
-/// Hashes of the ready backends of each zone, in order.
+/// Hashes of the ready backends of each zone, in ascending order.
 fn sorted_hashes(endpoints: &EndpointList) -> BTreeMap<ZoneId, Vec<u64>> {
     let mut hashes: BTreeMap<ZoneId, Vec<u64>> = BTreeMap::new();
     for record in endpoints.ready() {
@@ -148,19 +159,20 @@
             .or_default()
             .push(record.endpoint().hash);
     }
-    for zone in hashes.values_mut() {
-        zone.sort_unstable();
+    for zone_hashes in hashes.values_mut() {
+        zone_hashes.sort_unstable();
     }
     hashes
 }
 
-/// Distance of the starts of two proxies with successive indices. Where only some of the proxies
-/// are of this zone, multiples of the golden ratio lie evenly whichever they are.
-fn step(zone_count: usize, proxies_of_zone: f64) -> f64 {
+/// Distance between the offsets of two proxies with successive indices, as a fraction of a zone.
+/// With several zones, only some of the proxies are in each of them; multiples of the golden ratio
+/// are spread evenly whichever proxies these are.
+fn offset_step(zone_count: usize, proxies_per_zone: f64) -> f64 {
     if zone_count > 1 {
         std::f64::consts::GOLDEN_RATIO
     } else {
-        1.0 / proxies_of_zone
+        1.0 / proxies_per_zone
     }
 }
 
