--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -68,8 +68,8 @@
 
 impl AdmissionQueue {
     /// Empty, for `tenants` tenants.
-    pub(crate) fn new(tenants: usize, proxy_count: f64) -> AdmissionQueue {
-        let quota_tokens = vec![0.0; tenants];
+    pub(crate) fn new(tenant_count: usize, proxy_count: f64) -> AdmissionQueue {
+        let quota_tokens = vec![0.0; tenant_count];
         AdmissionQueue {
             entries: BTreeSet::new(),
             sequence: 0,
@@ -79,10 +79,10 @@
     }
 
     /// Fills up the quotas over `step` seconds. Each proxy has its part of them.
-    pub(crate) fn refill_quotas(&mut self, settings: &Settings, step: f64) {
+    pub(crate) fn refill_quotas(&mut self, settings: &Settings, elapsed_seconds: f64) {
         for (tokens, tenant) in self.quota_tokens.iter_mut().zip(&settings.tenants) {
             let rate = tenant.quota_per_second / self.proxy_count;
-            *tokens = (*tokens + rate * step).min(rate.max(1.0));
+            *tokens = (*tokens + rate * elapsed_seconds).min(rate.max(1.0));
         }
     }
 
@@ -97,13 +97,13 @@
         classes: &[ClassStatistics],
     ) -> (QueuePosition, AdmissionCost) {
         let class = usize::from(request.class.0);
-        let weight_of = |class: usize| weight_for_work(class, settings, classes);
-        let highest = (0..classes.len())
+        let class_weight = |class: usize| work_adjusted_weight(class, settings, classes);
+        let highest_weight = (0..classes.len())
             .filter(|class| classes[*class].has_latency())
-            .map(weight_of)
+            .map(class_weight)
             .fold(0.0, f64::max);
-        let mut weight = weight_of(class);
-        if !self.take_quota(request.tenant) {
+        let mut weight = class_weight(class);
+        if !self.take_quota_token(request.tenant) {
             weight *= settings.over_quota_weight;
         }
         // A retry of the client comes when its first attempt has used up the objective or nearly
@@ -117,7 +117,7 @@
             inverted_weight: u64::MAX - (weight.max(0.0).to_bits() >> IGNORED_WEIGHT_BITS),
             inverted_sequence: u64::MAX - self.sequence,
         };
-        let cost = if weight < RESERVE_WEIGHT_FRACTION * highest {
+        let cost = if weight < RESERVE_WEIGHT_FRACTION * highest_weight {
             AdmissionCost::KEEPS_RESERVE
         } else {
             AdmissionCost::MAY_USE_RESERVE
@@ -126,7 +126,7 @@
     }
 
     /// Whether a request of this tenant is within its quota, which it then uses.
-    fn take_quota(&mut self, tenant: TenantId) -> bool {
+    fn take_quota_token(&mut self, tenant: TenantId) -> bool {
         let Some(tokens) = self.quota_tokens.get_mut(usize::from(tenant.0)) else {
             return true;
         };
@@ -159,14 +159,14 @@
 }
 
 /// Weight of a class for its usual work.
-fn weight_for_work(class: usize, settings: &Settings, classes: &[ClassStatistics]) -> f64 {
-    let per_unit = settings.weight_per_unit_of_work;
-    let work = if per_unit {
+fn work_adjusted_weight(class: usize, settings: &Settings, classes: &[ClassStatistics]) -> f64 {
+    let is_per_unit = settings.weight_per_unit_of_work;
+    let usual_work = if is_per_unit {
         1.0
     } else {
         classes[class].unloaded_latency().max(1e-3)
     };
-    settings.classes[class].priority_weight / work
+    settings.classes[class].priority_weight / usual_work
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -7,11 +7,11 @@
 /// A class of weight 1 and one of weight 10; a tenant without quota and one with plenty.
 fn two_classes() -> Settings {
     let mut settings = settings(Idempotency::Idempotent);
-    let weighty = Class {
+    let high_priority = Class {
         priority_weight: 10.0,
         ..settings.classes[0].clone()
     };
-    settings.classes.push(weighty);
+    settings.classes.push(high_priority);
     settings.classes[0].late_priority_weight = 0.1;
     settings.tenants = vec![
         Tenant {
@@ -64,7 +64,7 @@
     }
 }
 
-fn of_tenant(id: u32, class: u16, tenant: u16) -> Request {
+fn tenant_request(id: u32, class: u16, tenant: u16) -> Request {
     Request {
         tenant: TenantId(tenant),
         ..request(id, class)
@@ -72,42 +72,42 @@
 }
 
 #[test]
-fn the_weightiest_come_first_and_among_equals_the_newest() {
+fn highest_weight_comes_first_and_among_equals_the_newest() {
     let mut fixture = Fixture::new();
     for (id, class) in [(1, 0), (2, 1), (3, 0), (4, 1)] {
-        fixture.add(&of_tenant(id, class, 1), false);
+        fixture.add(&tenant_request(id, class, 1), false);
     }
     assert_eq!(fixture.order(), [4, 2, 3, 1]);
 }
 
 #[test]
-fn tenants_over_their_quota_and_late_retries_come_behind() {
+fn over_quota_tenants_and_late_retries_come_last() {
     let mut fixture = Fixture::new();
-    fixture.add(&of_tenant(1, 0, 0), false);
-    fixture.add(&of_tenant(2, 0, 1), true);
+    fixture.add(&tenant_request(1, 0, 0), false);
+    fixture.add(&tenant_request(2, 0, 1), true);
     fixture.add(
         &Request {
             client_retry: true,
-            ..of_tenant(3, 0, 1)
+            ..tenant_request(3, 0, 1)
         },
         false,
     );
-    fixture.add(&of_tenant(4, 0, 1), false);
+    fixture.add(&tenant_request(4, 0, 1), false);
     // The first of tenant 0 uses the one request that the quota's least size holds.
     assert_eq!(fixture.order(), [4, 3, 2, 1]);
 }
 
 #[test]
-fn only_the_weightiest_draw_on_the_reserve() {
+fn only_the_highest_weight_may_use_the_reserve() {
     let mut fixture = Fixture::new();
-    assert!(fixture.add(&of_tenant(1, 0, 1), false).keeps_reserve());
-    assert!(!fixture.add(&of_tenant(2, 1, 1), false).keeps_reserve());
+    assert!(fixture.add(&tenant_request(1, 0, 1), false).keeps_reserve());
+    assert!(!fixture.add(&tenant_request(2, 1, 1), false).keeps_reserve());
 }
 
 #[test]
-fn what_is_removed_waits_no_more() {
+fn removed_request_is_no_longer_queued() {
     let mut fixture = Fixture::new();
-    let request = of_tenant(1, 0, 1);
+    let request = tenant_request(1, 0, 1);
     let (position, _) =
         fixture
             .queue
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -18,7 +18,7 @@
 
 /// Part of the latency objective that answers may take in the mean: with an exponential tail a
 /// fifth is late then.
-const OBJECTIVE_FRACTION: f64 = 0.65;
+const TARGET_LATENCY_FRACTION: f64 = 0.65;
 
 /// Tokens that are kept for the most weighty requests.
 pub(crate) const RESERVED_TOKENS: f64 = 2.0;
@@ -93,30 +93,31 @@
     }
 
     /// Keeps this fraction of the weight of what was counted.
-    pub(crate) fn decay(&mut self, keep: f64) {
-        self.received *= keep;
-        self.completions.decay(keep);
+    pub(crate) fn decay(&mut self, factor: f64) {
+        self.received *= factor;
+        self.completions.decay(factor);
     }
 
     /// Saves up tokens over `step` seconds: at most those of a shortest latency objective, and
     /// the reserve in any case.
-    pub(crate) fn refill(&mut self, now: Nanos, step: f64) {
-        let rate = self.per_second(now);
-        let most = (rate * self.timescale.shortest_objective).max(2.0 + RESERVED_TOKENS);
-        self.tokens = (self.tokens + rate * step).min(most);
+    pub(crate) fn refill(&mut self, now: Nanos, elapsed_seconds: f64) {
+        let rate = self.attempts_per_second(now);
+        let bucket_size = (rate * self.timescale.shortest_objective).max(2.0 + RESERVED_TOKENS);
+        self.tokens = (self.tokens + rate * elapsed_seconds).min(bucket_size);
     }
 
     /// Attempts a second that this proxy may start. Without a limit before the first arrival
     /// window is over.
-    pub(crate) fn per_second(&self, now: Nanos) -> f64 {
+    pub(crate) fn attempts_per_second(&self, now: Nanos) -> f64 {
         let window = self.timescale.arrival_window();
         if self.timescale.age(now) < window {
             return SECOND / self.tick as f64;
         }
-        let latency = self.completions.sum / self.completions.count.max(1e-9);
-        let slack = OBJECTIVE_FRACTION * self.timescale.shortest_objective / latency.max(1e-9);
-        let least = (self.received / MAX_GROWTH).max(1.0);
-        (self.completions.count * slack.min(MAX_GROWTH)).max(least) / window
+        let mean_latency = self.completions.sum / self.completions.count.max(1e-9);
+        let growth =
+            TARGET_LATENCY_FRACTION * self.timescale.shortest_objective / mean_latency.max(1e-9);
+        let minimum = (self.received / MAX_GROWTH).max(1.0);
+        (self.completions.count * growth.min(MAX_GROWTH)).max(minimum) / window
     }
 
     /// Whether the bucket holds what an admission costs.
@@ -135,17 +136,17 @@
         if self.wake_at > now || self.covers(cost) {
             return None;
         }
-        let wait = (cost.tokens - self.tokens) / self.per_second(now);
+        let wait = (cost.tokens - self.tokens) / self.attempts_per_second(now);
         self.wake_at = now + nanos(wait) + self.tick;
         Some(self.wake_at)
     }
 
     /// Sets what was completed.
     #[cfg(test)]
-    pub(crate) fn set_completions(&mut self, count: f64, latency: f64) {
+    pub(crate) fn set_completions(&mut self, count: f64, mean_latency: f64) {
         self.completions = DecayedSum {
             count,
-            sum: count * latency,
+            sum: count * mean_latency,
         };
     }
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -33,7 +33,7 @@
 use discovery::PollBackoff;
 
 /// Queued requests in a row that find no backend before the others wait for the next event.
-const MAX_MISSES: usize = 3;
+const MAX_FAILED_PICKS: usize = 3;
 
 /// What is to be done later. Tasks of one time come in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,7 +41,7 @@
     /// Watch or poll the endpoint list.
     PollEndpoints,
     /// Look again at a request that waits, or whose attempt takes long.
-    ReviewRequest(RequestId),
+    CheckTimeouts(RequestId),
     /// Close the idle connections to a backend that drains.
     CloseIdleConnections(BackendId),
     /// See whether queued requests can be admitted.
@@ -99,7 +99,7 @@
         if settings.poll_endpoints {
             timers.schedule(now, Task::PollEndpoints);
         }
-        let cross_zone_costs = settings.cross_zone_cost > 0.0;
+        let has_cross_zone_cost = settings.cross_zone_cost > 0.0;
         Ok(Balancer {
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             timers,
@@ -113,7 +113,7 @@
                 subset: Subset::new(&settings, proxy_count),
                 split: OptimalSplit::new(
                     settings.zone,
-                    cross_zone_costs,
+                    has_cross_zone_cost,
                     settings.tick,
                     &timescale,
                 ),
@@ -180,7 +180,7 @@
         while let Some(task) = self.timers.pop_due(now) {
             match task {
                 Task::PollEndpoints => actions.push(Action::WatchEndpoints(true)),
-                Task::ReviewRequest(id) => self.review(now, id, actions),
+                Task::CheckTimeouts(id) => self.check_timeouts(now, id, actions),
                 // The timer alone was wanted: each event admits queued requests.
                 Task::AdmitQueued => {}
                 Task::CloseIdleConnections(backend) => {
@@ -197,17 +197,19 @@
 
     /// Once for each time: decays what was counted and fills up what is granted with time.
     fn decay(&mut self, now: Nanos) {
-        let step = seconds(now.saturating_sub(self.refreshed_at));
-        if step <= 0.0 {
+        let elapsed_seconds = seconds(now.saturating_sub(self.refreshed_at));
+        if elapsed_seconds <= 0.0 {
             return;
         }
-        let keep = (-step / self.timescale.arrival_window()).exp();
-        self.estimation.estimator.decay(keep);
-        self.admission.rate.decay(keep);
-        self.admission.rate.refill(now, step);
-        self.admission.queue.refill_quotas(&self.settings, step);
+        let decay_factor = (-elapsed_seconds / self.timescale.arrival_window()).exp();
+        self.estimation.estimator.decay(decay_factor);
+        self.admission.rate.decay(decay_factor);
+        self.admission.rate.refill(now, elapsed_seconds);
+        self.admission
+            .queue
+            .refill_quotas(&self.settings, elapsed_seconds);
         for class in &mut self.classes {
-            class.raise_minimums(step, self.timescale.longest_objective);
+            class.raise_minimums(elapsed_seconds, self.timescale.longest_objective);
         }
         self.refreshed_at = now;
     }
@@ -231,14 +233,14 @@
         if self.admission.queue.is_empty() || !self.endpoints.iter().any(has_capacity) {
             return;
         }
-        let mut misses = 0;
+        let mut failed_picks = 0;
         let mut from = QueueEntry::FIRST;
-        while misses < MAX_MISSES
+        while failed_picks < MAX_FAILED_PICKS
             && let Some(next) = self.admission.queue.first_from(from)
             && !self.is_full(self.admission_cost(next.request))
         {
-            let sent = self.start_attempt(now, next.request, actions);
-            misses += usize::from(!sent);
+            let started = self.start_attempt(now, next.request, actions);
+            failed_picks += usize::from(!started);
             from = next.successor();
         }
         self.schedule_admission(now);
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -48,8 +48,8 @@
         }
         // An answer without weight is not waited for.
         let class = &self.settings.classes[pending.class()];
-        let late_counts = class.late_priority_weight > 0.0;
-        let abandon_at = if late_counts {
+        let late_answer_has_weight = class.late_priority_weight > 0.0;
+        let abandon_at = if late_answer_has_weight {
             pending.deadline
         } else {
             pending.objective_at
@@ -60,7 +60,7 @@
             abandon_at,
         });
         let overdue_at = now.saturating_add(self.overdue_after(id));
-        self.timers.schedule(overdue_at, Task::ReviewRequest(id));
+        self.timers.schedule(overdue_at, Task::CheckTimeouts(id));
         true
     }
 
@@ -127,22 +127,22 @@
     /// twice where a backend is only slow; the retry budget bounds that.
     pub(super) fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.pending(id);
-        let Some((index, last)) = pending.attempts.iter().enumerate().next_back() else {
+        let Some((index, last_attempt)) = pending.attempts.iter().enumerate().next_back() else {
             return;
         };
         let may_retry = self.settings.limits.can_cancel
-            && legality::may_repeat_somewhere(now, &self.settings, pending)
+            && legality::may_repeat_after_cancel(now, &self.settings, pending)
             && legality::has_attempts_left(&self.settings, pending);
         if !may_retry || now >= self.latest_start(id) {
             return;
         }
-        let span = self.overdue_after(id);
-        let overdue_at = last.sent_at.saturating_add(span);
+        let allowed_time = self.overdue_after(id);
+        let overdue_at = last_attempt.sent_at.saturating_add(allowed_time);
         if now < overdue_at {
-            self.timers.schedule(overdue_at, Task::ReviewRequest(id));
+            self.timers.schedule(overdue_at, Task::CheckTimeouts(id));
         } else if !self.retries.has_token() {
-            let again = now.saturating_add(span / OVERDUE_MULTIPLE as u64);
-            self.timers.schedule(again, Task::ReviewRequest(id));
+            let next_check_at = now.saturating_add(allowed_time / OVERDUE_MULTIPLE as u64);
+            self.timers.schedule(next_check_at, Task::CheckTimeouts(id));
         } else {
             self.retries.spend();
             actions.push(Action::CancelAttempt {
@@ -170,7 +170,8 @@
         let (backend, sent_at) = (attempt.backend, attempt.sent_at);
         let class = pending.class();
         // Cancelled by this balancer as lost: the backend has failed it, as by a timeout.
-        let is_lost = ended.outcome == Outcome::Cancelled && !ended.finished && !pending.finished;
+        let cancelled_as_overdue =
+            ended.outcome == Outcome::Cancelled && !ended.finished && !pending.finished;
         self.limiter.on_ended();
         self.count_ended(now, backend, sent_at, class, ended);
         if !self.endpoints.is_ready(backend) {
@@ -180,10 +181,10 @@
             self.classes[class].add_latency(seconds(ended.latency));
         }
         self.adjust_limit(backend, class, seconds(ended.latency), ended.outcome);
-        if is_failure(ended.outcome) || is_lost {
+        if is_failure(ended.outcome) || cancelled_as_overdue {
             self.on_failure(now, backend, actions);
         }
-        self.retry_or_finish(now, ended, is_lost, actions);
+        self.retry_or_finish(now, ended, cancelled_as_overdue, actions);
     }
 
     /// Counts the end of an attempt for its backend.
@@ -236,21 +237,23 @@
         let statistics = &mut self.classes[class];
         let latency_ratio = statistics.latency_ratio(record.endpoint().zone, latency, outcome);
         let objective = self.settings.classes[class].latency_objective as f64;
-        let scale = self.timescale.shortest_objective * SECOND / objective;
-        self.admission.rate.on_ended(outcome, latency * scale);
+        let latency_scale = self.timescale.shortest_objective * SECOND / objective;
+        self.admission
+            .rate
+            .on_ended(outcome, latency * latency_scale);
         let sample = LoadSample {
             outcome,
             latency_ratio,
             ratio_to_mean: latency / self.classes[class].mean_latency().max(1e-9),
             at: self.refreshed_at,
         };
-        let unloaded = self
+        let unloaded_latencies = self
             .classes
             .iter()
             .map(super::super::class_statistics::ClassStatistics::unloaded_latency);
-        let longest_unloaded = unloaded.fold(1e-9, f64::max);
+        let longest_unloaded_latency = unloaded_latencies.fold(1e-9, f64::max);
         self.limiter
-            .adjust(&mut record.load, &sample, longest_unloaded);
+            .adjust(&mut record.load, &sample, longest_unloaded_latency);
     }
 
     /// Counts a failure of a backend and ejects it if that makes it an outlier.
--- a/crates/balancer/src/balancer/discovery.rs
+++ b/crates/balancer/src/balancer/discovery.rs
@@ -18,7 +18,7 @@
 const MAX_BACKOFF: Nanos = 3_990_000_000;
 
 /// Part of the poll interval that the first wait after a failure is.
-const FIRST_BACKOFF_PART: Nanos = 20;
+const FIRST_BACKOFF_DIVISOR: Nanos = 20;
 
 /// Doublings of the wait at most.
 const MAX_DOUBLINGS: u32 = 3;
@@ -27,28 +27,28 @@
 #[derive(Default)]
 pub(super) struct PollBackoff {
     /// Failures in a row.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl PollBackoff {
     /// A poll has succeeded.
     fn reset(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
     /// A poll has failed; returns how long to wait. The jitter, from 0.5 to 1.5, keeps many proxies
     /// from polling in step.
     fn next_wait(&mut self, poll_interval: Nanos, random: &mut Xoshiro256PlusPlus) -> Nanos {
-        let first = poll_interval / FIRST_BACKOFF_PART;
-        let most_before_jitter = MAX_BACKOFF / 3 * 2;
-        let wait = first.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
-        let wait = wait.min(most_before_jitter) as f64;
-        self.failures = self.failures.saturating_add(1);
+        let first_wait = poll_interval / FIRST_BACKOFF_DIVISOR;
+        let max_before_jitter = MAX_BACKOFF / 3 * 2;
+        let wait = first_wait.saturating_mul(1 << self.consecutive_failures.min(MAX_DOUBLINGS));
+        let wait = wait.min(max_before_jitter) as f64;
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         (wait * (0.5 + uniform(random))) as Nanos
     }
 
     fn is_first_failure(&self) -> bool {
-        self.failures == 1
+        self.consecutive_failures == 1
     }
 }
 
@@ -90,11 +90,11 @@
         backend: BackendId,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(within) = self.settings.rules.drain_close_within {
+        if let Some(close_within) = self.settings.rules.drain_close_within {
             actions.push(Action::CloseIdleConnections { backend });
-            let again = now.saturating_add(within / 2);
+            let close_again_at = now.saturating_add(close_within / 2);
             self.timers
-                .schedule(again, Task::CloseIdleConnections(backend));
+                .schedule(close_again_at, Task::CloseIdleConnections(backend));
         }
     }
 
@@ -105,8 +105,8 @@
         }
         let interval = self.settings.rules.poll_interval;
         let wait = self.poll_backoff.next_wait(interval, &mut self.random);
-        let at = now.saturating_add(wait.saturating_add(self.settings.tick));
-        self.timers.schedule(at, Task::PollEndpoints);
+        let poll_at = now.saturating_add(wait.saturating_add(self.settings.tick));
+        self.timers.schedule(poll_at, Task::PollEndpoints);
         if self.poll_backoff.is_first_failure() {
             actions.push(Action::Log(LogEvent::DiscoveryUnreachable));
         }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -22,12 +22,16 @@
         if self.requests.contains(id) {
             return;
         }
-        let span = objective_span(class, &request);
+        let objective = request_objective(class, &request);
         let class_timeout = class.client_timeout;
         let statistics = &mut self.classes[usize::from(request.class.0)];
         let elapsed = statistics.estimated_elapsed(request.client_timeout, class_timeout);
-        let is_late = elapsed >= span;
-        let left = if is_late { span } else { span - elapsed };
+        let is_late = elapsed >= objective;
+        let remaining = if is_late {
+            objective
+        } else {
+            objective - elapsed
+        };
         let deadline = now.saturating_add(request.client_timeout);
         let queue = &mut self.admission.queue;
         let (position, admission_cost) =
@@ -37,7 +41,7 @@
         self.requests.insert(PendingRequest {
             request,
             deadline,
-            objective_at: now.saturating_add(left).min(deadline),
+            objective_at: now.saturating_add(remaining).min(deadline),
             attempts: Vec::new(),
             finished: false,
             streaming: false,
@@ -45,7 +49,7 @@
             admission_cost,
         });
         self.timers
-            .schedule(self.latest_start(id), Task::ReviewRequest(id));
+            .schedule(self.latest_start(id), Task::CheckTimeouts(id));
     }
 
     /// The answer of a request has begun to be streamed.
@@ -70,8 +74,9 @@
         let class = &self.settings.classes[pending.class()];
         // Where the tail counts, a rejection within the objective is no miss and a late answer is
         // one.
-        let late_counts = class.late_priority_weight > 0.0 && self.settings.tail_weight == 0.0;
-        let mut end = if late_counts {
+        let late_answer_counts =
+            class.late_priority_weight > 0.0 && self.settings.tail_weight == 0.0;
+        let mut answer_by = if late_answer_counts {
             pending.deadline
         } else {
             pending.objective_at
@@ -79,16 +84,17 @@
         if pending.never_written() {
             // A rejection of what was never written to a backend costs nothing up to a part of the
             // client's timeout.
-            let fraction = 1.0 - self.settings.limits.never_attempted_timeout_fraction;
-            let kept = (pending.request.client_timeout as f64 * fraction) as Nanos;
-            end = end.min(pending.deadline - kept);
+            let remaining_fraction = 1.0 - self.settings.limits.never_attempted_timeout_fraction;
+            let remaining_time =
+                (pending.request.client_timeout as f64 * remaining_fraction) as Nanos;
+            answer_by = answer_by.min(pending.deadline - remaining_time);
         }
-        let usual = nanos(self.classes[pending.class()].unloaded_latency());
-        end.saturating_sub(usual.min(class.latency_objective / 2) + self.settings.tick)
+        let unloaded = nanos(self.classes[pending.class()].unloaded_latency());
+        answer_by.saturating_sub(unloaded.min(class.latency_objective / 2) + self.settings.tick)
     }
 
     /// Looks again at a request that waits, or whose attempt takes long.
-    pub(super) fn review(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn check_timeouts(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let is_open = |pending: &&PendingRequest| !pending.finished && !pending.streaming;
         let Some(pending) = self.requests.get(id).filter(is_open) else {
             return;
@@ -99,7 +105,7 @@
         }
         // What is usual may have changed since this review was scheduled.
         match self.latest_start(id) {
-            later if later > now => self.timers.schedule(later, Task::ReviewRequest(id)),
+            latest if latest > now => self.timers.schedule(latest, Task::CheckTimeouts(id)),
             _ => self.finish(id, actions),
         }
     }
@@ -110,7 +116,7 @@
         &mut self,
         now: Nanos,
         ended: &EndedAttempt,
-        was_lost: bool,
+        cancelled_as_overdue: bool,
         actions: &mut Vec<Action>,
     ) {
         let id = ended.request;
@@ -122,16 +128,16 @@
             self.finish(id, actions);
         } else if pending.in_flight() == 0 {
             // A failed connection costs no capacity and needs no token.
-            let is_free = was_lost || ended.outcome == Outcome::ConnectFailed;
-            let is_paid = is_free || self.retries.has_token();
+            let is_free = cancelled_as_overdue || ended.outcome == Outcome::ConnectFailed;
+            let is_within_budget = is_free || self.retries.has_token();
             let latest_start = self.latest_start(id);
-            if now < latest_start && self.may_retry(pending, ended.outcome) && is_paid {
+            if now < latest_start && self.may_retry(pending, ended.outcome) && is_within_budget {
                 let position = pending.position;
                 if !is_free {
                     self.retries.spend();
                 }
                 self.admission.queue.insert(position, id);
-                self.timers.schedule(latest_start, Task::ReviewRequest(id));
+                self.timers.schedule(latest_start, Task::CheckTimeouts(id));
             } else {
                 self.finish(id, actions);
             }
@@ -142,8 +148,9 @@
     /// twice is over, and so is a request that is itself at fault.
     fn may_retry(&self, pending: &PendingRequest, outcome: Outcome) -> bool {
         let idempotency = self.settings.classes[pending.class()].idempotency;
-        let is_over = idempotency == Idempotency::NotIdempotent && pending.may_have_executed();
-        !is_over
+        let must_not_repeat =
+            idempotency == Idempotency::NotIdempotent && pending.may_have_executed();
+        !must_not_repeat
             && outcome != Outcome::BadRequest
             && legality::has_attempts_left(&self.settings, pending)
     }
@@ -171,11 +178,11 @@
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
-        let is_first = !std::mem::replace(&mut pending.finished, true);
+        let was_open = !std::mem::replace(&mut pending.finished, true);
         self.admission.queue.remove(pending.position, id);
         if pending.in_flight() == 0 {
             self.requests.remove(id);
-        } else if is_first && self.settings.limits.can_cancel {
+        } else if was_open && self.settings.limits.can_cancel {
             for (index, attempt) in pending.attempts.iter().enumerate() {
                 if attempt.outcome.is_none() {
                     actions.push(Action::CancelAttempt {
@@ -190,8 +197,10 @@
 
 /// Time within which an answer to a request has its full weight: the latency objective of its class
 /// and what its own work adds.
-fn objective_span(class: &Class, request: &Request) -> Nanos {
+fn request_objective(class: &Class, request: &Request) -> Nanos {
     let per_unit = class.latency_objective_per_unit_of_work.max(0.0);
-    let added = per_unit * request.work_hint.unwrap_or(0) as f64;
-    class.latency_objective.saturating_add(added as Nanos)
+    let added_for_work = per_unit * request.work_hint.unwrap_or(0) as f64;
+    class
+        .latency_objective
+        .saturating_add(added_for_work as Nanos)
 }
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -9,7 +9,7 @@
 
 const MS: Nanos = 1_000_000;
 /// A node of three hundred, of whose backends each gets little.
-fn one_of_many() -> Settings {
+fn settings_of_one_in_300_proxies() -> Settings {
     let class = Class {
         latency_objective: 300 * MS,
         client_timeout: 1_600 * MS,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_long_way_to_a_zone_is_no_overload_there() {
+fn latency_to_a_distant_zone_does_not_count_as_overload() {
     let class = Class {
         latency_objective: 300_000_000,
         client_timeout: 900_000_000,
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn a_proxy_that_completes_little_still_starts_a_part_of_what_it_receives() {
-    let mut balancer = Balancer::new(one_of_many(), 7, 0).unwrap();
+fn proxy_with_few_completions_starts_a_fifth_of_its_requests() {
+    let mut balancer = Balancer::new(settings_of_one_in_300_proxies(), 7, 0).unwrap();
     // Thirty a second, and no backend takes any.
     for round in 0..60 {
         balancer.handle(
@@ -86,14 +86,14 @@
             &mut Vec::new(),
         );
     }
-    let rate = balancer.admission.rate.per_second(2_000 * MS);
+    let rate = balancer.admission.rate.attempts_per_second(2_000 * MS);
     assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
     // Once they answer fast, what a window completes at that rate brings back all that comes.
     balancer.admission.rate.set_completions(rate * 0.6, 0.035);
     assert!(
-        balancer.admission.rate.per_second(2_000 * MS) > 25.0,
+        balancer.admission.rate.attempts_per_second(2_000 * MS) > 25.0,
         "{}",
-        balancer.admission.rate.per_second(2_000 * MS)
+        balancer.admission.rate.attempts_per_second(2_000 * MS)
     );
 }
 
@@ -135,11 +135,11 @@
 }
 
 #[test]
-fn tables_stay_small_while_thousands_of_backends_come_and_go() {
-    let mut settings = one_of_many();
+fn tables_stay_bounded_while_thousands_of_backends_are_replaced() {
+    let mut settings = settings_of_one_in_300_proxies();
     settings.rules.drain_close_within = Some(2_000 * MS);
     let mut balancer = Balancer::new(settings, 7, 0).unwrap();
-    let (mut now, mut actions, mut most) = (0, Vec::new(), [0; 4]);
+    let (mut now, mut actions, mut largest) = (0, Vec::new(), [0; 4]);
     for round in 0..20_000 {
         now += 10 * MS;
         if round % 50 == 0 {
@@ -151,9 +151,9 @@
             let event = ended(request, 0, 5 * MS, Outcome::Success);
             balancer.handle(now + 5 * MS, event, &mut actions);
         }
-        if let Some(left) = round.checked_sub(160) {
+        if let Some(timed_out) = round.checked_sub(160) {
             for attempt in 0..5 {
-                let event = ended(RequestId(left), attempt, 1_600 * MS, Outcome::Timeout);
+                let event = ended(RequestId(timed_out), attempt, 1_600 * MS, Outcome::Timeout);
                 balancer.handle(now, event, &mut actions);
             }
         }
@@ -163,23 +163,23 @@
             balancer.timers.len(),
             balancer.estimation.estimator.kinds().len(),
         ];
-        most = std::array::from_fn(|place| most[place].max(sizes[place]));
+        largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
     // Four seconds of attempts and of closes to come at the very most, and a kind for each name
     // there can be.
-    let [endpoints, requests, timers, kinds] = most;
+    let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
-        "{most:?}"
+        "{largest:?}"
     );
 }
 
 #[test]
-fn a_proxy_knows_as_many_backends_as_it_can_estimate_and_no_more_of_other_zones_than_of_its_own() {
-    for (price, abroad) in [(0.03, 4 * 4), (0.0, 4 * 15)] {
+fn subset_size_follows_completions_and_cross_zone_cost() {
+    for (cross_zone_cost, expected_remote) in [(0.03, 4 * 4), (0.0, 4 * 15)] {
         let settings = Settings {
-            cross_zone_cost: price,
-            ..one_of_many()
+            cross_zone_cost,
+            ..settings_of_one_in_300_proxies()
         };
         let mut balancer = Balancer::new(settings, 7, 0).unwrap();
         let (zone, state) = (|id: u32| ZoneId((id % 5) as u16), EndpointState::Ready);
@@ -197,48 +197,52 @@
         // Sixty a second for twenty seconds: in ten objectives fifteen backends get twelve
         // completions each.
         balancer.estimation.estimator.set_first_attempts(1_200.0);
-        let known = balancer.subset_members(20_000_000_000);
-        let home = known.iter().filter(|id| zone(id.0) == ZoneId(0)).count();
-        assert_eq!((home, known.len() - home), (15, abroad));
+        let members = balancer.subset_members(20_000_000_000);
+        let local = members.iter().filter(|id| zone(id.0) == ZoneId(0)).count();
+        assert_eq!((local, members.len() - local), (15, expected_remote));
     }
 }
 
 #[test]
-fn the_subsets_of_three_hundred_proxies_cover_the_fleet_evenly() {
+fn subsets_of_300_proxies_cover_the_backends_evenly() {
     let state = EndpointState::Ready;
-    let marked = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let spread_hash = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let backend = |id| Endpoint {
         id: BackendId(id),
-        hash: marked(id),
+        hash: spread_hash(id),
         state,
         ..Endpoint::default()
     };
-    let mut known = std::collections::BTreeMap::new();
-    for me in 0..300 {
+    let mut proxies_by_backend = std::collections::BTreeMap::new();
+    for proxy_index in 0..300 {
         let settings = Settings {
-            proxy_index: me,
-            ..one_of_many()
+            proxy_index,
+            ..settings_of_one_in_300_proxies()
         };
-        let mut node = Balancer::new(settings, u64::from(me), 0).unwrap();
+        let mut balancer = Balancer::new(settings, u64::from(proxy_index), 0).unwrap();
         let list = Event::EndpointUpdate {
             kind: UpdateKind::Full,
             endpoints: (0..60).map(backend).collect(),
         };
-        node.handle(1, list, &mut Vec::new());
-        node.subset_members(2)
+        balancer.handle(1, list, &mut Vec::new());
+        balancer
+            .subset_members(2)
             .into_iter()
-            .for_each(|id| *known.entry(id).or_insert(0) += 1);
+            .for_each(|id| *proxies_by_backend.entry(id).or_insert(0) += 1);
     }
     // Three each are fifteen nodes for a backend; sets drawn by chance give some of them 7 and some
     // 24.
     assert!(
-        known.len() == 60 && known.values().all(|nodes| (14..=16).contains(nodes)),
-        "{known:?}"
+        proxies_by_backend.len() == 60
+            && proxies_by_backend
+                .values()
+                .all(|proxies| (14..=16).contains(proxies)),
+        "{proxies_by_backend:?}"
     );
 }
 
 #[test]
-fn attempts_that_are_rejected_do_not_count_as_capacity() {
+fn attempts_rejected_by_backends_do_not_count_as_capacity() {
     let class = Class {
         latency_objective: 300 * MS,
         client_timeout: 600 * MS,
@@ -280,7 +284,7 @@
             } else {
                 Outcome::Overloaded
             };
-            let (attempt, latency, finished, load) =
+            let (attempt, latency, finished, load_report) =
                 (0, 5 * MS, outcome == Outcome::Success, Vec::new());
             let ended = Event::AttemptEnded {
                 request,
@@ -288,11 +292,14 @@
                 latency,
                 outcome,
                 finished,
-                load_report: load,
+                load_report,
             };
             balancer.handle(now + 5 * MS, ended, &mut actions);
         }
     }
-    let borne = balancer.slow_start.completion_rate() * 3.0;
-    assert!((20.0..30.0).contains(&borne), "{borne} a second");
+    let completion_rate = balancer.slow_start.completion_rate() * 3.0;
+    assert!(
+        (20.0..30.0).contains(&completion_rate),
+        "{completion_rate} a second"
+    );
 }
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -63,13 +63,13 @@
     }
 
     /// Takes what the list says of it now. Of a new process nothing is known.
-    fn update(&mut self, fresh: EndpointRecord) {
-        let is_new_process = fresh.endpoint.started_at > self.endpoint.started_at;
+    fn update(&mut self, new_record: EndpointRecord) {
+        let is_new_process = new_record.endpoint.started_at > self.endpoint.started_at;
         if is_new_process {
-            let load = self.load.restarted(fresh.load.concurrency_limit());
-            *self = EndpointRecord { load, ..fresh };
+            let load = self.load.restarted(new_record.load.concurrency_limit());
+            *self = EndpointRecord { load, ..new_record };
         } else {
-            self.endpoint = fresh.endpoint;
+            self.endpoint = new_record.endpoint;
         }
     }
 }
@@ -79,7 +79,7 @@
 pub(crate) struct EndpointList {
     records: BTreeMap<BackendId, EndpointRecord>,
     /// Removed backends that have attempts in flight.
-    lingering: BTreeSet<BackendId>,
+    removed_in_flight: BTreeSet<BackendId>,
 }
 
 impl EndpointList {
@@ -127,48 +127,49 @@
         &mut self,
         kind: UpdateKind,
         endpoints: Vec<Endpoint>,
-        mut fresh: impl FnMut(Endpoint) -> EndpointRecord,
+        mut make_record: impl FnMut(Endpoint) -> EndpointRecord,
     ) -> Vec<BackendId> {
         let listed = endpoints.iter().map(|endpoint| endpoint.id);
-        let named: Vec<BackendId> = match kind {
+        let affected: Vec<BackendId> = match kind {
             UpdateKind::Delta => listed.collect(),
             UpdateKind::Full | UpdateKind::Cached => {
                 self.records.keys().copied().chain(listed).collect()
             }
         };
-        let before: Vec<Option<EndpointState>> = named.iter().map(|id| self.state(*id)).collect();
+        let states_before: Vec<Option<EndpointState>> =
+            affected.iter().map(|id| self.state(*id)).collect();
         if kind != UpdateKind::Delta {
-            self.remove_unlisted(&endpoints);
+            self.mark_unlisted_removed(&endpoints);
         }
         for endpoint in endpoints {
-            self.insert_or_update(fresh(endpoint));
+            self.insert_or_update(make_record(endpoint));
         }
-        let left = self.no_longer_ready(&named, &before);
-        self.forget_removed(&named);
-        left
+        let no_longer_ready_ids = self.no_longer_ready(&affected, &states_before);
+        self.drop_removed(&affected);
+        no_longer_ready_ids
     }
 
     /// Those of `named` whose state has changed from `before` to another one than ready.
     fn no_longer_ready(
         &self,
-        named: &[BackendId],
+        affected: &[BackendId],
         before: &[Option<EndpointState>],
     ) -> Vec<BackendId> {
-        let mut left = Vec::new();
-        for (id, before) in named.iter().zip(before) {
+        let mut ids = Vec::new();
+        for (id, before) in affected.iter().zip(before) {
             let after = self.state(*id);
             if after != *before && after.is_some_and(|state| state != EndpointState::Ready) {
-                left.push(*id);
+                ids.push(*id);
             }
         }
-        left
+        ids
     }
 
     fn state(&self, id: BackendId) -> Option<EndpointState> {
         self.get(id).map(|record| record.endpoint.state)
     }
 
-    fn remove_unlisted(&mut self, listed: &[Endpoint]) {
+    fn mark_unlisted_removed(&mut self, listed: &[Endpoint]) {
         let listed: BTreeSet<BackendId> = listed.iter().map(|endpoint| endpoint.id).collect();
         for record in self
             .records
@@ -179,29 +180,29 @@
         }
     }
 
-    fn insert_or_update(&mut self, fresh: EndpointRecord) {
-        match self.records.get_mut(&fresh.id()) {
-            Some(record) => record.update(fresh),
+    fn insert_or_update(&mut self, new_record: EndpointRecord) {
+        match self.records.get_mut(&new_record.id()) {
+            Some(record) => record.update(new_record),
             None => {
-                self.records.insert(fresh.id(), fresh);
+                self.records.insert(new_record.id(), new_record);
             }
         }
     }
 
     /// Forgets removed backends that have nothing in flight: of these and of those that had when
     /// they were removed.
-    fn forget_removed(&mut self, named: &[BackendId]) {
-        self.lingering.extend(named);
+    fn drop_removed(&mut self, affected: &[BackendId]) {
+        self.removed_in_flight.extend(affected);
         let records = &mut self.records;
-        self.lingering.retain(|id| {
+        self.removed_in_flight.retain(|id| {
             let Some(record) = records.get(id).filter(|record| record.is_removed()) else {
                 return false;
             };
-            let is_over = record.load.in_flight() <= 0.0;
-            if is_over {
+            let can_drop = record.load.in_flight() <= 0.0;
+            if can_drop {
                 records.remove(id);
             }
-            !is_over
+            !can_drop
         });
     }
 }
--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -12,21 +12,21 @@
 }
 
 #[test]
-fn a_full_list_removes_what_it_does_not_name_and_a_delta_does_not() {
+fn full_list_removes_unlisted_backends_and_a_delta_does_not() {
     let mut list = endpoints(3);
-    let left = list.apply(UpdateKind::Delta, vec![draining(1)], record);
-    assert_eq!(left, [BackendId(1)]);
+    let no_longer_ready = list.apply(UpdateKind::Delta, vec![draining(1)], record);
+    assert_eq!(no_longer_ready, [BackendId(1)]);
     assert_eq!(
         list.ready().map(EndpointRecord::id).collect::<Vec<_>>(),
         [BackendId(0), BackendId(2)]
     );
-    let left = list.apply(UpdateKind::Full, vec![endpoint(0)], record);
-    assert_eq!(left, [BackendId(1), BackendId(2)]);
+    let no_longer_ready = list.apply(UpdateKind::Full, vec![endpoint(0)], record);
+    assert_eq!(no_longer_ready, [BackendId(1), BackendId(2)]);
     assert_eq!((list.len(), list.is_ready(BackendId(0))), (1, true));
 }
 
 #[test]
-fn a_removed_backend_stays_until_its_last_attempt_has_ended() {
+fn removed_backend_stays_until_its_last_attempt_has_ended() {
     let mut list = endpoints(2);
     list.get_mut(BackendId(1)).unwrap().load.on_sent(5);
     list.apply(UpdateKind::Full, vec![endpoint(0)], record);
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn a_new_process_starts_with_nothing_known_of_the_old_one() {
+fn new_process_starts_without_the_statistics_of_the_old_one() {
     let mut list = endpoints(1);
-    let known = list.get_mut(BackendId(0)).unwrap();
-    known.service_times.on_ended(Outcome::Success, 0.1, 0.0);
-    known.load.on_sent(5);
-    let same = Endpoint {
+    let backend = list.get_mut(BackendId(0)).unwrap();
+    backend.service_times.on_ended(Outcome::Success, 0.1, 0.0);
+    backend.load.on_sent(5);
+    let same_process = Endpoint {
         weight: 2.0,
         ..endpoint(0)
     };
-    list.apply(UpdateKind::Delta, vec![same], record);
+    list.apply(UpdateKind::Delta, vec![same_process], record);
     assert!(
         list.get(BackendId(0))
             .unwrap()
@@ -58,6 +58,6 @@
         ..endpoint(0)
     };
     list.apply(UpdateKind::Delta, vec![restarted], record);
-    let known = list.get(BackendId(0)).unwrap();
-    assert!(!known.service_times.has_completions() && known.load.in_flight() == 1.0);
+    let backend = list.get(BackendId(0)).unwrap();
+    assert!(!backend.service_times.has_completions() && backend.load.in_flight() == 1.0);
 }
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -58,7 +58,7 @@
 
 /// Whether another attempt would be allowed by the class at some backend, once the one in flight is
 /// cancelled.
-pub(crate) fn may_repeat_somewhere(
+pub(crate) fn may_repeat_after_cancel(
     now: Nanos,
     settings: &Settings,
     pending: &PendingRequest,
--- a/crates/balancer/src/legality_tests.rs
+++ b/crates/balancer/src/legality_tests.rs
@@ -8,7 +8,7 @@
 const SENT_AT: Nanos = 100 * MS;
 const WINDOW: Nanos = 200 * MS;
 
-fn keyed(scope: DeduplicationScope) -> Idempotency {
+fn idempotency_key(scope: DeduplicationScope) -> Idempotency {
     Idempotency::IdempotencyKey {
         scope,
         window: WINDOW,
@@ -16,7 +16,7 @@
 }
 
 /// A request with one attempt in zone 0 and cell 0.
-fn attempted(outcome: Option<Outcome>) -> PendingRequest {
+fn request_with_attempt(outcome: Option<Outcome>) -> PendingRequest {
     let mut request = pending(1);
     let (zone, cell) = (ZoneId(0), CellId(0));
     request.attempts.push(Attempt {
@@ -38,50 +38,74 @@
 }
 
 #[test]
-fn a_repeat_is_allowed_where_it_is_harmless_dropped_or_proved_unexecuted() {
+fn repeat_is_allowed_if_harmless_deduplicated_or_not_executed() {
     let (global, zone, cell) = (
         DeduplicationScope::Global,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     );
     let failed = Some(Outcome::Error);
-    let unexecuted = Some(Outcome::Overloaded);
-    let in_window = SENT_AT + WINDOW;
-    for (idempotency, outcome, now, at, allowed) in [
-        (Idempotency::Idempotent, failed, in_window + 1, (1, 1), true),
-        (Idempotency::NotIdempotent, failed, in_window, (0, 0), false),
+    let not_executed = Some(Outcome::Overloaded);
+    let window_end = SENT_AT + WINDOW;
+    for (idempotency, outcome, now, zone_and_cell, allowed) in [
+        (
+            Idempotency::Idempotent,
+            failed,
+            window_end + 1,
+            (1, 1),
+            true,
+        ),
         (
             Idempotency::NotIdempotent,
-            unexecuted,
-            in_window,
+            failed,
+            window_end,
+            (0, 0),
+            false,
+        ),
+        (
+            Idempotency::NotIdempotent,
+            not_executed,
+            window_end,
+            (0, 0),
+            true,
+        ),
+        (idempotency_key(global), failed, window_end, (1, 1), true),
+        (
+            idempotency_key(global),
+            failed,
+            window_end + 1,
             (0, 0),
+            false,
+        ),
+        (idempotency_key(zone), failed, window_end, (0, 1), true),
+        (idempotency_key(zone), failed, window_end, (1, 0), false),
+        (idempotency_key(cell), failed, window_end, (1, 0), true),
+        (idempotency_key(cell), failed, window_end, (0, 1), false),
+        (
+            idempotency_key(cell),
+            not_executed,
+            window_end + 1,
+            (0, 1),
             true,
         ),
-        (keyed(global), failed, in_window, (1, 1), true),
-        (keyed(global), failed, in_window + 1, (0, 0), false),
-        (keyed(zone), failed, in_window, (0, 1), true),
-        (keyed(zone), failed, in_window, (1, 0), false),
-        (keyed(cell), failed, in_window, (1, 0), true),
-        (keyed(cell), failed, in_window, (0, 1), false),
-        (keyed(cell), unexecuted, in_window + 1, (0, 1), true),
-        (Idempotency::Idempotent, None, in_window, (0, 0), false),
+        (Idempotency::Idempotent, None, window_end, (0, 0), false),
     ] {
         let settings = settings(idempotency);
-        let found = may_attempt(
+        let actual = may_attempt(
             now,
             &settings,
-            &attempted(outcome),
-            &endpoint_in(at.0, at.1),
+            &request_with_attempt(outcome),
+            &endpoint_in(zone_and_cell.0, zone_and_cell.1),
         );
         assert_eq!(
-            found, allowed,
-            "{idempotency:?} {outcome:?} at {now} {at:?}"
+            actual, allowed,
+            "{idempotency:?} {outcome:?} at {now} {zone_and_cell:?}"
         );
     }
 }
 
 #[test]
-fn no_attempt_goes_to_a_backend_that_is_not_ready_or_for_a_request_that_is_over() {
+fn attempt_needs_a_ready_backend_and_an_open_request() {
     let settings = settings(Idempotency::Idempotent);
     let ready = endpoint(1);
     assert!(may_attempt(0, &settings, &pending(1), &ready));
@@ -98,37 +122,37 @@
         ));
     }
     for (finished, streaming) in [(true, false), (false, true)] {
-        let over = PendingRequest {
+        let closed = PendingRequest {
             finished,
             streaming,
             ..pending(1)
         };
-        assert!(!may_attempt(0, &settings, &over, &ready));
+        assert!(!may_attempt(0, &settings, &closed, &ready));
     }
-    let mut tried = attempted(Some(Outcome::Error));
-    while tried.attempts.len() < 3 {
-        tried
+    let mut out_of_attempts = request_with_attempt(Some(Outcome::Error));
+    while out_of_attempts.attempts.len() < 3 {
+        out_of_attempts
             .attempts
-            .extend(attempted(Some(Outcome::Error)).attempts);
+            .extend(request_with_attempt(Some(Outcome::Error)).attempts);
     }
     assert!(
-        !may_attempt(SENT_AT, &settings, &tried, &ready),
+        !may_attempt(SENT_AT, &settings, &out_of_attempts, &ready),
         "three attempts are the most"
     );
 }
 
 #[test]
-fn a_rejection_is_allowed_where_a_retry_by_the_client_is_harmless() {
+fn rejection_is_allowed_if_a_retry_by_the_client_is_harmless() {
     for (idempotency, outcome, allowed) in [
         (Idempotency::Idempotent, Some(Outcome::Error), true),
-        (keyed(DeduplicationScope::Global), None, true),
+        (idempotency_key(DeduplicationScope::Global), None, true),
         (
-            keyed(DeduplicationScope::Zone),
+            idempotency_key(DeduplicationScope::Zone),
             Some(Outcome::Timeout),
             false,
         ),
         (
-            keyed(DeduplicationScope::Cell),
+            idempotency_key(DeduplicationScope::Cell),
             Some(Outcome::NotSent),
             true,
         ),
@@ -139,21 +163,26 @@
             true,
         ),
     ] {
-        let found = may_reject(&settings(idempotency), &attempted(outcome));
-        assert_eq!(found, allowed, "{idempotency:?} {outcome:?}");
+        let actual = may_reject(&settings(idempotency), &request_with_attempt(outcome));
+        assert_eq!(actual, allowed, "{idempotency:?} {outcome:?}");
     }
 }
 
 #[test]
-fn an_attempt_in_flight_is_cancelled_only_where_another_may_follow() {
-    let end = SENT_AT + WINDOW;
+fn repeat_after_cancel_is_allowed_by_idempotency_and_window() {
+    let window_end = SENT_AT + WINDOW;
     for (idempotency, now, allowed) in [
-        (Idempotency::Idempotent, end, true),
+        (Idempotency::Idempotent, window_end, true),
         (Idempotency::NotIdempotent, SENT_AT, false),
-        (keyed(DeduplicationScope::Cell), end - 1, true),
-        (keyed(DeduplicationScope::Cell), end, false),
+        (
+            idempotency_key(DeduplicationScope::Cell),
+            window_end - 1,
+            true,
+        ),
+        (idempotency_key(DeduplicationScope::Cell), window_end, false),
     ] {
-        let found = may_repeat_somewhere(now, &settings(idempotency), &attempted(None));
-        assert_eq!(found, allowed, "{idempotency:?} at {now}");
+        let actual =
+            may_repeat_after_cancel(now, &settings(idempotency), &request_with_attempt(None));
+        assert_eq!(actual, allowed, "{idempotency:?} at {now}");
     }
 }
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -18,7 +18,7 @@
 pub(crate) const OVERDUE_MULTIPLE: f64 = 8.0;
 
 /// Fraction of the latency objective that an attempt has at least before it is overdue.
-const OVERDUE_LEAST_FRACTION: f64 = 0.25;
+const MIN_OVERDUE_FRACTION: f64 = 0.25;
 
 /// The retry budget of this proxy.
 #[derive(Default)]
@@ -55,8 +55,8 @@
     latency_objective: Nanos,
 ) -> Nanos {
     let expected = mean_latency * SECOND + work_hint.unwrap_or(0) as f64;
-    let least = OVERDUE_LEAST_FRACTION * latency_objective as f64;
-    (OVERDUE_MULTIPLE * expected).max(least) as Nanos
+    let minimum = MIN_OVERDUE_FRACTION * latency_objective as f64;
+    (OVERDUE_MULTIPLE * expected).max(minimum) as Nanos
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -186,8 +186,8 @@
     ///
     /// Names the first setting that does not.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let wrong = self.checks().into_iter().find(|check| !check.holds);
-        wrong.map_or(Ok(()), |Check { key, reason, .. }| {
+        let failed = self.checks().into_iter().find(|check| !check.holds);
+        failed.map_or(Ok(()), |Check { key, reason, .. }| {
             Err(SettingsError { key, reason })
         })
     }
@@ -233,8 +233,8 @@
     }
 }
 
-fn is_finite_and_not_negative(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_finite_and_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
 /// One condition on the settings.
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -9,7 +9,7 @@
 pub(crate) struct TimerQueue<T> {
     tasks: BTreeSet<(Nanos, T)>,
     armed: Option<ArmedTimer>,
-    last_timer: u32,
+    last_timer_id: u32,
 }
 
 /// A timer and when it is due.
@@ -24,7 +24,7 @@
         TimerQueue {
             tasks: BTreeSet::new(),
             armed: None,
-            last_timer: 0,
+            last_timer_id: 0,
         }
     }
 }
@@ -55,10 +55,10 @@
         if self.armed.is_some_and(|armed| armed.at <= at) {
             return None;
         }
-        self.last_timer = self.last_timer.wrapping_add(1);
+        self.last_timer_id = self.last_timer_id.wrapping_add(1);
         self.armed = Some(ArmedTimer {
             at,
-            timer: TimerId(self.last_timer),
+            timer: TimerId(self.last_timer_id),
         });
         self.armed
     }
--- a/crates/balancer/src/timer_queue_tests.rs
+++ b/crates/balancer/src/timer_queue_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn tasks_come_by_time_then_order_and_once() {
+fn tasks_come_by_time_then_value_and_only_once() {
     let mut queue = TimerQueue::default();
     for (at, task) in [(5, 'b'), (5, 'a'), (3, 'c'), (5, 'b')] {
         queue.schedule(at, task);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn one_timer_is_waited_for_and_an_old_one_changes_nothing() {
+fn one_timer_is_armed_and_a_superseded_one_is_ignored() {
     let mut queue = TimerQueue::default();
     assert_eq!(queue.arm(), None);
     queue.schedule(9, 'x');
