--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,85 +1,86 @@
-//! What a balancer decides.
+//! Actions that a balancer returns to its caller.
 
 use std::fmt;
 
 use crate::ids::{BackendId, Nanos, RequestId, TimerId};
 
-/// What to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt of a request at a backend.
     StartAttempt {
-        /// Of which request.
+        /// Id of the request.
         request: RequestId,
-        /// At which backend.
+        /// Backend to send the attempt to.
         backend: BackendId,
-        /// When to abandon it.
+        /// When to abandon the attempt if it has not been answered.
         abandon_at: Nanos,
     },
-    /// Final answer: rejected, and a retry by the client is harmless.
+    /// Final answer: the request is rejected, and a retry by the client is harmless.
     Reject {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// How long the client should wait before it retries; 0: no advice.
+        /// How long the client should wait before it retries; 0 gives no advice.
         retry_after: Nanos,
     },
-    /// Final answer: failed, and it may have been executed.
+    /// Final answer: the request failed and may have been executed.
     Fail {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// Of which request.
+        /// Id of the request.
         request: RequestId,
-        /// Which attempt.
+        /// Index of the attempt among those of the request, from 0.
         attempt: u8,
     },
-    /// Ask for [`Event::Timer`](crate::Event::Timer).
+    /// Deliver [`Event::Timer`](crate::Event::Timer) at a given time. This replaces the timer set
+    /// before.
     SetTimer {
-        /// When.
+        /// When the timer is due.
         at: Nanos,
-        /// Which.
+        /// Id of the timer.
         timer: TimerId,
     },
-    /// Send a health check.
+    /// Send a health check to a backend.
     CheckHealth {
-        /// To which backend.
+        /// Backend to check.
         backend: BackendId,
     },
     /// Close the idle connections to a backend.
     CloseIdleConnections {
-        /// Which.
+        /// Backend whose connections to close.
         backend: BackendId,
     },
-    /// Send a gossip message to one proxy, or to all.
+    /// Send a gossip message to one proxy, or to all of them.
     Gossip {
-        /// Index of the proxy; `None`: all.
+        /// Index of the receiving proxy; `None` for all.
         to: Option<u16>,
-        /// The message.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// Watch the endpoint list for changes, or stop.
+    /// Start (`true`) or stop (`false`) watching the endpoint list for changes.
     WatchEndpoints(bool),
     /// Read the whole endpoint list once.
     PollEndpoints,
-    /// Write a line to the log.
+    /// Write an event to the log.
     Log(LogEvent),
 }
 
-/// What a balancer reports to the log; its text is the [`Display`](fmt::Display) form.
+/// An event for the log; its text is the [`Display`](fmt::Display) form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// An outlier gets no requests for a while.
+    /// An outlier was ejected: it gets no requests for a while.
     BackendEjected {
-        /// Which backend.
+        /// Backend that is ejected.
         backend: BackendId,
-        /// For how many seconds.
+        /// Duration of the ejection, in seconds.
         seconds: f64,
     },
-    /// The endpoint list holds no ready backend.
+    /// The endpoint list has no ready backend.
     NoBackendReady,
-    /// The endpoint list could not be read; the one known stays in force.
+    /// The endpoint list could not be read; the known one stays in use.
     DiscoveryUnreachable,
 }
 
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -1,12 +1,14 @@
-//! The queue of requests that wait to be admitted, and their order.
+//! The queue of requests that wait for admission, and their order.
 //!
-//! First come those of the highest weight for their work; tenants over their quota and retries that
-//! are late come behind. Among equals the newest goes first: in an overload, first come, first
-//! served would answer each request just too late. The oldest are given up then. The order is a
-//! count of the queue's own, as request ids tell no order.
+//! Requests with the highest weight in relation to their usual work come first; requests beyond the
+//! quota of their tenant and late retries come later. Among requests of equal weight the newest
+//! comes first: during an overload, first come, first served would answer every request just too
+//! late, so the oldest ones are given up instead. Age is a sequence number that the queue assigns,
+//! as request ids have no order in time.
 //!
-//! It never decides how many requests are admitted; see [`AdmissionRate`](crate::admission_rate)
-//! and [`ConcurrencyLimiter`](crate::concurrency_limiter::ConcurrencyLimiter).
+//! The queue does not decide how many requests are admitted; see
+//! [`AdmissionRate`](crate::admission_rate) and
+//! [`ConcurrencyLimiter`](crate::concurrency_limiter::ConcurrencyLimiter).
 
 use std::collections::BTreeSet;
 
@@ -16,21 +18,23 @@
 use crate::ids::{RequestId, TenantId};
 use crate::settings::Settings;
 
-/// Fraction of the highest weight for its work that a request needs to draw on the reserve.
+/// Minimum weight of a request that may use the reserved tokens, as a fraction of the highest
+/// weight of a class.
 const RESERVE_WEIGHT_FRACTION: f64 = 0.5;
 
-/// Low bits of a weight that don't count in the order: weights within a fifth are equal. Against
-/// an order by age where the usual work, which weights are divided by, drifts.
+/// Low bits of a weight that the order ignores, so that weights within about a fifth are equal.
+/// Otherwise a drift of the usual work, by which weights are divided, would order requests by age.
 const IGNORED_WEIGHT_BITS: u32 = 50;
 
-/// Place in the queue: weight, then age.
+/// Position in the queue: by weight, then by age. Both are inverted, so that the highest weight and
+/// the newest request sort first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     inverted_weight: u64,
     inverted_sequence: u64,
 }
 
-/// A queued request and its place.
+/// A queued request and its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     position: QueuePosition,
@@ -38,7 +42,7 @@
 }
 
 impl QueueEntry {
-    /// Sorts before every entry.
+    /// Sorts before every other entry.
     pub(crate) const FIRST: QueueEntry = QueueEntry {
         position: QueuePosition {
             inverted_weight: 0,
@@ -47,7 +51,7 @@
         request: RequestId(0),
     };
 
-    /// Sorts behind this entry and before every other behind it.
+    /// Sorts directly after this entry, before all later ones.
     pub(crate) fn successor(self) -> QueueEntry {
         QueueEntry {
             request: RequestId(self.request.0.saturating_add(1)),
@@ -56,18 +60,18 @@
     }
 }
 
-/// Requests that wait, and the quotas of tenants.
+/// The queued requests, and the quotas of the tenants.
 pub(crate) struct AdmissionQueue {
     entries: BTreeSet<QueueEntry>,
-    /// Requests that were given a place since the start.
+    /// Number of positions assigned so far.
     sequence: u64,
-    /// For each tenant: requests within its quota that are left.
+    /// For each tenant, the number of requests that its quota still allows.
     quota_tokens: Vec<f64>,
     proxy_count: f64,
 }
 
 impl AdmissionQueue {
-    /// Empty, for `tenants` tenants.
+    /// Creates an empty queue for `tenant_count` tenants.
     pub(crate) fn new(tenant_count: usize, proxy_count: f64) -> AdmissionQueue {
         let quota_tokens = vec![0.0; tenant_count];
         AdmissionQueue {
@@ -78,7 +82,8 @@
         }
     }
 
-    /// Fills up the quotas over `step` seconds. Each proxy has its part of them.
+    /// Refills the quotas for `elapsed_seconds`, up to one second of quota or one request,
+    /// whichever is more. Each proxy has an equal share of a quota.
     pub(crate) fn refill_quotas(&mut self, settings: &Settings, elapsed_seconds: f64) {
         for (tokens, tenant) in self.quota_tokens.iter_mut().zip(&settings.tenants) {
             let rate = tenant.quota_per_second / self.proxy_count;
@@ -86,9 +91,10 @@
         }
     }
 
-    /// The place of a request that is received now, and what its admission costs: what can wait
-    /// leaves the reserve to what others need at once. `is_late`: its latency objective has passed
-    /// before this attempt of its client.
+    /// Returns the queue position of a request that is received now, and its admission cost; the
+    /// request counts against the quota of its tenant. A request of low weight must leave the
+    /// reserved tokens to others. `is_late`: its latency objective, counted from the first try of
+    /// its client, has already passed.
     pub(crate) fn position_and_cost(
         &mut self,
         request: &Request,
@@ -106,9 +112,9 @@
         if !self.take_quota_token(request.tenant) {
             weight *= settings.over_quota_weight;
         }
-        // A retry of the client comes when its first attempt has used up the objective or nearly
-        // so: capacity is not spent on answers that count no more. This could harm retries after a
-        // fast failure, in an overload only.
+        // A retry by the client usually comes when its first try has used up most of the latency
+        // objective; no capacity is spent on answers that no longer count. This could also hold
+        // back retries after a fast failure, but only during an overload.
         if request.client_retry || is_late {
             weight *= settings.classes[class].late_priority_weight.clamp(0.0, 1.0);
         }
@@ -125,7 +131,8 @@
         (position, cost)
     }
 
-    /// Whether a request of this tenant is within its quota, which it then uses.
+    /// Takes one request from the quota of a tenant; returns whether there was one left. A tenant
+    /// that is not in the settings has no quota and is never limited.
     fn take_quota_token(&mut self, tenant: TenantId) -> bool {
         let Some(tokens) = self.quota_tokens.get_mut(usize::from(tenant.0)) else {
             return true;
@@ -142,23 +149,24 @@
         self.entries.insert(QueueEntry { position, request });
     }
 
-    /// Takes a request off the queue.
+    /// Removes a request from the queue.
     pub(crate) fn remove(&mut self, position: QueuePosition, request: RequestId) {
         self.entries.remove(&QueueEntry { position, request });
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The first request at or behind an entry.
+    /// The first entry at or after `from`.
     pub(crate) fn first_from(&self, from: QueueEntry) -> Option<QueueEntry> {
         self.entries.range(from..).next().copied()
     }
 }
 
-/// Weight of a class for its usual work.
+/// Weight of a class divided by its usual work, which is its unloaded latency in seconds. Weights
+/// that already count by unit of work are not divided.
 fn work_adjusted_weight(class: usize, settings: &Settings, classes: &[ClassStatistics]) -> f64 {
     let is_per_unit = settings.weight_per_unit_of_work;
     let usual_work = if is_per_unit {
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -4,7 +4,8 @@
 use crate::settings::{Class, Idempotency, Tenant};
 use crate::test_support::{MS, request, settings};
 
-/// A class of weight 1 and one of weight 10; a tenant without quota and one with plenty.
+/// Settings with a class of weight 1 and one of weight 10, and with a tenant without quota and one
+/// with a large quota.
 fn two_classes() -> Settings {
     let mut settings = settings(Idempotency::Idempotent);
     let high_priority = Class {
@@ -93,7 +94,7 @@
         false,
     );
     fixture.add(&tenant_request(4, 0, 1), false);
-    // The first of tenant 0 uses the one request that the quota's least size holds.
+    // Request 1 is beyond the quota of tenant 0; requests 2 and 3 are late retries.
     assert_eq!(fixture.order(), [4, 3, 2, 1]);
 }
 
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -1,43 +1,45 @@
-//! The admission rate: how many attempts a second this proxy starts where concurrency limits are
-//! too coarse, as its share of a backend is less than one attempt.
+//! The admission rate: how many attempts a second this proxy may start. It replaces concurrency
+//! limits where they are too coarse because this proxy's share at a backend is less than one
+//! attempt.
 //!
-//! As many attempts are admitted as are completed, times how far the latencies are under the part
-//! of their objectives that is aimed at. This keeps many proxies from overloading a fleet together
-//! until all answers are late. Tokens are saved up at that rate (a token bucket), and an admission
-//! spends them.
+//! The rate is the rate of completions, multiplied by the ratio of the target latency (a fraction
+//! of the latency objective) to the mean latency. This keeps many proxies from jointly overloading
+//! a fleet until all answers are late. Tokens accumulate at that rate (a token bucket), and each
+//! attempt spends one.
 
 use crate::event::Outcome;
 use crate::ids::Nanos;
 use crate::statistics::DecayedSum;
 use crate::timescale::{SECOND, Timescale, nanos};
 
-/// Multiple of what is completed that the rate reaches at most, and the part of what is received
-/// that is started in any case: once answers are fast, an arrival window then brings back the
-/// whole. With only a few starts, chance would keep a proxy down.
+/// Maximum of the admission rate as a multiple of the completion rate. The minimum of the admission
+/// rate is the rate of received requests divided by this: once answers are fast, the rate then
+/// recovers to all received requests within one arrival window. With only a few attempts, chance
+/// could keep a proxy from recovering.
 const MAX_GROWTH: f64 = 5.0;
 
-/// Part of the latency objective that answers may take in the mean: with an exponential tail a
-/// fifth is late then.
+/// Target for the mean latency, as a fraction of the latency objective. With an exponential tail, a
+/// fifth of the answers is late at this mean.
 const TARGET_LATENCY_FRACTION: f64 = 0.65;
 
-/// Tokens that are kept for the most weighty requests.
+/// Tokens reserved for the requests with the highest weights.
 pub(crate) const RESERVED_TOKENS: f64 = 2.0;
 
-/// What one admission needs to find in the bucket.
+/// Tokens that the bucket must hold to admit a request; the attempt then spends one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionCost {
     tokens: f64,
 }
 
 impl AdmissionCost {
-    /// Of a request among the most weighty: the token that it spends.
+    /// Cost of a request that may use the reserved tokens: only the token that it spends.
     pub(crate) const MAY_USE_RESERVE: AdmissionCost = AdmissionCost { tokens: 1.0 };
-    /// Of a request that leaves the reserve to others.
+    /// Cost of a request that must leave the reserved tokens to others.
     pub(crate) const KEEPS_RESERVE: AdmissionCost = AdmissionCost {
         tokens: 1.0 + RESERVED_TOKENS,
     };
 
-    /// Whether it leaves the reserve to others.
+    /// Whether the request must leave the reserved tokens to others.
     pub(crate) fn keeps_reserve(self) -> bool {
         self.tokens > 1.0
     }
@@ -47,18 +49,18 @@
 pub(crate) struct AdmissionRate {
     timescale: Timescale,
     tick: Nanos,
-    /// Completions and their latencies in seconds, scaled to the shortest latency objective, of all
-    /// backends together; decayed with the arrival window.
+    /// Completions at all backends and their latencies in seconds, scaled to the shortest latency
+    /// objective; decayed with the arrival window.
     completions: DecayedSum,
-    /// Requests received, decayed likewise.
+    /// Requests received, decayed with the arrival window.
     received: f64,
     tokens: f64,
-    /// When a timer is due at which the next request can be admitted.
+    /// When the last scheduled wake-up is due; 0 before the first.
     wake_at: Nanos,
 }
 
 impl AdmissionRate {
-    /// Holds one token and has seen nothing.
+    /// Creates a bucket with one token, without any completion yet.
     pub(crate) fn new(timescale: Timescale, tick: Nanos) -> AdmissionRate {
         AdmissionRate {
             timescale,
@@ -70,44 +72,45 @@
         }
     }
 
-    /// A request was received.
+    /// Counts a received request.
     pub(crate) fn on_received(&mut self) {
         self.received += 1.0;
     }
 
-    /// An attempt was sent.
+    /// Spends one token on an attempt that was sent.
     pub(crate) fn on_sent(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// An attempt has ended. `latency` is in seconds, scaled to the shortest latency objective.
+    /// Counts the end of an attempt. `latency` is in seconds, scaled to the shortest latency
+    /// objective.
     pub(crate) fn on_ended(&mut self, outcome: Outcome, latency: f64) {
         match outcome {
             Outcome::Success => self.completions.add(1.0, latency),
             Outcome::Overloaded | Outcome::Timeout => {
                 self.completions.add(0.0, self.timescale.shortest_objective);
             }
-            // It has used no capacity: another may be sent for it.
+            // Counted as having used no capacity: the token is returned for another attempt.
             _ => self.tokens += 1.0,
         }
     }
 
-    /// Keeps this fraction of the weight of what was counted.
+    /// Multiplies the counts by `factor`.
     pub(crate) fn decay(&mut self, factor: f64) {
         self.received *= factor;
         self.completions.decay(factor);
     }
 
-    /// Saves up tokens over `step` seconds: at most those of a shortest latency objective, and
-    /// the reserve in any case.
+    /// Adds the tokens of `elapsed_seconds`. The bucket holds as many as accumulate within the
+    /// shortest latency objective, but at least two more than the reserved tokens.
     pub(crate) fn refill(&mut self, now: Nanos, elapsed_seconds: f64) {
         let rate = self.attempts_per_second(now);
         let bucket_size = (rate * self.timescale.shortest_objective).max(2.0 + RESERVED_TOKENS);
         self.tokens = (self.tokens + rate * elapsed_seconds).min(bucket_size);
     }
 
-    /// Attempts a second that this proxy may start. Without a limit before the first arrival
-    /// window is over.
+    /// Attempts a second that this proxy may start, at least one in each arrival window. During the
+    /// first arrival window it is one attempt in each tick, which is practically unlimited.
     pub(crate) fn attempts_per_second(&self, now: Nanos) -> f64 {
         let window = self.timescale.arrival_window();
         if self.timescale.age(now) < window {
@@ -120,18 +123,19 @@
         (self.completions.count * growth.min(MAX_GROWTH)).max(minimum) / window
     }
 
-    /// Whether the bucket holds what an admission costs.
+    /// Whether the bucket holds enough tokens for this cost.
     pub(crate) fn covers(&self, cost: AdmissionCost) -> bool {
         self.tokens >= cost.tokens
     }
 
-    /// Completions a second, of all backends together.
+    /// Completions a second that this proxy gets from all backends together.
     pub(crate) fn completions_per_second(&self, now: Nanos) -> f64 {
         self.timescale.per_second(now, self.completions.count)
     }
 
-    /// When the bucket will hold what an admission costs, if a timer is wanted for that: the bucket
-    /// does not hold it yet and no timer is due later than now.
+    /// Time at which the bucket will hold enough tokens for this cost, for which the caller then
+    /// sets a timer. `None` if it holds enough already, or if an earlier call gave a time after
+    /// `now`.
     pub(crate) fn next_wake(&mut self, now: Nanos, cost: AdmissionCost) -> Option<Nanos> {
         if self.wake_at > now || self.covers(cost) {
             return None;
@@ -141,7 +145,7 @@
         Some(self.wake_at)
     }
 
-    /// Sets what was completed.
+    /// Sets the number of completions and their mean latency in seconds.
     #[cfg(test)]
     pub(crate) fn set_completions(&mut self, count: f64, mean_latency: f64) {
         self.completions = DecayedSum {
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -4,7 +4,7 @@
 use crate::settings::Idempotency;
 use crate::test_support::{MS, settings};
 
-/// A rate at a time after the first arrival window, in which nothing was completed.
+/// A rate without completions, and a time after the first arrival window.
 fn rate_after_first_window() -> (AdmissionRate, Nanos) {
     let timescale = Timescale::new(&settings(Idempotency::Idempotent), 0);
     (AdmissionRate::new(timescale, MS), 10_000 * MS)
@@ -21,7 +21,7 @@
 fn rate_is_at_least_a_fifth_of_the_requests_received() {
     let (mut rate, now) = rate_after_first_window();
     (0..60).for_each(|_| rate.on_received());
-    // A fifth of sixty requests, in a window of 0.6 s.
+    // A fifth of 60 requests, in a window of 0.6 s.
     assert!((rate.attempts_per_second(now) - 20.0).abs() < 1e-9);
 }
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,7 +1,8 @@
-//! The balancer: takes events, keeps the parts of the decision informed, and gives actions.
+//! The balancer: receives events, passes them to the components that decide, and returns actions.
 //!
-//! It wires the decisions and makes none: each is a type with its own state, named in the fields
-//! of [`Balancer`]. The ordinary path is the rate-learning splitter of `docs/design.md`.
+//! Each decision is made by a type with its own state, stored in a field of [`Balancer`]; the
+//! balancer only connects them. Requests are normally split by the learned service rates of the
+//! backends; see `docs/design.md`.
 
 mod attempts;
 mod discovery;
@@ -32,33 +33,35 @@
 use attempts::EndedAttempt;
 use discovery::PollBackoff;
 
-/// Queued requests in a row that find no backend before the others wait for the next event.
+/// Number of queued requests that may find no backend before the remaining ones wait for the next
+/// event.
 const MAX_FAILED_PICKS: usize = 3;
 
-/// What is to be done later. Tasks of one time come in this order.
+/// A task scheduled for later. Tasks due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Task {
     /// Watch or poll the endpoint list.
     PollEndpoints,
-    /// Look again at a request that waits, or whose attempt takes long.
+    /// Check whether a queued request can no longer be answered in time, or whether the attempt of
+    /// a request is overdue.
     CheckTimeouts(RequestId),
-    /// Close the idle connections to a backend that drains.
+    /// Close the idle connections to a backend that is draining or removed.
     CloseIdleConnections(BackendId),
-    /// See whether queued requests can be admitted.
+    /// Wake up to admit queued requests.
     AdmitQueued,
 }
 
 /// The decisions of one proxy.
 ///
-/// Fed with [`Event`]s and their times, it answers with [`Action`]s. It does no I/O and reads no
-/// clock; equal events give equal actions. Times must not run backwards; an earlier one counts as
-/// the latest that was given.
+/// It receives [`Event`]s with their times and returns [`Action`]s. It does no I/O and reads no
+/// clock; equal settings, seeds and events give equal actions. Times must not decrease: an event
+/// with an earlier time decays no counts and refills no tokens.
 pub struct Balancer {
     settings: Settings,
     timescale: Timescale,
     random: Xoshiro256PlusPlus,
     timers: TimerQueue<Task>,
-    /// When counts were last decayed.
+    /// When the counts were last decayed.
     refreshed_at: Nanos,
     requests: RequestTable,
     endpoints: EndpointList,
@@ -72,25 +75,25 @@
     retries: RetryPolicy,
 }
 
-/// The parts that decide with what weight each backend is picked.
+/// The components that determine the weight with which each backend is picked.
 struct Estimation {
     estimator: Estimator,
     subset: Subset,
     split: OptimalSplit,
 }
 
-/// The parts that decide which request is admitted, and when.
+/// The components that decide which request is admitted, and when.
 struct Admission {
     queue: AdmissionQueue,
     rate: AdmissionRate,
 }
 
 impl Balancer {
-    /// Starts a balancer at `now`; `seed` seeds its random draws.
+    /// Creates a balancer at the time `now`; `seed` seeds its random draws.
     ///
     /// # Errors
     ///
-    /// If [`Settings::check`] finds a setting that makes no sense.
+    /// Returns the error of [`Settings::check`] if a setting is invalid.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let timescale = Timescale::new(&settings, now);
@@ -131,7 +134,7 @@
         })
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done to `actions`.
+    /// Processes an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.decay(now);
         self.dispatch(now, event, actions);
@@ -181,7 +184,7 @@
             match task {
                 Task::PollEndpoints => actions.push(Action::WatchEndpoints(true)),
                 Task::CheckTimeouts(id) => self.check_timeouts(now, id, actions),
-                // The timer alone was wanted: each event admits queued requests.
+                // The task only causes a timer event: queued requests are admitted at every event.
                 Task::AdmitQueued => {}
                 Task::CloseIdleConnections(backend) => {
                     actions.push(Action::CloseIdleConnections { backend });
@@ -190,12 +193,14 @@
         }
     }
 
-    /// Picks that had to look at the whole endpoint list so far: their cost grows with it.
+    /// Number of picks so far that scanned the whole endpoint list. The cost of such a pick grows
+    /// with the length of the list.
     pub fn full_scans(&self) -> u64 {
         self.estimation.split.full_scans()
     }
 
-    /// Once for each time: decays what was counted and fills up what is granted with time.
+    /// Decays the counts and refills the tokens and quotas for the time that has passed since the
+    /// last call. Does nothing if no time has passed.
     fn decay(&mut self, now: Nanos) {
         let elapsed_seconds = seconds(now.saturating_sub(self.refreshed_at));
         if elapsed_seconds <= 0.0 {
@@ -214,8 +219,9 @@
         self.refreshed_at = now;
     }
 
-    /// Whether no further attempt may be in flight. Where this proxy's share of a backend is less
-    /// than one attempt, the admission rate decides in place of the limits.
+    /// Whether no further attempt may be started at this admission cost. Where the share of this
+    /// proxy at a backend is less than one attempt, the admission rate decides instead of the
+    /// concurrency limits.
     fn is_full(&self, cost: AdmissionCost) -> bool {
         if self.limiter.is_below_one() {
             !self.admission.rate.covers(cost)
@@ -224,7 +230,8 @@
         }
     }
 
-    /// Sends attempts for queued requests, until there is no capacity left.
+    /// Starts attempts for queued requests until no capacity is left, or until no backend is found
+    /// for [`MAX_FAILED_PICKS`] of them.
     fn admit_queued(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if self.estimation.split.is_due(now, self.endpoints.len()) {
             self.renew_weights(now);
@@ -246,8 +253,8 @@
         self.schedule_admission(now);
     }
 
-    /// Sets a timer for when the first queued request can be admitted, where the admission rate
-    /// decides.
+    /// Where the admission rate decides, schedules a wake-up for when the first queued request can
+    /// be admitted.
     fn schedule_admission(&mut self, now: Nanos) {
         if !self.limiter.is_below_one() {
             return;
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts: a backend is picked, the attempt is sent, cancelled when overdue, and counted when it
-//! ends.
+//! Attempts: picks backends, starts attempts, cancels overdue ones, and evaluates how each attempt
+//! ended.
 
 use crate::action::{Action, LogEvent};
 use crate::concurrency_limiter::LoadSample;
@@ -13,7 +13,7 @@
 
 use super::{Balancer, Task};
 
-/// An attempt that has ended, as the caller tells it.
+/// An attempt that has ended, as reported by the caller.
 pub(super) struct EndedAttempt {
     pub(super) request: RequestId,
     pub(super) attempt: u8,
@@ -24,8 +24,8 @@
 }
 
 impl Balancer {
-    /// Sends an attempt if some backend is legal and has capacity; else the request waits. Returns
-    /// whether it was sent.
+    /// Starts an attempt for a queued request if a legal backend with capacity is found; otherwise
+    /// the request stays queued. Returns whether an attempt was started.
     pub(super) fn start_attempt(
         &mut self,
         now: Nanos,
@@ -46,7 +46,8 @@
             self.estimation.estimator.on_first_attempt();
             self.retries.on_first_attempt();
         }
-        // An answer without weight is not waited for.
+        // If an answer after the latency objective has no weight, the attempt is abandoned at the
+        // objective.
         let class = &self.settings.classes[pending.class()];
         let late_answer_has_weight = class.late_priority_weight > 0.0;
         let abandon_at = if late_answer_has_weight {
@@ -64,7 +65,8 @@
         true
     }
 
-    /// Picks a backend for a request, among those not attempted yet first.
+    /// Picks a backend for a request. Backends that the request has not been attempted at are
+    /// preferred.
     fn pick_backend(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
         let pending = self.requests.get(id).expect("queued requests are pending");
         if self.is_full(pending.admission_cost) {
@@ -91,12 +93,13 @@
         picked
     }
 
-    /// Counts an attempt that is sent to a backend.
+    /// Updates load, token and rate counts for an attempt sent to `backend`, and returns its
+    /// record.
     fn count_sent(&mut self, now: Nanos, backend: BackendId) -> Attempt {
         let record = self
             .endpoints
             .get_mut(backend)
-            .expect("picked from the list");
+            .expect("a picked backend is in the endpoint list");
         record.load.on_sent(now);
         record.slow_start_tokens.spend();
         let (zone, cell) = (record.endpoint().zone, record.endpoint().cell);
@@ -111,7 +114,7 @@
         }
     }
 
-    /// How long an attempt of a request may take before it counts as lost.
+    /// Time after which an attempt of this request is overdue.
     fn overdue_after(&self, id: RequestId) -> Nanos {
         let pending = self.pending(id);
         let class = pending.class();
@@ -122,9 +125,10 @@
         )
     }
 
-    /// Cancels an attempt that counts as lost, if another one may be sent in time. Connections that
-    /// fall silent would cost a request all its time and hold capacity for as long. Work is done
-    /// twice where a backend is only slow; the retry budget bounds that.
+    /// Cancels an overdue attempt if another one may still be started in time. Without this, a
+    /// connection that stops responding would use up the whole time of a request and occupy
+    /// capacity for as long. If the backend is only slow, the work is done twice; the retry budget
+    /// bounds how often.
     pub(super) fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.pending(id);
         let Some((index, last_attempt)) = pending.attempts.iter().enumerate().next_back() else {
@@ -152,7 +156,9 @@
         }
     }
 
-    /// An attempt has ended: counts it for its backend, then retries or finishes the request.
+    /// Handles the end of an attempt: updates the statistics of its backend, then retries the
+    /// request or gives its final answer. Ends of unknown attempts, or of attempts that have
+    /// already ended, are ignored.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Nanos,
@@ -169,7 +175,8 @@
         attempt.outcome = Some(ended.outcome);
         let (backend, sent_at) = (attempt.backend, attempt.sent_at);
         let class = pending.class();
-        // Cancelled by this balancer as lost: the backend has failed it, as by a timeout.
+        // An attempt that this balancer cancelled as overdue is a failure of the backend, like a
+        // timeout.
         let cancelled_as_overdue =
             ended.outcome == Outcome::Cancelled && !ended.finished && !pending.finished;
         self.limiter.on_ended();
@@ -187,7 +194,7 @@
         self.retry_or_finish(now, ended, cancelled_as_overdue, actions);
     }
 
-    /// Counts the end of an attempt for its backend.
+    /// Updates the statistics of a backend with the end of an attempt.
     fn count_ended(
         &mut self,
         now: Nanos,
@@ -222,8 +229,8 @@
             .on_completion(kind, latency, mean_latency);
     }
 
-    /// Moves the concurrency limit of a backend, and the admission rate, by the end of an attempt
-    /// there. `latency` is in seconds.
+    /// Adjusts the concurrency limit of a backend, and the admission rate, to the outcome of an
+    /// attempt there. `latency` is in seconds.
     pub(super) fn adjust_limit(
         &mut self,
         backend: BackendId,
--- a/crates/balancer/src/balancer/discovery.rs
+++ b/crates/balancer/src/balancer/discovery.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and when to poll it again after a failure.
+//! Updates of the endpoint list, and the backoff of polls after a failure.
 
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -13,31 +13,31 @@
 
 use super::{Balancer, Task};
 
-/// Longest wait after a failed poll. A change counts as notified 6 s after discovery had it and
-/// could be reached (protocol page); of these, 2 s are left for the poll.
+/// Longest wait after a failed poll, in nanoseconds. A change counts as notified 6 s after
+/// discovery has it and can be reached (protocol page); 2 s of these are left for the poll itself.
 const MAX_BACKOFF: Nanos = 3_990_000_000;
 
-/// Part of the poll interval that the first wait after a failure is.
+/// The poll interval divided by this is the first wait after a failure.
 const FIRST_BACKOFF_DIVISOR: Nanos = 20;
 
-/// Doublings of the wait at most.
+/// Maximum number of times that the wait is doubled.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Waits between polls that fail: exponential backoff with jitter.
+/// Exponential backoff with jitter between failed polls.
 #[derive(Default)]
 pub(super) struct PollBackoff {
-    /// Failures in a row.
+    /// Failed polls since the last successful one.
     consecutive_failures: u32,
 }
 
 impl PollBackoff {
-    /// A poll has succeeded.
+    /// Resets the backoff after a successful poll.
     fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// A poll has failed; returns how long to wait. The jitter, from 0.5 to 1.5, keeps many proxies
-    /// from polling in step.
+    /// Counts a failed poll and returns the wait before the next one, in nanoseconds. A jitter
+    /// factor between 0.5 and 1.5 keeps many proxies from polling at the same time.
     fn next_wait(&mut self, poll_interval: Nanos, random: &mut Xoshiro256PlusPlus) -> Nanos {
         let first_wait = poll_interval / FIRST_BACKOFF_DIVISOR;
         let max_before_jitter = MAX_BACKOFF / 3 * 2;
@@ -53,7 +53,7 @@
 }
 
 impl Balancer {
-    /// Takes in the endpoint list or changes to it.
+    /// Applies a new endpoint list, or changes to the known one.
     pub(super) fn on_endpoint_update(
         &mut self,
         now: Nanos,
@@ -81,9 +81,9 @@
         self.estimation.split.mark_stale();
     }
 
-    /// Where connections to a draining backend must close: at once, and again within the stated
-    /// time for a connection that is not idle yet. Called at the notice and at the end of each
-    /// attempt there.
+    /// Closes the idle connections to a backend that is draining or removed, if the rules demand
+    /// it: now, and again after half of the permitted time for connections that are still busy.
+    /// Called when the backend leaves the ready state and whenever an attempt there ends.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Nanos,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Polls again after a backoff; the list that is known stays in force.
+    /// If the endpoint list is polled, schedules another poll after a backoff. The known list stays
+    /// in use.
     pub(super) fn on_discovery_failed(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !self.settings.poll_endpoints {
             return;
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: queued, reviewed, retried, and given its final answer.
+//! Requests: queues them, checks their timeouts, retries them and gives their final answers.
 
 use crate::action::Action;
 use crate::event::{Outcome, Request};
@@ -12,7 +12,8 @@
 use super::{Balancer, Task};
 
 impl Balancer {
-    /// Queues a request. One of an unknown class fails; one that is pending already is ignored.
+    /// Queues a request. A request of an unknown class fails; one whose id is already pending is
+    /// ignored.
     pub(super) fn on_request(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(usize::from(request.class.0)) else {
@@ -52,28 +53,28 @@
             .schedule(self.latest_start(id), Task::CheckTimeouts(id));
     }
 
-    /// The answer of a request has begun to be streamed.
+    /// Records that the answer to a request has begun to be streamed: it is not retried from then
+    /// on.
     pub(super) fn on_first_byte(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(id) {
             pending.streaming = true;
         }
     }
 
-    /// A request that is known to be pending.
+    /// The pending request with this id.
     ///
     /// # Panics
     ///
-    /// If it is not: a fault of this program.
+    /// If no request with this id is pending, which is a bug in the balancer.
     pub(super) fn pending(&self, id: RequestId) -> &PendingRequest {
         self.requests.get(id).expect("the request is pending")
     }
 
-    /// Until when a request that waits can still be answered in time.
+    /// Latest time at which an attempt of a request can start and still be answered in time.
     pub(super) fn latest_start(&self, id: RequestId) -> Nanos {
         let pending = self.pending(id);
         let class = &self.settings.classes[pending.class()];
-        // Where the tail counts, a rejection within the objective is no miss and a late answer is
-        // one.
+        // With a tail weight, a late answer is a miss and a rejection within the objective is not.
         let late_answer_counts =
             class.late_priority_weight > 0.0 && self.settings.tail_weight == 0.0;
         let mut answer_by = if late_answer_counts {
@@ -82,8 +83,8 @@
             pending.objective_at
         };
         if pending.never_written() {
-            // A rejection of what was never written to a backend costs nothing up to a part of the
-            // client's timeout.
+            // A request that was never written to a backend can be rejected at no cost until a
+            // fraction of its client timeout has passed.
             let remaining_fraction = 1.0 - self.settings.limits.never_attempted_timeout_fraction;
             let remaining_time =
                 (pending.request.client_timeout as f64 * remaining_fraction) as Nanos;
@@ -93,7 +94,8 @@
         answer_by.saturating_sub(unloaded.min(class.latency_objective / 2) + self.settings.tick)
     }
 
-    /// Looks again at a request that waits, or whose attempt takes long.
+    /// Cancels the attempt of a request if it is overdue. A request without an attempt in flight
+    /// gets its final answer if it can no longer be answered in time.
     pub(super) fn check_timeouts(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let is_open = |pending: &&PendingRequest| !pending.finished && !pending.streaming;
         let Some(pending) = self.requests.get(id).filter(is_open) else {
@@ -103,15 +105,16 @@
             self.cancel_overdue(now, id, actions);
             return;
         }
-        // What is usual may have changed since this review was scheduled.
+        // The unloaded latency may have changed since this check was scheduled.
         match self.latest_start(id) {
             latest if latest > now => self.timers.schedule(latest, Task::CheckTimeouts(id)),
             _ => self.finish(id, actions),
         }
     }
 
-    /// Goes on with a request of which an attempt has ended. `was_lost`: the attempt was cancelled
-    /// as lost, and its retry is paid for already.
+    /// Retries a request after one of its attempts has ended, or gives its final answer.
+    /// `cancelled_as_overdue`: the balancer cancelled the attempt, and its retry was already taken
+    /// from the retry budget.
     pub(super) fn retry_or_finish(
         &mut self,
         now: Nanos,
@@ -124,10 +127,10 @@
         if ended.finished || pending.finished {
             self.close(id, actions);
         } else if pending.streaming {
-            // The stream broke off: only a failure can follow.
+            // The stream broke off: a retry is no longer possible.
             self.finish(id, actions);
         } else if pending.in_flight() == 0 {
-            // A failed connection costs no capacity and needs no token.
+            // A failed connection uses no capacity, so a retry after it needs no token.
             let is_free = cancelled_as_overdue || ended.outcome == Outcome::ConnectFailed;
             let is_within_budget = is_free || self.retries.has_token();
             let latest_start = self.latest_start(id);
@@ -144,8 +147,9 @@
         }
     }
 
-    /// Whether another attempt may follow this outcome. What may have been executed and must not be
-    /// twice is over, and so is a request that is itself at fault.
+    /// Whether another attempt may follow one with this outcome. Not if the request may have been
+    /// executed and must not be executed twice, if the request itself is invalid, or if no attempts
+    /// are left.
     fn may_retry(&self, pending: &PendingRequest, outcome: Outcome) -> bool {
         let idempotency = self.settings.classes[pending.class()].idempotency;
         let must_not_repeat =
@@ -155,7 +159,8 @@
             && legality::has_attempts_left(&self.settings, pending)
     }
 
-    /// Gives the final answer: a rejection where that is true, else a failure.
+    /// Gives the final answer: a rejection if a retry by the client is harmless, otherwise a
+    /// failure.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_open = |pending: &&PendingRequest| !pending.finished;
         let Some(pending) = self.requests.get(id).filter(is_open) else {
@@ -173,7 +178,8 @@
         self.close(id, actions);
     }
 
-    /// The request is over: cancels what is in flight, and forgets it when nothing is.
+    /// Closes a request: removes it from the queue and, if permitted, cancels its attempts in
+    /// flight. It is removed from the table once no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
@@ -196,7 +202,7 @@
 }
 
 /// Time within which an answer to a request has its full weight: the latency objective of its class
-/// and what its own work adds.
+/// plus the time added for its own work.
 fn request_objective(class: &Class, request: &Request) -> Nanos {
     let per_unit = class.latency_objective_per_unit_of_work.max(0.0);
     let added_for_work = per_unit * request.work_hint.unwrap_or(0) as f64;
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions that look at the state behind them.
+//! Unit tests of the balancer that inspect its internal state.
 
 use super::Balancer;
 use crate::action::Action;
@@ -8,7 +8,8 @@
 use crate::settings::{Class, Settings};
 
 const MS: Nanos = 1_000_000;
-/// A node of three hundred, of whose backends each gets little.
+
+/// Settings of one of 300 proxies, each of which sends little to each backend.
 fn settings_of_one_in_300_proxies() -> Settings {
     let class = Class {
         latency_objective: 300 * MS,
@@ -78,7 +79,7 @@
 #[test]
 fn proxy_with_few_completions_starts_a_fifth_of_its_requests() {
     let mut balancer = Balancer::new(settings_of_one_in_300_proxies(), 7, 0).unwrap();
-    // Thirty a second, and no backend takes any.
+    // 30 requests a second for two seconds, without any backend.
     for round in 0..60 {
         balancer.handle(
             (1 + Nanos::from(round) * 33) * MS,
@@ -88,7 +89,8 @@
     }
     let rate = balancer.admission.rate.attempts_per_second(2_000 * MS);
     assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
-    // Once they answer fast, what a window completes at that rate brings back all that comes.
+    // Once answers are fast, the completions of one arrival window at that rate bring the rate back
+    // to nearly all received requests.
     balancer.admission.rate.set_completions(rate * 0.6, 0.035);
     assert!(
         balancer.admission.rate.attempts_per_second(2_000 * MS) > 25.0,
@@ -108,7 +110,7 @@
     }
 }
 
-/// A list of ten new backends, each in a cell and of a kind of its own.
+/// A full list of ten new backends. Their cells and kinds are numbered modulo 1000.
 fn ten_new_backends(first: u32) -> Event {
     let label = |id: u32| (id % 1_000) as u16;
     let endpoint = |id| Endpoint {
@@ -124,8 +126,8 @@
     }
 }
 
-/// The requests of the attempts that were started, but for every seventh: it is never heard of
-/// again until its client leaves.
+/// The requests whose attempts were started, except every seventh, which gets no answer until its
+/// client times out.
 fn answered_requests(actions: &mut Vec<Action>) -> Vec<RequestId> {
     let started = actions.drain(..).filter_map(|action| match action {
         Action::StartAttempt { request, .. } => Some(request),
@@ -143,7 +145,7 @@
     for round in 0..20_000 {
         now += 10 * MS;
         if round % 50 == 0 {
-            // The ten before them are removed.
+            // The list removes the previous ten backends.
             balancer.handle(now, ten_new_backends(round / 5), &mut actions);
         }
         balancer.handle(now, request(round), &mut actions);
@@ -165,8 +167,8 @@
         ];
         largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
-    // Four seconds of attempts and of closes to come at the very most, and a kind for each name
-    // there can be.
+    // At most the attempts and scheduled closes of four seconds, and one entry for each possible
+    // kind.
     let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
@@ -194,7 +196,7 @@
             endpoints: backends.collect(),
         };
         balancer.handle(1, list, &mut Vec::new());
-        // Sixty a second for twenty seconds: in ten objectives fifteen backends get twelve
+        // 60 requests a second for 20 seconds: within ten latency objectives, 15 backends get 12
         // completions each.
         balancer.estimation.estimator.set_first_attempts(1_200.0);
         let members = balancer.subset_members(20_000_000_000);
@@ -230,8 +232,8 @@
             .into_iter()
             .for_each(|id| *proxies_by_backend.entry(id).or_insert(0) += 1);
     }
-    // Three each are fifteen nodes for a backend; sets drawn by chance give some of them 7 and some
-    // 24.
+    // Three backends for each proxy make 15 proxies for each backend. With random subsets, some
+    // backends would have 7 proxies and some 24.
     assert!(
         proxies_by_backend.len() == 60
             && proxies_by_backend
@@ -270,7 +272,8 @@
         },
         &mut Vec::new(),
     );
-    // A hundred a second, of which they take one in four: rule 4 is judged by these.
+    // 100 requests a second, of which the backends accept one in four. The fourth protocol rule
+    // (slow start) is judged by the completions.
     let mut actions = Vec::new();
     for round in 0..500 {
         let now = Nanos::from(round) * 10 * MS + 2;
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list as this proxy knows it, with what is known of each backend on it.
+//! The endpoint list that this proxy knows, with the state that it keeps for each backend.
 //!
-//! Each record is made of parts whose fields are private to the module that decides on them. A
-//! backend that is removed stays until its last attempt has ended.
+//! A record consists of parts whose fields are private to the module that uses them for its
+//! decision. A removed backend stays in the list until its last attempt has ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 use crate::slow_start::SlowStartTokens;
 use crate::subset::SubsetPosition;
 
-/// A backend: its entry in the list and what each decision knows of it.
+/// A backend: its entry in the endpoint list, and the state that each decision keeps for it.
 #[derive(Clone, Default)]
 pub(crate) struct EndpointRecord {
     endpoint: Endpoint,
@@ -27,7 +27,7 @@
 }
 
 impl EndpointRecord {
-    /// A backend of which nothing is known but its entry.
+    /// Creates the record of a new backend, of which only its entry is known.
     pub(crate) fn new(
         endpoint: Endpoint,
         load: BackendLoad,
@@ -48,12 +48,12 @@
         &self.endpoint
     }
 
-    /// Which backend it is.
+    /// Id of the backend.
     pub(crate) fn id(&self) -> BackendId {
         self.endpoint.id
     }
 
-    /// Whether the list says that it takes requests.
+    /// Whether the list has the backend as ready for requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
@@ -62,7 +62,8 @@
         self.endpoint.state == EndpointState::Removed
     }
 
-    /// Takes what the list says of it now. Of a new process nothing is known.
+    /// Replaces the entry. If the process was restarted, the state learned from the old process is
+    /// dropped as well.
     fn update(&mut self, new_record: EndpointRecord) {
         let is_new_process = new_record.endpoint.started_at > self.endpoint.started_at;
         if is_new_process {
@@ -74,7 +75,7 @@
     }
 }
 
-/// All backends that this proxy knows.
+/// All backends that this proxy knows, removed ones with attempts in flight included.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     records: BTreeMap<BackendId, EndpointRecord>,
@@ -83,27 +84,27 @@
 }
 
 impl EndpointList {
-    /// What is known of a backend.
+    /// The record of a backend, if it is known.
     pub(crate) fn get(&self, id: BackendId) -> Option<&EndpointRecord> {
         self.records.get(&id)
     }
 
-    /// What is known of a backend, to be changed.
+    /// The record of a backend for changes, if it is known.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
         self.records.get_mut(&id)
     }
 
-    /// All backends, by id.
+    /// All records in the order of the ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.records.values()
     }
 
-    /// All backends, by id, to be changed.
+    /// All records in the order of the ids, for changes.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointRecord> {
         self.records.values_mut()
     }
 
-    /// The backends that the list calls ready, by id.
+    /// The records of ready backends in the order of the ids.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.iter().filter(|record| record.is_ready())
     }
@@ -113,16 +114,16 @@
         self.get(id).is_some_and(EndpointRecord::is_ready)
     }
 
-    /// How many backends are known.
+    /// Number of known backends.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Applies an update. `fresh` makes the record of a backend of which nothing is known but its
-    /// entry; it is called once for each entry, in their order.
+    /// Applies an update. `make_record` creates the record of a new backend from its entry; it is
+    /// called once for each entry, in their order.
     ///
-    /// Returns the backends that have left the ready state by it. A full list that names such a
-    /// backend, draining, returns it twice.
+    /// Returns the backends whose state the update changed to draining or removed. A backend that
+    /// was known and is draining in a full list is returned twice.
     pub(crate) fn apply(
         &mut self,
         kind: UpdateKind,
@@ -149,7 +150,7 @@
         no_longer_ready_ids
     }
 
-    /// Those of `named` whose state has changed from `before` to another one than ready.
+    /// Those of `affected` whose state differs from `before` and is not ready.
     fn no_longer_ready(
         &self,
         affected: &[BackendId],
@@ -189,8 +190,8 @@
         }
     }
 
-    /// Forgets removed backends that have nothing in flight: of these and of those that had when
-    /// they were removed.
+    /// Drops the records of removed backends without attempts in flight: those of `affected`, and
+    /// those that had attempts in flight when they were removed.
     fn drop_removed(&mut self, affected: &[BackendId]) {
         self.removed_in_flight.extend(affected);
         let records = &mut self.records;
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,94 +1,96 @@
-//! What a balancer is notified of: requests of clients, the ends of attempts, changes of the
-//! endpoint list.
+//! Events that a balancer processes: requests of clients, ends of attempts, changes of the endpoint
+//! list.
 
 use crate::ids::{BackendId, CellId, ClassId, KindId, Nanos, RequestId, TenantId, TimerId, ZoneId};
 
 /// State of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The backend accepts requests.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// The backend finishes the requests that it has and accepts no new ones.
     Draining,
-    /// It is removed.
+    /// The backend is no longer in the endpoint list.
     #[default]
     Removed,
 }
 
-/// An entry of the endpoint list: what discovery says of one backend.
+/// An entry of the endpoint list: the data that discovery has on one backend.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Which backend.
+    /// Id of the backend.
     pub id: BackendId,
-    /// A hash of its name, the same at every proxy: all of them order backends alike by it.
+    /// Hash of the name of the backend. It is the same at every proxy, so that all proxies put the
+    /// backends in the same order.
     pub hash: u64,
-    /// Its zone.
+    /// Zone in which the backend runs.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the backend; the backends of a cell share the idempotency keys they have seen.
     pub cell: CellId,
-    /// Its kind of machine.
+    /// Kind of machine on which the backend runs.
     pub kind: KindId,
-    /// Its state.
+    /// State that the endpoint list gives.
     pub state: EndpointState,
-    /// Its listed weight, to be compared with those of others.
+    /// Weight in the endpoint list, relative to the weights of the other backends.
     pub weight: f32,
-    /// When its process last started; `None`: long ago.
+    /// When the process of the backend last started; `None` if that was long ago.
     pub started_at: Option<Nanos>,
 }
 
-/// How an update of the endpoint list is to be read.
+/// Whether an update of the endpoint list is the whole list or only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changes to the list as known.
+    /// Entries that were added or have changed; the others stay as they are.
     Delta,
-    /// The whole list.
+    /// The whole list; known backends that it lacks are removed.
     Full,
-    /// The whole list as known before a restart; may be stale.
+    /// The whole list as it was known before a restart of the proxy; it may be stale.
     Cached,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request, unique among the pending requests of this proxy.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request, as an index in the settings.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that sent the request, as an index in the settings.
     pub tenant: TenantId,
-    /// Subject of the request; 0: none.
+    /// Key of the object that the request concerns; 0 if there is none.
     pub key: u64,
-    /// Time until the client stops waiting for this request.
+    /// Time from the receipt of the request until its client stops waiting for it.
     pub client_timeout: Nanos,
-    /// Expected work, as time on a standard core.
+    /// Expected work, as time on a standard core; `None` if it is unknown.
     pub work_hint: Option<Nanos>,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry of its own.
     pub client_retry: bool,
-    /// It changes state at the backend.
+    /// Whether the request changes state at the backend.
     pub is_write: bool,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Success,
     /// The backend answered with an error.
     Error,
-    /// Rejected by the backend without being executed: its queue is full, or it drains.
+    /// The backend rejected the attempt without executing it, as its queue is full or it is
+    /// draining.
     Overloaded,
-    /// No answer in time.
+    /// The backend did not answer in time.
     Timeout,
-    /// No connection in time.
+    /// The connection to the backend could not be established in time.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke during the attempt.
     Reset,
-    /// Cancelled by the balancer.
+    /// The balancer cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent to the backend.
     NotSent,
-    /// The backend found fault with the request itself: another backend would too, and it says
-    /// nothing of this one.
+    /// The backend reported that the request itself is invalid. Other backends would report the
+    /// same, so this does not count against the backend.
     BadRequest,
 }
 
@@ -102,68 +104,69 @@
     }
 }
 
-/// What happened.
+/// An event that a balancer processes.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or changes to it.
+    /// Discovery delivered the endpoint list, or changes to it.
     EndpointUpdate {
-        /// How to read it.
+        /// Whether `endpoints` is the whole list or only changes.
         kind: UpdateKind,
-        /// The entries.
+        /// The listed or changed entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A poll of the endpoint list failed, or the watch broke.
+    /// A poll of the endpoint list failed, or the watch broke off.
     DiscoveryFailed,
-    /// A client's request.
+    /// A client sent a request.
     Request(Request),
-    /// A streamed answer has started.
+    /// The first byte of a streamed answer arrived.
     FirstByte {
-        /// Of which request.
+        /// Id of the request.
         request: RequestId,
-        /// On which attempt.
+        /// Index of the attempt among those of the request, from 0.
         attempt: u8,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Of which request.
+        /// Id of the request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// Index of the attempt among those of the request, from 0.
         attempt: u8,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: Nanos,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the request has its final answer.
+        /// Whether the request has got its final answer.
         finished: bool,
-        /// Load report of the backend, if one came along; its fields as the settings name them.
+        /// Values of the load report that the backend sent along; empty without a report. The
+        /// settings name its fields.
         load_report: Vec<f32>,
     },
-    /// The client closed its connection; the request is over.
+    /// The client closed its connection, which ends the request.
     ClientDisconnected {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) is due.
     Timer {
-        /// Which timer.
+        /// Id of the timer.
         timer: TimerId,
     },
     /// A health check ended.
     HealthCheckEnded {
-        /// Of which backend.
+        /// Backend that was checked.
         backend: BackendId,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         latency: Nanos,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// Load report of the backend, if one came along.
+        /// Values of the load report that the backend sent along; empty without a report.
         load_report: Vec<f32>,
     },
-    /// A gossip message from another proxy.
+    /// Another proxy sent a gossip message.
     GossipReceived {
-        /// Index of that proxy.
+        /// Index of the proxy that sent the message.
         from: u16,
-        /// The message.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,14 +1,14 @@
-//! Identifiers and the unit of time that all decisions share.
+//! Identifiers, and the unit of time that all decisions use.
 
-/// A point on the caller's clock or a span of time, in nanoseconds.
+/// A time on the caller's clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A backend: a server process that answers requests. The same at every proxy and over restarts of
-/// the process.
+/// Id of a backend, a server process that answers requests. It is the same at every proxy and does
+/// not change when the process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
-/// A request, unique at one proxy.
+/// Id of a request, unique at one proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -20,18 +20,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 
-/// An availability zone.
+/// Id of an availability zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// A cell: a small group of backends that share the idempotency keys they have seen.
+/// Id of a cell: a small group of backends that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u16);
 
-/// A kind of machine.
+/// Id of a kind of machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u16);
 
-/// A timer of the balancer.
+/// Id of a timer, assigned by the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u32);
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt or a rejection keeps the protocol rules. Pure: every attempt passes
-//! [`may_attempt`], every rejection [`may_reject`].
+//! Whether the protocol rules allow an attempt or a rejection. The functions are pure; every
+//! attempt is checked by [`may_attempt`], every rejection by [`may_reject`].
 
 use crate::event::Endpoint;
 use crate::event::EndpointState;
@@ -7,8 +7,8 @@
 use crate::request_table::{Attempt, PendingRequest};
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// Whether an attempt of a request may go to this endpoint now. The budget of a backend in slow
-/// start is not part of it; see [`SlowStart`](crate::slow_start::SlowStart).
+/// Whether the rules allow an attempt of a request at this endpoint now. The budget of a backend in
+/// slow start is checked elsewhere; see [`SlowStart`](crate::slow_start::SlowStart).
 pub(crate) fn may_attempt(
     now: Nanos,
     settings: &Settings,
@@ -23,12 +23,14 @@
         && endpoint.state == EndpointState::Ready
 }
 
-/// Whether the request has had fewer attempts than the site permits.
+/// Whether the request has had fewer attempts than
+/// [`Limits::max_attempts`](crate::Limits::max_attempts).
 pub(crate) fn has_attempts_left(settings: &Settings, pending: &PendingRequest) -> bool {
     pending.attempts.len() < settings.limits.max_attempts as usize
 }
 
-/// Whether one more execution, at this endpoint, would be harmless or be dropped as a repeat.
+/// Whether another attempt at this endpoint can do no harm: the request was not executed yet, a
+/// second execution is harmless, or the endpoint recognises the repeat and drops it.
 fn may_repeat(
     now: Nanos,
     settings: &Settings,
@@ -47,7 +49,7 @@
     }
 }
 
-/// Whether an endpoint knows the idempotency keys of the backend that an attempt went to.
+/// Whether an endpoint knows the idempotency keys seen by the backend of an earlier attempt.
 fn shares_keys(scope: DeduplicationScope, attempt: &Attempt, endpoint: &Endpoint) -> bool {
     match scope {
         DeduplicationScope::Global => true,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Whether another attempt would be allowed by the class at some backend, once the one in flight is
+/// Whether the class of a request allows another attempt at some backend after the one in flight is
 /// cancelled.
 pub(crate) fn may_repeat_after_cancel(
     now: Nanos,
@@ -72,7 +74,7 @@
     }
 }
 
-/// Whether a request may be rejected, which tells the client that a retry is harmless.
+/// Whether a request may be rejected. A rejection tells the client that a retry is harmless.
 pub(crate) fn may_reject(settings: &Settings, pending: &PendingRequest) -> bool {
     let idempotency = settings.classes[pending.class()].idempotency;
     idempotency.allows_rejection(pending.may_have_executed())
--- a/crates/balancer/src/legality_tests.rs
+++ b/crates/balancer/src/legality_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the protocol rules, as a table.
+//! Unit tests of the protocol rules, with tables of cases.
 
 use super::*;
 use crate::event::Outcome;
@@ -15,7 +15,7 @@
     }
 }
 
-/// A request with one attempt in zone 0 and cell 0.
+/// A request with one attempt, which went to zone 0 and cell 0.
 fn request_with_attempt(outcome: Option<Outcome>) -> PendingRequest {
     let mut request = pending(1);
     let (zone, cell) = (ZoneId(0), CellId(0));
@@ -137,7 +137,7 @@
     }
     assert!(
         !may_attempt(SENT_AT, &settings, &out_of_attempts, &ready),
-        "three attempts are the most"
+        "at most three attempts"
     );
 }
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a load-balancing proxy: which backend gets each request, when to retry, when to
 //! reject.
 //!
-//! A [`Balancer`] is a pure state machine. It is fed [`Event`]s with the time at which they
-//! happened and answers with [`Action`]s; it does no I/O, reads no clock and starts no thread.
-//! Equal events give equal actions.
+//! A [`Balancer`] is a deterministic state machine. It receives [`Event`]s with the time at which
+//! they happened and returns [`Action`]s; it does no I/O, reads no clock and starts no thread.
+//! Equal settings, seeds and events give equal actions.
 //!
 //! ```
 //! use kitefork_balancer::{
@@ -35,20 +35,20 @@
 //! # Ok::<(), kitefork_balancer::SettingsError>(())
 //! ```
 //!
-//! Each decision is a module with private state; `balancer` wires them:
+//! Each decision is a module with private state; `balancer` connects them:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `estimator`, `pooled_latency` | how fast each backend is, how much arrives |
-//! | `optimal_split`, `candidates` | with what weight a backend is picked |
+//! | `estimator`, `pooled_latency` | the service rate of each backend, the arrival rate |
+//! | `optimal_split`, `candidates` | the weight with which a backend is picked |
 //! | `pick` | which backend an attempt goes to |
-//! | `subset` | which backends this proxy gets to know and uses first |
-//! | `slow_start` | what a backend may be sent while it warms up |
+//! | `subset` | which backends this proxy learns about and which it prefers |
+//! | `slow_start` | how many attempts a backend may be sent during slow start |
 //! | `outlier_detector` | which backends are ejected |
 //! | `concurrency_limiter` | how many attempts may be in flight |
-//! | `admission_queue`, `admission_rate` | which request is next, and when it is admitted |
-//! | `retry_policy` | whether a retry is paid for, when an attempt is overdue |
-//! | `legality` | whether an attempt or a rejection keeps the protocol rules |
+//! | `admission_queue`, `admission_rate` | which queued request is next, and when it is admitted |
+//! | `retry_policy` | whether the budget covers a retry, when an attempt is overdue |
+//! | `legality` | whether the protocol rules allow an attempt or a rejection |
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/balancer/src/request_table.rs
+++ b/crates/balancer/src/request_table.rs
@@ -1,5 +1,4 @@
-//! Requests that have no final answer yet, or have attempts in flight, and what was attempted for
-//! them.
+//! Requests without a final answer or with attempts in flight, and their attempts.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +17,12 @@
 }
 
 impl Attempt {
-    /// Whether it was, or may still be, executed.
+    /// Whether the backend may have executed it or may still do so.
     fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.not_executed())
     }
 
-    /// Whether nothing of it was ever written to a backend.
+    /// Whether no byte of it was written to a backend.
     fn is_unwritten(&self) -> bool {
         matches!(
             self.outcome,
@@ -32,21 +31,21 @@
     }
 }
 
-/// A request that is not over, or has attempts in flight.
+/// A request that has no final answer yet, or has attempts in flight.
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     /// When its client stops waiting.
     pub(crate) deadline: Nanos,
-    /// An answer later than this has lost weight.
+    /// When the latency objective of this request ends. A later answer has less weight, or none.
     pub(crate) objective_at: Nanos,
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it has its final answer, or nobody waits for one.
+    /// Whether it has its final answer, or its client has disconnected.
     pub(crate) finished: bool,
     /// Whether its answer has begun to be streamed.
     pub(crate) streaming: bool,
-    /// Place in the admission queue.
+    /// Position in the admission queue.
     pub(crate) position: QueuePosition,
-    /// What its admission costs.
+    /// Tokens that must be available before it is admitted.
     pub(crate) admission_cost: AdmissionCost,
 }
 
@@ -56,7 +55,7 @@
         usize::from(self.request.class.0)
     }
 
-    /// How many attempts are in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -64,14 +63,14 @@
             .count()
     }
 
-    /// Attempts that were, or may still be, executed.
+    /// Attempts that a backend may have executed or may still execute.
     pub(crate) fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
             .filter(|attempt| attempt.may_have_executed())
     }
 
-    /// Whether any attempt was, or may still be, executed.
+    /// Whether a backend may have executed any attempt or may still do so.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.possibly_executed().next().is_some()
     }
@@ -96,32 +95,32 @@
 }
 
 impl RequestTable {
-    /// Whether a request of this id is pending.
+    /// Whether a request with this id is pending.
     pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// Adds a request.
+    /// Adds a request, which replaces one with the same id.
     pub(crate) fn insert(&mut self, pending: PendingRequest) {
         self.requests.insert(pending.request.id, pending);
     }
 
-    /// A pending request.
+    /// The pending request with this id.
     pub(crate) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A pending request, to be changed.
+    /// The pending request with this id, for changes.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Forgets a request.
+    /// Removes a request; does nothing if it is not pending.
     pub(crate) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 
-    /// How many requests are pending.
+    /// Number of pending requests.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -1,54 +1,53 @@
-//! Retries: the budget that they draw on, and when an attempt is overdue.
+//! Retries: the retry budget, and when an attempt is overdue.
 //!
-//! Each first attempt pays for a part of a retry, so that retries stay a bounded fraction of the
-//! load however many attempts fail (a retry budget). Attempts that prove to be lost are cancelled
-//! and retried out of the same budget. It never decides whether a repeat is legal; see
-//! [`legality`](crate::legality).
+//! Each first attempt adds a fraction of a retry to the budget, so that retries stay a bounded
+//! fraction of the load however many attempts fail. Overdue attempts are cancelled and retried from
+//! the same budget. Whether another attempt is legal is decided by [`legality`](crate::legality).
 
 use crate::ids::Nanos;
 use crate::timescale::SECOND;
 
-/// Retries that a first attempt pays for.
+/// Retries that each first attempt adds to the budget.
 const RETRY_RATIO: f64 = 0.2;
 
-/// Most retries that are saved up.
+/// Maximum number of retries in the budget.
 const MAX_TOKENS: f64 = 10.0;
 
-/// Multiple of its expected latency after which an attempt is overdue.
+/// An attempt is overdue after this multiple of its expected latency.
 pub(crate) const OVERDUE_MULTIPLE: f64 = 8.0;
 
-/// Fraction of the latency objective that an attempt has at least before it is overdue.
+/// Minimum time before an attempt is overdue, as a fraction of the latency objective.
 const MIN_OVERDUE_FRACTION: f64 = 0.25;
 
 /// The retry budget of this proxy.
 #[derive(Default)]
 pub(crate) struct RetryPolicy {
-    /// Retries that are paid for.
+    /// Retries that the budget still allows.
     tokens: f64,
 }
 
 impl RetryPolicy {
-    /// A first attempt was sent: it pays into the budget.
+    /// Adds to the budget for a first attempt that was sent.
     pub(crate) fn on_first_attempt(&mut self) {
         self.tokens = (self.tokens + RETRY_RATIO).min(MAX_TOKENS);
     }
 
-    /// Whether a retry is paid for.
+    /// Whether the budget allows a retry.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Spends one retry.
+    /// Takes one retry from the budget.
     pub(crate) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// How long an attempt may take before it counts as lost: [`OVERDUE_MULTIPLE`] times what it is
-/// expected to take, and a part of its latency objective at least.
+/// Time after which an attempt is overdue: [`OVERDUE_MULTIPLE`] times its expected latency, but at
+/// least [`MIN_OVERDUE_FRACTION`] of its latency objective.
 ///
-/// `mean_latency` is that of its class in seconds, `work_hint` the work that the request itself
-/// announces.
+/// `mean_latency` is the mean latency of its class in seconds, `work_hint` the expected work that
+/// the request announces.
 pub(crate) fn overdue_after(
     mean_latency: f64,
     work_hint: Option<Nanos>,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,13 +1,13 @@
-//! What a balancer is configured with: classes of requests, tenants, limits and protocol rules.
+//! Settings of a balancer: classes of requests, tenants, limits and protocol rules.
 
 use thiserror::Error;
 
 use crate::ids::{Nanos, ZoneId};
 
-/// The backends among which a repeated idempotency key is recognised and the repeat dropped.
+/// The backends that recognise a repeated idempotency key and drop the repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every backend.
+    /// All backends.
     Global,
     /// The backends of one zone.
     Zone,
@@ -15,28 +15,29 @@
     Cell,
 }
 
-/// What it means to execute a request more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it again is harmless.
+    /// A second execution is harmless.
     #[default]
     Idempotent,
-    /// Requests carry an idempotency key: repeats are dropped within `scope`, for `window` after
+    /// Requests carry an idempotency key. Repeats are dropped within `scope`, for `window` after
     /// the first attempt was sent.
     IdempotencyKey {
-        /// The backends that share the keys they have seen.
+        /// Backends that share the keys they have seen.
         scope: DeduplicationScope,
-        /// How long a key is remembered.
+        /// How long the backends remember a key.
         window: Nanos,
     },
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a retry by the client is harmless, so that the request may be rejected:
-    /// `may_have_executed` tells whether any attempt was, or may still be, executed. The client may
-    /// reach any backend, so a key helps only where all of them share the keys they have seen.
+    /// Whether a retry by the client is harmless, so that the request may be rejected.
+    /// `may_have_executed` tells whether any attempt was, or may still be, executed. As the client
+    /// may reach any backend with its retry, an idempotency key helps only if all backends share
+    /// the keys they have seen.
     pub fn allows_rejection(self, may_have_executed: bool) -> bool {
         match self {
             Idempotency::Idempotent
@@ -52,67 +53,77 @@
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// An answer within this time has its full weight.
+    /// Time within which an answer has its full weight; above 0.
     pub latency_objective: Nanos,
-    /// The objective grows by this multiple of the request's own expected work.
+    /// Multiple of the expected work of a request
+    /// ([`Request::work_hint`](crate::Request::work_hint)) that is added to its latency objective.
+    /// Negative values count as 0.
     pub latency_objective_per_unit_of_work: f64,
-    /// How long a client waits for an answer in all, its own retries included.
+    /// Total time that a client waits for an answer, over all of its own retries; above 0.
     pub client_timeout: Nanos,
-    /// Weight of one answered request, or of one unit of its work.
+    /// Weight of one answered request, or of one unit of its work if
+    /// [`Settings::weight_per_unit_of_work`] is set; 0 or more.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the latency objective still has.
+    /// Fraction of the weight that remains for an answer after the latency objective, from 0 to 1.
     pub late_priority_weight: f64,
-    /// What executing a request twice means.
+    /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// Answers are streamed.
+    /// Whether answers are streamed.
     pub streamed: bool,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all proxies.
+    /// Quota of the tenant: requests a second over all proxies.
     pub quota_per_second: f64,
 }
 
-/// What the site permits.
+/// What the operator of a site permits.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, the first one included.
     pub max_attempts: u32,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
     /// Whether backends may be sent health checks.
     pub health_checks: bool,
-    /// Longest `Retry-After` that clients heed; 0 where they heed none.
+    /// Longest `Retry-After` that clients respect; 0 if they ignore it.
     pub max_retry_after: Nanos,
-    /// Fraction of its client's timeout after which a request that no backend has seen is rejected.
+    /// Fraction of its client timeout after which a request that was never written to a backend is
+    /// rejected.
     pub never_attempted_timeout_fraction: f64,
 }
 
-/// The figures of the four protocol rules.
+/// Parameters of the four protocol rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A final answer may come this much after the client's timeout.
+    /// How long after the client timeout a final answer may still be given.
     pub answer_slack: Nanos,
-    /// Attempts to a backend must stop within this time of the notice that it drains or is removed.
+    /// Attempts to a backend must stop within this time after the notice that it is draining or
+    /// removed.
     pub drain_grace: Nanos,
-    /// Idle connections to a draining backend must be closed within this time of the notice or, if
-    /// later, of the last attempt that was sent or ended there; `None`: they may stay open.
+    /// Idle connections to a draining backend must be closed within this time after the notice or,
+    /// if later, after the last attempt that was sent or ended there. `None` if they may stay open;
+    /// otherwise above 0.
     pub drain_close_within: Option<Nanos>,
-    /// Fraction of its capacity that a backend has at least when its process starts.
+    /// Minimum capacity of a backend when its process starts, as a fraction of its full capacity;
+    /// above 0, at most 1.
     pub slow_start_initial_capacity: f64,
     /// Time after which a started backend has its full capacity.
     pub slow_start_duration: Nanos,
-    /// A backend in slow start that gets more than this multiple of its present capacity ...
+    /// A backend in slow start breaks down if it gets more than this multiple of its present
+    /// capacity for [`overload_duration`](Rules::overload_duration); above 0.
     pub overload_multiple: f64,
-    /// ... for this long breaks down.
+    /// How long a backend in slow start withstands more than
+    /// [`overload_multiple`](Rules::overload_multiple) times its present capacity; above 0.
     pub overload_duration: Nanos,
-    /// Where there is no watch, a change counts as notified this long after the last poll.
+    /// Without a watch, a change of the endpoint list counts as notified this long after the last
+    /// poll.
     pub poll_interval: Nanos,
 }
 
-/// The configuration of one balancer.
+/// The settings of one balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Classes of requests.
@@ -125,22 +136,22 @@
     pub proxy_index: u32,
     /// Number of proxies in front of the same backends, this one included.
     pub proxy_count: u32,
-    /// Whether the endpoint list is polled; otherwise it is pushed.
+    /// Whether the endpoint list is polled; otherwise changes are pushed.
     pub poll_endpoints: bool,
-    /// Shortest time between two events at different times.
+    /// Minimum time between two events at different times; above 0.
     pub tick: Nanos,
-    /// Weight of what a tenant sends beyond its quota, as a fraction of the usual.
+    /// Fraction of its weight that a request beyond the quota of its tenant keeps.
     pub over_quota_weight: f64,
-    /// Whether weights count by unit of work instead of by request.
+    /// Whether weights count by unit of work rather than by request.
     pub weight_per_unit_of_work: bool,
-    /// Cost of an attempt that crosses zones, in weights of a mean request.
+    /// Cost of an attempt in another zone, in units of the weight of a mean request.
     pub cross_zone_cost: f64,
-    /// Weight of the tail in the site's goal: above 0, a miss costs more than its weight, and a
-    /// rejection within the latency objective is no miss.
+    /// Weight of the latency tail in the goal of the site; 0 or more. Above 0, a miss costs more
+    /// than the weight of its request, and a rejection within the latency objective is not a miss.
     pub tail_weight: f64,
-    /// What the site permits.
+    /// Limits that the operator of the site sets.
     pub limits: Limits,
-    /// Figures of the protocol rules.
+    /// Parameters of the protocol rules.
     pub rules: Rules,
 }
 
@@ -180,11 +191,11 @@
 }
 
 impl Settings {
-    /// Checks that every figure makes sense.
+    /// Checks the values of the settings.
     ///
     /// # Errors
     ///
-    /// Names the first setting that does not.
+    /// Returns the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         let failed = self.checks().into_iter().find(|check| !check.holds);
         failed.map_or(Ok(()), |Check { key, reason, .. }| {
@@ -250,12 +261,12 @@
     }
 }
 
-/// A setting that makes no sense.
+/// A setting whose value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("setting `{key}`: {reason}")]
 pub struct SettingsError {
     /// Path of the setting within [`Settings`].
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: &'static str,
 }
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Builders that the unit tests of several modules share.
+//! Builders shared by the unit tests of several modules.
 
 use crate::concurrency_limiter::BackendLoad;
 use crate::endpoint_list::{EndpointList, EndpointRecord};
@@ -22,7 +22,7 @@
     }
 }
 
-/// A backend of which nothing is known but its entry.
+/// The record of a new backend, of which only its entry is known.
 pub(crate) fn record(endpoint: Endpoint) -> EndpointRecord {
     let weights = PickWeights::default();
     EndpointRecord::new(
@@ -33,14 +33,14 @@
     )
 }
 
-/// A list of ready endpoints with the ids from 0 on.
+/// A list of `count` ready endpoints with ids from 0.
 pub(crate) fn endpoints(count: u32) -> EndpointList {
     let mut list = EndpointList::default();
     list.apply(UpdateKind::Full, (0..count).map(endpoint).collect(), record);
     list
 }
 
-/// Settings with one class of a latency objective of 300 ms and a client timeout of 1 s.
+/// Settings with one class, whose latency objective is 300 ms and whose client timeout is 1 s.
 pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 300 * MS,
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -1,10 +1,10 @@
-//! Tasks set for later, and the one timer that is armed for the first of them.
+//! Scheduled tasks, and the single timer that is armed for the earliest of them.
 
 use std::collections::BTreeSet;
 
 use crate::ids::{Nanos, TimerId};
 
-/// Tasks by the time at which they are due. Tasks of one time come in their own order.
+/// Tasks in the order in which they are due. Tasks due at the same time are in the order of `T`.
 #[derive(Debug)]
 pub(crate) struct TimerQueue<T> {
     tasks: BTreeSet<(Nanos, T)>,
@@ -12,7 +12,7 @@
     last_timer_id: u32,
 }
 
-/// A timer and when it is due.
+/// A timer, and when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ArmedTimer {
     pub(crate) at: Nanos,
@@ -30,26 +30,27 @@
 }
 
 impl<T: Ord + Copy> TimerQueue<T> {
-    /// Adds a task; the same one at the same time is kept once.
+    /// Adds a task. The same task at the same time is kept only once.
     pub(crate) fn schedule(&mut self, at: Nanos, task: T) {
         self.tasks.insert((at, task));
     }
 
-    /// How many tasks it holds.
+    /// Number of scheduled tasks.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Takes the first task that is due at `now`.
+    /// Removes and returns the earliest task if it is due at `now`.
     pub(crate) fn pop_due(&mut self, now: Nanos) -> Option<T> {
         let first = self.tasks.first().copied().filter(|(at, _)| *at <= now)?;
         self.tasks.remove(&first);
         Some(first.1)
     }
 
-    /// The timer to be set, if the first task comes before the timer that is armed. A timer that
-    /// was set before is superseded and never needs to be cancelled.
+    /// Arms a timer for the earliest task and returns it. `None` if there is no task, or if the
+    /// armed timer is due no later. The timer armed before is superseded and never needs to be
+    /// cancelled.
     pub(crate) fn arm(&mut self) -> Option<ArmedTimer> {
         let at = self.tasks.first()?.0;
         if self.armed.is_some_and(|armed| armed.at <= at) {
@@ -63,8 +64,8 @@
         self.armed
     }
 
-    /// A timer has fired. It is known by its number and not by its time, as a caller whose clock
-    /// rounds may fire it early.
+    /// Handles a timer that has fired; a superseded one is ignored. The timer is identified by its
+    /// id rather than its time, because a caller whose clock rounds may fire it early.
     pub(crate) fn fired(&mut self, timer: TimerId) {
         self.armed = self.armed.filter(|armed| armed.timer != timer);
     }
