--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -92,7 +92,7 @@
     /// Nothing; the peer may still send.
     Nothing,
     /// An end or a reset.
-    End,
+    Closed,
     /// The kernel could not say.
     Unknown,
 }
@@ -102,12 +102,12 @@
     loop {
         return match rustix::net::recv(socket, &mut [0], RecvFlags::PEEK) {
             Ok((1.., _)) => Unread::Bytes,
-            Ok(_) => Unread::End,
+            Ok(_) => Unread::Closed,
             Err(error) => match errno::of_transfer(error) {
                 ErrorClass::RetryNow => continue,
                 ErrorClass::WouldBlock => Unread::Nothing,
                 ErrorClass::RetryLater => Unread::Unknown,
-                _ => Unread::End,
+                _ => Unread::Closed,
             },
         };
     }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -144,10 +144,10 @@
         self.attempt.take()
     }
 
-    /// It is idle from now on, and can be used again until `until`.
-    pub fn set_idle(&mut self, until: Nanos) {
+    /// It is idle from now on, and can be used again until `reusable_until`.
+    pub fn set_idle(&mut self, reusable_until: Nanos) {
         self.state = UpstreamState::Idle;
-        self.limits.abandon_at = until;
+        self.limits.abandon_at = reusable_until;
     }
 
     /// Takes it out of the pool for another attempt, if it is not too old.
@@ -176,15 +176,15 @@
 
     /// Whether its attempt waits for an update of the endpoint list to be read. It waits once, as
     /// discovery may never stop talking.
-    pub fn wait_for_discovery(&mut self) -> bool {
+    pub fn begin_discovery_wait(&mut self) -> bool {
         !std::mem::replace(&mut self.waited_for_discovery, true)
     }
 
     /// How its attempt ends if the connection is closed now: what is not written completely was not
-    /// executed, otherwise it ends as `written`.
-    pub fn outcome_if_closed(&self, written: Outcome) -> Outcome {
+    /// executed, otherwise it ends as `outcome_if_written`.
+    pub fn outcome_if_closed(&self, outcome_if_written: Outcome) -> Outcome {
         if self.state == UpstreamState::Waiting {
-            written
+            outcome_if_written
         } else {
             Outcome::ConnectFailed
         }
@@ -211,13 +211,13 @@
         if self.state == UpstreamState::Connected {
             return Progress::Connected;
         }
-        let written = self.write();
+        let write_outcome = self.write();
         // A backend that rejects a request may answer and close before it has read all of it.
         match self.read() {
-            Progress::Pending if written == WriteOutcome::Broken => {
+            Progress::Pending if write_outcome == WriteOutcome::Broken => {
                 Progress::Failed(Outcome::ConnectFailed)
             }
-            Progress::Pending if written == WriteOutcome::RetryLater => Progress::RetryLater,
+            Progress::Pending if write_outcome == WriteOutcome::RetryLater => Progress::RetryLater,
             other => other,
         }
     }
@@ -226,16 +226,16 @@
         if self.state != UpstreamState::Sending {
             return WriteOutcome::Done;
         }
-        let written = self.outbox.write_to(&self.socket);
+        let write_outcome = self.outbox.write_to(&self.socket);
         if self.outbox.is_empty() {
             self.state = UpstreamState::Waiting;
         }
-        written
+        write_outcome
     }
 
     fn read(&mut self) -> Progress {
         loop {
-            let is_ended = match self.inbox.read_from(&self.socket) {
+            let is_end_of_stream = match self.inbox.read_from(&self.socket) {
                 ReadOutcome::Data if self.state == UpstreamState::Idle => {
                     return Progress::Stale(Reuse::UnexpectedBytes);
                 }
@@ -252,29 +252,29 @@
                 return Progress::Failed(self.outcome_if_closed(Outcome::Reset));
             };
             self.inbox.consume(used);
-            if is_ended && !self.parser.end_of_input() {
+            if is_end_of_stream && !self.parser.end_of_input() {
                 return self.closed_by_peer();
             }
             if let Some((head, body)) = self.parser.take_message() {
-                return self.complete(head, body, is_ended);
+                return self.complete(head, body, is_end_of_stream);
             }
         }
     }
 
-    /// A complete answer has come; `is_ended`: with the end of the connection.
-    fn complete(&mut self, head: Head, body: Body, is_ended: bool) -> Progress {
+    /// A complete answer has come; `is_end_of_stream`: with the end of the connection.
+    fn complete(&mut self, head: Head, body: Body, is_end_of_stream: bool) -> Progress {
         let is_sent = self.state == UpstreamState::Waiting;
         // It can't be the answer to what is not sent yet, whoever's it is.
         if !is_sent && outcome(&head) == Outcome::Success {
             return Progress::Failed(Outcome::ConnectFailed);
         }
         // What comes behind an answer would be taken for the next one.
-        let behind = if is_ended {
+        let following_read = if is_end_of_stream {
             ReadOutcome::EndOfStream
         } else {
             self.inbox.read_from(&self.socket)
         };
-        let reuse = match behind {
+        let reuse = match following_read {
             _ if !self.inbox.is_empty() => Reuse::UnexpectedBytes,
             ReadOutcome::WouldBlock if head.keep_alive && is_sent => Reuse::Yes,
             _ => Reuse::No,
@@ -295,7 +295,7 @@
         match net::unread(&self.socket) {
             Unread::Nothing => Reuse::Yes,
             Unread::Bytes => Reuse::UnexpectedBytes,
-            Unread::End | Unread::Unknown => Reuse::No,
+            Unread::Closed | Unread::Unknown => Reuse::No,
         }
     }
 
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 
 /// Once some backend has sent more than was requested, connections are suspect for this long, in
 /// nanoseconds ...
-const SUSPICION_PERIOD: Nanos = 60 * SECOND;
+const DELAYED_REUSE_PERIOD: Nanos = 60 * SECOND;
 /// ... and a connection carries no other request for this long after an answer, in nanoseconds: a
 /// second answer that comes some milliseconds late would be taken for the next request's. Not
 /// always, as it costs connections.
@@ -17,44 +17,44 @@
 
 struct IdleConnection {
     number: u32,
-    since: Nanos,
+    idle_since: Nanos,
 }
 
 /// The idle connections of each backend, by their numbers, the newest last.
 #[derive(Default)]
 pub struct Pool {
     idle: BTreeMap<BackendId, Vec<IdleConnection>>,
-    suspect_until: Nanos,
+    delay_reuse_until: Nanos,
 }
 
 impl Pool {
     /// Adds a connection that is idle from now on.
     pub fn put(&mut self, backend: BackendId, number: u32, now: Nanos) {
-        self.idle
-            .entry(backend)
-            .or_default()
-            .push(IdleConnection { number, since: now });
+        self.idle.entry(backend).or_default().push(IdleConnection {
+            number,
+            idle_since: now,
+        });
     }
 
     /// Takes note of what a connection has shown of its backend.
-    pub fn note(&mut self, reuse: Reuse, now: Nanos) {
+    pub fn record_reuse(&mut self, reuse: Reuse, now: Nanos) {
         if reuse == Reuse::UnexpectedBytes {
-            self.suspect_until = now.saturating_add(SUSPICION_PERIOD);
+            self.delay_reuse_until = now.saturating_add(DELAYED_REUSE_PERIOD);
         }
     }
 
     /// Takes the newest connection to a backend that may be used: the older ones get to age out.
     pub fn take(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
-        let delay = if now < self.suspect_until {
+        let delay = if now < self.delay_reuse_until {
             REUSE_DELAY
         } else {
             0
         };
         let idle = self.idle.get_mut(&backend)?;
-        let place = idle
+        let position = idle
             .iter()
-            .rposition(|connection| now >= connection.since.saturating_add(delay))?;
-        Some(idle.remove(place).number)
+            .rposition(|connection| now >= connection.idle_since.saturating_add(delay))?;
+        Some(idle.remove(position).number)
     }
 
     /// Removes a connection, if it is idle.
@@ -79,7 +79,7 @@
 
     /// Takes some idle connection: the oldest to the backend with the most.
     pub fn evict(&mut self) -> Option<u32> {
-        let most = self.idle.values_mut().max_by_key(|idle| idle.len())?;
-        (!most.is_empty()).then(|| most.remove(0).number)
+        let largest = self.idle.values_mut().max_by_key(|idle| idle.len())?;
+        (!largest.is_empty()).then(|| largest.remove(0).number)
     }
 }
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -114,7 +114,7 @@
                 continue;
             };
             let reuse = connection.check_reuse();
-            self.pool.note(reuse, now);
+            self.pool.record_reuse(reuse, now);
             if reuse == Reuse::Yes && connection.leave_pool(now) {
                 return Some(number);
             }
@@ -171,11 +171,11 @@
         let connect_by = self.connect_by(limits, event_loop.now());
         if let Some(connection) = self.table.get_mut(number) {
             connection.assign(attempt, limits);
-            let until = match connection.state() {
+            let deadline = match connection.state() {
                 UpstreamState::Connecting => connect_by,
                 _ => limits.write_deadline(),
             };
-            connection.set_deadline(until, number, event_loop);
+            connection.set_deadline(deadline, number, event_loop);
         }
     }
 
@@ -184,12 +184,12 @@
         let Some(connection) = self.table.get_mut(number) else {
             return false;
         };
-        if !connection.wait_for_discovery() {
+        if !connection.begin_discovery_wait() {
             return false;
         }
         // It is established, so the time for that no longer counts.
-        let until = connection.limits().write_deadline();
-        connection.set_deadline(until, number, event_loop);
+        let deadline = connection.limits().write_deadline();
+        connection.set_deadline(deadline, number, event_loop);
         connection.pause(number, event_loop);
         true
     }
@@ -206,7 +206,7 @@
         if connection.is_overdue(event_loop.now()) {
             return Some(UpstreamEvent::Failed(Outcome::ConnectFailed));
         }
-        let before = connection.state();
+        let previous_state = connection.state();
         match connection.advance(is_ready) {
             Progress::Connected => Some(UpstreamEvent::Connected),
             Progress::Answered(answer) => Some(UpstreamEvent::Answered(answer)),
@@ -216,18 +216,18 @@
                 None
             }
             Progress::Pending => {
-                if connection.state() != before {
-                    let until = match connection.state() {
+                if connection.state() != previous_state {
+                    let deadline = match connection.state() {
                         UpstreamState::Waiting => connection.limits().abandon_at,
                         _ => connection.limits().write_deadline(),
                     };
-                    connection.set_deadline(until, number, event_loop);
+                    connection.set_deadline(deadline, number, event_loop);
                 }
                 self.register(number, event_loop, diagnostics)
             }
             Progress::Stale(reuse) => {
                 let backend = connection.backend();
-                self.pool.note(reuse, event_loop.now());
+                self.pool.record_reuse(reuse, event_loop.now());
                 self.pool.remove(backend, number);
                 self.table.remove(number);
                 None
@@ -267,11 +267,11 @@
         let now = event_loop.now();
         let connection = self.table.get_mut(number)?;
         let attempt = connection.take_attempt();
-        self.pool.note(reuse, now);
+        self.pool.record_reuse(reuse, now);
         if reuse == Reuse::Yes && is_backend_ready {
-            let until = now.saturating_add(self.idle_timeout);
-            connection.set_idle(until);
-            connection.set_deadline(until, number, event_loop);
+            let reusable_until = now.saturating_add(self.idle_timeout);
+            connection.set_idle(reusable_until);
+            connection.set_deadline(reusable_until, number, event_loop);
             self.pool.put(connection.backend(), number, now);
         } else {
             self.table.remove(number);
