--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -15,9 +15,9 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 /// The backoff is at most this part of the grace for draining backends: a node without a watch must
 /// be back on it well within that grace.
-const BACKOFF_PART_OF_GRACE: Nanos = 4;
+const BACKOFF_GRACE_DIVISOR: Nanos = 4;
 /// The same for the time in which a connection must be established.
-const CONNECT_PART_OF_GRACE: Nanos = 2;
+const CONNECT_GRACE_DIVISOR: Nanos = 2;
 
 /// How the endpoint list is kept up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
         match self {
             DiscoveryMode::Polled => CONNECT_TIMEOUT,
             DiscoveryMode::Pushed { drain_grace } => {
-                (drain_grace / CONNECT_PART_OF_GRACE).clamp(MIN_BACKOFF, CONNECT_TIMEOUT)
+                (drain_grace / CONNECT_GRACE_DIVISOR).clamp(MIN_BACKOFF, CONNECT_TIMEOUT)
             }
         }
     }
@@ -90,14 +90,14 @@
     /// Counts a failed call; how long to wait after it where lists are pushed, in nanoseconds. The
     /// agent is this node's own, no crowd of others calls it: so the first retry is immediate, then
     /// the backoff doubles.
-    pub fn next_wait(&mut self, drain_grace: Nanos) -> Nanos {
-        let failed_before = self.failed_calls;
+    pub fn next_delay(&mut self, drain_grace: Nanos) -> Nanos {
+        let previous_failures = self.failed_calls;
         self.failed_calls += 1;
-        if failed_before == 0 {
+        if previous_failures == 0 {
             return 0;
         }
-        let longest = (drain_grace / BACKOFF_PART_OF_GRACE).clamp(MIN_BACKOFF, MAX_BACKOFF);
-        longest.min(MIN_BACKOFF << failed_before.min(MAX_BACKOFF_DOUBLINGS))
+        let max_delay = (drain_grace / BACKOFF_GRACE_DIVISOR).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        max_delay.min(MIN_BACKOFF << previous_failures.min(MAX_BACKOFF_DOUBLINGS))
     }
 }
 
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -22,20 +22,20 @@
 /// A call silent for this long, in nanoseconds, is cut off: a watch says something every 2 s, a
 /// call is answered or rejected within 3 s, and TCP would not tell. Short enough that what was
 /// missed is requested again within the 6 s after which it counts as notified.
-const SILENCE_TIMEOUT: Nanos = 4_200 * MS;
+const IDLE_TIMEOUT: Nanos = 4_200 * MS;
 /// The same for a watch that has spoken before: it says something every 2 s, and its successor may
 /// at first be rejected, which takes up to 3 s more.
-const WATCH_SILENCE_TIMEOUT: Nanos = 3_200 * MS;
+const WATCH_IDLE_TIMEOUT: Nanos = 3_200 * MS;
 /// An object or a list is complete within this time, in nanoseconds, or its sender only trickles:
 /// such a call is as good as silent, and what it withholds counts as notified 6 s after it was due.
-const OBJECT_TIMEOUT: Nanos = SILENCE_TIMEOUT;
+const OBJECT_TIMEOUT: Nanos = IDLE_TIMEOUT;
 /// Longest object or list that is read, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 /// Reads of one call in a loop iteration: enough for the longest list, while a sender without end
 /// can't hold the loop.
 const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
 /// Capacity for the request of a call, in bytes.
-const REQUEST_BYTES: usize = 4096;
+const OUTBOX_BYTES: usize = 4096;
 /// Capacity for what is read at a time, in bytes.
 const INBOX_BYTES: usize = 64 * 1024;
 
@@ -62,7 +62,7 @@
     Disconnected,
     /// The head of the answer is too long.
     #[error("a head without end")]
-    EndlessHead,
+    HeadTooLong,
     /// The answer is no HTTP.
     #[error("{0:?} answer")]
     Malformed(ParseError),
@@ -74,7 +74,7 @@
     WatchEnded,
     /// The answer has no body.
     #[error("no answer")]
-    NoBody,
+    IncompleteResponse,
     /// The answer is no endpoint list.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
@@ -129,7 +129,7 @@
     opened_at: Nanos,
     /// When it was opened, or had its last complete object or empty line.
     last_object_at: Nanos,
-    has_spoken: bool,
+    has_received_data: bool,
     deadline: Deadline,
     registration: Registration,
 }
@@ -148,10 +148,10 @@
             CallKind::Watch => format!("?watch=1&after={revision}"),
             CallKind::Poll => String::new(),
         };
-        let first = format!("GET /catalog/members{query} HTTP/1.1");
-        let mut outbox = RingBuffer::new(REQUEST_BYTES);
+        let request_line = format!("GET /catalog/members{query} HTTP/1.1");
+        let mut outbox = RingBuffer::new(OUTBOX_BYTES);
         let is_queued = outbox.push(&http1::write(
-            &first,
+            &request_line,
             [("host", host.to_string().as_str())],
             None,
         ));
@@ -168,7 +168,7 @@
             last_byte_at: now,
             opened_at: now,
             last_object_at: now,
-            has_spoken: false,
+            has_received_data: false,
             deadline: Deadline::new(),
             registration: Registration::default(),
         }
@@ -229,9 +229,9 @@
     }
 
     /// Moves its time limit to when it counts as silent, once its request is written.
-    pub fn set_silence_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
+    pub fn set_receive_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
         if self.outbox.is_empty() {
-            self.set_deadline(self.time_limit(), number, event_loop);
+            self.set_deadline(self.receive_deadline(), number, event_loop);
         }
     }
 
@@ -241,13 +241,13 @@
     }
 
     /// When it counts as silent.
-    fn time_limit(&self) -> Nanos {
-        let silence = if self.has_spoken {
-            WATCH_SILENCE_TIMEOUT
+    fn receive_deadline(&self) -> Nanos {
+        let idle_timeout = if self.has_received_data {
+            WATCH_IDLE_TIMEOUT
         } else {
-            SILENCE_TIMEOUT
+            IDLE_TIMEOUT
         };
-        (self.last_byte_at + silence).min(self.last_object_at + OBJECT_TIMEOUT)
+        (self.last_byte_at + idle_timeout).min(self.last_object_at + OBJECT_TIMEOUT)
     }
 
     /// Writes what is left of its request. A connection that could not be established shows when it
@@ -287,7 +287,7 @@
                 ReadOutcome::EndOfStream | ReadOutcome::Broken => {
                     progress.end = Some(self.end_of_stream(&mut progress));
                 }
-                ReadOutcome::BufferFull => progress.end = Some(CallEnd::EndlessHead),
+                ReadOutcome::BufferFull => progress.end = Some(CallEnd::HeadTooLong),
             }
         }
         progress
@@ -328,7 +328,7 @@
         while let Some(end) = self.scanner.find_end(&self.parser.body) {
             let line = self.parser.body.split_front(end);
             self.last_object_at = self.last_byte_at;
-            self.has_spoken = true;
+            self.has_received_data = true;
             progress.spoke = true;
             if !line.trim_ascii().is_empty() {
                 progress.updates.push(EndpointUpdate::parse(&line)?);
@@ -342,7 +342,10 @@
         if self.kind == CallKind::Watch {
             return Err(CallEnd::WatchEnded);
         }
-        let (_, body) = self.parser.take_message().ok_or(CallEnd::NoBody)?;
+        let (_, body) = self
+            .parser
+            .take_message()
+            .ok_or(CallEnd::IncompleteResponse)?;
         progress.updates.push(EndpointUpdate::parse(&body)?);
         progress.spoke = true;
         Ok(())
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -22,14 +22,14 @@
 /// Calls that are open at a time at most: a watch, a poll, and their successors after a reload.
 const MAX_CALLS: usize = 4;
 /// A call that this machine could not start for a moment is made after this, in nanoseconds.
-const CALL_RETRY: Nanos = 20 * MS;
+const CALL_RETRY_DELAY: Nanos = 20 * MS;
 /// A watch that has lasted for this long, in nanoseconds, ends a row of failures; one that ends at
 /// once must not be opened again without a pause.
-const STEADY_WATCH: Nanos = SECOND;
+const STABLE_WATCH_DURATION: Nanos = SECOND;
 /// A node that has heard nothing of discovery for this long after its start, in nanoseconds, serves
 /// from the cached list: an old list is better than no service where discovery stays away.
 /// Operators expect a node to be ready within 10 s.
-const STALE_LIST_AFTER: Nanos = 9 * SECOND;
+const FIRST_UPDATE_TIMEOUT: Nanos = 9 * SECOND;
 
 /// Whether discovery has spoken since the start of the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -130,7 +130,7 @@
             return FailureNotice::Handled;
         }
         event_loop.schedule(
-            event_loop.now() + STALE_LIST_AFTER,
+            event_loop.now() + FIRST_UPDATE_TIMEOUT,
             TimerEvent::ServeStaleList,
         );
         self.open_call(CallKind::Watch, event_loop, diagnostics)
@@ -166,14 +166,14 @@
     }
 
     /// The decision module wants a watch, or none.
-    pub fn change_watch(&mut self, on: bool) -> WatchChange {
+    pub fn change_watch(&mut self, should_be_open: bool) -> WatchChange {
         self.backoff.end();
         let open = self.open_watch();
-        if on && open.is_none() {
+        if should_be_open && open.is_none() {
             return WatchChange::Open;
         }
         // One is open already where a new configuration came before the end of a backoff.
-        if !on && let Some(number) = open {
+        if !should_be_open && let Some(number) = open {
             self.calls.remove(number);
         }
         WatchChange::Unchanged(EndpointUpdate {
@@ -229,7 +229,7 @@
         // long.
         diagnostics.log(now, "call-postponed", error);
         event_loop.schedule(
-            now + CALL_RETRY,
+            now + CALL_RETRY_DELAY,
             match kind {
                 CallKind::Watch => TimerEvent::RetryDiscoveryWatch,
                 CallKind::Poll => TimerEvent::RetryDiscoveryPoll,
@@ -252,21 +252,21 @@
     /// Counts and logs a failed call, and schedules the next one where lists are pushed.
     pub fn call_failed(
         &mut self,
-        why: impl std::fmt::Display,
+        reason: impl std::fmt::Display,
         event_loop: &mut EventLoop,
         diagnostics: &mut Diagnostics,
     ) -> FailureNotice {
         let now = event_loop.now();
-        diagnostics.trace(now, format_args!("call-failed why={why}"));
-        diagnostics.log(now, "discovery-failed", why);
+        diagnostics.trace(now, format_args!("call-failed why={reason}"));
+        diagnostics.log(now, "discovery-failed", reason);
         if !self.backoff.begin() {
             return FailureNotice::Handled;
         }
         match self.mode {
             DiscoveryMode::Polled => FailureNotice::NotifyBalancer,
             DiscoveryMode::Pushed { drain_grace } => {
-                let wait = self.backoff.next_wait(drain_grace);
-                event_loop.schedule(now + wait, TimerEvent::OpenWatch);
+                let delay = self.backoff.next_delay(drain_grace);
+                event_loop.schedule(now + delay, TimerEvent::OpenWatch);
                 FailureNotice::Handled
             }
         }
@@ -289,7 +289,7 @@
             event_loop.schedule(now + MIN_RETRY, TimerEvent::ResumeDiscoveryCall(number));
         }
         let progress = call.read(now);
-        call.set_silence_deadline(number, event_loop);
+        call.set_receive_deadline(number, event_loop);
         Some(progress)
     }
 
@@ -318,7 +318,7 @@
         }
         if progress.end.is_some()
             && let Some(call) = self.calls.remove(number)
-            && now.saturating_sub(call.opened_at()) > STEADY_WATCH
+            && now.saturating_sub(call.opened_at()) > STABLE_WATCH_DURATION
         {
             self.backoff.reset();
         }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -103,9 +103,9 @@
     ) -> AppliedUpdate {
         let now = observation.now;
         let mut disconnect = Vec::new();
-        let mut endpoints = self.identify(observation, update, freshness);
+        let mut endpoints = self.resolve_entries(observation, update, freshness);
         if freshness == Freshness::Older {
-            self.keep_unready(update, &mut endpoints);
+            self.keep_unready_states(update, &mut endpoints);
         }
         if update.all {
             self.remove_unlisted(now, &endpoints, &mut disconnect);
@@ -124,7 +124,7 @@
     }
 
     /// The entries of an update as the decision module knows them.
-    fn identify(
+    fn resolve_entries(
         &mut self,
         observation: &StartObservation,
         update: &EndpointUpdate,
@@ -137,11 +137,11 @@
         update
             .entries
             .iter()
-            .map(|entry| self.identify_entry(observation, entry, freshness))
+            .map(|entry| self.resolve_entry(observation, entry, freshness))
             .collect()
     }
 
-    fn identify_entry(
+    fn resolve_entry(
         &mut self,
         observation: &StartObservation,
         entry: &ListedEndpoint,
@@ -177,7 +177,7 @@
 
     /// An older update makes no backend ready that is known to be draining or removed, unless it
     /// has started again since.
-    fn keep_unready(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
+    fn keep_unready_states(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
             let unready = self
                 .endpoints
@@ -217,7 +217,7 @@
     ) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
             let known = self.endpoints.get(&endpoint.id);
-            let has_moved = known.is_some_and(|known| known.address != entry.address);
+            let has_address_changed = known.is_some_and(|known| known.address != entry.address);
             let boot_ms = match known {
                 Some(known) if !is_new_start(known, entry, freshness) => known.boot_ms,
                 _ => entry.boot_ms,
@@ -232,7 +232,7 @@
                     last_update_at: now,
                 },
             );
-            if has_moved || endpoint.state != EndpointState::Ready {
+            if has_address_changed || endpoint.state != EndpointState::Ready {
                 disconnect.push(endpoint.id);
             }
         }
--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -16,7 +16,7 @@
     EndpointUpdate::parse(text.as_bytes()).unwrap()
 }
 
-fn at(now: Nanos) -> StartObservation {
+fn observation_at(now: Nanos) -> StartObservation {
     StartObservation {
         now,
         wall_now_ms: 0,
@@ -25,7 +25,7 @@
     }
 }
 
-fn ids(event: Event) -> Vec<u32> {
+fn backend_ids(event: Event) -> Vec<u32> {
     let Event::EndpointUpdate {
         endpoints: backends,
         ..
@@ -37,46 +37,50 @@
 }
 
 #[test]
-fn a_uid_keeps_its_number_and_connections_end_where_a_backend_leaves_or_moves() {
+fn uid_keeps_its_id_and_draining_or_moved_backends_are_disconnected() {
     let mut endpoint_list = EndpointList::new(vec![], vec![]);
     let applied = endpoint_list.apply(
-        &at(0),
+        &observation_at(0),
         &update(
             true,
             &[("a", 1, "Ready"), ("b", 2, "Ready"), ("c", 3, "Ready")],
         ),
         Freshness::Cached,
     );
-    let (event, ends) = (applied.event, applied.disconnect);
-    assert_eq!((ids(event), ends), (vec![0, 1, 2], vec![]));
+    let (event, disconnect) = (applied.event, applied.disconnect);
+    assert_eq!((backend_ids(event), disconnect), (vec![0, 1, 2], vec![]));
     let applied = endpoint_list.apply(
-        &at(0),
+        &observation_at(0),
         &update(false, &[("b", 9, "Ready"), ("c", 3, "Terminating")]),
         Freshness::Current,
     );
-    let (event, ends) = (applied.event, applied.disconnect);
+    let (event, disconnect) = (applied.event, applied.disconnect);
     assert_eq!(
-        (ids(event), ends),
+        (backend_ids(event), disconnect),
         (vec![1, 2], vec![BackendId(1), BackendId(2)])
     );
     assert_eq!(endpoint_list.ready_address(BackendId(1)).unwrap().port(), 9);
     assert_eq!(endpoint_list.ready_address(BackendId(2)), None);
-    let ends = endpoint_list
+    let disconnect = endpoint_list
         .apply(
-            &at(0),
+            &observation_at(0),
             &update(true, &[("b", 9, "Ready")]),
             Freshness::Current,
         )
         .disconnect;
-    assert!(ends.contains(&BackendId(0)) && endpoint_list.has_ready());
+    assert!(disconnect.contains(&BackendId(0)) && endpoint_list.has_ready());
 }
 
 #[test]
-fn a_uid_has_the_same_mark_at_every_node_whatever_its_number() {
-    let marks = |entries: &[(&str, u16, &str)]| {
+fn endpoint_hash_depends_on_the_uid_and_not_on_the_assigned_id() {
+    let hashes = |entries: &[(&str, u16, &str)]| {
         let mut endpoint_list = EndpointList::new(vec![], vec![]);
         let event = endpoint_list
-            .apply(&at(0), &update(true, entries), Freshness::Cached)
+            .apply(
+                &observation_at(0),
+                &update(true, entries),
+                Freshness::Cached,
+            )
             .event;
         let Event::EndpointUpdate {
             endpoints: backends,
@@ -87,46 +91,51 @@
         };
         backends.iter().map(|b| b.hash).collect::<Vec<_>>()
     };
-    let here = marks(&[("s-1", 1, "Ready"), ("s-2", 2, "Ready")]);
-    let there = marks(&[
+    let first_node = hashes(&[("s-1", 1, "Ready"), ("s-2", 2, "Ready")]);
+    let second_node = hashes(&[
         ("s-0", 3, "Ready"),
         ("s-2", 2, "Ready"),
         ("s-1", 1, "Ready"),
     ]);
-    assert_eq!((here[0], here[1]), (there[2], there[1]));
-    assert!(here[0] != here[1] && !here.contains(&there[0]));
+    assert_eq!(
+        (first_node[0], first_node[1]),
+        (second_node[2], second_node[1])
+    );
+    assert!(first_node[0] != first_node[1] && !first_node.contains(&second_node[0]));
 }
 
 #[test]
-fn a_day_of_new_uids_is_forgotten_again_and_no_number_is_given_twice() {
+fn removed_uids_are_forgotten_and_their_ids_are_not_reused() {
     let mut endpoint_list = EndpointList::new(vec![], vec![]);
-    let mut numbers = Vec::new();
+    let mut assigned_ids = Vec::new();
     for second in 0..1000 {
         let uid = format!("s-{second}");
         let event = endpoint_list
             .apply(
-                &at(second * SECOND),
+                &observation_at(second * SECOND),
                 &update(true, &[(&uid, 1, "Ready")]),
                 Freshness::Current,
             )
             .event;
-        numbers.extend(ids(event));
+        assigned_ids.extend(backend_ids(event));
         assert!(
             endpoint_list.endpoints.len() <= 62
                 && endpoint_list.ids.len() == endpoint_list.endpoints.len()
         );
     }
-    numbers.dedup();
-    assert!(numbers.is_sorted() && numbers.len() == 1000);
+    assigned_ids.dedup();
+    assert!(assigned_ids.is_sorted() && assigned_ids.len() == 1000);
     // One that comes back soon is the same, one that comes back late is new.
-    let mut again = |uid| {
-        ids(endpoint_list
-            .apply(
-                &at(1000 * SECOND),
-                &update(true, &[(uid, 1, "Ready")]),
-                Freshness::Current,
-            )
-            .event)
+    let mut relist = |uid| {
+        backend_ids(
+            endpoint_list
+                .apply(
+                    &observation_at(1000 * SECOND),
+                    &update(true, &[(uid, 1, "Ready")]),
+                    Freshness::Current,
+                )
+                .event,
+        )
     };
-    assert_eq!((again("s-990"), again("s-3")), (vec![990], vec![1000]));
+    assert_eq!((relist("s-990"), relist("s-3")), (vec![990], vec![1000]));
 }
--- a/crates/node/src/discovery/object_scanner.rs
+++ b/crates/node/src/discovery/object_scanner.rs
@@ -7,7 +7,7 @@
     scanned: usize,
     /// Open brackets.
     depth: usize,
-    is_quoted: bool,
+    is_in_string: bool,
     is_escaped: bool,
 }
 
@@ -19,9 +19,9 @@
             self.scanned += 1;
             match byte {
                 _ if std::mem::take(&mut self.is_escaped) => {}
-                b'\\' if self.is_quoted => self.is_escaped = true,
-                b'"' => self.is_quoted = !self.is_quoted,
-                _ if self.is_quoted => {}
+                b'\\' if self.is_in_string => self.is_escaped = true,
+                b'"' => self.is_in_string = !self.is_in_string,
+                _ if self.is_in_string => {}
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => self.depth = self.depth.saturating_sub(1),
                 b'\n' if self.depth == 0 => return Some(std::mem::take(self).scanned),
--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -67,16 +67,21 @@
 
 impl ListedEndpoint {
     fn read(value: &JsonValue) -> Result<ListedEndpoint, ConfigError> {
-        let word = value.get("state")?;
-        let state = match word.string()? {
+        let state_value = value.get("state")?;
+        let state = match state_value.string()? {
             "Ready" => EndpointState::Ready,
             "Terminating" => EndpointState::Draining,
             "Gone" => EndpointState::Removed,
-            _ => return Err(word.invalid("unknown state")),
+            _ => return Err(state_value.invalid("unknown state")),
         };
         let address = value
             .find("endpoint")
-            .map(|e| e.string()?.parse().map_err(|_| e.invalid("not an address")))
+            .map(|endpoint| {
+                endpoint
+                    .string()?
+                    .parse()
+                    .map_err(|_| endpoint.invalid("not an address"))
+            })
             .transpose()?;
         if address.is_none() && state == EndpointState::Ready {
             return Err(value.invalid("a ready backend needs an `endpoint`"));
--- a/crates/node/src/discovery/update_tests.rs
+++ b/crates/node/src/discovery/update_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_faulty_line_is_named_and_not_half_taken() {
+fn malformed_or_incomplete_update_is_rejected() {
     for text in [
         "{",
         r#"{"rev":1,"all":true}"#,
