--- a/crates/node/src/errno_tests.rs
+++ b/crates/node/src/errno_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_error_of_a_new_connection_is_over_with_it_and_a_shortage_is_not() {
+fn accept_retries_connection_errors_now_and_local_shortages_later() {
     for error in [
         Errno::INTR,
         Errno::CONNABORTED,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_shortage_of_this_machine_does_not_speak_against_a_backend() {
+fn connect_tells_local_shortages_from_unreachable_backends() {
     for error in [
         Errno::NFILE,
         Errno::NOBUFS,
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn only_what_a_connection_can_not_outlive_ends_it() {
-    for (error, wanted) in [
+fn transfer_and_epoll_errors_are_permanent_unless_listed_as_temporary() {
+    for (error, expected) in [
         (Errno::INTR, RetryNow),
         (Errno::AGAIN, WouldBlock),
         (Errno::NOBUFS, RetryLater),
@@ -66,7 +66,7 @@
         (Errno::HOSTUNREACH, ConnectionLost),
         (Errno::NETUNREACH, ConnectionLost),
     ] {
-        assert_eq!(of_transfer(error), wanted, "{error}");
+        assert_eq!(of_transfer(error), expected, "{error}");
     }
     assert_eq!(of_register(Errno::NOMEM), RetryLater);
     assert_eq!(of_register(Errno::NOSPC), RetryLater);
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -60,16 +60,16 @@
     ///
     /// What the system answers to `socketpair(2)` or to the installation of the handler.
     pub fn register(signals: &[i32]) -> std::io::Result<Signal> {
-        let (near, far) = UnixStream::pair()?;
-        near.set_nonblocking(true)?;
+        let (reader, writer) = UnixStream::pair()?;
+        reader.set_nonblocking(true)?;
         let is_pending = Arc::new(AtomicBool::new(false));
         for signal in signals {
             // Handlers run in this order: the flag is set when the byte wakes the loop.
             signal_hook::flag::register(*signal, is_pending.clone())?;
-            signal_hook::low_level::pipe::register(*signal, far.try_clone()?)?;
+            signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
         Ok(Signal {
-            wake_up: near,
+            wake_up: reader,
             is_pending,
         })
     }
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_deadline_that_moves_is_due_once_and_at_its_last_time() {
+fn moved_deadline_is_due_once_at_its_last_time() {
     let (mut wheel, mut deadline) = (TimerWheel::new(1, 0), Deadline::new());
     deadline.set(5, &mut wheel, ());
     deadline.set(9, &mut wheel, ());
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn fires_in_order_a_tick_late_at_most_and_never_early() {
+fn timers_fire_in_order_at_most_one_tick_late_and_never_early() {
     let mut wheel = TimerWheel::new(5, 1_000);
     for (at, name) in [
         (1_012, 'b'),
