--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,28 +1,28 @@
-//! What an upstream connection is used for, and until when.
+//! The purpose of an upstream connection and the time limits of its attempt.
 
 use kitefork_balancer::{BackendId, Nanos};
 
-/// What an upstream connection carries.
+/// What a request on an upstream connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamAttempt {
-    /// An attempt of a client's request.
+    /// An attempt of a client request.
     Request {
         /// The request's number in the request table.
         request: u32,
-        /// Which of its attempts this is, from 0.
+        /// Index of this attempt among those of the request, starting at 0.
         attempt: u8,
     },
-    /// A health check of the node's own.
+    /// A health check that the node itself sends.
     HealthCheck {
         /// The backend that is checked.
         backend: BackendId,
-        /// When it was started, in nanoseconds on the node's clock.
+        /// When the health check was started, in nanoseconds on the node's clock.
         sent_at: Nanos,
     },
 }
 
 impl UpstreamAttempt {
-    /// The request of which this is an attempt; `None` for a health check.
+    /// Number of the client request that this is an attempt of; `None` for a health check.
     pub fn request(self) -> Option<u32> {
         match self {
             UpstreamAttempt::Request { request, .. } => Some(request),
@@ -34,29 +34,30 @@
 /// The time limits of an attempt, in nanoseconds on the node's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// When it is abandoned.
+    /// When the attempt is abandoned, even if its answer is still pending.
     pub abandon_at: Nanos,
-    /// Until when it may be written.
+    /// Latest time at which bytes of the request may be written.
     pub write_by: Nanos,
 }
 
 impl AttemptLimits {
-    /// Until when an attempt that is not written completely may go on.
+    /// The earlier of both limits; an attempt that is not completely written by then is ended.
     pub fn write_deadline(self) -> Nanos {
         self.abandon_at.min(self.write_by)
     }
 }
 
-/// An attempt whose connection the machine could not start for a moment. It is neither a failed one
-/// nor does it speak against the backend.
+/// An attempt whose connection could not be started because this machine temporarily lacks
+/// resources. It counts neither as failed nor against the backend.
 #[derive(Debug, Clone, Copy)]
 pub struct PostponedDial {
     /// The backend to connect to.
     pub backend: BackendId,
-    /// What the connection will carry.
+    /// What the connection is needed for.
     pub attempt: UpstreamAttempt,
     /// The time limits of the attempt.
     pub limits: AttemptLimits,
-    /// When it ends as not sent, through no fault of the backend.
+    /// When the attempt stops being retried and ends as not sent, which does not count against the
+    /// backend.
     pub give_up_at: Nanos,
 }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// Capacity of the inbox beside a head of the longest length, in bytes.
+/// Capacity of the inbox in addition to a head of maximum length, in bytes.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// The state of an upstream connection.
@@ -22,50 +22,51 @@
 pub enum UpstreamState {
     /// The connection is not established.
     Connecting,
-    /// Established, and nothing of the request is written: that takes a permit.
+    /// Established, with no byte of the request written yet: writing requires a permit from
+    /// `rules::may_write`.
     Connected,
-    /// The request is not written completely.
+    /// The request is being written and is not complete yet.
     Sending,
-    /// All is written: the backend may be at work.
+    /// The request is completely written, so the backend may be executing it.
     Waiting,
-    /// In the pool.
+    /// Idle in the pool, without an attempt.
     Idle,
 }
 
 /// Whether a connection can carry another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// It can.
+    /// The connection can carry another request.
     Yes,
-    /// It has ended, or ends after this answer.
+    /// The connection has ended, or closes after this answer.
     No,
-    /// More has come on it than was requested.
+    /// Bytes were received that belong to no expected answer.
     UnexpectedBytes,
 }
 
-/// A complete answer of a backend.
+/// A complete answer from a backend.
 pub struct Answer {
-    /// Its head.
+    /// Status and headers.
     pub head: Head,
-    /// Its body; may be empty.
+    /// Body of the answer; may be empty.
     pub body: Body,
     /// Whether the connection can carry another request.
     pub reuse: Reuse,
 }
 
-/// What a step of a connection came to.
+/// Result of one step of a connection.
 pub enum Progress {
-    /// It waits for its socket.
+    /// Nothing more can be done until the socket is ready.
     Pending,
-    /// The machine lacks resources for a moment: go on a little later.
+    /// The machine temporarily lacks resources: continue after a short delay.
     RetryLater,
-    /// The connection is established; the request is to be begun.
+    /// The connection is established and its request can be written.
     Connected,
-    /// A complete answer.
+    /// A complete answer was received.
     Answered(Answer),
-    /// The attempt has failed.
+    /// The attempt has failed with this outcome.
     Failed(Outcome),
-    /// An idle connection that can't be used again.
+    /// An idle connection can't be reused and must be closed.
     Stale(Reuse),
 }
 
@@ -75,9 +76,10 @@
     backend: BackendId,
     state: UpstreamState,
     attempt: Option<UpstreamAttempt>,
-    /// The limits of its attempt; in the pool, when it is too old to be used again.
+    /// The time limits of the attempt. While the connection is in the pool, `abandon_at` is when it
+    /// becomes too old to be reused.
     limits: AttemptLimits,
-    /// The attempt has waited for an update of the endpoint list to be read.
+    /// Whether the attempt has already waited once for updates of the endpoint list to be read.
     waited_for_discovery: bool,
     outbox: RingBuffer,
     inbox: RingBuffer,
@@ -87,7 +89,8 @@
 }
 
 impl UpstreamConnection {
-    /// A connection to `backend` that is being established, without an attempt.
+    /// Creates a connection to `backend` that is being established and has no attempt yet. Its
+    /// buffers count on `budget`.
     pub fn new(socket: OwnedFd, backend: BackendId, budget: &BufferBudget) -> UpstreamConnection {
         UpstreamConnection {
             socket,
@@ -99,11 +102,11 @@
                 write_by: Nanos::MAX,
             },
             waited_for_discovery: false,
-            // A head as long as a client's, and what the node adds to it.
+            // A head as long as a client may send, and the headers that the node adds to it.
             outbox: RingBuffer::new(MAX_REQUEST_BODY + 2 * MAX_HEAD).with_budget(budget),
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
-            // An answer may have neither length nor chunks: an orderly end of the connection makes
-            // it complete, a reset does not.
+            // An answer may have neither a Content-Length nor chunks: an orderly close of the
+            // connection completes it, a reset does not.
             parser: Parser::responses()
                 .allow_close_delimited()
                 .with_budget(budget),
@@ -112,47 +115,48 @@
         }
     }
 
-    /// The backend that it leads to.
+    /// The backend at the other end of the connection.
     pub fn backend(&self) -> BackendId {
         self.backend
     }
 
-    /// Its state.
+    /// The present state; in [`UpstreamState::Waiting`], the request is completely written.
     pub fn state(&self) -> UpstreamState {
         self.state
     }
 
-    /// What it carries; `None` in the pool.
+    /// The attempt that the connection carries; `None` before one is assigned and in the pool.
     pub fn attempt(&self) -> Option<UpstreamAttempt> {
         self.attempt
     }
 
-    /// The limits of its attempt.
+    /// The time limits of the attempt, in nanoseconds on the node's clock.
     pub fn limits(&self) -> AttemptLimits {
         self.limits
     }
 
-    /// Gives it an attempt.
+    /// Assigns an attempt and its time limits to the connection.
     pub fn assign(&mut self, attempt: UpstreamAttempt, limits: AttemptLimits) {
         self.attempt = Some(attempt);
         self.limits = limits;
         self.waited_for_discovery = false;
     }
 
-    /// Takes its attempt, which has ended.
+    /// Removes and returns the attempt, which has ended; `None` if the connection carries none.
     pub fn take_attempt(&mut self) -> Option<UpstreamAttempt> {
         self.attempt.take()
     }
 
-    /// It is idle from now on, and can be used again until `reusable_until`.
+    /// Marks the connection as idle; it can be reused before `reusable_until`.
     pub fn set_idle(&mut self, reusable_until: Nanos) {
         self.state = UpstreamState::Idle;
         self.limits.abandon_at = reusable_until;
     }
 
-    /// Takes it out of the pool for another attempt, if it is not too old.
+    /// Prepares an idle connection for another attempt; returns `false` if it is too old to be
+    /// reused.
     pub fn leave_pool(&mut self, now: Nanos) -> bool {
-        // After a stall its timer may not have fired yet.
+        // After a stall of the process, the timer that closes it may not have fired yet.
         let is_fresh = now < self.limits.abandon_at;
         if is_fresh {
             self.state = UpstreamState::Connected;
@@ -160,28 +164,28 @@
         is_fresh
     }
 
-    /// Whether it carries an attempt of this request that is not written completely, and so was not
-    /// executed.
+    /// Whether the connection carries an attempt of `request` that is not completely written and so
+    /// was not executed.
     pub fn is_unwritten_attempt_of(&self, request: u32) -> bool {
         self.state != UpstreamState::Waiting
             && self.attempt.and_then(UpstreamAttempt::request) == Some(request)
     }
 
-    /// Whether the time for what is not written is over. A connection may become established, or
-    /// take more, through a stall, before its timer fires.
+    /// Whether a time limit has passed while the request is not completely written. After a stall
+    /// of the process, the connection may become established or writable before its timer fires.
     pub fn is_overdue(&self, now: Nanos) -> bool {
         let is_written = matches!(self.state, UpstreamState::Waiting | UpstreamState::Idle);
         !is_written && (now > self.limits.write_by || now >= self.limits.abandon_at)
     }
 
-    /// Whether its attempt waits for an update of the endpoint list to be read. It waits once, as
-    /// discovery may never stop talking.
+    /// Returns whether the attempt must now wait until updates of the endpoint list are read, and
+    /// records that it has. An attempt waits only once, as discovery may send data without end.
     pub fn begin_discovery_wait(&mut self) -> bool {
         !std::mem::replace(&mut self.waited_for_discovery, true)
     }
 
-    /// How its attempt ends if the connection is closed now: what is not written completely was not
-    /// executed, otherwise it ends as `outcome_if_written`.
+    /// The outcome of the attempt if the connection is closed now: `outcome_if_written` if the
+    /// request is completely written, otherwise `ConnectFailed`, as the request was not executed.
     pub fn outcome_if_closed(&self, outcome_if_written: Outcome) -> Outcome {
         if self.state == UpstreamState::Waiting {
             outcome_if_written
@@ -190,14 +194,14 @@
         }
     }
 
-    /// Begins the request; `false` where it is too long for the outbox.
+    /// Puts a request in the outbox; returns `false` if it does not fit.
     #[must_use]
     pub fn begin(&mut self, bytes: &[u8]) -> bool {
         self.state = UpstreamState::Sending;
         self.outbox.push(bytes)
     }
 
-    /// Goes on after the socket has become ready, or a request has been put in the outbox.
+    /// Continues after the socket has become ready, or a request has been put in the outbox.
     pub fn advance(&mut self, is_ready: bool) -> Progress {
         if self.state == UpstreamState::Connecting {
             if !is_ready {
@@ -212,7 +216,8 @@
             return Progress::Connected;
         }
         let write_outcome = self.write();
-        // A backend that rejects a request may answer and close before it has read all of it.
+        // A backend that rejects a request may answer and close before it has read the whole
+        // request, so the answer is read even if the write failed.
         match self.read() {
             Progress::Pending if write_outcome == WriteOutcome::Broken => {
                 Progress::Failed(Outcome::ConnectFailed)
@@ -261,14 +266,15 @@
         }
     }
 
-    /// A complete answer has come; `is_end_of_stream`: with the end of the connection.
+    /// Checks a complete answer and whether the connection can be reused. `is_end_of_stream` says
+    /// that the connection ended with the answer.
     fn complete(&mut self, head: Head, body: Body, is_end_of_stream: bool) -> Progress {
         let is_sent = self.state == UpstreamState::Waiting;
-        // It can't be the answer to what is not sent yet, whoever's it is.
+        // A success before the request is completely sent can't be the answer to this request.
         if !is_sent && outcome(&head) == Outcome::Success {
             return Progress::Failed(Outcome::ConnectFailed);
         }
-        // What comes behind an answer would be taken for the next one.
+        // Bytes that follow an answer would be taken for the answer to the next request.
         let following_read = if is_end_of_stream {
             ReadOutcome::EndOfStream
         } else {
@@ -290,7 +296,8 @@
         }
     }
 
-    /// Whether an idle connection can be used again: neither an end nor stray bytes have come.
+    /// Checks whether an idle connection can be reused: it can't if the peer has closed it or bytes
+    /// are unread.
     pub fn check_reuse(&self) -> Reuse {
         match net::unread(&self.socket) {
             Unread::Nothing => Reuse::Yes,
@@ -299,7 +306,8 @@
         }
     }
 
-    /// Has the events given for it that its state needs.
+    /// Registers the socket with epoll, as connection `number`, for the events that its state
+    /// needs.
     ///
     /// # Errors
     ///
@@ -324,33 +332,36 @@
         event_loop.register(&mut self.registration, &self.socket, token, wanted)
     }
 
-    /// The machine lacks resources for a moment, or an update of the endpoint list is to be read
-    /// first: the connection `number` is resumed a little later, and has no event before that,
-    /// which would come without a pause.
+    /// Pauses the connection `number` and resumes it after [`MIN_RETRY`], because the machine
+    /// temporarily lacks resources or updates of the endpoint list must be read first. Until then
+    /// its events are deregistered, as they would be reported in every loop iteration.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // Where this fails too, events come early and find the same.
+        // If this fails as well, events arrive early and the connection meets the same condition
+        // again.
         let _ = self.set_events(number, event_loop, EventFlags::empty());
         let at = event_loop.now() + MIN_RETRY;
         event_loop.schedule(at, TimerEvent::ResumeUpstream(number));
     }
 
-    /// Moves its time limit to `at`.
+    /// Sets the deadline of the connection `number` to `at`, in nanoseconds on the node's clock.
     pub fn set_deadline(&mut self, at: Nanos, number: u32, event_loop: &mut EventLoop) {
         let event = TimerEvent::UpstreamDeadline(number);
         event_loop.set_deadline(&mut self.deadline, at, event);
     }
 
-    /// Whether its time limit is over, now that its timer has fired.
+    /// Returns whether the deadline of the connection `number` has passed, after its timer has
+    /// fired.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::UpstreamDeadline(number))
     }
 }
 
-/// What a backend's answer means for the attempt.
+/// The outcome of an attempt by the status and headers of the backend's answer.
 pub fn outcome(head: &Head) -> Outcome {
     match head.start {
         Start::Response { status: 200 } => Outcome::Success,
-        // Overload and haste are reported by a 4xx too, but they are no fault of the request's.
+        // A timeout (408), a request that came too early (425) and overload (429) are reported by a
+        // 4xx too, but the request is not at fault.
         Start::Response {
             status: 408 | 425 | 429,
         } => Outcome::Error,
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 
-/// A connection whose request is written, and the backend's end.
+/// A connection whose request is completely written, and the backend's end of it.
 fn connection_with_sent_request() -> (UpstreamConnection, UnixStream) {
     let (family, kind, flags) = (
         AddressFamily::UNIX,
@@ -99,7 +99,7 @@
         outcome_of_answer(&OK.replace(": 2", ": 3221225472"), false),
         Err(Outcome::Reset)
     );
-    // The far end has not read the request, so its close is a reset.
+    // The backend has not read the request, so its close is a reset.
     assert_eq!(
         outcome_of_answer(&OK.replace("Content-Length: 2", "A: b"), true),
         Err(Outcome::Reset)
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Upstream: the connections to backends, the attempts that they carry, and the pool of idle ones.
+//! Connections to backends, the attempts that they carry, and the pool of idle connections.
 
 mod attempt;
 mod connection;
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -7,12 +7,12 @@
 use super::connection::Reuse;
 use crate::clock::{MS, SECOND};
 
-/// Once some backend has sent more than was requested, connections are suspect for this long, in
-/// nanoseconds ...
+/// For this long after any backend has sent unexpected bytes, in nanoseconds, connections to all
+/// backends are reused only after [`REUSE_DELAY`].
 const DELAYED_REUSE_PERIOD: Nanos = 60 * SECOND;
-/// ... and a connection carries no other request for this long after an answer, in nanoseconds: a
-/// second answer that comes some milliseconds late would be taken for the next request's. Not
-/// always, as it costs connections.
+/// Minimum time between an answer and the next request on the same connection, in nanoseconds: a
+/// second answer that arrives some milliseconds late would be taken for the answer to the next
+/// request. It applies only during [`DELAYED_REUSE_PERIOD`], as it costs additional connections.
 const REUSE_DELAY: Nanos = 10 * MS;
 
 struct IdleConnection {
@@ -20,7 +20,7 @@
     idle_since: Nanos,
 }
 
-/// The idle connections of each backend, by their numbers, the newest last.
+/// The idle connections of each backend by connection number, the most recently used last.
 #[derive(Default)]
 pub struct Pool {
     idle: BTreeMap<BackendId, Vec<IdleConnection>>,
@@ -28,7 +28,7 @@
 }
 
 impl Pool {
-    /// Adds a connection that is idle from now on.
+    /// Adds a connection that becomes idle at `now`.
     pub fn put(&mut self, backend: BackendId, number: u32, now: Nanos) {
         self.idle.entry(backend).or_default().push(IdleConnection {
             number,
@@ -36,14 +36,16 @@
         });
     }
 
-    /// Takes note of what a connection has shown of its backend.
+    /// Records whether a connection could be reused; unexpected bytes delay the reuse of all
+    /// connections for a while.
     pub fn record_reuse(&mut self, reuse: Reuse, now: Nanos) {
         if reuse == Reuse::UnexpectedBytes {
             self.delay_reuse_until = now.saturating_add(DELAYED_REUSE_PERIOD);
         }
     }
 
-    /// Takes the newest connection to a backend that may be used: the older ones get to age out.
+    /// Removes and returns the most recently used connection to a backend that may be reused now.
+    /// The older ones are left to reach their idle timeout.
     pub fn take(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         let delay = if now < self.delay_reuse_until {
             REUSE_DELAY
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes all idle connections to a backend.
+    /// Removes and returns all idle connections to a backend.
     pub fn drain(&mut self, backend: BackendId) -> Vec<u32> {
         self.idle
             .remove(&backend)
@@ -77,7 +79,8 @@
             .collect()
     }
 
-    /// Takes some idle connection: the oldest to the backend with the most.
+    /// Removes and returns the oldest idle connection to the backend that has the most of them;
+    /// `None` if none is idle.
     pub fn evict(&mut self) -> Option<u32> {
         let largest = self.idle.values_mut().max_by_key(|idle| idle.len())?;
         (!largest.is_empty()).then(|| largest.remove(0).number)
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -1,4 +1,4 @@
-//! The table of upstream connections, with the pool of idle ones and the dials that are postponed.
+//! The table of upstream connections, with the pool of idle ones and the postponed dials.
 
 use std::net::SocketAddr;
 
@@ -20,21 +20,21 @@
 pub enum DialError {
     /// The backend can't be reached or is not ready.
     Endpoint,
-    /// This machine or process lacks resources for a moment.
+    /// This machine or process temporarily lacks resources.
     Local,
 }
 
-/// What follows from a step of a connection.
+/// Result of a step of a connection that the node must act on.
 pub enum UpstreamEvent {
-    /// It is established: the request is to be begun.
+    /// The connection is established and its request can be written.
     Connected,
-    /// The attempt has its answer.
+    /// A complete answer to the attempt was received.
     Answered(Answer),
-    /// The attempt has failed, and the connection is to be closed.
+    /// The attempt has failed with this outcome, and the connection must be closed.
     Failed(Outcome),
 }
 
-/// All upstream connections.
+/// All upstream connections, including idle ones, and the dials that are postponed.
 pub struct UpstreamConnections {
     table: Slab<UpstreamConnection>,
     pool: Pool,
@@ -44,32 +44,32 @@
 }
 
 impl UpstreamConnections {
-    /// A table for `max` connections at a time. A connection must be established within
-    /// `connect_timeout`; the backends' machines close idle ones after `idle_limit` (both in
-    /// nanoseconds).
+    /// Creates a table for at most `max` connections at a time. A connection must be established
+    /// within `connect_timeout`; the backends' machines close connections that are idle for
+    /// `idle_limit` (both in nanoseconds).
     pub fn new(max: usize, connect_timeout: Nanos, idle_limit: Nanos) -> UpstreamConnections {
         UpstreamConnections {
             table: Slab::new(max),
             pool: Pool::default(),
             postponed: Vec::new(),
             connect_timeout,
-            // Clearly before the backend's machine would close it: what crosses that close is a
-            // reset.
+            // Clearly before the backend's machine closes the connection: a request that is sent
+            // while that happens ends in a reset.
             idle_timeout: idle_limit / 4 * 3,
         }
     }
 
-    /// How many connections are open.
+    /// Number of connections, including those being established and idle ones.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// A connection by its number.
+    /// The connection with this number; `None` if it has been closed.
     pub fn get(&self, number: u32) -> Option<&UpstreamConnection> {
         self.table.get(number)
     }
 
-    /// A connection by its number.
+    /// The connection with this number; `None` if it has been closed.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut UpstreamConnection> {
         self.table.get_mut(number)
     }
@@ -81,23 +81,24 @@
             .map(|(number, _)| number)
     }
 
-    /// The connection that carries this attempt.
+    /// Number of the connection that carries this attempt; `None` if there is none.
     pub fn find_attempt(&self, attempt: UpstreamAttempt) -> Option<u32> {
         self.find(|connection| connection.attempt() == Some(attempt))
     }
 
-    /// The connection that carries an attempt of this request which is not written completely.
+    /// Number of the connection that carries an attempt of this request that is not completely
+    /// written; `None` if there is none.
     pub fn find_unwritten(&self, request: u32) -> Option<u32> {
         self.find(|connection| connection.is_unwritten_attempt_of(request))
     }
 
-    /// Whether the attempt of a request that is in flight, if one is, has not been written
-    /// completely and so was not executed.
+    /// Whether a request has an attempt that is postponed or not completely written, and so was not
+    /// executed.
     pub fn has_unwritten(&self, request: u32) -> bool {
         self.find_postponed(request).is_some() || self.find_unwritten(request).is_some()
     }
 
-    /// The connections to a backend that are not established yet.
+    /// Numbers of the connections to a backend that are not established yet.
     pub fn connecting_to(&self, backend: BackendId) -> Vec<u32> {
         self.table
             .iter()
@@ -107,7 +108,8 @@
             .collect()
     }
 
-    /// The newest idle connection to a backend that can be used again.
+    /// Takes the most recently used idle connection to a backend that can be reused, and returns
+    /// its number. Closes the ones before it that can't be reused.
     pub fn take_idle(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         while let Some(number) = self.pool.take(backend, now) {
             let Some(connection) = self.table.get_mut(number) else {
@@ -123,11 +125,12 @@
         None
     }
 
-    /// Starts a new connection to a backend.
+    /// Starts a new connection to a backend and returns its number.
     ///
     /// # Errors
     ///
-    /// Whether the backend or this machine is in the way.
+    /// [`DialError::Endpoint`] if the backend can't be reached; [`DialError::Local`] if this
+    /// machine temporarily lacks resources or the table is full.
     pub fn dial(
         &mut self,
         backend: BackendId,
@@ -153,14 +156,15 @@
         })
     }
 
-    /// When a connection that is started now for an attempt of these limits must be established.
+    /// Latest time at which a connection that is started at `now` for an attempt with these limits
+    /// must be established.
     pub fn connect_by(&self, limits: AttemptLimits, now: Nanos) -> Nanos {
         limits
             .write_deadline()
             .min(now.saturating_add(self.connect_timeout))
     }
 
-    /// Gives a connection an attempt.
+    /// Assigns an attempt to a connection and sets the deadline that its state requires.
     pub fn assign(
         &mut self,
         number: u32,
@@ -179,7 +183,8 @@
         }
     }
 
-    /// Holds an attempt back, once, until discovery has been read; whether it is held back.
+    /// Delays an attempt until discovery has been read, at most once for each attempt; returns
+    /// whether the attempt is delayed.
     pub fn delay_for_discovery(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         let Some(connection) = self.table.get_mut(number) else {
             return false;
@@ -187,14 +192,15 @@
         if !connection.begin_discovery_wait() {
             return false;
         }
-        // It is established, so the time for that no longer counts.
+        // The connection is established, so the connect timeout no longer applies.
         let deadline = connection.limits().write_deadline();
         connection.set_deadline(deadline, number, event_loop);
         connection.pause(number, event_loop);
         true
     }
 
-    /// Moves a connection on as far as its socket lets it; `None` if nothing follows now.
+    /// Advances a connection as far as its socket allows; `None` if the node need not act on it
+    /// now.
     pub fn advance(
         &mut self,
         number: u32,
@@ -235,8 +241,8 @@
         }
     }
 
-    /// Has the events given for a connection that its state needs; a little later where that fails
-    /// now.
+    /// Registers a connection for the events that its state needs. A temporary failure is retried
+    /// after [`MIN_RETRY`]; any other one fails the attempt.
     fn register(
         &mut self,
         number: u32,
@@ -255,8 +261,8 @@
         None
     }
 
-    /// Ends the attempt of a connection that was answered, and puts the connection in the pool if
-    /// it can be used again: the connections of a backend that is not ready get closed.
+    /// Ends and returns the attempt of a connection that was answered. The connection goes to the
+    /// pool if it can be reused and its backend is ready; otherwise it is closed.
     pub fn release(
         &mut self,
         number: u32,
@@ -279,8 +285,8 @@
         attempt
     }
 
-    /// The time limit of a connection may be over, now that its timer has fired: closes an idle
-    /// one, gives the outcome of an attempt that is to be ended.
+    /// Handles the fired timer of a connection. If its deadline has passed, closes an idle
+    /// connection, or returns the outcome with which its attempt must be ended.
     pub fn expire(&mut self, number: u32, event_loop: &mut EventLoop) -> Option<Outcome> {
         let connection = self.table.get_mut(number)?;
         if !connection.is_due(number, event_loop) {
@@ -295,26 +301,27 @@
         Some(connection.outcome_if_closed(Outcome::Timeout))
     }
 
-    /// Closes a connection; gives the attempt that it carried.
+    /// Closes a connection and returns the attempt that it carried.
     pub fn close(&mut self, number: u32) -> Option<UpstreamAttempt> {
         self.table.remove(number)?.take_attempt()
     }
 
-    /// Closes the idle connections to a backend.
+    /// Closes all idle connections to a backend.
     pub fn close_idle(&mut self, backend: BackendId) {
         for number in self.pool.drain(backend) {
             self.table.remove(number);
         }
     }
 
-    /// Closes an idle connection whose descriptor is needed; `None` if there is none, otherwise
-    /// whether it was still open.
+    /// Closes an idle connection to free its descriptor; `None` if no connection is idle, otherwise
+    /// whether the chosen one was still open.
     pub fn evict_idle(&mut self) -> Option<bool> {
         let number = self.pool.evict()?;
         Some(self.table.remove(number).is_some())
     }
 
-    /// Postpones an attempt whose connection this machine can't start now.
+    /// Postpones an attempt whose connection can't be started for lack of local resources.
+    /// Postponed dials are retried after [`MIN_RETRY`].
     pub fn postpone(&mut self, dial: PostponedDial, event_loop: &mut EventLoop) {
         if self.postponed.is_empty() {
             let at = event_loop.now() + MIN_RETRY;
@@ -323,7 +330,7 @@
         self.postponed.push(dial);
     }
 
-    /// Takes all postponed dials, to try them again.
+    /// Removes and returns all postponed dials, to try them again.
     pub fn take_postponed(&mut self) -> Vec<PostponedDial> {
         std::mem::take(&mut self.postponed)
     }
@@ -334,7 +341,7 @@
             .position(|dial| dial.attempt.request() == Some(request))
     }
 
-    /// Takes the postponed attempt of a request, if it has one.
+    /// Removes and returns the postponed attempt of a request, if it has one.
     pub fn remove_postponed(&mut self, request: u32) -> Option<UpstreamAttempt> {
         let position = self.find_postponed(request)?;
         Some(self.postponed.remove(position).attempt)
