--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -1,40 +1,42 @@
-//! When discovery is called again after a failed call.
+//! Backoff of discovery calls: when to call again after a failed call.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::MS;
 
-/// A connection to discovery that is not established after this, in nanoseconds, is cut off; a new
-/// one finds the way back sooner than TCP's own retransmissions.
+/// Maximum time to establish a connection to discovery, in nanoseconds. A new connection succeeds
+/// sooner than TCP's own retransmissions once discovery is reachable again.
 const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
-/// Where lists are pushed: the backoff doubles from this, in nanoseconds ...
+/// Base of the backoff where lists are pushed, in nanoseconds; it doubles with each further failed
+/// call. Also the lower bound of the limits that depend on the grace of draining backends.
 const MIN_BACKOFF: Nanos = 10 * MS;
-/// ... up to this.
+/// Maximum backoff where lists are pushed, in nanoseconds.
 const MAX_BACKOFF: Nanos = 500 * MS;
-/// Most doublings of the backoff.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// The backoff is at most this part of the grace for draining backends: a node without a watch must
-/// be back on it well within that grace.
+/// The backoff is at most the grace of draining backends divided by this: a node that has lost its
+/// watch must have opened another one well within that grace.
 const BACKOFF_GRACE_DIVISOR: Nanos = 4;
-/// The same for the time in which a connection must be established.
+/// The connect timeout is at most the grace of draining backends divided by this, for the same
+/// reason.
 const CONNECT_GRACE_DIVISOR: Nanos = 2;
 
 /// How the endpoint list is kept up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The decision module asks for polls and watches.
+    /// The decision module requests polls and watches.
     Polled,
-    /// The node keeps a watch open by itself. What the agent has counts as notified whether or not
-    /// this node has read it.
+    /// The node itself keeps a watch open to its discovery agent. An update that the agent has
+    /// counts as notified, whether or not this node has read it.
     Pushed {
-        /// How long after its removal from the list a backend may still get attempts, in
+        /// How long a backend may still get attempts after its removal from the list, in
         /// nanoseconds.
         drain_grace: Nanos,
     },
 }
 
 impl DiscoveryMode {
-    /// Within which time a connection must be established, in nanoseconds.
+    /// Maximum time to establish a connection to discovery, in nanoseconds.
     pub fn connect_timeout(self) -> Nanos {
         match self {
             DiscoveryMode::Polled => CONNECT_TIMEOUT,
@@ -45,23 +47,23 @@
     }
 }
 
-/// Whether the next call waits for the end of a backoff.
+/// Whether a backoff is in progress, after which the next call follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BackoffState {
     Ready,
     BackingOff,
 }
 
-/// The backoff of the calls.
+/// State of the backoff between discovery calls.
 #[derive(Debug)]
 pub struct Backoff {
     state: BackoffState,
-    /// Calls that have failed in a row, where lists are pushed.
+    /// Number of consecutive failed calls; counted only where lists are pushed.
     failed_calls: u32,
 }
 
 impl Backoff {
-    /// No call has failed.
+    /// Creates the state before any call has failed.
     pub fn new() -> Backoff {
         Backoff {
             state: BackoffState::Ready,
@@ -69,27 +71,28 @@
         }
     }
 
-    /// Begins a backoff after a failed call; whether none was in progress.
+    /// Starts a backoff after a failed call; returns `false` if one is in progress already.
     ///
-    /// A call that a new configuration has brought forward may fail before the backoff is over: the
-    /// next one comes anyway, and there would from then on be two rows of calls.
+    /// A call that a reload of the configuration opens early may fail before the backoff is over.
+    /// The backoff in progress already leads to the next call; a second one would start a second
+    /// series of calls beside it.
     pub fn begin(&mut self) -> bool {
         std::mem::replace(&mut self.state, BackoffState::BackingOff) == BackoffState::Ready
     }
 
-    /// The backoff is over.
+    /// Ends the backoff, so that the next failed call starts another one.
     pub fn end(&mut self) {
         self.state = BackoffState::Ready;
     }
 
-    /// A call has lasted: the row of failures ends.
+    /// Resets the number of consecutive failures, after a call that has lasted long enough.
     pub fn reset(&mut self) {
         self.failed_calls = 0;
     }
 
-    /// Counts a failed call; how long to wait after it where lists are pushed, in nanoseconds. The
-    /// agent is this node's own, no crowd of others calls it: so the first retry is immediate, then
-    /// the backoff doubles.
+    /// Counts a failed call and returns the delay before the next one where lists are pushed, in
+    /// nanoseconds. The agent serves only this node, so calls of other nodes don't add up at it:
+    /// the first retry is immediate, then the backoff doubles.
     pub fn next_delay(&mut self, drain_grace: Nanos) -> Nanos {
         let previous_failures = self.failed_calls;
         self.failed_calls += 1;
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -19,24 +19,26 @@
 use crate::ring_buffer::{ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// A call silent for this long, in nanoseconds, is cut off: a watch says something every 2 s, a
-/// call is answered or rejected within 3 s, and TCP would not tell. Short enough that what was
-/// missed is requested again within the 6 s after which it counts as notified.
+/// A call that receives nothing for this long, in nanoseconds, is closed, as TCP does not report an
+/// unreachable peer. A watch receives data every 2 s, and discovery answers or rejects a call
+/// within 3 s. Short enough that missed updates are requested again within the 6 s after which they
+/// count as notified.
 const IDLE_TIMEOUT: Nanos = 4_200 * MS;
-/// The same for a watch that has spoken before: it says something every 2 s, and its successor may
-/// at first be rejected, which takes up to 3 s more.
+/// The same for a watch that has received data before, in nanoseconds: it receives data every 2 s,
+/// and the next watch may at first be rejected, which takes up to 3 s more.
 const WATCH_IDLE_TIMEOUT: Nanos = 3_200 * MS;
-/// An object or a list is complete within this time, in nanoseconds, or its sender only trickles:
-/// such a call is as good as silent, and what it withholds counts as notified 6 s after it was due.
+/// Maximum time to receive a complete object or list, in nanoseconds. A call whose sender is slower
+/// is closed like an idle one, as the updates that it delays count as notified 6 s after they were
+/// due.
 const OBJECT_TIMEOUT: Nanos = IDLE_TIMEOUT;
-/// Longest object or list that is read, in bytes.
+/// Maximum length of an object or list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Reads of one call in a loop iteration: enough for the longest list, while a sender without end
-/// can't hold the loop.
+/// Maximum number of reads of one call in a loop iteration: enough for the longest list, but a
+/// sender that never stops can't block the event loop.
 const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
-/// Capacity for the request of a call, in bytes.
+/// Capacity of the outbox, which holds the request of a call, in bytes.
 const OUTBOX_BYTES: usize = 4096;
-/// Capacity for what is read at a time, in bytes.
+/// Capacity of the inbox, in bytes.
 const INBOX_BYTES: usize = 64 * 1024;
 
 /// What a call requests.
@@ -48,53 +50,54 @@
     Poll,
 }
 
-/// Why a call to discovery is over; the text is what the log says.
+/// Why a call to discovery has ended; the text appears in the log.
 #[derive(Debug, Error)]
 pub enum CallEnd {
-    /// It has brought the whole list.
+    /// A poll has received the whole list.
     #[error("done")]
     Complete,
-    /// Nothing has come for too long.
+    /// No data, or no complete object or list, was received within the time limit.
     #[error("silent for too long")]
     Silent,
-    /// The connection ended or broke.
+    /// The connection was closed or broke.
     #[error("the connection ended")]
     Disconnected,
-    /// The head of the answer is too long.
-    #[error("a head without end")]
+    /// The response has a head that does not fit in the inbox.
+    #[error("response head too long")]
     HeadTooLong,
-    /// The answer is no HTTP.
-    #[error("{0:?} answer")]
+    /// The response is not valid HTTP, or exceeds a limit.
+    #[error("{0:?}: the response can't be read")]
     Malformed(ParseError),
-    /// Another answer than 200.
-    #[error("answered {0:?}")]
+    /// The response has a status other than 200.
+    #[error("status is not 200: {0:?}")]
     Rejected(Start),
-    /// The answer to a watch is complete, which it never should be.
+    /// The response to a watch is complete, although a watch must stay open.
     #[error("the watch ended")]
     WatchEnded,
-    /// The answer has no body.
-    #[error("no answer")]
+    /// The response to a poll is not complete.
+    #[error("incomplete response")]
     IncompleteResponse,
-    /// The answer is no endpoint list.
+    /// The content of the response is not a valid endpoint update.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
 }
 
-/// What reading a call has brought.
+/// Result of reading from a call.
 #[derive(Debug, Default)]
 pub struct CallProgress {
-    /// The updates that have arrived, oldest first.
+    /// The updates that were received, oldest first.
     pub updates: Vec<EndpointUpdate>,
-    /// A complete object has arrived, or an empty line, which only says that discovery is there.
+    /// Whether a complete object was received, or an empty line, which only shows that discovery is
+    /// reachable.
     pub spoke: bool,
-    /// The call is over, and why.
+    /// Why the call has ended; `None` while it is open.
     pub end: Option<CallEnd>,
-    /// The machine lacks resources for a moment: read again a little later.
+    /// The machine temporarily lacks resources: read again after a short delay.
     pub retry_later: bool,
 }
 
 impl CallProgress {
-    /// The progress of a call that is over for this reason.
+    /// The progress of a call that has ended for this reason, without updates.
     pub fn ended(end: CallEnd) -> CallProgress {
         CallProgress {
             end: Some(end),
@@ -102,22 +105,22 @@
         }
     }
 
-    /// Why the call has failed; `None` if it goes on or ended as it should.
+    /// Why the call has failed; `None` if it is still open or has received the whole list.
     pub fn into_failure(self) -> Option<CallEnd> {
         self.end.filter(|end| !matches!(end, CallEnd::Complete))
     }
 }
 
-/// Whether a call can be read now.
+/// Result of writing the request of a call: whether the call can be read now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// Go on and read.
+    /// Continue and read.
     Continue,
-    /// The machine lacks resources for a moment: go on a little later.
+    /// The machine temporarily lacks resources: continue after a short delay.
     RetryLater,
 }
 
-/// An open call.
+/// An open call to discovery.
 pub struct DiscoveryCall {
     socket: OwnedFd,
     kind: CallKind,
@@ -127,7 +130,7 @@
     scanner: ObjectScanner,
     last_byte_at: Nanos,
     opened_at: Nanos,
-    /// When it was opened, or had its last complete object or empty line.
+    /// When the call was opened, or the last complete object or empty line was received.
     last_object_at: Nanos,
     has_received_data: bool,
     deadline: Deadline,
@@ -135,8 +138,8 @@
 }
 
 impl DiscoveryCall {
-    /// A call on a connection that is being established to `host`; a watch resumes after
-    /// `revision`.
+    /// Creates a call on `socket`, whose connection to `host` is being established; a watch resumes
+    /// after `revision`.
     pub fn new(
         socket: OwnedFd,
         kind: CallKind,
@@ -155,7 +158,7 @@
             [("host", host.to_string().as_str())],
             None,
         ));
-        debug_assert!(is_queued, "a call fits its ring");
+        debug_assert!(is_queued, "the request of a call fits in its outbox");
         DiscoveryCall {
             socket,
             kind,
@@ -174,22 +177,23 @@
         }
     }
 
-    /// What it requests.
+    /// Whether the call is a watch or a poll.
     pub fn kind(&self) -> CallKind {
         self.kind
     }
 
-    /// When it was opened, in nanoseconds on the node's clock.
+    /// When the call was opened, in nanoseconds on the node's clock.
     pub fn opened_at(&self) -> Nanos {
         self.opened_at
     }
 
-    /// Whether something has arrived that is not read, as far as that can be known.
+    /// Whether received data may be waiting to be read; also `true` if the kernel can't tell.
     pub fn has_unread_bytes(&self) -> bool {
         net::is_ready(&self.socket, PollFlags::IN).unwrap_or(true)
     }
 
-    /// Has the events given for it that it needs as the call `number`: none while it is paused.
+    /// Registers the socket with epoll, as call `number`, for reading, and also for writing while
+    /// the request is not completely written. Ends a pause.
     ///
     /// # Errors
     ///
@@ -203,7 +207,8 @@
         self.set_events(number, event_loop, wanted)
     }
 
-    /// Has no events given for it, which would come without a pause.
+    /// Deregisters all events of the call `number`, as they would be reported in every loop
+    /// iteration.
     ///
     /// # Errors
     ///
@@ -222,25 +227,26 @@
         event_loop.register(&mut self.registration, &self.socket, token, wanted)
     }
 
-    /// Moves its time limit to `at`.
+    /// Sets the deadline of the call `number` to `at`, in nanoseconds on the node's clock.
     pub fn set_deadline(&mut self, at: Nanos, number: u32, event_loop: &mut EventLoop) {
         let event = TimerEvent::DiscoveryDeadline(number);
         event_loop.set_deadline(&mut self.deadline, at, event);
     }
 
-    /// Moves its time limit to when it counts as silent, once its request is written.
+    /// Sets the deadline of the call `number` to the limits for receiving data, once the request is
+    /// completely written.
     pub fn set_receive_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
         if self.outbox.is_empty() {
             self.set_deadline(self.receive_deadline(), number, event_loop);
         }
     }
 
-    /// Whether its time limit is over, now that its timer has fired.
+    /// Returns whether the deadline of the call `number` has passed, after its timer has fired.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::DiscoveryDeadline(number))
     }
 
-    /// When it counts as silent.
+    /// When the call is closed if nothing more is received.
     fn receive_deadline(&self) -> Nanos {
         let idle_timeout = if self.has_received_data {
             WATCH_IDLE_TIMEOUT
@@ -250,8 +256,8 @@
         (self.last_byte_at + idle_timeout).min(self.last_object_at + OBJECT_TIMEOUT)
     }
 
-    /// Writes what is left of its request. A connection that could not be established shows when it
-    /// is read.
+    /// Writes the rest of the request. A connection that could not be established is found by the
+    /// next read.
     pub fn send(&mut self, now: Nanos) -> SendOutcome {
         if self.outbox.is_empty() {
             return SendOutcome::Continue;
@@ -265,7 +271,7 @@
         SendOutcome::Continue
     }
 
-    /// Reads what has arrived.
+    /// Reads and parses the data that was received.
     pub fn read(&mut self, now: Nanos) -> CallProgress {
         let mut progress = CallProgress::default();
         for _ in 0..MAX_READS_PER_ITERATION {
@@ -293,7 +299,8 @@
         progress
     }
 
-    /// The end of the connection completes a list without a length, and cuts anything else off.
+    /// Handles the end of the connection. It completes a list whose response gives no length; any
+    /// other response is truncated.
     fn end_of_stream(&mut self, progress: &mut CallProgress) -> CallEnd {
         if !self.parser.end_of_input() || self.kind == CallKind::Watch {
             return CallEnd::Disconnected;
@@ -323,7 +330,7 @@
         Ok(())
     }
 
-    /// Takes the complete objects of a watch.
+    /// Removes the complete objects of a watch from the body and parses them.
     fn take_objects(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         while let Some(end) = self.scanner.find_end(&self.parser.body) {
             let line = self.parser.body.split_front(end);
@@ -337,7 +344,7 @@
         Ok(())
     }
 
-    /// Takes the whole list of a poll.
+    /// Parses the whole list of a poll, whose response is complete.
     fn complete(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         if self.kind == CallKind::Watch {
             return Err(CallEnd::WatchEnded);
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The node's side of discovery: which calls are open, when a failed one is made again, and how
-//! fresh the endpoint list is.
+//! The discovery client of the node: which calls are open, when a failed one is repeated, and how
+//! recent the endpoint list is.
 
 use std::net::SocketAddr;
 
@@ -19,52 +19,54 @@
 use crate::slab::Slab;
 use crate::start_time::StartObservation;
 
-/// Calls that are open at a time at most: a watch, a poll, and their successors after a reload.
+/// Maximum number of open calls: a watch, a poll, and the calls that replace them after a reload.
 const MAX_CALLS: usize = 4;
-/// A call that this machine could not start for a moment is made after this, in nanoseconds.
+/// Delay before a call that could not be started for lack of local resources is tried again, in
+/// nanoseconds.
 const CALL_RETRY_DELAY: Nanos = 20 * MS;
-/// A watch that has lasted for this long, in nanoseconds, ends a row of failures; one that ends at
-/// once must not be opened again without a pause.
+/// A watch that has lasted longer than this, in nanoseconds, resets the number of consecutive
+/// failures; one that ends at once must not be opened again without a delay.
 const STABLE_WATCH_DURATION: Nanos = SECOND;
-/// A node that has heard nothing of discovery for this long after its start, in nanoseconds, serves
-/// from the cached list: an old list is better than no service where discovery stays away.
-/// Operators expect a node to be ready within 10 s.
+/// A node that has received nothing from discovery for this long after its start, in nanoseconds,
+/// serves from the cached list: an old list is better than no service while discovery is
+/// unreachable. Operators expect a node to be ready within 10 s.
 const FIRST_UPDATE_TIMEOUT: Nanos = 9 * SECOND;
 
-/// Whether discovery has spoken since the start of the node.
+/// Whether requests may be served, or the node still waits for discovery after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SyncState {
     AwaitingFirstUpdate,
     Synced,
 }
 
-/// Whether the decision module has to know that a call has failed.
+/// Whether the decision module must be notified that a call has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum FailureNotice {
-    /// It need not know.
+    /// No notification is needed.
     Handled,
-    /// It decides on the backoff.
+    /// The decision module must be notified, as it decides when to call again.
     NotifyBalancer,
 }
 
-/// What a decision to open or close the watch comes to.
+/// What the node must do after a decision to open or close the watch.
 #[derive(Debug)]
 pub enum WatchChange {
-    /// The watch is to be opened.
+    /// Open the watch.
     Open,
-    /// Nothing is to be opened. Each call of the decision module gets one event: this update, in
-    /// which nothing has changed.
+    /// Open nothing, and report this update, in which nothing has changed: each call that the
+    /// decision module requests gets one event.
     Unchanged(EndpointUpdate),
 }
 
-/// The calls to discovery and the endpoint list.
+/// The open calls to discovery, their backoff, and the endpoint list.
 pub struct Discovery {
     address: SocketAddr,
     mode: DiscoveryMode,
     calls: Slab<DiscoveryCall>,
     revision: u64,
-    /// When discovery last said something, be it that nothing has changed.
+    /// When data from discovery last confirmed the list, even if nothing had changed; `None` before
+    /// the first data.
     confirmed_at: Option<Nanos>,
     backoff: Backoff,
     sync: SyncState,
@@ -72,7 +74,8 @@
 }
 
 impl Discovery {
-    /// Discovery at `address`, with no call open and the list of this revision still to be applied.
+    /// Creates a client of discovery at `address` without open calls; the list of `revision` is
+    /// still to be applied.
     pub fn new(
         address: SocketAddr,
         mode: DiscoveryMode,
@@ -94,12 +97,12 @@
         }
     }
 
-    /// How many calls are open.
+    /// Number of open calls.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether the list may be served from.
+    /// Whether requests may be served from the endpoint list.
     pub fn is_synced(&self) -> bool {
         self.sync == SyncState::Synced
     }
@@ -109,18 +112,19 @@
         self.endpoints.has_ready()
     }
 
-    /// Where a backend listens, if it is ready.
+    /// The address on which a backend listens; `None` if it is not ready.
     pub fn ready_address(&self, backend: BackendId) -> Option<SocketAddr> {
         self.endpoints.ready_address(backend)
     }
 
-    /// Whether discovery has said something that is not read, as far as that can be known.
+    /// Whether received data of any call may be waiting to be read; also `true` if the kernel can't
+    /// tell.
     pub fn has_unread_bytes(&self) -> bool {
         self.calls.iter().any(|(_, call)| call.has_unread_bytes())
     }
 
-    /// Where lists are pushed, opens the watch that the node keeps open; no request is served
-    /// before discovery has spoken, or a time limit for that is over.
+    /// Where lists are pushed, opens the watch that the node keeps open; no request is served until
+    /// discovery has sent data, or the time limit for that has passed.
     pub fn start(
         &mut self,
         event_loop: &mut EventLoop,
@@ -136,19 +140,20 @@
         self.open_call(CallKind::Watch, event_loop, diagnostics)
     }
 
-    /// Serves from the cached list from now on, if discovery has said nothing yet.
+    /// Serves from the cached list from now on, if discovery has sent nothing yet.
     pub fn serve_stale_list(&mut self, now: Nanos, diagnostics: &mut Diagnostics) {
         if std::mem::replace(&mut self.sync, SyncState::Synced) == SyncState::AwaitingFirstUpdate {
             diagnostics.log(
                 now,
                 "serving-stale-list",
-                "discovery has not spoken: serving from the list that was given",
+                "no data from discovery since the start: serving from the cached list",
             );
         }
     }
 
-    /// Follows discovery to another address: closes all calls, so that their end is no failure. A
-    /// list that was on its way is still wanted: gives how many polls were open.
+    /// Switches to discovery at another address and closes all calls, so that their end does not
+    /// count as a failure. Returns how many polls were open, as the lists that they requested are
+    /// still needed.
     pub fn move_to(&mut self, address: SocketAddr) -> usize {
         self.address = address;
         let open: Vec<u32> = self.calls.iter().map(|(number, _)| number).collect();
@@ -165,14 +170,14 @@
             .map(|(number, _)| number)
     }
 
-    /// The decision module wants a watch, or none.
+    /// Handles a decision to have a watch open, or to have none.
     pub fn change_watch(&mut self, should_be_open: bool) -> WatchChange {
         self.backoff.end();
         let open = self.open_watch();
         if should_be_open && open.is_none() {
             return WatchChange::Open;
         }
-        // One is open already where a new configuration came before the end of a backoff.
+        // A watch is already open if a reload came before the end of a backoff.
         if !should_be_open && let Some(number) = open {
             self.calls.remove(number);
         }
@@ -182,7 +187,7 @@
         })
     }
 
-    /// The backoff of the node's own watch is over.
+    /// Ends the backoff where lists are pushed, and opens the watch unless one is open.
     pub fn end_backoff(
         &mut self,
         event_loop: &mut EventLoop,
@@ -195,8 +200,8 @@
         self.open_call(CallKind::Watch, event_loop, diagnostics)
     }
 
-    /// Makes a call that the machine could not start before, unless a reload has opened a watch
-    /// meanwhile.
+    /// Tries again to open a call that could not be started for lack of local resources. A watch is
+    /// not opened if a reload has opened one in the meantime.
     pub fn retry_call(
         &mut self,
         kind: CallKind,
@@ -209,7 +214,8 @@
         self.open_call(kind, event_loop, diagnostics)
     }
 
-    /// Opens a call.
+    /// Opens a call. If discovery can't be reached, that counts as a failed call; for lack of local
+    /// resources, the call is postponed.
     pub fn open_call(
         &mut self,
         kind: CallKind,
@@ -225,8 +231,8 @@
         if errno::of_connect(error) == ErrorClass::ConnectionLost {
             return self.call_failed(error, event_loop, diagnostics);
         }
-        // Of this machine, for a moment: discovery has not failed, and its backoff would be too
-        // long.
+        // The shortage is local and temporary: discovery has not failed, and the backoff would be
+        // too long.
         diagnostics.log(now, "call-postponed", error);
         event_loop.schedule(
             now + CALL_RETRY_DELAY,
@@ -249,7 +255,8 @@
         Ok(())
     }
 
-    /// Counts and logs a failed call, and schedules the next one where lists are pushed.
+    /// Logs a failed call and starts the backoff; where lists are pushed, also schedules the next
+    /// call.
     pub fn call_failed(
         &mut self,
         reason: impl std::fmt::Display,
@@ -272,7 +279,8 @@
         }
     }
 
-    /// Writes and reads a call whose socket is ready; `None` if there is nothing to follow up.
+    /// Writes and reads a call whose socket is ready; `None` if the call has been closed, or is
+    /// paused for lack of resources.
     pub fn advance_call(
         &mut self,
         number: u32,
@@ -293,8 +301,9 @@
         Some(progress)
     }
 
-    /// The machine lacks resources for a moment: the call is resumed a little later, and has no
-    /// event before that, which would come without a pause.
+    /// Pauses a call because the machine temporarily lacks resources, and resumes it after
+    /// [`MIN_RETRY`]. Until then its events are deregistered, as they would be reported in every
+    /// loop iteration.
     pub fn pause_call(&mut self, number: u32, event_loop: &mut EventLoop) {
         if let Some(call) = self.calls.get_mut(number) {
             let _ = call.pause(number, event_loop);
@@ -303,15 +312,15 @@
         }
     }
 
-    /// Whether a call is silent for too long, now that its timer has fired.
+    /// Returns whether the deadline of a call has passed, after its timer has fired.
     pub fn is_call_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         self.calls
             .get_mut(number)
             .is_some_and(|call| call.is_due(number, event_loop))
     }
 
-    /// Takes note of what a call has brought, before its updates are applied; closes one that is
-    /// over.
+    /// Records the progress of a call before its updates are applied, and closes a call that has
+    /// ended.
     pub fn note_progress(&mut self, number: u32, progress: &CallProgress, now: Nanos) {
         if progress.spoke {
             self.sync = SyncState::Synced;
@@ -324,12 +333,13 @@
         }
     }
 
-    /// Discovery has confirmed the list: the next update says what has changed since.
+    /// Records that discovery has confirmed the list at `now`: the next update has the changes
+    /// since then.
     pub fn confirm(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
 
-    /// Applies an update that discovery has sent.
+    /// Applies an update that discovery has sent, and logs one with an older revision.
     pub fn apply(
         &mut self,
         update: &EndpointUpdate,
@@ -349,7 +359,7 @@
         self.apply_as(freshness, update, event_loop, diagnostics)
     }
 
-    /// Applies the list from before the start of the node.
+    /// Applies the cached list, which is from before the start of the node.
     pub fn apply_cached(
         &mut self,
         update: &EndpointUpdate,
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the backends as discovery last had them, and their numbers.
+//! The endpoint list: the backends as discovery last reported them, and their IDs.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hasher;
@@ -12,38 +12,38 @@
 use crate::clock::{MS, SECOND};
 use crate::start_time::{StartObservation, StartTimes};
 
-/// A removed backend is remembered for this long, in nanoseconds: lists that are behind may name it
-/// once more, and what is known of it should then still count. No attempt at it is in flight for as
-/// long.
+/// How long a removed backend is remembered, in nanoseconds: an older list may name it once more,
+/// and what is known about it should then still apply. No attempt at it is in flight for that long.
 const REMOVED_ENDPOINT_RETENTION: Nanos = 60 * SECOND;
-/// Most names of zones, and of kinds; further ones are not distinguished.
+/// Maximum number of names of zones, and of kinds; further names are not distinguished.
 const MAX_NAMES: usize = 1_000;
 
-/// How an update relates to what is known.
+/// How recent an update is compared with the known list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// From before the start of the node.
+    /// The cached list, from before the start of the node.
     Cached,
-    /// At least as new as what is known.
+    /// The revision is not lower than the known one.
     Current,
-    /// Its revision is behind: of another replica, or, after a reload, of another service.
+    /// The revision is lower than the known one: it comes from another replica or, after a reload,
+    /// from another discovery service.
     Older,
 }
 
-/// What follows from an update.
+/// What the node must do after an update.
 #[derive(Debug)]
 pub struct AppliedUpdate {
-    /// What goes to the decision module.
+    /// The event to pass to the decision module.
     pub event: Event,
-    /// The backends to which connections must end: those that are draining or removed, and those
-    /// that have another address.
+    /// Backends whose connections must be closed: those that are draining or removed, and those
+    /// whose address has changed.
     pub disconnect: Vec<BackendId>,
 }
 
-/// The backends as discovery last had them.
+/// The backends as discovery last reported them.
 pub struct EndpointList {
-    /// The numbers by which the decision module knows backends. A uid keeps its number until it is
-    /// forgotten; no number is given twice.
+    /// The IDs of backends in the decision module. A uid keeps its ID until it is forgotten; no ID
+    /// is assigned twice.
     ids: HashMap<String, BackendId>,
     next_id: u32,
     zones: Vec<String>,
@@ -55,17 +55,17 @@
 struct KnownEndpoint {
     address: Option<SocketAddr>,
     state: EndpointState,
-    /// Its last start as listed, in Unix milliseconds; 0: not known.
+    /// The last start as listed, in Unix milliseconds; 0 if unknown.
     boot_ms: u64,
-    /// The same on the node's clock; `None`: long ago.
+    /// The last start in nanoseconds on the node's clock; `None` if it was long ago.
     started_at: Option<Nanos>,
-    /// When a list last said something new of it.
+    /// When an update last listed the backend, or a full list first omitted it.
     last_update_at: Nanos,
 }
 
 impl EndpointList {
-    /// An empty list. Zones and kinds have their positions among these names; names that the
-    /// settings do not know are added behind them.
+    /// Creates an empty list. The IDs of zones and kinds are the positions of their names in
+    /// `zones` and `kinds`; names that the settings don't have are appended.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> EndpointList {
         EndpointList {
             ids: HashMap::new(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Where a backend listens, if it is ready.
+    /// The address on which a backend listens; `None` if it is not ready.
     pub fn ready_address(&self, id: BackendId) -> Option<SocketAddr> {
         self.endpoints
             .get(&id)
@@ -92,9 +92,9 @@
             .any(|known| known.state == EndpointState::Ready)
     }
 
-    /// Applies an update. An older one is applied too, as its sender may count from the start
-    /// again; but a backend that is draining or removed is ready again only by a newer update, or
-    /// by a newer start.
+    /// Applies an update. An older one is applied too, as its sender may have restarted its
+    /// revisions; but it makes a draining or removed backend ready only if it lists a newer start
+    /// of that backend.
     pub fn apply(
         &mut self,
         observation: &StartObservation,
@@ -123,14 +123,16 @@
         }
     }
 
-    /// The entries of an update as the decision module knows them.
+    /// Converts the entries of an update to endpoints of the decision module, and assigns IDs to
+    /// new uids.
     fn resolve_entries(
         &mut self,
         observation: &StartObservation,
         update: &EndpointUpdate,
         freshness: Freshness,
     ) -> Vec<Endpoint> {
-        // All of them before any is dated: the youngest one says most about the clocks.
+        // All starts are recorded before any is converted: the latest one gives the tightest bound
+        // on the error of the wall clock.
         for entry in &update.entries {
             self.start_times.note(entry.boot_ms, observation.now);
         }
@@ -152,7 +154,7 @@
             .entry(entry.uid.clone())
             .or_insert(BackendId(self.next_id));
         self.next_id += u32::from(id.0 == self.next_id);
-        // A start is dated once: clocks that are stepped later don't make it another.
+        // A start is converted once, so that a later step of a clock does not change its time.
         let known = self
             .endpoints
             .get(&id)
@@ -175,8 +177,8 @@
         }
     }
 
-    /// An older update makes no backend ready that is known to be draining or removed, unless it
-    /// has started again since.
+    /// Keeps the state of backends that are known to be draining or removed, unless the older
+    /// update lists a newer start of the backend.
     fn keep_unready_states(&self, update: &EndpointUpdate, endpoints: &mut [Endpoint]) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
             let unready = self
@@ -190,7 +192,7 @@
         }
     }
 
-    /// What is missing on the whole list has been removed.
+    /// Marks the backends that a full list omits as removed.
     fn remove_unlisted(
         &mut self,
         now: Nanos,
@@ -238,7 +240,8 @@
         }
     }
 
-    /// Uids are never reused, so a day of releases would fill the list.
+    /// Forgets backends that were removed long ago. Uids are never reused, so a day of releases
+    /// would fill the list otherwise.
     fn forget_removed(&mut self, now: Nanos) {
         self.endpoints.retain(|_, known| {
             known.state != EndpointState::Removed
@@ -250,7 +253,7 @@
         self.ids.retain(|_, id| self.endpoints.contains_key(id));
     }
 
-    /// One line of the trace for each entry of an update that was applied at `now`.
+    /// The trace lines for an update that was applied at `now`, one for each entry.
     pub fn trace_lines<'a>(
         &'a self,
         update: &'a EndpointUpdate,
@@ -274,8 +277,8 @@
     }
 }
 
-/// Whether a list speaks of another start than the known one. Where the wall clock was set back, a
-/// new start looks earlier than the old one; a list that is behind may still speak of an old one.
+/// Whether an entry lists another start than the known one. If the wall clock was set back, a new
+/// start has an earlier time than the old one; an older list may still have an old start.
 fn is_new_start(known: &KnownEndpoint, entry: &ListedEndpoint, freshness: Freshness) -> bool {
     match freshness {
         Freshness::Older => entry.boot_ms > known.boot_ms,
@@ -285,8 +288,8 @@
     }
 }
 
-/// The position of a name in the settings' list. A name that they do not know yet gets a position
-/// of its own: a new kind of machine must not cost the whole list.
+/// The position of a name in `names`. An unknown name is appended: a new kind of machine must not
+/// make the whole list invalid.
 fn position_of(names: &mut Vec<String>, name: &str) -> u16 {
     let found = names.iter().position(|known| known == name);
     found.unwrap_or_else(|| {
--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -125,7 +125,7 @@
     }
     assigned_ids.dedup();
     assert!(assigned_ids.is_sorted() && assigned_ids.len() == 1000);
-    // One that comes back soon is the same, one that comes back late is new.
+    // A uid that is listed again within the retention time keeps its ID; a later one gets a new ID.
     let mut relist = |uid| {
         backend_ids(
             endpoint_list
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,11 +1,11 @@
 //! Discovery: the endpoint list, and the calls that keep it up to date.
 //!
-//! At most one watch is open; it is resumed after the last revision. Where the settings have the
-//! list polled, the decision module says whether and when to call again; where lists are pushed,
-//! the node keeps a watch open by itself.
+//! At most one watch is open; a new one resumes after the last known revision. If the list is
+//! polled, the decision module decides whether and when to call discovery again; if it is pushed,
+//! the node itself keeps a watch open.
 //!
-//! On the wire the backends are `targets`, their version `rev`, a draining one `Terminating` and a
-//! removed one `Gone`; [`EndpointUpdate`] maps them.
+//! On the wire, the backends are `targets`, the revision is `rev`, and the states draining and
+//! removed are `Terminating` and `Gone`; [`EndpointUpdate`] translates these names.
 
 mod backoff;
 mod call;
--- a/crates/node/src/discovery/object_scanner.rs
+++ b/crates/node/src/discovery/object_scanner.rs
@@ -1,19 +1,20 @@
-//! Finds where the objects of a watch end.
+//! Finds the ends of the JSON objects of a watch.
 
-/// Finds line ends outside of any bracket, as objects may come indented.
+/// Finds line ends outside of all brackets and strings, as objects may be indented over several
+/// lines.
 #[derive(Default)]
 pub struct ObjectScanner {
-    /// Bytes of the buffer that are scanned already.
+    /// Number of bytes at the start of the buffer that are scanned already.
     scanned: usize,
-    /// Open brackets.
+    /// Number of open brackets.
     depth: usize,
     is_in_string: bool,
     is_escaped: bool,
 }
 
 impl ObjectScanner {
-    /// Goes on over what has arrived in `bytes`, which still begins at the first object that has
-    /// not ended. The length of that object with its line end, once it is there.
+    /// Continues the scan of `bytes`, which must still begin with the first object whose end was
+    /// not found. Returns the length of that object including its line end, once that is found.
     pub fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         for byte in &bytes[self.scanned..] {
             self.scanned += 1;
--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -5,12 +5,12 @@
 use kitefork_balancer::EndpointState;
 use kitefork_settings::json::{ConfigError, Document, JsonValue};
 
-/// What an update says of one backend.
+/// The entry of one backend in an update.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
-    /// The backend's name, unique for all time.
+    /// The backend's name, which is never reused.
     pub uid: String,
-    /// Where it listens; a ready one always has an address.
+    /// The address on which the backend listens; always present if it is ready.
     pub address: Option<SocketAddr>,
     /// Its availability zone (`az`); may be empty.
     pub zone: String,
@@ -22,18 +22,18 @@
     pub state: EndpointState,
     /// Its relative capacity (`capacity_hint`).
     pub weight: f32,
-    /// When it started, in Unix milliseconds by its own clock; 0: not known.
+    /// When the backend started, in Unix milliseconds by its own clock; 0 if unknown.
     pub boot_ms: u64,
 }
 
-/// One object of discovery: changes of the endpoint list, or the whole list.
+/// One object that discovery sends: changes of the endpoint list, or the whole list.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointUpdate {
     /// The revision of the list after this update.
     pub revision: u64,
-    /// Whether `entries` is the whole list: what is missing on it has been removed.
+    /// Whether `entries` is the whole list: backends missing from it have been removed.
     pub all: bool,
-    /// The backends that the update speaks of.
+    /// The changed backends, or all backends of the whole list.
     pub entries: Vec<ListedEndpoint>,
 }
 
@@ -42,12 +42,12 @@
     ///
     /// # Errors
     ///
-    /// If the text is no JSON, or a key is missing or invalid; nothing of it is taken then.
+    /// If the text is not JSON, or a key is missing or invalid; the whole update is rejected then.
     pub fn parse(text: &[u8]) -> Result<EndpointUpdate, ConfigError> {
         EndpointUpdate::read(&Document::parse(text)?.root())
     }
 
-    /// Reads an update out of a JSON value.
+    /// Reads an update from a JSON value.
     ///
     /// # Errors
     ///
