--- a/crates/node/src/errno.rs
+++ b/crates/node/src/errno.rs
@@ -1,32 +1,32 @@
-//! What an error of a socket call means, in one table for each call.
+//! Classification of the errors of socket calls, with one table for each kind of call.
 //!
 //! Sources: `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)`, `epoll_ctl(2)`, `tcp(7)`.
-//! What a table does not name gets the class that its function states.
+//! Errors that a table does not list get the class that the doc comment of its function states.
 
 use rustix::io::Errno;
 
-/// What to do about an error.
+/// How the caller must handle an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorClass {
     /// The call was interrupted, or the error belongs to another connection: call again.
     RetryNow,
-    /// Nothing to do until the socket is ready.
+    /// The call can't proceed until the socket is ready.
     WouldBlock,
-    /// The machine lacks something for a moment: call again a little later. Says nothing of the
-    /// other side.
+    /// The machine temporarily lacks a resource: call again after a short delay. Says nothing about
+    /// the peer.
     RetryLater,
-    /// The process holds as many descriptors as it may.
+    /// The process has reached its limit of open descriptors.
     OutOfDescriptors,
-    /// This connection is broken, or the other side can't be reached.
+    /// This connection is broken, or the peer can't be reached.
     ConnectionLost,
-    /// The call itself is wrong: a fault of the program.
+    /// The call itself is invalid, which is a bug of the program.
     Fatal,
 }
 
 use ErrorClass::{ConnectionLost, Fatal, OutOfDescriptors, RetryLater, RetryNow, WouldBlock};
 
-/// An error of `accept`. Linux passes on errors that a new connection already has; they are over
-/// with it.
+/// The class of an error of `accept`; unknown errors are fatal. Linux reports pending errors of the
+/// new connection here; they concern only that connection, so the next one can be accepted at once.
 pub fn of_accept(error: Errno) -> ErrorClass {
     match error {
         Errno::AGAIN => WouldBlock,
@@ -45,25 +45,26 @@
     }
 }
 
-/// An error of `socket` or of an immediate `connect`. Unknown ones speak against the other side.
+/// The class of an error that `socket` or `connect` returns at once. Unknown errors mean that the
+/// peer can't be reached.
 pub fn of_connect(error: Errno) -> ErrorClass {
     match error {
         Errno::INTR => RetryNow,
-        // A connection attempt on a non-blocking socket goes on.
+        // The connection attempt of a non-blocking socket continues in the background.
         Errno::INPROGRESS => WouldBlock,
         Errno::MFILE => OutOfDescriptors,
         Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::AGAIN => {
             RetryLater
         }
-        // The limit on watched descriptors, where the new connection is registered at once.
+        // The limit on descriptors watched by epoll, where a new connection is registered at once.
         Errno::NOSPC => RetryLater,
-        // No route for a moment: of this machine, not of one backend.
+        // Temporarily no route: a problem of this machine, not of one backend.
         Errno::NETUNREACH | Errno::NETDOWN => RetryLater,
         _ => ConnectionLost,
     }
 }
 
-/// An error of `send` or `recv`. Unknown ones end the connection.
+/// The class of an error of `send` or `recv`. Unknown errors end the connection.
 pub fn of_transfer(error: Errno) -> ErrorClass {
     match error {
         Errno::INTR => RetryNow,
@@ -73,7 +74,7 @@
     }
 }
 
-/// An error of `epoll_ctl`.
+/// The class of an error of `epoll_ctl`. Unknown errors are fatal.
 pub fn of_register(error: Errno) -> ErrorClass {
     match error {
         Errno::NOMEM | Errno::NOSPC => RetryLater,
--- a/crates/node/src/errno_tests.rs
+++ b/crates/node/src/errno_tests.rs
@@ -1,4 +1,4 @@
-//! The tables, entry by entry, as the manual pages have them.
+//! Unit tests of the tables of errors, as the manual pages document them.
 
 use super::*;
 
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -14,10 +14,11 @@
 
 use crate::errno::{self, ErrorClass};
 
-/// Flags of every socket: the event loop must never block, and no child process inherits one.
+/// Flags of every socket: the event loop must never block, and child processes must not inherit
+/// sockets.
 const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
-/// Connections that the kernel queues until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 pub const ACCEPT_BACKLOG: i32 = 1024;
 
 fn stream_socket(address: SocketAddr) -> Result<OwnedFd, Errno> {
@@ -29,32 +30,32 @@
     socket_with(family, SocketType::STREAM, SOCKET_FLAGS, None)
 }
 
-/// A socket that listens on `address`.
+/// Creates a socket that listens on `address`.
 ///
 /// # Errors
 ///
 /// Those of socket(2), setsockopt(2), bind(2) and listen(2).
 pub fn listener(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let socket = stream_socket(address)?;
-    // A restarted node must not wait until the old one's connections have left TIME_WAIT.
+    // A restarted node must not wait until connections of the previous process have left TIME_WAIT.
     sockopt::set_socket_reuseaddr(&socket, true)?;
     bind(&socket, &address)?;
     listen(&socket, ACCEPT_BACKLOG)?;
     Ok(socket)
 }
 
-/// How often a call is attempted at the start of the process ...
+/// Maximum number of attempts of an operation at the start of the process; a shortage that lasts
+/// longer than half a second is reported.
 const MAX_START_ATTEMPTS: u32 = 50;
-/// ... and the pause between two attempts: a shortage that lasts longer than half a second is
-/// reported.
+/// Pause between two attempts of an operation at the start of the process.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Repeats a call while the machine lacks a resource for a moment. Blocks between attempts, so it
-/// is for the start of the process only.
+/// Repeats an operation while it fails because the machine temporarily lacks a resource. Blocks
+/// between attempts, so it is for the start of the process only.
 ///
 /// # Errors
 ///
-/// Any error of `call` that is no passing shortage, and the error of the last attempt.
+/// Any error of `call` that is not a temporary shortage, and the error of the last attempt.
 pub fn retry_at_start<T>(mut call: impl FnMut() -> Result<T, Errno>) -> Result<T, Errno> {
     for _ in 1..MAX_START_ATTEMPTS {
         match call() {
@@ -70,34 +71,35 @@
 ///
 /// # Errors
 ///
-/// Those of accept(2), among them that none is queued.
+/// Those of accept(2), including EAGAIN if no connection is queued.
 pub fn accept(listener: &OwnedFd) -> Result<OwnedFd, Errno> {
     let socket = accept_with(listener, SOCKET_FLAGS)?;
-    // Fails if the client has reset the connection meanwhile, which the first read reports.
+    // This fails if the client has reset the connection in the meantime, which the first read
+    // reports.
     let _ = sockopt::set_tcp_nodelay(&socket, true);
     Ok(socket)
 }
 
-/// Whether the peer has ended its sending or reset the connection, whatever is still unread. False
-/// where the kernel can't say for a moment.
+/// Whether the peer has shut down its sending side or reset the connection, even if received bytes
+/// are still unread. `false` if the kernel temporarily can't tell.
 pub fn has_peer_closed(socket: &OwnedFd) -> bool {
     is_ready(socket, PollFlags::RDHUP).unwrap_or(false)
 }
 
-/// What a connection has received that was not read yet.
+/// What can be read from a connection now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// Bytes.
+    /// Received bytes.
     Bytes,
     /// Nothing; the peer may still send.
     Nothing,
-    /// An end or a reset.
+    /// The end of the stream, or an error such as a reset.
     Closed,
-    /// The kernel could not say.
+    /// Unknown, as the kernel temporarily lacks resources.
     Unknown,
 }
 
-/// Peeks at what a connection has received, and leaves it there.
+/// Checks what can be read from a connection, without consuming it.
 pub fn unread(socket: &OwnedFd) -> Unread {
     loop {
         return match rustix::net::recv(socket, &mut [0], RecvFlags::PEEK) {
@@ -139,18 +141,19 @@
         .intersects(wanted | PollFlags::HUP | PollFlags::ERR))
 }
 
-/// Starts to connect; the connection is established once the socket is writable.
+/// Starts a connection to `address`; it is established once the socket is writable.
 ///
 /// # Errors
 ///
-/// Those of socket(2) and connect(2), unless the connection goes on being established.
+/// Those of socket(2) and connect(2), except those that mean that the connection is still being
+/// established.
 pub fn dial(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let socket = stream_socket(address)?;
-    // Without it the connection only has more latency.
+    // If this fails, the connection works with a higher latency.
     let _ = sockopt::set_tcp_nodelay(&socket, true);
     match connect(&socket, &address) {
         Ok(()) => Ok(socket),
-        // An interrupted connect(2) goes on in the background, as a non-blocking one does.
+        // An interrupted connect(2) continues in the background, like a non-blocking one.
         Err(error) => match errno::of_connect(error) {
             ErrorClass::WouldBlock | ErrorClass::RetryNow => Ok(socket),
             _ => Err(error),
@@ -161,21 +164,21 @@
 /// The events for which a socket is registered with epoll.
 #[derive(Debug, Default)]
 pub struct Registration {
-    /// `None`: not registered yet.
+    /// `None` if the socket is not registered yet.
     registered: Option<EventFlags>,
 }
 
 impl Registration {
-    /// The registered events; none before the first success.
+    /// The registered events; empty before the first successful registration.
     pub fn flags(&self) -> EventFlags {
         self.registered.unwrap_or(EventFlags::empty())
     }
 
-    /// Registers the wanted events, unless just these are registered.
+    /// Registers the wanted events, unless exactly these are registered already.
     ///
     /// # Errors
     ///
-    /// Those of `epoll_ctl(2)`: the machine may lack memory for a moment. The old registration
+    /// Those of `epoll_ctl(2)`: the machine may temporarily lack memory. The previous registration
     /// stays in force.
     pub fn set(
         &mut self,
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals: a flag that the handler sets, and a byte that wakes the loop.
+//! Signal handling: the handler sets a flag and writes a byte that wakes the event loop.
 //!
-//! The byte may get lost where the machine lacks memory for it; the flag does not, and the loop
-//! checks it in each iteration.
+//! The byte may be lost if the machine lacks memory for it; the flag is never lost, and the event
+//! loop checks it in each iteration.
 
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     Reload,
 }
 
-/// The signals of the node.
+/// The state of all signals that the node handles.
 pub struct Signals {
     terminate: Signal,
     reload: Signal,
@@ -38,7 +38,7 @@
         })
     }
 
-    /// The signal of a kind.
+    /// The state of the signals of this kind.
     pub fn get(&self, kind: SignalKind) -> &Signal {
         match kind {
             SignalKind::Terminate => &self.terminate,
@@ -47,24 +47,25 @@
     }
 }
 
-/// One kind of signal.
+/// The flag and the wake-up socket of one kind of signal.
 pub struct Signal {
     wake_up: UnixStream,
     is_pending: Arc<AtomicBool>,
 }
 
 impl Signal {
-    /// Handles any of these signals as one kind.
+    /// Installs handlers that treat all of these signals as one kind.
     ///
     /// # Errors
     ///
-    /// What the system answers to `socketpair(2)` or to the installation of the handler.
+    /// The errors of `socketpair(2)`, of setting up its two sockets, and of installing a handler.
     pub fn register(signals: &[i32]) -> std::io::Result<Signal> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
         let is_pending = Arc::new(AtomicBool::new(false));
         for signal in signals {
-            // Handlers run in this order: the flag is set when the byte wakes the loop.
+            // Handlers run in this order, so the flag is already set when the byte wakes the event
+            // loop.
             signal_hook::flag::register(*signal, is_pending.clone())?;
             signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
@@ -74,12 +75,12 @@
         })
     }
 
-    /// What becomes readable when the signal arrives.
+    /// The socket that becomes readable when one of the signals arrives.
     pub fn wake_up(&self) -> &UnixStream {
         &self.wake_up
     }
 
-    /// Reads the wake-up bytes, so that the loop can wait again.
+    /// Reads and discards the wake-up bytes, so that the event loop can wait again.
     pub fn drain_wake_up(&self) {
         let mut bytes = [0; 16];
         while matches!(
@@ -88,7 +89,7 @@
         ) {}
     }
 
-    /// Whether the signal has arrived since the last call.
+    /// Returns whether one of the signals has arrived since the last call, and resets the flag.
     pub fn take(&self) -> bool {
         self.is_pending.swap(false, Ordering::SeqCst)
     }
--- a/crates/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -1,11 +1,11 @@
 //! Timers of the node: a timer wheel with coarse ticks. A timer fires in the first poll at or after
-//! its tick, so up to a tick late and never early. Nothing is removed before it fires: whoever
-//! scheduled a timer checks, when it fires, whether it still applies.
+//! its tick, so up to a tick late and never early. Timers are not cancelled: the code that handles
+//! a timer checks, when it fires, whether it still applies.
 
 use kitefork_balancer::Nanos;
 
-/// Slots of a wheel: at ticks of 5 ms one revolution takes 5 s, so that most deadlines of requests
-/// fire in their first revolution.
+/// Number of slots of a wheel. At ticks of 5 ms, one revolution takes 5 s, so that most request
+/// deadlines fire in their first revolution.
 const SLOTS: usize = 1024;
 
 /// A timer wheel. Timers that are further away than one revolution share slots with nearer ones.
@@ -23,7 +23,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// An empty wheel; `tick_length` is its resolution, at least 1 ns.
+    /// Creates an empty wheel whose resolution is `tick_length`, in nanoseconds and at least 1.
     pub fn new(tick_length: Nanos, now: Nanos) -> TimerWheel<T> {
         let tick_length = tick_length.max(1);
         TimerWheel {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Schedules an event; one whose time has passed fires at the next tick.
+    /// Schedules an event for the time `at`; if that has passed, it fires at the next tick.
     pub fn schedule(&mut self, at: Nanos, event: T) {
         let tick = at.div_ceil(self.tick_length).max(self.last_tick + 1);
         self.slots[slot_of(tick)].push(Timer { tick, event });
@@ -68,20 +68,20 @@
     tick as usize % SLOTS
 }
 
-/// A deadline that can be moved. It schedules as few timers as it can: of those that it has on the
-/// wheel, only the earliest counts.
+/// A deadline that can be moved. It schedules as few timers as possible: of its timers on the
+/// wheel, only the earliest one applies, and the others are ignored when they fire.
 #[derive(Clone, Copy)]
 pub struct Deadline {
     at: Nanos,
-    /// Time of the timer on the wheel that counts.
+    /// Time of its timer on the wheel that applies; [`Deadline::NEVER`] if there is none.
     scheduled_at: Nanos,
 }
 
 impl Deadline {
-    /// A time that never comes.
+    /// The time of a deadline that is not set.
     pub const NEVER: Nanos = Nanos::MAX;
 
-    /// A deadline that is not set.
+    /// Creates a deadline that is not set.
     pub fn new() -> Deadline {
         Deadline {
             at: Self::NEVER,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Moves the deadline. Schedules `event`, unless an earlier timer will reschedule it.
+    /// Moves the deadline to `at`. Schedules `event`, unless an earlier timer will reschedule it.
     pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, event: T) {
         self.at = at;
         if at < self.scheduled_at {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// To be called when a timer of this deadline has fired: returns whether the deadline has come,
-    /// and schedules `event` again if it was moved to a later time.
+    /// Must be called when a timer of this deadline has fired. Returns whether the deadline has
+    /// passed, and schedules `event` again if the deadline was moved to a later time.
     pub fn is_due<T>(&mut self, now: Nanos, wheel: &mut TimerWheel<T>, event: T) -> bool {
         if self.scheduled_at > now {
             return false;
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -36,7 +36,8 @@
     assert_eq!(wheel.expire(1_005), ['a', 'z']);
     assert_eq!(wheel.expire(1_014), []);
     assert_eq!(wheel.expire(1_015), ['b']);
-    // A revolution later in the same slot; and a pause longer than a revolution loses nothing.
+    // The timer 'd' is one revolution later than 'b' in the same slot; a pause that is longer than
+    // a revolution loses no timer.
     wheel.schedule(30_000, 'e');
     assert_eq!(wheel.expire(90_000), ['d', 'e']);
     assert_eq!(wheel.next(), None);
