--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_deadline_that_moves_is_due_once_and_at_its_last_time() {
+fn moved_deadline_is_due_once_at_its_last_time() {
     let (mut wheel, mut deadline) = (TimerWheel::new(1, 0), Deadline::new());
     deadline.set(5, &mut wheel, ());
     deadline.set(9, &mut wheel, ());
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn fires_in_order_a_tick_late_at_most_and_never_early() {
+fn timers_fire_in_order_at_most_one_tick_late_and_never_early() {
     let mut wheel = TimerWheel::new(5, 1_000);
     for (at, name) in [
         (1_012, 'b'),
@@ -36,7 +36,8 @@
     assert_eq!(wheel.expire(1_005), ['a', 'z']);
     assert_eq!(wheel.expire(1_014), []);
     assert_eq!(wheel.expire(1_015), ['b']);
-    // A revolution later in the same slot; and a pause longer than a revolution loses nothing.
+    // The timer 'd' is one revolution later than 'b' in the same slot; a pause that is longer than
+    // a revolution loses no timer.
     wheel.schedule(30_000, 'e');
     assert_eq!(wheel.expire(90_000), ['d', 'e']);
     assert_eq!(wheel.next(), None);
