--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -51,7 +51,7 @@
 
 /// Reads the plan of this process, if it has one. A plan that can't be read would make a test pass
 /// for the wrong reason, so the process ends.
-fn start() -> Option<Shim> {
+fn init_shim() -> Option<Shim> {
     let text = std::env::var(PLAN_VARIABLE).ok()?;
     let seed = std::env::var(SEED_VARIABLE)
         .ok()
@@ -71,8 +71,8 @@
 
 /// The fault of a call that is made now, if the plan has one for it.
 fn inject_fault(call: Call) -> Option<Fault> {
-    let shim = SHIM.get_or_init(start).as_ref()?;
-    let elapsed = monotonic_ms().saturating_sub(shim.started_ms);
+    let shim = SHIM.get_or_init(init_shim).as_ref()?;
+    let elapsed_ms = monotonic_ms().saturating_sub(shim.started_ms);
     // A signal handler may come here while the lock is held by its own thread: its call goes
     // through.
     let mut plan = match shim.plan.try_lock() {
@@ -80,20 +80,20 @@
         Err(std::sync::TryLockError::Poisoned(poisoned)) => PoisonError::into_inner(poisoned),
         Err(std::sync::TryLockError::WouldBlock) => return None,
     };
-    plan.inject(call, elapsed)
+    plan.inject(call, elapsed_ms)
 }
 
 /// Address of the next definition of a symbol behind this library's own; looked up once.
 fn next_symbol(cache: &AtomicUsize, name: &CStr) -> usize {
-    let known = cache.load(Ordering::Relaxed);
-    if known != 0 {
-        return known;
+    let cached = cache.load(Ordering::Relaxed);
+    if cached != 0 {
+        return cached;
     }
     // SAFETY: `name` ends with a zero byte, and the C library is loaded for as long as the process
     // runs.
-    let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize;
-    cache.store(found, Ordering::Relaxed);
-    found
+    let symbol_address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize;
+    cache.store(symbol_address, Ordering::Relaxed);
+    symbol_address
 }
 
 fn set_errno(errno: c_int) {
@@ -167,21 +167,23 @@
     fn accept(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int);
 intercept!(Call::Accept, c"accept4",
     fn accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int);
-intercept!(Call::Socket, c"socket", fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int);
+intercept!(Call::Socket, c"socket",
+    fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int);
 intercept!(Call::Connect, c"connect",
     fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
 intercept!(Call::Send, c"send",
-    fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t, length);
+    fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t, length);
 intercept!(Call::Recv, c"recv",
-    fn recv(fd: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t, length);
+    fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t, length);
 intercept!(Call::EpollCtl, c"epoll_ctl",
-    fn epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int);
+    fn epoll_ctl(epoll_fd: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int);
 intercept!(Call::EpollWait, c"epoll_wait",
-    fn epoll_wait(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int) -> c_int);
+    fn epoll_wait(epoll_fd: c_int, events: *mut epoll_event, max_events: c_int,
+        timeout: c_int) -> c_int);
 intercept!(Call::EpollWait, c"epoll_pwait2",
-    fn epoll_pwait2(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: *const timespec,
-        mask: *const libc::sigset_t) -> c_int);
-intercept!(Call::Poll, c"poll", fn poll(entries: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int);
+    fn epoll_pwait2(epoll_fd: c_int, events: *mut epoll_event, max_events: c_int,
+        timeout: *const timespec, mask: *const libc::sigset_t) -> c_int);
+intercept!(Call::Poll, c"poll", fn poll(fds: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int);
 
 /// Intercepted: the wall clock is off by what the plan says; other clocks are untouched.
 ///
@@ -189,11 +191,11 @@
 ///
 /// As the C library's function of this name.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
+pub unsafe extern "C" fn clock_gettime(clock_id: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller's pointer is valid for one `timespec`.
-    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) } as c_int;
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock_id, time) } as c_int;
     if result == 0
-        && clock == libc::CLOCK_REALTIME
+        && clock_id == libc::CLOCK_REALTIME
         && let Some(Fault::Step(seconds)) = inject_fault(Call::Clock)
     {
         // SAFETY: as above.
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -68,14 +68,14 @@
     from_ms: u64,
     to_ms: u64,
     /// Calls so far while the rule was in force.
-    seen: u64,
+    call_count: u64,
 }
 
 /// Why a plan can't be read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PlanError {
     /// A part of a rule is unknown or has no sense.
-    UnknownPart {
+    InvalidPart {
         /// The part.
         part: String,
         /// The whole rule.
@@ -85,7 +85,7 @@
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let PlanError::UnknownPart { part, rule } = self;
+        let PlanError::InvalidPart { part, rule } = self;
         write!(f, "fault plan: `{part}` in `{rule}`")
     }
 }
@@ -97,7 +97,7 @@
 pub struct Plan {
     rules: Vec<Rule>,
     /// State of the generator.
-    random: u64,
+    random_state: u64,
 }
 
 /// Multiplier of the linear congruential generator of Knuth's MMIX.
@@ -119,20 +119,20 @@
             .map(parse_rule);
         Ok(Plan {
             rules: rules.collect::<Result<_, _>>()?,
-            random: seed,
+            random_state: seed,
         })
     }
 
     /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule in
     /// force has one for it; the first of several. Each rule counts or draws for itself.
     pub fn inject(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
-        let random = &mut self.random;
+        let random_state = &mut self.random_state;
         let in_force = |rule: &&mut Rule| {
             rule.call == call && (rule.from_ms..rule.to_ms).contains(&elapsed_ms)
         };
         let mut injected = None;
         for rule in self.rules.iter_mut().filter(in_force) {
-            if rule.injects(random) {
+            if rule.should_inject(random_state) {
                 injected = injected.or(Some(rule.fault));
             }
         }
@@ -142,48 +142,50 @@
 
 impl Rule {
     /// Counts a call; whether the fault is injected into it.
-    fn injects(&mut self, random: &mut u64) -> bool {
-        self.seen += 1;
+    fn should_inject(&mut self, random_state: &mut u64) -> bool {
+        self.call_count += 1;
         match self.chance {
-            Some(chance) => draw(random) < chance,
-            None => self.seen.is_multiple_of(self.every),
+            Some(chance) => next_random(random_state) < chance,
+            None => self.call_count.is_multiple_of(self.every),
         }
     }
 }
 
 /// A draw from [0, 1).
-fn draw(random: &mut u64) -> f64 {
-    *random = random
+fn next_random(random_state: &mut u64) -> f64 {
+    *random_state = random_state
         .wrapping_mul(LCG_MULTIPLIER)
         .wrapping_add(LCG_INCREMENT);
-    (*random >> 11) as f64 / (1u64 << 53) as f64
+    (*random_state >> 11) as f64 / (1u64 << 53) as f64
 }
 
 fn parse_rule(text: &str) -> Result<Rule, PlanError> {
-    let unknown = |part: &str| PlanError::UnknownPart {
+    let invalid_part = |part: &str| PlanError::InvalidPart {
         part: part.into(),
         rule: text.into(),
     };
-    let (head, options) = text.split_once(',').unwrap_or((text, ""));
-    let (call, fault) = head.split_once('=').ok_or_else(|| unknown(head))?;
+    let (call_and_fault, options) = text.split_once(',').unwrap_or((text, ""));
+    let (call, fault) = call_and_fault
+        .split_once('=')
+        .ok_or_else(|| invalid_part(call_and_fault))?;
     let mut rule = Rule {
-        call: parse_call(call).ok_or_else(|| unknown(call))?,
-        fault: parse_fault(fault).ok_or_else(|| unknown(fault))?,
+        call: parse_call(call).ok_or_else(|| invalid_part(call))?,
+        fault: parse_fault(fault).ok_or_else(|| invalid_part(fault))?,
         every: 1,
         chance: None,
         from_ms: 0,
         to_ms: u64::MAX,
-        seen: 0,
+        call_count: 0,
     };
     for option in options.split(',').filter(|option| !option.is_empty()) {
-        let (name, value) = option.split_once(':').ok_or_else(|| unknown(option))?;
-        let integer = || value.parse::<u64>().map_err(|_| unknown(option));
+        let (name, value) = option.split_once(':').ok_or_else(|| invalid_part(option))?;
+        let integer = || value.parse::<u64>().map_err(|_| invalid_part(option));
         match name {
             "every" => rule.every = integer()?.max(1),
-            "chance" => rule.chance = Some(value.parse().map_err(|_| unknown(option))?),
+            "chance" => rule.chance = Some(value.parse().map_err(|_| invalid_part(option))?),
             "from" => rule.from_ms = integer()?,
             "to" => rule.to_ms = integer()?,
-            _ => return Err(unknown(option)),
+            _ => return Err(invalid_part(option)),
         }
     }
     Ok(rule)
@@ -217,12 +219,12 @@
     if text == "short" {
         return Some(Fault::Short);
     }
-    errno(text).map(Fault::Errno)
+    errno_from_name(text).map(Fault::Errno)
 }
 
 /// The errno values that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and
 /// `epoll(7)` document.
-fn errno(name: &str) -> Option<i32> {
+fn errno_from_name(name: &str) -> Option<i32> {
     Some(match name {
         "EINTR" => libc::EINTR,
         "EAGAIN" => libc::EAGAIN,
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_rule_holds_only_in_its_span() {
+fn a_rule_applies_only_within_its_time_span() {
     let mut plan = Plan::parse("clock=step:-3600,from:100,to:200", 1).unwrap();
     let injected: Vec<_> = [99, 100, 199, 200]
         .map(|ms| plan.inject(Call::Clock, ms))
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn a_call_may_begin_or_return_late() {
+fn sleep_delays_the_start_and_late_the_return_of_a_call() {
     let mut plan = Plan::parse("send=sleep:20;epoll_wait=late:300", 1).unwrap();
     assert_eq!(plan.inject(Call::Send, 0), Some(Fault::Sleep(20)));
     assert_eq!(plan.inject(Call::EpollWait, 0), Some(Fault::Late(300)));
 }
 
 #[test]
-fn a_chance_follows_from_the_seed() {
+fn faults_with_a_chance_repeat_for_the_same_seed() {
     let injected = |seed| {
         let mut plan = Plan::parse("send=ENOBUFS,chance:0.25", seed).unwrap();
         (0..1000)
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn what_is_unknown_in_a_plan_is_named() {
-    for (text, wanted) in [
+fn an_error_names_the_invalid_part_of_the_plan() {
+    for (text, expected_part) in [
         ("accpt=ENFILE", "`accpt`"),
         ("accept=ENOTHING", "`ENOTHING`"),
         ("accept", "`accept`"),
@@ -59,6 +59,6 @@
         ("accept=ENFILE,every:x", "`every:x`"),
     ] {
         let error = Plan::parse(text, 1).unwrap_err().to_string();
-        assert!(error.contains(wanted), "{error}");
+        assert!(error.contains(expected_part), "{error}");
     }
 }
