--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -2,7 +2,7 @@
 
 use kitefork_balancer::{Class, DeduplicationScope, Idempotency};
 
-use crate::decode::unknown_word;
+use crate::decode::unknown_value;
 use crate::json::{ConfigError, JsonValue};
 
 /// Reads one entry of `grades`.
@@ -28,7 +28,7 @@
         "repeatable" => Ok(Idempotency::Idempotent),
         "by_key" => Ok(idempotency_key),
         "once" => Ok(Idempotency::NotIdempotent),
-        word => Err(unknown_word(effect, word)),
+        other => Err(unknown_value(effect, other)),
     }
 }
 
@@ -44,6 +44,6 @@
         "all" => Ok(DeduplicationScope::Global),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        word => Err(unknown_word(scope, word)),
+        other => Err(unknown_value(scope, other)),
     }
 }
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -3,8 +3,8 @@
 use crate::json::{ConfigError, JsonValue};
 
 /// The error for a text that is none of the words which its key allows.
-pub(crate) fn unknown_word(value: &JsonValue, word: &str) -> ConfigError {
-    value.invalid(format!("unknown word `{word}`"))
+pub(crate) fn unknown_value(value: &JsonValue, string: &str) -> ConfigError {
+    value.invalid(format!("unknown word `{string}`"))
 }
 
 /// The array under `key`; an absent one is empty.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -3,7 +3,7 @@
 use kitefork_balancer::{Class, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
 use crate::decode::{
-    entry_names, optional_array, optional_number_in, optional_strings, unknown_word,
+    entry_names, optional_array, optional_number_in, optional_strings, unknown_value,
 };
 use crate::json::{ConfigError, JsonValue};
 use crate::setting_keys::wire_key_of;
@@ -111,7 +111,7 @@
     match mode.string()? {
         "automatic" => Ok(false),
         "subscribe" => Ok(true),
-        word => Err(unknown_word(mode, word)),
+        other => Err(unknown_value(mode, other)),
     }
 }
 
@@ -120,7 +120,7 @@
     match unit.string()? {
         "request" => Ok(false),
         "work" => Ok(true),
-        word => Err(unknown_word(unit, word)),
+        other => Err(unknown_value(unit, other)),
     }
 }
 
--- a/crates/settings/src/deployment_tests.rs
+++ b/crates/settings/src/deployment_tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn reads_known_keys_and_ignores_the_rest() {
+fn known_keys_are_read_and_unknown_keys_are_ignored() {
     let Deployment {
         settings, classes, ..
     } = parse(SETTINGS).unwrap();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn names_the_key_that_is_missing_or_wrong() {
+fn an_error_names_the_missing_or_invalid_key() {
     let cases = [
         ("tickNs", "tock", "missing field `tickNs`"),
         (
