--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Header {
     /// Number of event records.
-    pub records: u32,
+    pub record_count: u32,
     /// Bytes after the header.
-    pub length: u32,
+    pub body_length: u32,
     /// Clock time of the batch, in nanoseconds.
     pub now: u64,
     /// Sequence number.
@@ -43,8 +43,8 @@
     /// Decodes a header.
     pub fn read(bytes: &[u8; HEADER_SIZE]) -> Header {
         Header {
-            records: u32_at(bytes, header::RECORDS),
-            length: u32_at(bytes, header::LENGTH),
+            record_count: u32_at(bytes, header::RECORD_COUNT),
+            body_length: u32_at(bytes, header::BODY_LENGTH),
             now: u64_at(bytes, header::NOW),
             batch: u32_at(bytes, header::BATCH),
         }
--- a/crates/simulator/src/frame/endpoint_list.rs
+++ b/crates/simulator/src/frame/endpoint_list.rs
@@ -49,7 +49,7 @@
         cell: CellId(u16_at(entry, endpoint::CELL)),
         state,
         weight: f32_at(entry, endpoint::WEIGHT),
-        started_at: Some(u64_at(entry, endpoint::STARTED_AT)).filter(|at| *at > 0),
+        started_at: Some(u64_at(entry, endpoint::STARTED_AT)).filter(|started_at| *started_at > 0),
     })
 }
 
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -15,9 +15,9 @@
 /// Fields of a batch header.
 pub(super) mod header {
     /// `u32`: number of event records.
-    pub const RECORDS: usize = 0;
+    pub const RECORD_COUNT: usize = 0;
     /// `u32`: bytes after the header.
-    pub const LENGTH: usize = 4;
+    pub const BODY_LENGTH: usize = 4;
     /// `u64`: clock time in nanoseconds.
     pub const NOW: usize = 8;
     /// `u32`: sequence number.
@@ -37,7 +37,7 @@
     /// `u32`: offset of the first byte in the tail.
     pub const START: usize = 0;
     /// `u32`: number of items; of bytes where the items are bytes.
-    pub const LENGTH: usize = 4;
+    pub const ITEM_COUNT: usize = 4;
 }
 
 /// What an event record says.
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -46,7 +46,7 @@
     lists: &mut EndpointLists,
 ) -> Result<Vec<InstanceMessage>, FrameError> {
     let (records, tail) = split_body(header, body)?;
-    let mut messages = Vec::with_capacity(header.records as usize);
+    let mut messages = Vec::with_capacity(header.record_count as usize);
     for (index, bytes) in records.chunks_exact(EVENT_SIZE).enumerate() {
         let record = Record {
             bytes,
@@ -64,7 +64,7 @@
 
 /// Splits a body into its records and its tail.
 fn split_body<'a>(header: &Header, body: &'a [u8]) -> Result<(&'a [u8], &'a [u8]), FrameError> {
-    (header.records as usize)
+    (header.record_count as usize)
         .checked_mul(EVENT_SIZE)
         .and_then(|length| body.split_at_checked(length))
         .ok_or(FrameError {
@@ -91,7 +91,7 @@
         EventCode::Timer => timer_event(record),
         EventCode::AttemptEnded => attempt_ended_event(record)?,
         EventCode::FirstByte => first_byte_event(record),
-        EventCode::Request => Event::Request(request_of_client(record)),
+        EventCode::Request => Event::Request(decode_request(record)),
         EventCode::EndpointUpdate => endpoint_update_event(record, lists)?,
         EventCode::HealthCheckEnded => health_check_ended_event(record)?,
         EventCode::ClientDisconnected => client_disconnected_event(record),
@@ -131,7 +131,7 @@
     }
 }
 
-fn request_of_client(record: &Record) -> Request {
+fn decode_request(record: &Record) -> Request {
     let flags = record.u8(request::FLAGS);
     let has_flag = |flag: u8| flags & flag != 0;
     Request {
--- a/crates/simulator/src/frame/record.rs
+++ b/crates/simulator/src/frame/record.rs
@@ -20,10 +20,10 @@
 
 impl<'a> Record<'a> {
     /// An error about the field at an offset.
-    pub fn error(&self, at: usize, kind: FrameErrorKind) -> FrameError {
+    pub fn error(&self, field_offset: usize, kind: FrameErrorKind) -> FrameError {
         FrameError {
             batch: self.batch,
-            offset: self.offset + at,
+            offset: self.offset + field_offset,
             kind,
         }
     }
@@ -39,54 +39,56 @@
     }
 
     /// The 8-bit integer at an offset.
-    pub fn u8(&self, at: usize) -> u8 {
-        self.bytes[at]
+    pub fn u8(&self, field_offset: usize) -> u8 {
+        self.bytes[field_offset]
     }
 
     /// The 16-bit integer at an offset.
-    pub fn u16(&self, at: usize) -> u16 {
-        u16_at(self.bytes, at)
+    pub fn u16(&self, field_offset: usize) -> u16 {
+        u16_at(self.bytes, field_offset)
     }
 
     /// The 32-bit integer at an offset.
-    pub fn u32(&self, at: usize) -> u32 {
-        u32_at(self.bytes, at)
+    pub fn u32(&self, field_offset: usize) -> u32 {
+        u32_at(self.bytes, field_offset)
     }
 
     /// The 64-bit integer at an offset.
-    pub fn u64(&self, at: usize) -> u64 {
-        u64_at(self.bytes, at)
+    pub fn u64(&self, field_offset: usize) -> u64 {
+        u64_at(self.bytes, field_offset)
     }
 
     /// The time or span at an offset.
-    pub fn nanos(&self, at: usize) -> Nanos {
-        self.u64(at)
+    pub fn nanos(&self, field_offset: usize) -> Nanos {
+        self.u64(field_offset)
     }
 
     /// The request at an offset.
-    pub fn request(&self, at: usize) -> RequestId {
-        RequestId(self.u32(at))
+    pub fn request(&self, field_offset: usize) -> RequestId {
+        RequestId(self.u32(field_offset))
     }
 
     /// The backend at an offset.
-    pub fn backend(&self, at: usize) -> BackendId {
-        BackendId(self.u32(at))
+    pub fn backend(&self, field_offset: usize) -> BackendId {
+        BackendId(self.u32(field_offset))
     }
 
     /// How an attempt or a health check ended.
-    pub fn outcome(&self, at: usize) -> Result<Outcome, FrameError> {
-        let code = self.u8(at);
-        outcome_from_wire(code).ok_or_else(|| self.error(at, FrameErrorKind::UnknownOutcome(code)))
+    pub fn outcome(&self, field_offset: usize) -> Result<Outcome, FrameError> {
+        let code = self.u8(field_offset);
+        outcome_from_wire(code)
+            .ok_or_else(|| self.error(field_offset, FrameErrorKind::UnknownOutcome(code)))
     }
 
     /// The values of a load report. More than a record has space for are ignored.
-    pub fn load_report(&self, at: usize) -> Vec<f32> {
-        let count = usize::from(self.u8(at + load_report::COUNT)).min(load_report::MAX_VALUES);
+    pub fn load_report(&self, field_offset: usize) -> Vec<f32> {
+        let count =
+            usize::from(self.u8(field_offset + load_report::COUNT)).min(load_report::MAX_VALUES);
         (0..count)
             .map(|index| {
                 f32_at(
                     self.bytes,
-                    at + load_report::VALUES + size_of::<f32>() * index,
+                    field_offset + load_report::VALUES + size_of::<f32>() * index,
                 )
             })
             .collect()
@@ -94,19 +96,19 @@
 
     /// The data in the tail to which the field at an offset refers: an array of items of so many
     /// bytes each.
-    pub fn data(&self, at: usize, item_size: usize) -> Result<&'a [u8], FrameError> {
-        let start = self.u32(at + data_reference::START) as usize;
-        let items = self.u32(at + data_reference::LENGTH) as usize;
-        items
+    pub fn data(&self, field_offset: usize, item_size: usize) -> Result<&'a [u8], FrameError> {
+        let start = self.u32(field_offset + data_reference::START) as usize;
+        let item_count = self.u32(field_offset + data_reference::ITEM_COUNT) as usize;
+        item_count
             .checked_mul(item_size)
             .and_then(|length| start.checked_add(length))
             .and_then(|end| self.tail.get(start..end))
-            .ok_or_else(|| self.error(at, FrameErrorKind::DataOutsideTail))
+            .ok_or_else(|| self.error(field_offset, FrameErrorKind::DataOutsideTail))
     }
 
     /// A copy of the bytes in the tail to which the field at an offset refers.
-    pub fn copied_bytes(&self, at: usize) -> Result<Vec<u8>, FrameError> {
-        Ok(self.data(at, 1)?.to_vec())
+    pub fn copied_bytes(&self, field_offset: usize) -> Result<Vec<u8>, FrameError> {
+        Ok(self.data(field_offset, 1)?.to_vec())
     }
 }
 
--- a/crates/simulator/src/frame/writer.rs
+++ b/crates/simulator/src/frame/writer.rs
@@ -47,16 +47,16 @@
 
     /// Reports that an instance could not be started.
     pub fn start_failed(&mut self, instance: u16, reason: &str) {
-        self.text(ActionCode::StartFailed, instance, reason);
+        self.add_text_record(ActionCode::StartFailed, instance, reason);
     }
 
     /// The finished frame; `batch` is the sequence number of the batch that it answers.
     pub fn finish(self, batch: u32) -> Vec<u8> {
-        let records = self.records.len() / ACTION_SIZE;
+        let record_count = self.records.len() / ACTION_SIZE;
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(REPLY_HEADER_SIZE + length);
         frame.extend((length as u32).to_le_bytes());
-        frame.extend((records as u32).to_le_bytes());
+        frame.extend((record_count as u32).to_le_bytes());
         frame.extend(batch.to_le_bytes());
         frame.extend(self.records);
         frame.extend(self.tail);
@@ -70,73 +70,73 @@
         backend: BackendId,
         abandon_at: Nanos,
     ) {
-        let record = self.record(ActionCode::StartAttempt, instance);
+        let record = self.add_record(ActionCode::StartAttempt, instance);
         put(record, start_attempt::REQUEST, &request.0.to_le_bytes());
         put(record, start_attempt::BACKEND, &backend.0.to_le_bytes());
         put(record, start_attempt::ABANDON_AT, &abandon_at.to_le_bytes());
     }
 
     fn reject(&mut self, instance: u16, request: RequestId, retry_after: Nanos) {
-        let record = self.record(ActionCode::Reject, instance);
+        let record = self.add_record(ActionCode::Reject, instance);
         put(record, reject::REQUEST, &request.0.to_le_bytes());
         put(record, reject::RETRY_AFTER, &retry_after.to_le_bytes());
     }
 
     fn fail(&mut self, instance: u16, request: RequestId) {
-        let record = self.record(ActionCode::Fail, instance);
+        let record = self.add_record(ActionCode::Fail, instance);
         put(record, fail::REQUEST, &request.0.to_le_bytes());
     }
 
     fn cancel_attempt(&mut self, instance: u16, request: RequestId, attempt: u8) {
-        let record = self.record(ActionCode::CancelAttempt, instance);
+        let record = self.add_record(ActionCode::CancelAttempt, instance);
         put(record, cancel_attempt::REQUEST, &request.0.to_le_bytes());
         put(record, cancel_attempt::ATTEMPT, &[attempt]);
     }
 
     fn set_timer(&mut self, instance: u16, at: Nanos, timer: TimerId) {
-        let record = self.record(ActionCode::SetTimer, instance);
+        let record = self.add_record(ActionCode::SetTimer, instance);
         put(record, set_timer::AT, &at.to_le_bytes());
         put(record, set_timer::TIMER, &timer.0.to_le_bytes());
     }
 
     fn check_health(&mut self, instance: u16, backend: BackendId) {
-        let record = self.record(ActionCode::CheckHealth, instance);
+        let record = self.add_record(ActionCode::CheckHealth, instance);
         put(record, check_health::BACKEND, &backend.0.to_le_bytes());
     }
 
     fn close_idle_connections(&mut self, instance: u16, backend: BackendId) {
-        let record = self.record(ActionCode::CloseIdleConnections, instance);
+        let record = self.add_record(ActionCode::CloseIdleConnections, instance);
         let backend = backend.0.to_le_bytes();
         put(record, close_idle_connections::BACKEND, &backend);
     }
 
     fn gossip(&mut self, instance: u16, to: Option<u16>, message: &[u8]) {
         let to = to.unwrap_or(gossip::TO_ALL);
-        let record = self.record(ActionCode::Gossip, instance);
+        let record = self.add_record(ActionCode::Gossip, instance);
         put(record, gossip::TO, &to.to_le_bytes());
-        self.data(gossip::MESSAGE, message);
+        self.add_data(gossip::MESSAGE, message);
     }
 
     fn watch_endpoints(&mut self, instance: u16, active: bool) {
-        let record = self.record(ActionCode::WatchEndpoints, instance);
+        let record = self.add_record(ActionCode::WatchEndpoints, instance);
         put(record, watch_endpoints::ACTIVE, &[u8::from(active)]);
     }
 
     fn poll_endpoints(&mut self, instance: u16) {
-        self.record(ActionCode::PollEndpoints, instance);
+        self.add_record(ActionCode::PollEndpoints, instance);
     }
 
     fn log(&mut self, instance: u16, event: LogEvent) {
-        self.text(ActionCode::Log, instance, &event.to_string());
+        self.add_text_record(ActionCode::Log, instance, &event.to_string());
     }
 
-    fn text(&mut self, code: ActionCode, instance: u16, text: &str) {
-        self.record(code, instance);
-        self.data(text::TEXT, text.as_bytes());
+    fn add_text_record(&mut self, code: ActionCode, instance: u16, text: &str) {
+        self.add_record(code, instance);
+        self.add_data(text::TEXT, text.as_bytes());
     }
 
     /// Adds a record without fields.
-    fn record(&mut self, code: ActionCode, instance: u16) -> &mut [u8] {
+    fn add_record(&mut self, code: ActionCode, instance: u16) -> &mut [u8] {
         let start = self.records.len();
         self.records.resize(start + ACTION_SIZE, 0);
         let record = &mut self.records[start..];
@@ -146,13 +146,13 @@
     }
 
     /// Adds data to the tail, and a reference to it at an offset of the last record.
-    fn data(&mut self, at: usize, bytes: &[u8]) {
+    fn add_data(&mut self, field_offset: usize, bytes: &[u8]) {
         let start = (self.tail.len() as u32).to_le_bytes();
         let length = (bytes.len() as u32).to_le_bytes();
         let last_record = self.records.len() - ACTION_SIZE;
         let record = &mut self.records[last_record..];
-        put(record, at + data_reference::START, &start);
-        put(record, at + data_reference::LENGTH, &length);
+        put(record, field_offset + data_reference::START, &start);
+        put(record, field_offset + data_reference::ITEM_COUNT, &length);
         self.tail.extend(bytes);
     }
 }
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -6,10 +6,10 @@
 use super::layout::{ACTION_SIZE, ENDPOINT_SIZE, EVENT_SIZE};
 use super::*;
 
-fn header(records: u32) -> Header {
+fn header(record_count: u32) -> Header {
     Header {
-        records,
-        length: 0,
+        record_count,
+        body_length: 0,
         now: 5,
         batch: 9,
     }
@@ -18,14 +18,14 @@
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut record = vec![0; EVENT_SIZE];
     record[0] = code;
-    for (at, bytes) in fields {
-        put(&mut record, *at, bytes);
+    for (offset, bytes) in fields {
+        put(&mut record, *offset, bytes);
     }
     record
 }
 
 #[test]
-fn list_numbers_are_resolved_in_order() {
+fn an_update_uses_the_list_that_was_last_sent_before_it() {
     let mut tail = vec![0; 2 * ENDPOINT_SIZE];
     tail[0] = 1;
     tail[ENDPOINT_SIZE] = 2;
@@ -48,29 +48,29 @@
     assert_eq!(ids, [1, 2]);
 }
 
-fn assert_fault(records: u32, body: &[u8], text: &str) {
-    let error = decode(&header(records), body, &mut EndpointLists::default()).unwrap_err();
-    assert_eq!(error.to_string(), text);
+fn assert_frame_error(record_count: u32, body: &[u8], expected_text: &str) {
+    let error = decode(&header(record_count), body, &mut EndpointLists::default()).unwrap_err();
+    assert_eq!(error.to_string(), expected_text);
 }
 
 #[test]
-fn faulty_frames_are_named() {
+fn a_malformed_frame_is_an_error_with_batch_and_offset() {
     let outside = "batch 9, offset 0: records run past the end of the frame";
-    assert_fault(2, &record(16, &[]), outside);
+    assert_frame_error(2, &record(16, &[]), outside);
     let code = "batch 9, offset 20: unknown event code 99";
-    assert_fault(1, &record(99, &[]), code);
+    assert_frame_error(1, &record(99, &[]), code);
     let settings = record(22, &[(15, &1u32.to_le_bytes())]);
-    assert_fault(1, &settings, "batch 9, offset 31: data outside the tail");
+    assert_frame_error(1, &settings, "batch 9, offset 31: data outside the tail");
     let list = record(23, &[(7, &u32::MAX.to_le_bytes())]);
-    assert_fault(1, &list, "batch 9, offset 23: data outside the tail");
+    assert_frame_error(1, &list, "batch 9, offset 23: data outside the tail");
     let update = record(20, &[]);
-    assert_fault(1, &update, "batch 9, offset 27: no list number 0");
+    assert_frame_error(1, &update, "batch 9, offset 27: no list number 0");
     let mode = record(20, &[(9, &[3])]);
-    assert_fault(1, &mode, "batch 9, offset 29: unknown list mode 3");
+    assert_frame_error(1, &mode, "batch 9, offset 29: unknown list mode 3");
     let outcome = record(17, &[(20, &[77])]);
-    assert_fault(1, &outcome, "batch 9, offset 40: unknown outcome 77");
+    assert_frame_error(1, &outcome, "batch 9, offset 40: unknown outcome 77");
     let state = "batch 9, offset 23: unknown backend state 9";
-    assert_fault(1, &unknown_endpoint_state(), state);
+    assert_frame_error(1, &unknown_endpoint_state(), state);
 }
 
 /// A list whose only entry has a state that does not exist.
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_reply_carries_records_and_text() {
+fn a_reply_has_a_header_records_and_a_tail() {
     let mut reply = Reply::default();
     reply.push(
         3,
@@ -113,17 +113,17 @@
 const BACKEND: BackendId = BackendId(0x0807_0605);
 
 /// Asserts the record of an action of instance 0x0102, of which the rest is zero.
-fn assert_record(action: &Action, record: &[u8]) {
+fn assert_record(action: &Action, leading_bytes: &[u8]) {
     let mut reply = Reply::default();
     reply.push(0x0102, action);
     let frame = reply.finish(0);
     let mut expected = [0; ACTION_SIZE];
-    expected[..record.len()].copy_from_slice(record);
+    expected[..leading_bytes.len()].copy_from_slice(leading_bytes);
     assert_eq!(frame[12..12 + ACTION_SIZE], expected, "{action:?}");
 }
 
 #[test]
-fn each_action_on_a_request_has_its_record() {
+fn each_action_on_a_request_is_encoded_into_its_record() {
     let start = Action::StartAttempt {
         request: REQUEST,
         backend: BACKEND,
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn each_other_action_has_its_record() {
+fn each_other_action_is_encoded_into_its_record() {
     let timer = Action::SetTimer {
         at: 9,
         timer: TimerId(7),
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -54,7 +54,7 @@
     while let Some(header) = read_header(&mut input, last_batch)? {
         last_batch = header.batch;
         read_body(&mut input, &header, &mut body)?;
-        output.write_all(&host.answer(&header, &body)?)?;
+        output.write_all(&host.handle_batch(&header, &body)?)?;
         output.flush()?;
     }
     Ok(())
@@ -76,11 +76,13 @@
 /// Replaces the content of `body` by what follows a header.
 fn read_body(input: &mut impl Read, header: &Header, body: &mut Vec<u8>) -> Result<(), HostError> {
     body.clear();
-    let read = input.take(u64::from(header.length)).read_to_end(body)?;
-    if read < header.length as usize {
+    let read_size = input
+        .take(u64::from(header.body_length))
+        .read_to_end(body)?;
+    if read_size < header.body_length as usize {
         return Err(HostError::Truncated {
             batch: header.batch,
-            offset: HEADER_SIZE + read,
+            offset: HEADER_SIZE + read_size,
         });
     }
     Ok(())
@@ -109,7 +111,7 @@
 
 impl Host {
     /// The reply to one batch.
-    fn answer(&mut self, header: &Header, body: &[u8]) -> Result<Vec<u8>, FrameError> {
+    fn handle_batch(&mut self, header: &Header, body: &[u8]) -> Result<Vec<u8>, FrameError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
         for InstanceMessage { instance, message } in decode(header, body, &mut self.lists)? {
--- a/crates/simulator/src/host_tests.rs
+++ b/crates/simulator/src/host_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn frame(records: u32, now: u64, batch: u32, body: &[u8]) -> Vec<u8> {
-    let mut frame = records.to_le_bytes().to_vec();
+fn frame(record_count: u32, now: u64, batch: u32, body: &[u8]) -> Vec<u8> {
+    let mut frame = record_count.to_le_bytes().to_vec();
     frame.extend((body.len() as u32).to_le_bytes());
     frame.extend(now.to_le_bytes());
     frame.extend(batch.to_le_bytes());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn invalid_settings_are_an_error_of_the_instance() {
+fn invalid_settings_are_reported_as_a_failed_start() {
     let mut body = vec![0; 40];
     body[0] = 22;
     body[15] = 2;
