--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,10 @@
-//! A library that tests preload (`LD_PRELOAD`) into a process of their own: chosen C library calls
-//! then fail, move less, begin late, or see a stepped wall clock, as [`plan`] describes.
+//! A library that tests preload (`LD_PRELOAD`) into the processes that they start. It makes
+//! selected C library calls fail, transfer fewer bytes, start or return late, or read a stepped
+//! wall clock; [`plan`] describes the possible faults.
 //!
-//! The plan stands in `KITEFORK_FAULTS`, the seed of its draws in `KITEFORK_FAULT_SEED`. Without a
-//! plan each call goes through unchanged. This crate is the only one of the workspace with `unsafe`
-//! code; nothing of it is part of the shipped programs.
+//! The plan is read from the environment variable `KITEFORK_FAULTS`, the seed of its random numbers
+//! from `KITEFORK_FAULT_SEED`. Without a plan, every call passes through unchanged. This is the
+//! only crate of the workspace with `unsafe` code; it is not part of the shipped programs.
 #![deny(missing_docs)]
 
 pub mod plan;
@@ -19,26 +20,28 @@
 
 use crate::plan::{Call, Fault, Plan};
 
-/// Environment variable that has the plan.
+/// Environment variable that holds the plan.
 const PLAN_VARIABLE: &str = "KITEFORK_FAULTS";
-/// Environment variable that has the seed of the plan's draws; 1 if absent.
+/// Environment variable that holds the seed of the plan's random numbers, an unsigned 64-bit
+/// integer. The seed is 1 if the variable is absent or invalid.
 const SEED_VARIABLE: &str = "KITEFORK_FAULT_SEED";
 
-/// The plan of this process, and when the process began.
+/// The plan of this process and the time from which its time spans count.
 struct Shim {
     plan: Mutex<Plan>,
+    /// Monotonic time of the first intercepted call, in milliseconds.
     started_ms: u64,
 }
 
 static SHIM: OnceLock<Option<Shim>> = OnceLock::new();
 
-/// Milliseconds of the monotonic clock, by a system call that is not intercepted.
+/// Reads the monotonic clock, in milliseconds, by a direct system call, which is not intercepted.
 fn monotonic_ms() -> u64 {
     let mut time = timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the kernel writes to a `timespec` of ours that outlives the call.
+    // SAFETY: the kernel writes to a local `timespec`, which outlives the call.
     unsafe {
         libc::syscall(
             libc::SYS_clock_gettime,
@@ -49,8 +52,8 @@
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-/// Reads the plan of this process, if it has one. A plan that can't be read would make a test pass
-/// for the wrong reason, so the process ends.
+/// Reads the plan of this process; returns `None` if it has none. Aborts the process if the plan is
+/// invalid: without its faults, a test would pass for the wrong reason.
 fn init_shim() -> Option<Shim> {
     let text = std::env::var(PLAN_VARIABLE).ok()?;
     let seed = std::env::var(SEED_VARIABLE)
@@ -69,12 +72,13 @@
     }
 }
 
-/// The fault of a call that is made now, if the plan has one for it.
+/// Returns the fault to inject into a call that is made now, or `None` if the call is to pass
+/// through unchanged.
 fn inject_fault(call: Call) -> Option<Fault> {
     let shim = SHIM.get_or_init(init_shim).as_ref()?;
     let elapsed_ms = monotonic_ms().saturating_sub(shim.started_ms);
-    // A signal handler may come here while the lock is held by its own thread: its call goes
-    // through.
+    // Never waits for the lock: a signal handler may call this function while its own thread holds
+    // the lock. A call that finds the lock taken passes through.
     let mut plan = match shim.plan.try_lock() {
         Ok(plan) => plan,
         Err(std::sync::TryLockError::Poisoned(poisoned)) => PoisonError::into_inner(poisoned),
@@ -83,7 +87,8 @@
     plan.inject(call, elapsed_ms)
 }
 
-/// Address of the next definition of a symbol behind this library's own; looked up once.
+/// Returns the address of the next definition of a symbol after this library's own. The symbol is
+/// looked up once; later calls take the address from `cache`, which is 0 before the first lookup.
 fn next_symbol(cache: &AtomicUsize, name: &CStr) -> usize {
     let cached = cache.load(Ordering::Relaxed);
     if cached != 0 {
@@ -97,17 +102,17 @@
 }
 
 fn set_errno(errno: c_int) {
-    // SAFETY: the address is this thread's own errno.
+    // SAFETY: the pointer refers to the errno of this thread.
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// Sleeps by a system call that is not intercepted.
+/// Sleeps for `ms` milliseconds by a direct system call, which is not intercepted.
 fn sleep(ms: u64) {
     let time = timespec {
         tv_sec: (ms / 1_000) as i64,
         tv_nsec: (ms % 1_000) as i64 * 1_000_000,
     };
-    // SAFETY: the kernel reads a `timespec` of ours that outlives the call.
+    // SAFETY: the kernel reads a local `timespec`, which outlives the call.
     unsafe {
         libc::syscall(
             libc::SYS_nanosleep,
@@ -117,16 +122,18 @@
     };
 }
 
-/// Defines a call into which a plan may inject faults. The last argument names the length that
-/// `short` cuts, if it has one.
+/// Defines a function that intercepts the C library's function of the same name, so that a plan can
+/// inject faults into calls of it. The optional last macro argument names the length argument that
+/// `short` reduces to 1; without it, `short` has no effect.
 macro_rules! intercept {
     ($call:expr, $name:literal,
         fn $function:ident($($argument:ident: $type:ty),*) -> $result:ty $(, $length:ident)?) => {
-        /// Intercepted; behaves as the C library's function unless the plan has a fault for it.
+        /// Intercepts the C library's function of this name; calls it unchanged unless the plan
+        /// injects a fault.
         ///
         /// # Safety
         ///
-        /// As the C library's function of this name.
+        /// The requirements are those of the C library's function of this name.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $function($($argument: $type),*) -> $result {
             static NEXT: AtomicUsize = AtomicUsize::new(0);
@@ -138,7 +145,7 @@
                 }
                 Some(Fault::Short) => {
                     $(let $length = $length.min(1);)?
-                    // SAFETY: as below.
+                    // SAFETY: as for the call below; a shorter length is within the same buffer.
                     return unsafe {
                         std::mem::transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(
                             next_symbol(&NEXT, $name))($($argument),*)
@@ -148,7 +155,7 @@
                 Some(Fault::Late(_) | Fault::Step(_)) | None => {}
             }
             // SAFETY: the symbol is the C library's function of this name and has its type; the
-            // arguments are the caller's, which holds to that function's contract.
+            // arguments come from the caller, who must meet that function's requirements.
             let result = unsafe {
                 std::mem::transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(
                     next_symbol(&NEXT, $name))($($argument),*)
@@ -185,11 +192,12 @@
         timeout: *const timespec, mask: *const libc::sigset_t) -> c_int);
 intercept!(Call::Poll, c"poll", fn poll(fds: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int);
 
-/// Intercepted: the wall clock is off by what the plan says; other clocks are untouched.
+/// Intercepts `clock_gettime`: adds the plan's step to the wall clock. Other clocks are read
+/// unchanged.
 ///
 /// # Safety
 ///
-/// As the C library's function of this name.
+/// The requirements are those of the C library's function of this name.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock_id: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller's pointer is valid for one `timespec`.
@@ -198,7 +206,7 @@
         && clock_id == libc::CLOCK_REALTIME
         && let Some(Fault::Step(seconds)) = inject_fault(Call::Clock)
     {
-        // SAFETY: as above.
+        // SAFETY: as above; the system call succeeded and has filled in the `timespec`.
         unsafe { (*time).tv_sec += seconds };
     }
     result
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,4 +1,5 @@
-//! The fault plan: which calls fail, how, and how often. Pure text and arithmetic, no system calls.
+//! The fault plan: which calls get a fault, which fault, and how often. This module makes no system
+//! calls.
 //!
 //! A plan is a list of rules separated by `;`. A rule is `CALL=FAULT` followed by options separated
 //! by `,`:
@@ -6,13 +7,18 @@
 //! | part | values |
 //! | --- | --- |
 //! | `CALL` | one of the calls below |
-//! | `FAULT` | an errno by name, `short` (one byte), `sleep:MS`, `late:MS`, `step:SECONDS` |
-//! | `every:N` | the fault is injected into each N-th call (default 1) |
-//! | `chance:P` | instead, it is injected with probability P, drawn from the plan's seed |
-//! | `from:MS`, `to:MS` | the rule is in force in this span since the start of the process |
+//! | `FAULT` | an errno by name, `short`, `sleep:MS`, `late:MS` or `step:SECONDS`; see [`Fault`] |
+//! | `every:N` | the fault is injected into every N-th call (default 1) |
+//! | `chance:P` | the fault is injected at random with probability P; overrides `every` |
+//! | `from:MS` | the rule applies from this time on (default 0) |
+//! | `to:MS` | the rule applies until just before this time (default: for ever) |
 //!
-//! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll`, and
-//! `clock`, which takes `step` alone.
+//! The times of `from` and `to` count from the first intercepted call of the process. Equal seeds
+//! give equal random numbers.
+//!
+//! Calls: `accept`, `socket`, `connect`, `send`, `recv`, `epoll_ctl`, `epoll_wait`, `poll` and
+//! `clock`. On `clock`, only `step` has an effect; on other calls, `step` has none. `short` affects
+//! only `send` and `recv`.
 //!
 //! Example: `accept=ENFILE,every:5;clock=step:3600,from:2000`.
 
@@ -41,18 +47,18 @@
     Clock,
 }
 
-/// What happens to a call.
+/// A fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It returns -1 with this errno.
+    /// The call is not made and returns -1 with this errno.
     Errno(i32),
-    /// It moves one byte at most.
+    /// The call transfers at most one byte.
     Short,
-    /// It begins this many milliseconds later.
+    /// The call starts after a delay of this many milliseconds.
     Sleep(u64),
-    /// Where its result is over 0, it returns this many milliseconds later.
+    /// The call returns after a delay of this many milliseconds if its result is above 0.
     Late(u64),
-    /// The clock is off by this many seconds.
+    /// The wall clock is ahead by this many seconds, or behind if the number is negative.
     Step(i64),
 }
 
@@ -61,24 +67,28 @@
 pub struct Rule {
     /// The call that the fault is injected into.
     pub call: Call,
-    /// The fault.
+    /// The fault that is injected.
     pub fault: Fault,
+    /// The fault is injected into every call whose number is a multiple of this.
     every: u64,
+    /// Probability of the fault; `None`: `every` decides.
     chance: Option<f64>,
+    /// Start of the time span in which the rule applies.
     from_ms: u64,
+    /// End of the time span, which is not part of it.
     to_ms: u64,
-    /// Calls so far while the rule was in force.
+    /// Number of calls to which the rule has applied so far.
     call_count: u64,
 }
 
-/// Why a plan can't be read.
+/// Why a plan is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// A part of a rule is unknown or has no sense.
+    /// A part of a rule is unknown or malformed.
     InvalidPart {
-        /// The part.
+        /// The text of the invalid part.
         part: String,
-        /// The whole rule.
+        /// The text of the whole rule.
         rule: String,
     },
 }
@@ -86,31 +96,31 @@
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let PlanError::InvalidPart { part, rule } = self;
-        write!(f, "fault plan: `{part}` in `{rule}`")
+        write!(f, "fault plan: invalid part `{part}` in rule `{rule}`")
     }
 }
 
 impl std::error::Error for PlanError {}
 
-/// A fault plan and the state of its draws.
+/// A fault plan and the state of its random numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     rules: Vec<Rule>,
-    /// State of the generator.
+    /// State of the random number generator.
     random_state: u64,
 }
 
-/// Multiplier of the linear congruential generator of Knuth's MMIX.
+/// Multiplier of the linear congruential generator (LCG) of Knuth's MMIX.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 /// Increment of the same generator.
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
 impl Plan {
-    /// Reads a plan; `seed` decides the draws of rules with a chance.
+    /// Parses a plan; `seed` initializes the random numbers of rules with `chance`.
     ///
     /// # Errors
     ///
-    /// Names the part that is unknown.
+    /// If a part of a rule is invalid; the error names the first one.
     pub fn parse(text: &str, seed: u64) -> Result<Plan, PlanError> {
         let rules = text
             .split(';')
@@ -123,8 +133,10 @@
         })
     }
 
-    /// The fault of a call that is made `elapsed_ms` after the start of the process, if a rule in
-    /// force has one for it; the first of several. Each rule counts or draws for itself.
+    /// Returns the fault to inject into a call that is made `elapsed_ms` after the first
+    /// intercepted call, or `None` if there is none. Every rule that applies counts the call and,
+    /// if it has a chance, draws a random number; if several rules inject a fault, the fault of the
+    /// first one is returned.
     pub fn inject(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
         let random_state = &mut self.random_state;
         let in_force = |rule: &&mut Rule| {
@@ -141,7 +153,7 @@
 }
 
 impl Rule {
-    /// Counts a call; whether the fault is injected into it.
+    /// Counts a call and returns whether the fault is to be injected into it.
     fn should_inject(&mut self, random_state: &mut u64) -> bool {
         self.call_count += 1;
         match self.chance {
@@ -151,7 +163,7 @@
     }
 }
 
-/// A draw from [0, 1).
+/// Returns the next random number, uniformly distributed in [0, 1).
 fn next_random(random_state: &mut u64) -> f64 {
     *random_state = random_state
         .wrapping_mul(LCG_MULTIPLIER)
@@ -222,8 +234,8 @@
     errno_from_name(text).map(Fault::Errno)
 }
 
-/// The errno values that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and
-/// `epoll(7)` document.
+/// Returns the value of an errno by its name; `None` if the name is unknown. Known are the errors
+/// that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and `epoll(7)` document.
 fn errno_from_name(name: &str) -> Option<i32> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the fault plan's text and draws.
+//! Tests of parsing a fault plan and of the faults that it injects.
 
 use kitefork_fault_shim::plan::{Call, Fault, Plan};
 
