--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: `grades` on the wire.
+//! Reads the classes of requests: `grades` on the wire.
 
 use kitefork_balancer::{Class, DeduplicationScope, Idempotency};
 
@@ -7,7 +7,7 @@
 
 /// Reads one entry of `grades`.
 pub(crate) fn read(grade: &JsonValue) -> Result<Class, ConfigError> {
-    // Checked for every class, also where `effect` makes no use of it.
+    // Read for every class, so that invalid values are reported even if `effect` is not `by_key`.
     let idempotency_key = read_idempotency_key(grade)?;
     Ok(Class {
         latency_objective: grade.get("goalTimeNs")?.integer()?,
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,17 +1,17 @@
-//! Helpers that the sections of the settings share.
+//! Helper functions shared by the modules that read the sections of the settings.
 
 use crate::json::{ConfigError, JsonValue};
 
-/// The error for a text that is none of the words which its key allows.
+/// Returns the error for a string that is not one of the values that its key allows.
 pub(crate) fn unknown_value(value: &JsonValue, string: &str) -> ConfigError {
-    value.invalid(format!("unknown word `{string}`"))
+    value.invalid(format!("unknown value `{string}`"))
 }
 
-/// The array under `key`; an absent one is empty.
+/// Returns the entries of the array under `key`; none if the key is absent.
 ///
 /// # Errors
 ///
-/// If the value is no array.
+/// If the value is not an array.
 pub(crate) fn optional_array<'a>(
     parent: &JsonValue<'a>,
     key: &str,
@@ -19,11 +19,11 @@
     parent.get_or(key, Vec::new(), JsonValue::array)
 }
 
-/// The strings in the array under `key`; an absent one is empty.
+/// Returns the strings in the array under `key`; none if the key is absent.
 ///
 /// # Errors
 ///
-/// If the value is no array, or an entry is no string.
+/// If the value is not an array, or an entry is not a string.
 pub(crate) fn optional_strings(parent: &JsonValue, key: &str) -> Result<Vec<String>, ConfigError> {
     optional_array(parent, key)?
         .iter()
@@ -31,11 +31,11 @@
         .collect()
 }
 
-/// The number under `key` within the object under `section`; 0 where either is absent.
+/// Returns the number under `key` in the object under `section`; 0 if either key is absent.
 ///
 /// # Errors
 ///
-/// If the value is no number.
+/// If the value is not a number.
 pub(crate) fn optional_number_in(
     parent: &JsonValue,
     section: &str,
@@ -47,11 +47,11 @@
     }
 }
 
-/// The `name` of each entry; empty where it has none.
+/// Returns the `name` of each entry; an empty string if the entry has none.
 ///
 /// # Errors
 ///
-/// If a name is no string.
+/// If a name is not a string.
 pub(crate) fn entry_names(entries: &[JsonValue]) -> Result<Vec<String>, ConfigError> {
     entries
         .iter()
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment as a whole.
+//! Reads the settings object of a deployment.
 
 use kitefork_balancer::{Class, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
@@ -9,38 +9,39 @@
 use crate::setting_keys::wire_key_of;
 use crate::{class, limits, rules};
 
-/// How long a backend keeps an idle connection open where the settings don't say.
+/// Time after which a backend closes an idle connection, if the settings give none.
 const DEFAULT_IDLE_LIMIT: Nanos = 10_000_000_000;
-/// Time to connect to a backend where the settings give none.
+/// Time limit for connecting to a backend, if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// Most pending requests where the settings give no limit.
+/// Maximum number of pending requests, if the settings give none.
 const DEFAULT_MAX_PENDING_REQUESTS: usize = 20_000;
 
-/// What the decisions need, and what the node needs beyond them: names, and limits on connections.
+/// The decoded settings: those of the decision module, and the names and limits that only the node
+/// uses.
 pub struct Deployment {
-    /// Settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, in order.
+    /// Names of the classes, in the order of their numbers; empty for a class without a name.
     pub classes: Vec<String>,
-    /// Names of the tenants, in order.
+    /// Names of the tenants, in the order of their numbers; empty for a tenant without a name.
     pub tenants: Vec<String>,
-    /// Names of the zones, in order.
+    /// Names of the zones, in the order of their numbers.
     pub zones: Vec<String>,
-    /// Names of the kinds of machine, in order.
+    /// Names of the kinds of machine, in the order of their numbers.
     pub kinds: Vec<String>,
-    /// A backend closes a connection that has been idle for this time.
+    /// Time after which a backend closes an idle connection.
     pub idle_limit: Nanos,
-    /// A connection that is not established within this time has failed.
+    /// An attempt to connect that takes longer than this has failed.
     pub connect_timeout: Nanos,
-    /// Most requests that are pending at a time.
+    /// Maximum number of requests that are pending at the same time.
     pub max_pending_requests: usize,
 }
 
-/// Reads the settings object. Keys that it does not know are ignored.
+/// Reads the settings object. Unknown keys are ignored.
 ///
 /// # Errors
 ///
-/// Names the first key that is missing or whose value is invalid.
+/// If a key is missing or its value is invalid; the error names the first such key.
 pub fn read(root: &JsonValue) -> Result<Deployment, ConfigError> {
     let grades = root.get("grades")?.array()?;
     let tenants = optional_array(root, "tenants")?;
@@ -75,7 +76,7 @@
     tenants: &[JsonValue],
     limits: &JsonValue,
 ) -> Result<Settings, ConfigError> {
-    // The order of all reads decides which of several errors is reported.
+    // Only the first error is reported: the order of the reads decides which one that is.
     let rules = root.get("rules")?;
     Ok(Settings {
         classes: grades
@@ -106,7 +107,7 @@
     })
 }
 
-/// Whether the proxy polls the endpoint list.
+/// Returns whether the proxy polls the endpoint list; otherwise the list is pushed to it.
 fn read_membership_mode(mode: &JsonValue) -> Result<bool, ConfigError> {
     match mode.string()? {
         "automatic" => Ok(false),
@@ -115,7 +116,7 @@
     }
 }
 
-/// Whether weights count by unit of work.
+/// Returns whether weights count per unit of work; otherwise they count per request.
 fn read_weight_unit(unit: &JsonValue) -> Result<bool, ConfigError> {
     match unit.string()? {
         "request" => Ok(false),
@@ -124,6 +125,7 @@
     }
 }
 
+/// Converts an error about a setting into one that names the setting's wire key.
 fn with_wire_key(root: &JsonValue, error: &SettingsError) -> ConfigError {
     root.invalid_at(wire_key_of(error.key), error.reason)
 }
--- a/crates/settings/src/deployment_tests.rs
+++ b/crates/settings/src/deployment_tests.rs
@@ -40,13 +40,13 @@
         (
             "\"coldNs\": 1",
             "\"coldNs\": \"x\"",
-            "field `rules.coldNs`: must be a whole number",
+            "field `rules.coldNs`: must be a non-negative integer",
         ),
         ("importance", "imp", "missing field `grades[0].importance`"),
         (
             "by_key",
             "bye",
-            "field `grades[0].effect`: unknown word `bye`",
+            "field `grades[0].effect`: unknown value `bye`",
         ),
     ];
     for (old, new, expected) in cases {
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,15 +1,15 @@
-//! Reads values out of JSON text. Errors name the key that is missing or of the wrong type, which
-//! those of the JSON parser do not.
+//! Reads typed values from JSON text. Unlike the errors of the JSON parser, those of this module
+//! name the key that is missing or has a value of the wrong type.
 
 use miniserde::json::{self, Number, Value};
 use thiserror::Error;
 
-/// Floats below this are read as whole numbers: up to 2^53, a little above, each whole number has a
-/// float of its own.
+/// Floats without a fractional part are read as integers below this limit. It is a little less than
+/// 2^53, up to which a 64-bit float represents every integer exactly.
 const MAX_INTEGRAL_FLOAT: f64 = 9e15;
 
-/// Why a configuration, or another JSON text, can't be read. Its text is one line; it names the key
-/// if the error concerns one.
+/// Why a configuration or another JSON text can't be read. The message is a single line; it names
+/// the key if the error concerns one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The text is not UTF-8.
@@ -18,7 +18,7 @@
     /// The text is not JSON.
     #[error("not JSON")]
     NotJson,
-    /// A key is missing.
+    /// A required key is missing, or its value is `null`.
     #[error("missing field `{path}`")]
     MissingField {
         /// Path of the key, such as `limits.sockets` or `grades[0].effect`.
@@ -34,21 +34,21 @@
     },
 }
 
-/// A parsed text.
+/// A parsed JSON text.
 pub struct Document {
     root: Value,
 }
 
-/// A value in a parsed text, and the path that leads to it.
+/// A value in a [`Document`], with the path that names it in errors.
 #[derive(Clone)]
 pub struct JsonValue<'a> {
     value: &'a Value,
-    /// Empty for the root.
+    /// Keys and indices from the root to this value; empty for the root.
     path: String,
 }
 
 impl Document {
-    /// Parses a text.
+    /// Parses a JSON text.
     ///
     /// # Errors
     ///
@@ -60,7 +60,7 @@
             .map_err(|_| ConfigError::NotJson)
     }
 
-    /// The value of the whole text.
+    /// Returns the top-level value.
     pub fn root(&self) -> JsonValue<'_> {
         JsonValue {
             value: &self.root,
@@ -70,8 +70,8 @@
 }
 
 impl<'a> JsonValue<'a> {
-    /// The value under `key`; `None` if the key is absent, if its value is `null`, or if this is no
-    /// object.
+    /// Returns the value under `key`; `None` if the key is absent, if its value is `null`, or if
+    /// this value is not an object.
     pub fn find(&self, key: &str) -> Option<JsonValue<'a>> {
         let Value::Object(object) = self.value else {
             return None;
@@ -85,18 +85,19 @@
         })
     }
 
-    /// The value under `key`.
+    /// Returns the value under `key`, a required key.
     ///
     /// # Errors
     ///
-    /// If there is none.
+    /// If [`find`](JsonValue::find) returns `None`.
     pub fn get(&self, key: &str) -> Result<JsonValue<'a>, ConfigError> {
         self.find(key).ok_or_else(|| ConfigError::MissingField {
             path: self.path_to(key),
         })
     }
 
-    /// The value under `key`, converted by `read`, or `default` where there is none.
+    /// Returns the value under `key`, converted by `read`, or `default` if
+    /// [`find`](JsonValue::find) returns `None`.
     ///
     /// # Errors
     ///
@@ -110,7 +111,7 @@
         self.find(key).map_or(Ok(default), |value| read(&value))
     }
 
-    /// An error about this value.
+    /// Returns an error about this value; `problem` says what is wrong with it.
     pub fn invalid(&self, problem: impl Into<String>) -> ConfigError {
         ConfigError::InvalidField {
             path: self.path.clone(),
@@ -118,7 +119,7 @@
         }
     }
 
-    /// An error about the value under `key`.
+    /// Returns an error about the value under `key`; `problem` says what is wrong with it.
     pub fn invalid_at(&self, key: &str, problem: impl Into<String>) -> ConfigError {
         ConfigError::InvalidField {
             path: self.path_to(key),
@@ -131,11 +132,12 @@
         format!("{}{separator}{key}", self.path)
     }
 
-    /// This value as a whole number, 0 or more.
+    /// Returns this value as an integer. A float without a fractional part is accepted if it is
+    /// small enough to be exact.
     ///
     /// # Errors
     ///
-    /// If it is something else.
+    /// If the value is not a non-negative integer.
     pub fn integer(&self) -> Result<u64, ConfigError> {
         match self.value {
             Value::Number(Number::U64(integer)) => Ok(*integer),
@@ -144,26 +146,26 @@
             {
                 Ok(*float as u64)
             }
-            _ => Err(self.invalid("must be a whole number, 0 or more")),
+            _ => Err(self.invalid("must be a non-negative integer")),
         }
     }
 
-    /// This value as a whole number of a narrower type.
+    /// Returns this value as an integer of a narrower type.
     ///
     /// # Errors
     ///
-    /// If it is no whole number, or too large for the type.
+    /// If the value is not a non-negative integer, or is too large for the type.
     pub fn small_integer<T: TryFrom<u64>>(&self) -> Result<T, ConfigError> {
         self.integer()?
             .try_into()
             .map_err(|_| self.invalid("is too large"))
     }
 
-    /// This value as a finite number.
+    /// Returns this value as a float, which is always finite.
     ///
     /// # Errors
     ///
-    /// If it is something else.
+    /// If the value is not a finite number.
     pub fn number(&self) -> Result<f64, ConfigError> {
         match self.value {
             Value::Number(Number::U64(integer)) => Ok(*integer as f64),
@@ -173,11 +175,11 @@
         }
     }
 
-    /// This value as true or false.
+    /// Returns this value as a boolean.
     ///
     /// # Errors
     ///
-    /// If it is neither.
+    /// If the value is neither `true` nor `false`.
     pub fn boolean(&self) -> Result<bool, ConfigError> {
         match self.value {
             Value::Bool(boolean) => Ok(*boolean),
@@ -185,26 +187,26 @@
         }
     }
 
-    /// This value as a string.
+    /// Returns this value as a string.
     ///
     /// # Errors
     ///
-    /// If it is something else.
+    /// If the value is not a string.
     pub fn string(&self) -> Result<&'a str, ConfigError> {
         match self.value {
             Value::String(string) => Ok(string),
-            _ => Err(self.invalid("must be a text")),
+            _ => Err(self.invalid("must be a string")),
         }
     }
 
-    /// The entries of this value, an array.
+    /// Returns the entries of this value, an array.
     ///
     /// # Errors
     ///
-    /// If it is something else.
+    /// If the value is not an array.
     pub fn array(&self) -> Result<Vec<JsonValue<'a>>, ConfigError> {
         let Value::Array(array) = self.value else {
-            return Err(self.invalid("must be a list"));
+            return Err(self.invalid("must be an array"));
         };
         let entry = |(index, value)| JsonValue {
             value,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,22 +1,22 @@
-//! Decodes the settings of a deployment, as the platform writes them in JSON, into what the
-//! decisions and the node use. The node and the simulator adapter share this decoder, so that both
-//! run on the same figures.
+//! Decodes the settings of a deployment, a JSON object that the platform writes, into the types of
+//! the decision module and of the node. The node and the simulator adapter share this decoder, so
+//! that both read the same values from the same settings.
 //!
 //! # Wire keys and names in code
 //!
-//! The JSON keeps the platform's keys. These tables are the one place that says what they are
-//! called in the code; a key that is not in them is ignored. Keys that end in `Ns` are in
-//! nanoseconds. Where no default is given, the key is required.
+//! The platform defines the keys of the JSON object. These tables are the only place that maps the
+//! keys to their names in the code; keys that are not listed are ignored. Values of keys that end
+//! in `Ns` are in nanoseconds. A key without a default is required.
 //!
 //! | key in the settings object | name in code | unit, meaning, default |
 //! |---|---|---|
 //! | `grades` | `Settings::classes`, [`Deployment::classes`] | see below |
-//! | `tenants` | `Settings::tenants`, [`Deployment::tenants`] | see below; none |
-//! | `azs` | [`Deployment::zones`] | names, in the order of zone numbers; none |
-//! | `kinds` | [`Deployment::kinds`] | names of kinds of machine; none |
-//! | `zone` | `Settings::zone` | 0 |
-//! | `me` | `Settings::proxy_index` | 0 |
-//! | `siblings` | `Settings::proxy_count` | 1 |
+//! | `tenants` | `Settings::tenants`, [`Deployment::tenants`] | see below; empty |
+//! | `azs` | [`Deployment::zones`] | names of zones, in the order of their numbers; empty |
+//! | `kinds` | [`Deployment::kinds`] | names of kinds of machine; empty |
+//! | `zone` | `Settings::zone` | number of the zone; 0 |
+//! | `me` | `Settings::proxy_index` | index among the proxies; 0 |
+//! | `siblings` | `Settings::proxy_count` | number of proxies, this one included; 1 |
 //! | `membershipMode` | `Settings::poll_endpoints` | `automatic`: false, `subscribe`: true |
 //! | `tickNs` | `Settings::tick` | |
 //! | `overShareWorth` | `Settings::over_quota_weight` | 1 |
@@ -30,10 +30,10 @@
 //! |---|---|---|
 //! | `name` | (in [`Deployment::classes`]) | empty |
 //! | `goalTimeNs` | `latency_objective` | |
-//! | `aimStretch` | `latency_objective_per_unit_of_work` | multiple of its work; 0 |
+//! | `aimStretch` | `latency_objective_per_unit_of_work` | multiple of expected work; 0 |
 //! | `giveUpNs` | `client_timeout` | |
 //! | `importance` | `priority_weight` | |
-//! | `lateValue` | `late_priority_weight` | fraction; 0 |
+//! | `lateValue` | `late_priority_weight` | fraction of the weight; 0 |
 //! | `effect` | `idempotency` | see the next table |
 //! | `keyScope` | `scope` of `IdempotencyKey` | `all`: `Global`, `zone`, `cell`; `cell` |
 //! | `windowNs` | `window` of `IdempotencyKey` | 0 |
@@ -48,7 +48,7 @@
 //! | key in a tenant | name in code | unit, default |
 //! |---|---|---|
 //! | `name` | (in [`Deployment::tenants`]) | empty |
-//! | `quotaPerS` | `Tenant::quota_per_second` | requests a second; 0 |
+//! | `quotaPerS` | `Tenant::quota_per_second` | requests per second; 0 |
 //!
 //! | key in `limits` | name in code | unit, default |
 //! |---|---|---|
@@ -65,7 +65,7 @@
 //! | `answerSlackNs` | `answer_slack` | 0 |
 //! | `drainGraceNs` | `drain_grace` | |
 //! | `drainCloseNs` | `drain_close_within` | no limit |
-//! | `coldFrom` | `slow_start_initial_capacity` | fraction |
+//! | `coldFrom` | `slow_start_initial_capacity` | fraction of the full capacity |
 //! | `coldNs` | `slow_start_duration` | |
 //! | `tipMultiple` | `overload_multiple` | multiple of the capacity |
 //! | `fallNs` | `overload_duration` | |
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,21 +1,21 @@
-//! What the site permits: `limits` on the wire. Its limits on connections are read with the
-//! [`Deployment`](crate::Deployment).
+//! Reads the limits that the decision module uses: `limits` on the wire. The other keys of `limits`
+//! are read into the [`Deployment`](crate::Deployment).
 
 use kitefork_balancer::Limits;
 
 use crate::json::{ConfigError, JsonValue};
 
-/// Reads `limits`.
+/// Reads the value of `limits`.
 pub(crate) fn read(limits: &JsonValue) -> Result<Limits, ConfigError> {
     Ok(Limits {
         max_attempts: limits.get("maxAttempts")?.small_integer()?,
         can_cancel: limits.get_or("cancel", false, JsonValue::boolean)?,
         health_checks: limits.get_or("probes", false, JsonValue::boolean)?,
-        // `retryAfter` is ignored: it only says whether clients in the simulator are given the
-        // advice. A rejection over HTTP may always carry it, and without it a rejected client is
-        // back at once, into the same crowd.
+        // The key `retryAfter` is ignored: it only says whether the simulator gives this advice to
+        // its clients. A rejection over HTTP may always carry `Retry-After`, and without it a
+        // rejected client retries at once, together with the other rejected clients.
         max_retry_after: limits.get_or("maxRetryAfterNs", 0, JsonValue::integer)?,
-        // No setting of the platform's: the host of the balancer may lower it.
+        // The platform has no such key; the program that runs the balancer may lower the value.
         never_attempted_timeout_fraction: 1.0,
     })
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,13 +1,13 @@
-//! Figures of the protocol rules: `rules` on the wire.
+//! Reads the parameters of the protocol rules: `rules` on the wire.
 
 use kitefork_balancer::{Nanos, Rules};
 
 use crate::json::{ConfigError, JsonValue};
 
-/// Interval at which the endpoint list is polled where the settings give none.
+/// Interval at which the endpoint list is polled, if the settings give none.
 const DEFAULT_POLL_INTERVAL: Nanos = 10_000_000_000;
 
-/// Reads `rules`.
+/// Reads the value of `rules`.
 pub(crate) fn read(rules: &JsonValue) -> Result<Rules, ConfigError> {
     Ok(Rules {
         answer_slack: rules.get_or("answerSlackNs", 0, JsonValue::integer)?,
--- a/crates/settings/src/setting_keys.rs
+++ b/crates/settings/src/setting_keys.rs
@@ -1,11 +1,12 @@
-//! Translates the name of an invalid setting into its wire key, so that an error names the key that
-//! an operator finds in the file.
+//! Translates the path of an invalid setting into its wire key, so that an error names the key that
+//! an operator finds in the configuration file.
 
-/// A setting that [`Settings::check`](kitefork_balancer::Settings::check) may find invalid.
+/// The wire key of a setting that [`Settings::check`](kitefork_balancer::Settings::check) may
+/// reject.
 struct SettingKey {
     /// Path of the setting within `Settings`.
     setting: &'static str,
-    /// Path of the key from which it is read.
+    /// Path of the JSON key from which the setting is read.
     wire_key: &'static str,
 }
 
@@ -36,7 +37,7 @@
     },
 ];
 
-/// The wire key of a setting; its own path where none is known.
+/// Returns the wire key of a setting, or the path of the setting itself if no key is listed.
 pub(crate) fn wire_key_of(setting: &'static str) -> &'static str {
     SETTING_KEYS
         .iter()
