--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -1,13 +1,13 @@
-//! The frame codec: batches of events in, replies of actions out. All integers are little-endian,
-//! without padding.
+//! The frame codec: decodes batches of events and encodes replies with actions. All numbers are
+//! little-endian; there is no padding between fields.
 //!
 //! ```text
 //! batch: Header | event records, 40 bytes each  | tail
 //! reply: header | action records, 24 bytes each | tail
 //! ```
 //!
-//! Data of variable length stands in the tail; a record refers to it by offset and length. The
-//! numbers of records and the offsets of their fields are in `layout`.
+//! The tail holds data of variable length; a record refers to it by offset and length. The codes of
+//! records and the offsets of their fields are in `layout`.
 
 mod bytes;
 mod endpoint_list;
@@ -31,11 +31,11 @@
 pub struct Header {
     /// Number of event records.
     pub record_count: u32,
-    /// Bytes after the header.
+    /// Size of the body, which follows the header, in bytes.
     pub body_length: u32,
     /// Clock time of the batch, in nanoseconds.
     pub now: u64,
-    /// Sequence number.
+    /// Sequence number of the batch.
     pub batch: u32,
 }
 
--- a/crates/simulator/src/frame/endpoint_list.rs
+++ b/crates/simulator/src/frame/endpoint_list.rs
@@ -9,14 +9,14 @@
 use super::record::Record;
 use super::{FrameError, FrameErrorKind};
 
-/// Endpoint lists by their numbers, kept over batches.
+/// Endpoint lists by their numbers. They are kept from one batch to the next.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: BTreeMap<u16, Vec<Endpoint>>,
 }
 
 impl EndpointLists {
-    /// Decodes a list and puts it in the place of an older one with its number.
+    /// Decodes a list and stores it, replacing an earlier list with the same number.
     pub(super) fn store(&mut self, record: &Record) -> Result<(), FrameError> {
         let number = record.u16(endpoint_list::LIST);
         let data = record.data(endpoint_list::ENTRIES, ENDPOINT_SIZE)?;
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// The list with a number, if it was sent.
+    /// Returns the list with the given number, or `None` if no such list was sent.
     pub(super) fn get(&self, number: u16) -> Option<&Vec<Endpoint>> {
         self.lists.get(&number)
     }
--- a/crates/simulator/src/frame/error.rs
+++ b/crates/simulator/src/frame/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a frame.
+//! Errors in the input frames.
 
 use thiserror::Error;
 
@@ -17,25 +17,25 @@
 /// What is wrong with a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FrameErrorKind {
-    /// The header announces more records than the frame has space for.
+    /// The header gives a number of records that does not fit into the frame.
     #[error("records run past the end of the frame")]
     RecordsOutsideFrame,
-    /// A record refers to data that the frame does not have.
+    /// A record refers to data that is not within the tail of the frame.
     #[error("data outside the tail")]
     DataOutsideTail,
-    /// A record has a code that is no event's.
+    /// The code of a record is not an event code.
     #[error("unknown event code {0}")]
     UnknownEventCode(u8),
-    /// An attempt or a health check ended in a way that has no name.
+    /// The outcome code of an attempt or of a health check is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// An entry of an endpoint list has an unknown state.
-    #[error("unknown backend state {0}")]
+    /// The state code of an entry of an endpoint list is unknown.
+    #[error("unknown endpoint state {0}")]
     UnknownEndpointState(u8),
-    /// An update of the endpoint list is to be read in an unknown way.
-    #[error("unknown list mode {0}")]
+    /// The mode of an endpoint list update is unknown.
+    #[error("unknown update mode {0}")]
     UnknownUpdateMode(u8),
-    /// An update names an endpoint list that was not sent before.
-    #[error("no list number {0}")]
+    /// An update refers to an endpoint list that was not sent before.
+    #[error("unknown endpoint list {0}")]
     UnknownEndpointList(u16),
 }
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -1,5 +1,6 @@
-//! Codes and offsets of the wire: sizes and offsets in bytes, from the start of a header, a record
-//! or an entry. The comment at an offset begins with the type of the field.
+//! The wire format: codes, sizes and offsets of fields. Sizes and offsets are in bytes; offsets
+//! count from the start of the header, the record, the entry or the compound field. The comment on
+//! an offset begins with the type of the field.
 
 /// Size of a batch header.
 pub const HEADER_SIZE: usize = 20;
@@ -16,31 +17,31 @@
 pub(super) mod header {
     /// `u32`: number of event records.
     pub const RECORD_COUNT: usize = 0;
-    /// `u32`: bytes after the header.
+    /// `u32`: size of the body, which follows the header, in bytes.
     pub const BODY_LENGTH: usize = 4;
-    /// `u64`: clock time in nanoseconds.
+    /// `u64`: clock time of the batch, in nanoseconds.
     pub const NOW: usize = 8;
-    /// `u32`: sequence number.
+    /// `u32`: sequence number of the batch.
     pub const BATCH: usize = 16;
 }
 
 /// Fields of every event record and every action record.
 pub(super) mod any_record {
-    /// `u8`: what the record says.
+    /// `u8`: an [`EventCode`](super::EventCode) or an [`ActionCode`](super::ActionCode).
     pub const CODE: usize = 0;
     /// `u16`: number of the instance that the record concerns.
     pub const INSTANCE: usize = 1;
 }
 
-/// A reference to data in the tail.
+/// Fields of a reference to data in the tail.
 pub(super) mod data_reference {
     /// `u32`: offset of the first byte in the tail.
     pub const START: usize = 0;
-    /// `u32`: number of items; of bytes where the items are bytes.
+    /// `u32`: number of items; of bytes if the items are bytes.
     pub const ITEM_COUNT: usize = 4;
 }
 
-/// What an event record says.
+/// Type of an event record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EventCode {
     Timer,
@@ -57,7 +58,7 @@
 }
 
 impl EventCode {
-    /// The event with a code; `None` if no event has it.
+    /// Returns the type of event with the given code; `None` if there is none.
     pub fn from_wire(code: u8) -> Option<EventCode> {
         match code {
             16 => Some(EventCode::Timer),
@@ -88,11 +89,11 @@
     pub const REQUEST: usize = 3;
     /// `u8`: number of the attempt, from 0.
     pub const ATTEMPT: usize = 7;
-    /// `u64`: time since it was sent, in nanoseconds.
+    /// `u64`: time since the attempt was sent, in nanoseconds.
     pub const LATENCY: usize = 12;
-    /// `u8`: how it ended, see `record`.
+    /// `u8`: outcome of the attempt; its codes are in `record`.
     pub const OUTCOME: usize = 20;
-    /// `u8`: other than 0 if the request has its final answer.
+    /// `u8`: nonzero if the request has its final answer.
     pub const FINISHED: usize = 21;
     /// A [`load_report`](super::load_report).
     pub const LOAD_REPORT: usize = 22;
@@ -114,18 +115,18 @@
     pub const CLASS: usize = 7;
     /// `u16`: index of the tenant.
     pub const TENANT: usize = 9;
-    /// `u64`: subject of the request; 0: none.
+    /// `u64`: subject of the request; 0 if it has none.
     pub const KEY: usize = 11;
     /// `u64`: time until the client stops waiting, in nanoseconds.
     pub const CLIENT_TIMEOUT: usize = 19;
-    /// `u64`: expected work in nanoseconds.
+    /// `u64`: expected work, in nanoseconds, if [`HAS_WORK_HINT`] is set.
     pub const WORK_HINT: usize = 27;
-    /// `u8`: the flags below, added up.
+    /// `u8`: bitwise OR of the flags below.
     pub const FLAGS: usize = 35;
 
-    /// Flag: the work hint is given.
+    /// Flag: the work hint is present.
     pub const HAS_WORK_HINT: u8 = 1;
-    /// Flag: the client marked the request as a retry of its own.
+    /// Flag: the client marked the request as a retry by the client.
     pub const CLIENT_RETRY: u8 = 2;
     /// Flag: the request changes state at the backend.
     pub const IS_WRITE: u8 = 4;
@@ -135,16 +136,16 @@
 pub(super) mod endpoint_update {
     /// `u16`: number of the list.
     pub const LIST: usize = 7;
-    /// `u8`: how to read the list, one of the modes below.
+    /// `u8`: meaning of the list, one of the modes below.
     pub const MODE: usize = 9;
 
-    /// Mode: the list holds changes.
+    /// Mode: the list has only the changes to the known list.
     pub const DELTA: u8 = 0;
-    /// Mode: the list is the whole one as known before a restart.
+    /// Mode: the list is complete, as known before a restart; it may be stale.
     pub const CACHED: u8 = 1;
-    /// Mode: there is no list, discovery failed.
+    /// Mode: discovery failed, there is no list.
     pub const FAILED: u8 = 2;
-    /// Mode: the list is the whole one.
+    /// Mode: the list is complete.
     pub const FULL: u8 = 4;
 }
 
@@ -152,9 +153,9 @@
 pub(super) mod health_check_ended {
     /// `u32`: number of the backend.
     pub const BACKEND: usize = 3;
-    /// `u64`: time since it was sent, in nanoseconds.
+    /// `u64`: time since the health check was sent, in nanoseconds.
     pub const LATENCY: usize = 7;
-    /// `u8`: how it ended, see `record`.
+    /// `u8`: outcome of the health check; its codes are in `record`.
     pub const OUTCOME: usize = 15;
     /// A [`load_report`](super::load_report).
     pub const LOAD_REPORT: usize = 16;
@@ -162,7 +163,7 @@
 
 /// Fields of [`EventCode::Start`].
 pub(super) mod start {
-    /// `u64`: seed of the random source.
+    /// `u64`: seed of the instance's random numbers.
     pub const SEED: usize = 3;
     /// A [`data_reference`](super::data_reference): the settings, a JSON text.
     pub const SETTINGS: usize = 11;
@@ -170,7 +171,7 @@
 
 /// Fields of [`EventCode::EndpointList`].
 pub(super) mod endpoint_list {
-    /// `u16`: number of the list. This record concerns no instance.
+    /// `u16`: number of the list, in place of an instance: the record concerns no instance.
     pub const LIST: usize = super::any_record::INSTANCE;
     /// A [`data_reference`](super::data_reference): the entries,
     /// [`ENDPOINT_SIZE`](super::ENDPOINT_SIZE) bytes each.
@@ -203,23 +204,24 @@
     pub const CELL: usize = 8;
     /// `u8`: 0 removed, 1 ready, 2 draining.
     pub const STATE: usize = 10;
-    /// `f32`: listed weight.
+    /// `f32`: weight of the backend, relative to those of other backends.
     pub const WEIGHT: usize = 11;
-    /// `u64`: clock time in nanoseconds; 0: long ago.
+    /// `u64`: clock time at which the backend's process last started, in nanoseconds; 0 if that was
+    /// long ago.
     pub const STARTED_AT: usize = 15;
 }
 
-/// A load report within a record.
+/// Fields of a load report within a record.
 pub(super) mod load_report {
     /// `u8`: number of values.
     pub const COUNT: usize = 0;
-    /// `f32` each: the values.
+    /// Array of `f32`: the values.
     pub const VALUES: usize = 1;
-    /// Most values that a record has space for.
+    /// Maximum number of values in a record.
     pub const MAX_VALUES: usize = 4;
 }
 
-/// What an action record says; the number is its code.
+/// Type of an action record; the discriminant is its code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum ActionCode {
@@ -244,7 +246,7 @@
     pub const REQUEST: usize = 3;
     /// `u32`: number of the backend.
     pub const BACKEND: usize = 7;
-    /// `u64`: clock time in nanoseconds.
+    /// `u64`: clock time at which to abandon the attempt, in nanoseconds.
     pub const ABANDON_AT: usize = 11;
 }
 
@@ -252,7 +254,7 @@
 pub(super) mod reject {
     /// `u32`: number of the request.
     pub const REQUEST: usize = 3;
-    /// `u64`: advice to the client in nanoseconds; 0: none.
+    /// `u64`: time after which the client should retry, in nanoseconds; 0: no advice.
     pub const RETRY_AFTER: usize = 7;
 }
 
@@ -272,7 +274,7 @@
 
 /// Fields of [`ActionCode::SetTimer`].
 pub(super) mod set_timer {
-    /// `u64`: clock time in nanoseconds.
+    /// `u64`: clock time at which the timer is due, in nanoseconds.
     pub const AT: usize = 3;
     /// `u32`: number of the timer.
     pub const TIMER: usize = 11;
@@ -292,11 +294,11 @@
 
 /// Fields of [`ActionCode::Gossip`].
 pub(super) mod gossip {
-    /// `u16`: index of the proxy, or [`TO_ALL`].
+    /// `u16`: index of the receiving proxy, or [`TO_ALL`].
     pub const TO: usize = 3;
     /// A [`data_reference`](super::data_reference): the message.
     pub const MESSAGE: usize = 5;
-    /// Receiver that stands for all proxies.
+    /// Value of [`TO`] that addresses all proxies.
     pub const TO_ALL: u16 = u16::MAX;
 }
 
@@ -308,6 +310,6 @@
 
 /// Fields of [`ActionCode::WatchEndpoints`].
 pub(super) mod watch_endpoints {
-    /// `u8`: 1 to watch the list, 0 to stop.
+    /// `u8`: 1 to watch the endpoint list, 0 to stop watching it.
     pub const ACTIVE: usize = 3;
 }
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -14,32 +14,32 @@
 pub struct InstanceMessage {
     /// Number of the instance.
     pub instance: u16,
-    /// The message.
+    /// What the instance is to do or is notified of.
     pub message: Message,
 }
 
-/// What a record says to an instance.
+/// The content of a record that concerns an instance.
 #[derive(Debug)]
 pub enum Message {
-    /// The instance starts.
+    /// Start the instance.
     Start {
-        /// Seed of its random source.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, a JSON text.
+        /// Settings of the instance, a JSON text.
         settings: Vec<u8>,
     },
-    /// The instance is stopped.
+    /// Stop the instance.
     Stop,
-    /// Something happened.
+    /// Pass the event to the balancer of the instance.
     Event(Event),
 }
 
-/// Decodes the body of a batch into messages to instances, in order. Endpoint lists that it brings
-/// are put into `lists`.
+/// Decodes the body of a batch into messages to instances, in the order of the records. Stores the
+/// endpoint lists of the batch in `lists`.
 ///
 /// # Errors
 ///
-/// Names the first field that can't be decoded.
+/// If a record can't be decoded; the error gives the position of the first invalid field.
 pub fn decode(
     header: &Header,
     body: &[u8],
@@ -74,7 +74,7 @@
         })
 }
 
-/// Decodes one record; `None` if it concerns no instance.
+/// Decodes one record. An endpoint list is stored in `lists` and gives `None`.
 fn decode_record(
     record: &Record,
     lists: &mut EndpointLists,
--- a/crates/simulator/src/frame/record.rs
+++ b/crates/simulator/src/frame/record.rs
@@ -6,7 +6,7 @@
 use super::layout::{any_record, data_reference, load_report};
 use super::{FrameError, FrameErrorKind};
 
-/// One event record of a batch. Fields are named by their offset in the record.
+/// One event record of a batch. Its methods take the offset of a field within the record.
 pub(super) struct Record<'a> {
     /// The bytes of the record itself.
     pub bytes: &'a [u8],
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Record<'a> {
-    /// An error about the field at an offset.
+    /// Returns an error about the field at the given offset.
     pub fn error(&self, field_offset: usize, kind: FrameErrorKind) -> FrameError {
         FrameError {
             batch: self.batch,
@@ -28,59 +28,60 @@
         }
     }
 
-    /// The code of the record, see [`EventCode`](super::layout::EventCode).
+    /// Returns the code of the record, see [`EventCode`](super::layout::EventCode).
     pub fn code(&self) -> u8 {
         self.u8(any_record::CODE)
     }
 
-    /// The instance that the record concerns.
+    /// Returns the number of the instance that the record concerns.
     pub fn instance(&self) -> u16 {
         self.u16(any_record::INSTANCE)
     }
 
-    /// The 8-bit integer at an offset.
+    /// Returns the 8-bit integer at the given offset.
     pub fn u8(&self, field_offset: usize) -> u8 {
         self.bytes[field_offset]
     }
 
-    /// The 16-bit integer at an offset.
+    /// Returns the 16-bit integer at the given offset.
     pub fn u16(&self, field_offset: usize) -> u16 {
         u16_at(self.bytes, field_offset)
     }
 
-    /// The 32-bit integer at an offset.
+    /// Returns the 32-bit integer at the given offset.
     pub fn u32(&self, field_offset: usize) -> u32 {
         u32_at(self.bytes, field_offset)
     }
 
-    /// The 64-bit integer at an offset.
+    /// Returns the 64-bit integer at the given offset.
     pub fn u64(&self, field_offset: usize) -> u64 {
         u64_at(self.bytes, field_offset)
     }
 
-    /// The time or span at an offset.
+    /// Returns the clock time or the duration at the given offset.
     pub fn nanos(&self, field_offset: usize) -> Nanos {
         self.u64(field_offset)
     }
 
-    /// The request at an offset.
+    /// Returns the id of the request at the given offset.
     pub fn request(&self, field_offset: usize) -> RequestId {
         RequestId(self.u32(field_offset))
     }
 
-    /// The backend at an offset.
+    /// Returns the id of the backend at the given offset.
     pub fn backend(&self, field_offset: usize) -> BackendId {
         BackendId(self.u32(field_offset))
     }
 
-    /// How an attempt or a health check ended.
+    /// Returns the outcome of an attempt or of a health check; fails if its code is unknown.
     pub fn outcome(&self, field_offset: usize) -> Result<Outcome, FrameError> {
         let code = self.u8(field_offset);
         outcome_from_wire(code)
             .ok_or_else(|| self.error(field_offset, FrameErrorKind::UnknownOutcome(code)))
     }
 
-    /// The values of a load report. More than a record has space for are ignored.
+    /// Returns the values of a load report. A count above
+    /// [`MAX_VALUES`](super::layout::load_report::MAX_VALUES) is reduced to it.
     pub fn load_report(&self, field_offset: usize) -> Vec<f32> {
         let count =
             usize::from(self.u8(field_offset + load_report::COUNT)).min(load_report::MAX_VALUES);
@@ -94,8 +95,8 @@
             .collect()
     }
 
-    /// The data in the tail to which the field at an offset refers: an array of items of so many
-    /// bytes each.
+    /// Returns the data in the tail to which the field at the given offset refers: an array of
+    /// items of `item_size` bytes each. Fails if the array is not within the tail.
     pub fn data(&self, field_offset: usize, item_size: usize) -> Result<&'a [u8], FrameError> {
         let start = self.u32(field_offset + data_reference::START) as usize;
         let item_count = self.u32(field_offset + data_reference::ITEM_COUNT) as usize;
@@ -106,13 +107,14 @@
             .ok_or_else(|| self.error(field_offset, FrameErrorKind::DataOutsideTail))
     }
 
-    /// A copy of the bytes in the tail to which the field at an offset refers.
+    /// Returns a copy of the bytes in the tail to which the field at the given offset refers. Fails
+    /// if they are not within the tail.
     pub fn copied_bytes(&self, field_offset: usize) -> Result<Vec<u8>, FrameError> {
         Ok(self.data(field_offset, 1)?.to_vec())
     }
 }
 
-/// The codes are numbers of errno(3) on Linux.
+/// Decodes an outcome. Except for 0, the codes are the errno(3) numbers of Linux.
 fn outcome_from_wire(code: u8) -> Option<Outcome> {
     match code {
         0 => Some(Outcome::Success),
--- a/crates/simulator/src/frame/writer.rs
+++ b/crates/simulator/src/frame/writer.rs
@@ -1,4 +1,4 @@
-//! Encodes replies of actions.
+//! Encodes the actions of the balancers into replies.
 
 use kitefork_balancer::{Action, BackendId, LogEvent, Nanos, RequestId, TimerId};
 
@@ -17,7 +17,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends the record of an action that the balancer of `instance` decided on.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::StartAttempt {
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Reports that an instance could not be started.
+    /// Appends the record of an instance that could not be started.
     pub fn start_failed(&mut self, instance: u16, reason: &str) {
         self.add_text_record(ActionCode::StartFailed, instance, reason);
     }
 
-    /// The finished frame; `batch` is the sequence number of the batch that it answers.
+    /// Returns the encoded frame; `batch` is the sequence number of the batch to which it replies.
     pub fn finish(self, batch: u32) -> Vec<u8> {
         let record_count = self.records.len() / ACTION_SIZE;
         let length = self.records.len() + self.tail.len();
@@ -135,7 +135,7 @@
         self.add_data(text::TEXT, text.as_bytes());
     }
 
-    /// Adds a record without fields.
+    /// Appends a record in which only the code and the instance are set, and returns its bytes.
     fn add_record(&mut self, code: ActionCode, instance: u16) -> &mut [u8] {
         let start = self.records.len();
         self.records.resize(start + ACTION_SIZE, 0);
@@ -145,7 +145,8 @@
         record
     }
 
-    /// Adds data to the tail, and a reference to it at an offset of the last record.
+    /// Appends data to the tail, and writes a reference to it into the last record, at the given
+    /// offset.
     fn add_data(&mut self, field_offset: usize, bytes: &[u8]) {
         let start = (self.tail.len() as u32).to_le_bytes();
         let length = (bytes.len() as u32).to_le_bytes();
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -64,16 +64,16 @@
     let list = record(23, &[(7, &u32::MAX.to_le_bytes())]);
     assert_frame_error(1, &list, "batch 9, offset 23: data outside the tail");
     let update = record(20, &[]);
-    assert_frame_error(1, &update, "batch 9, offset 27: no list number 0");
+    assert_frame_error(1, &update, "batch 9, offset 27: unknown endpoint list 0");
     let mode = record(20, &[(9, &[3])]);
-    assert_frame_error(1, &mode, "batch 9, offset 29: unknown list mode 3");
+    assert_frame_error(1, &mode, "batch 9, offset 29: unknown update mode 3");
     let outcome = record(17, &[(20, &[77])]);
     assert_frame_error(1, &outcome, "batch 9, offset 40: unknown outcome 77");
-    let state = "batch 9, offset 23: unknown backend state 9";
+    let state = "batch 9, offset 23: unknown endpoint state 9";
     assert_frame_error(1, &unknown_endpoint_state(), state);
 }
 
-/// A list whose only entry has a state that does not exist.
+/// Returns the body of a batch with an endpoint list whose only entry has an unknown state.
 fn unknown_endpoint_state() -> Vec<u8> {
     let mut body = record(23, &[(7, &1u32.to_le_bytes())]);
     body.extend([0; ENDPOINT_SIZE]);
@@ -112,7 +112,8 @@
 const REQUEST: RequestId = RequestId(0x0403_0201);
 const BACKEND: BackendId = BackendId(0x0807_0605);
 
-/// Asserts the record of an action of instance 0x0102, of which the rest is zero.
+/// Asserts that an action of instance 0x0102 is encoded as `leading_bytes`, followed by zeros up to
+/// the size of a record.
 fn assert_record(action: &Action, leading_bytes: &[u8]) {
     let mut reply = Reply::default();
     reply.push(0x0102, action);
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,5 +1,5 @@
-//! The host: runs balancers of many instances in one process, and answers each batch of events with
-//! the actions that they decide.
+//! The host: runs many instances of the balancer in one process, and replies to each batch of
+//! events with the actions that the balancers decide on.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -12,7 +12,7 @@
     EndpointLists, FrameError, HEADER_SIZE, Header, InstanceMessage, Message, Reply, decode,
 };
 
-/// Why the host has stopped.
+/// Why the host stopped before the end of the input.
 #[derive(Debug, Error)]
 pub enum HostError {
     /// A frame can't be decoded.
@@ -21,9 +21,10 @@
     /// The input ends within a frame.
     #[error("batch {batch}, offset {offset}: the input ends within a frame")]
     Truncated {
-        /// Sequence number of the batch, or of the one before if the header is cut.
+        /// Sequence number of the batch; if its header is incomplete, that of the previous batch,
+        /// or 0 if there was none.
         batch: u32,
-        /// Bytes of the frame that were there.
+        /// Number of bytes of the frame that were read.
         offset: usize,
     },
     /// Input or output failed.
@@ -42,11 +43,11 @@
     Balancer(#[from] SettingsError),
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends.
 ///
 /// # Errors
 ///
-/// If the input is no sequence of complete frames, or if input or output fails.
+/// If a frame is truncated or can't be decoded, or if input or output fails.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
     let mut last_batch = 0;
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// The next header; `None` at the end of the input.
+/// Reads the next header; returns `None` at the end of the input.
 fn read_header(input: &mut impl Read, last_batch: u32) -> Result<Option<Header>, HostError> {
     let mut bytes = [0; HEADER_SIZE];
     match read_full(input, &mut bytes)? {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Replaces the content of `body` by what follows a header.
+/// Replaces the content of `body` with the bytes that follow a header.
 fn read_body(input: &mut impl Read, header: &Header, body: &mut Vec<u8>) -> Result<(), HostError> {
     body.clear();
     let read_size = input
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-/// Fills `buffer`, or as much of it as the input still has; returns how many bytes that were.
+/// Reads until `buffer` is full or the input ends. Returns the number of bytes that were read.
 fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -102,15 +103,16 @@
     Ok(filled)
 }
 
-/// The running instances, and what they share.
+/// The running instances, and the endpoint lists that they share.
 #[derive(Default)]
 struct Host {
+    /// Balancers by the number of their instance.
     balancers: BTreeMap<u16, Balancer>,
     lists: EndpointLists,
 }
 
 impl Host {
-    /// The reply to one batch.
+    /// Handles one batch and returns the encoded reply.
     fn handle_batch(&mut self, header: &Header, body: &[u8]) -> Result<Vec<u8>, FrameError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
@@ -125,7 +127,8 @@
         Ok(reply.finish(header.batch))
     }
 
-    /// Hands a message to its instance. Events for instances that don't run are ignored.
+    /// Starts or stops an instance, or passes an event to it. Events for instances that don't run
+    /// are ignored.
     fn handle(
         &mut self,
         instance: u16,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,5 +1,6 @@
-//! Simulator adapter: hosts kitefork's balancers on a simulator's binary wire. Batches of events
-//! come on standard input, replies of actions go to standard output; no decision is made here.
+//! Simulator adapter: runs kitefork's balancers for a simulator, over a binary protocol. It reads
+//! batches of events from standard input and writes replies with actions to standard output. The
+//! decisions are made by the balancers, not here.
 //!
 //! Exit codes: 0 at the end of the input, 1 if the input can't be decoded or input or output fails.
 #![forbid(unsafe_code)]
@@ -11,7 +12,7 @@
 use std::io::{self, BufReader};
 use std::process::ExitCode;
 
-/// Bytes of input that are buffered: many small frames for each read(2).
+/// Size of the input buffer in bytes, so that one read(2) can fetch many small frames.
 const INPUT_BUFFER_SIZE: usize = 64 * 1024;
 
 fn main() -> ExitCode {
