--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -1,13 +1,13 @@
-//! Classes of requests: `grades` on the wire.
+//! Reads the classes of requests: `grades` on the wire.
 
 use kitefork_balancer::{Class, DeduplicationScope, Idempotency};
 
-use crate::decode::unknown_word;
+use crate::decode::unknown_value;
 use crate::json::{ConfigError, JsonValue};
 
 /// Reads one entry of `grades`.
 pub(crate) fn read(grade: &JsonValue) -> Result<Class, ConfigError> {
-    // Checked for every class, also where `effect` makes no use of it.
+    // Read for every class, so that invalid values are reported even if `effect` is not `by_key`.
     let idempotency_key = read_idempotency_key(grade)?;
     Ok(Class {
         latency_objective: grade.get("goalTimeNs")?.integer()?,
@@ -28,7 +28,7 @@
         "repeatable" => Ok(Idempotency::Idempotent),
         "by_key" => Ok(idempotency_key),
         "once" => Ok(Idempotency::NotIdempotent),
-        word => Err(unknown_word(effect, word)),
+        other => Err(unknown_value(effect, other)),
     }
 }
 
@@ -44,6 +44,6 @@
         "all" => Ok(DeduplicationScope::Global),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        word => Err(unknown_word(scope, word)),
+        other => Err(unknown_value(scope, other)),
     }
 }
--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -1,13 +1,13 @@
-//! The frame codec: batches of events in, replies of actions out. All integers are little-endian,
-//! without padding.
+//! The frame codec: decodes batches of events and encodes replies with actions. All numbers are
+//! little-endian; there is no padding between fields.
 //!
 //! ```text
 //! batch: Header | event records, 40 bytes each  | tail
 //! reply: header | action records, 24 bytes each | tail
 //! ```
 //!
-//! Data of variable length stands in the tail; a record refers to it by offset and length. The
-//! numbers of records and the offsets of their fields are in `layout`.
+//! The tail holds data of variable length; a record refers to it by offset and length. The codes of
+//! records and the offsets of their fields are in `layout`.
 
 mod bytes;
 mod endpoint_list;
@@ -30,12 +30,12 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Header {
     /// Number of event records.
-    pub records: u32,
-    /// Bytes after the header.
-    pub length: u32,
+    pub record_count: u32,
+    /// Size of the body, which follows the header, in bytes.
+    pub body_length: u32,
     /// Clock time of the batch, in nanoseconds.
     pub now: u64,
-    /// Sequence number.
+    /// Sequence number of the batch.
     pub batch: u32,
 }
 
@@ -43,8 +43,8 @@
     /// Decodes a header.
     pub fn read(bytes: &[u8; HEADER_SIZE]) -> Header {
         Header {
-            records: u32_at(bytes, header::RECORDS),
-            length: u32_at(bytes, header::LENGTH),
+            record_count: u32_at(bytes, header::RECORD_COUNT),
+            body_length: u32_at(bytes, header::BODY_LENGTH),
             now: u64_at(bytes, header::NOW),
             batch: u32_at(bytes, header::BATCH),
         }
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -14,39 +14,39 @@
 pub struct InstanceMessage {
     /// Number of the instance.
     pub instance: u16,
-    /// The message.
+    /// What the instance is to do or is notified of.
     pub message: Message,
 }
 
-/// What a record says to an instance.
+/// The content of a record that concerns an instance.
 #[derive(Debug)]
 pub enum Message {
-    /// The instance starts.
+    /// Start the instance.
     Start {
-        /// Seed of its random source.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, a JSON text.
+        /// Settings of the instance, a JSON text.
         settings: Vec<u8>,
     },
-    /// The instance is stopped.
+    /// Stop the instance.
     Stop,
-    /// Something happened.
+    /// Pass the event to the balancer of the instance.
     Event(Event),
 }
 
-/// Decodes the body of a batch into messages to instances, in order. Endpoint lists that it brings
-/// are put into `lists`.
+/// Decodes the body of a batch into messages to instances, in the order of the records. Stores the
+/// endpoint lists of the batch in `lists`.
 ///
 /// # Errors
 ///
-/// Names the first field that can't be decoded.
+/// If a record can't be decoded; the error gives the position of the first invalid field.
 pub fn decode(
     header: &Header,
     body: &[u8],
     lists: &mut EndpointLists,
 ) -> Result<Vec<InstanceMessage>, FrameError> {
     let (records, tail) = split_body(header, body)?;
-    let mut messages = Vec::with_capacity(header.records as usize);
+    let mut messages = Vec::with_capacity(header.record_count as usize);
     for (index, bytes) in records.chunks_exact(EVENT_SIZE).enumerate() {
         let record = Record {
             bytes,
@@ -64,7 +64,7 @@
 
 /// Splits a body into its records and its tail.
 fn split_body<'a>(header: &Header, body: &'a [u8]) -> Result<(&'a [u8], &'a [u8]), FrameError> {
-    (header.records as usize)
+    (header.record_count as usize)
         .checked_mul(EVENT_SIZE)
         .and_then(|length| body.split_at_checked(length))
         .ok_or(FrameError {
@@ -74,7 +74,7 @@
         })
 }
 
-/// Decodes one record; `None` if it concerns no instance.
+/// Decodes one record. An endpoint list is stored in `lists` and gives `None`.
 fn decode_record(
     record: &Record,
     lists: &mut EndpointLists,
@@ -91,7 +91,7 @@
         EventCode::Timer => timer_event(record),
         EventCode::AttemptEnded => attempt_ended_event(record)?,
         EventCode::FirstByte => first_byte_event(record),
-        EventCode::Request => Event::Request(request_of_client(record)),
+        EventCode::Request => Event::Request(decode_request(record)),
         EventCode::EndpointUpdate => endpoint_update_event(record, lists)?,
         EventCode::HealthCheckEnded => health_check_ended_event(record)?,
         EventCode::ClientDisconnected => client_disconnected_event(record),
@@ -131,7 +131,7 @@
     }
 }
 
-fn request_of_client(record: &Record) -> Request {
+fn decode_request(record: &Record) -> Request {
     let flags = record.u8(request::FLAGS);
     let has_flag = |flag: u8| flags & flag != 0;
     Request {
