--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -30,7 +30,7 @@
 use crate::node::{Node, ProcessSettings};
 use crate::referee::{BackendStart, Pause, Records, Rules};
 use crate::report::{Measurements, Report};
-use crate::scenario::{Scenario, seconds};
+use crate::scenario::{Scenario, duration_from_secs};
 
 /// Grace after a backend was listed as draining, as the nodes' settings have it.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
@@ -39,13 +39,13 @@
 /// Repeats of an idempotency key are dropped for this long.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// A backend in slow start breaks down if it is sent too much for this long ...
-const OVERLOAD_TIME: Duration = Duration::from_secs(2);
+const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
 /// ... where too much is this multiple of what it can do.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// What the referee allows nodes beyond their own grace and slack.
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
 /// Behind the longest timeout of a client, the run goes on for this long.
-const SETTLING: Duration = Duration::from_millis(300);
+const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Backends of a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
 /// Spreads the seeds of backends.
@@ -55,7 +55,7 @@
 struct Cluster {
     scenario: Scenario,
     clock: Clock,
-    process: ProcessSettings,
+    process_settings: ProcessSettings,
     discovery: Arc<DiscoveryService>,
     /// Links of nodes to discovery, by number of the node.
     discovery_links: Vec<Arc<Link>>,
@@ -81,31 +81,35 @@
     let folder = tempfile::tempdir()?;
     let clock = Clock::start();
     let cluster = Arc::new(Cluster::new(scenario, programs, folder.path(), clock).await?);
-    cluster.configure_nodes()?;
+    cluster.write_initial_configs()?;
     let clients = Clients::new(clock);
     let misbehaving = MisbehavingClients::new(clock);
-    let begin = clock.now();
-    let front = tokio::spawn(front::admit_nodes(cluster.clone()));
-    let traffic = tokio::spawn(load::traffic(cluster.clone(), clients.clone(), begin));
-    let disturbance = tokio::spawn(load::misbehaving_traffic(
+    let run_start = clock.now();
+    let front_task = tokio::spawn(front::admit_nodes(cluster.clone()));
+    let traffic_task = tokio::spawn(load::send_traffic(
+        cluster.clone(),
+        clients.clone(),
+        run_start,
+    ));
+    let misbehaving_task = tokio::spawn(load::send_misbehaving_traffic(
         cluster.clone(),
         misbehaving.clone(),
-        begin,
+        run_start,
     ));
     for event in timeline::events(scenario) {
-        tokio::time::sleep_until(clock.at(begin + event.at)).await;
+        tokio::time::sleep_until(clock.at(run_start + event.at)).await;
         cluster.apply(&event)?;
     }
-    tokio::time::sleep_until(clock.at(begin + seconds(scenario.length_s))).await;
+    tokio::time::sleep_until(clock.at(run_start + duration_from_secs(scenario.length_s))).await;
     // Requests that are on their way come to their ends; the traffic has stopped before.
-    let _ = traffic.await;
-    let _ = disturbance.await;
-    tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING).await;
-    front.abort();
+    let _ = traffic_task.await;
+    let _ = misbehaving_task.await;
+    tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING_TIME).await;
+    front_task.abort();
     cluster.sample_usage();
     cluster.kill_nodes();
     let records = cluster.records(&clients, &misbehaving);
-    Ok(Report::new(&cluster.measurements(&records, begin)))
+    Ok(Report::new(&cluster.measurements(&records, run_start)))
 }
 
 fn longest_client_timeout(scenario: &Scenario) -> Duration {
@@ -113,11 +117,11 @@
     let longest_ms = classes
         .map(|class| class.client_timeout_ms)
         .fold(0.0, f64::max);
-    milliseconds(longest_ms)
+    duration_from_millis(longest_ms)
 }
 
-fn milliseconds(ms: f64) -> Duration {
-    seconds(ms / 1_000.0)
+fn duration_from_millis(ms: f64) -> Duration {
+    duration_from_secs(ms / 1_000.0)
 }
 
 /// Nodes and backends are dealt over the zones in turn.
@@ -148,7 +152,7 @@
         Ok(Cluster {
             scenario: scenario.clone(),
             clock,
-            process: programs.process_settings(scenario),
+            process_settings: programs.process_settings(scenario),
             discovery,
             discovery_links,
             discovery_addresses,
@@ -187,13 +191,13 @@
         }
     }
 
-    fn measurements<'a>(&'a self, records: &'a Records, begin: Duration) -> Measurements<'a> {
+    fn measurements<'a>(&'a self, records: &'a Records, run_start: Duration) -> Measurements<'a> {
         let backends = || self.backends.iter();
         Measurements {
             scenario: &self.scenario,
             rules: rules(&self.scenario),
             records,
-            begin,
+            run_start,
             discovery_calls: self.discovery.calls(),
             discovery_bytes: self.discovery.bytes_written(),
             accepted_connections: backends().map(|backend| backend.link.accepted()).collect(),
@@ -205,25 +209,25 @@
 
     /// The logs of all nodes, each line with its node.
     fn log_lines(&self) -> Vec<String> {
-        let lines_of = |node: &Mutex<Node>| {
+        let numbered_lines = |node: &Mutex<Node>| {
             let node = locked(node);
             let number = node.number;
-            let lines = node.lines().into_iter();
+            let lines = node.log_lines().into_iter();
             lines.map(move |line| format!("n{number}: {line}"))
         };
-        self.nodes.iter().flat_map(lines_of).collect()
+        self.nodes.iter().flat_map(numbered_lines).collect()
     }
 }
 
 fn new_backends(scenario: &Scenario, clock: Clock, log: &Arc<AttemptLog>) -> Vec<Arc<Backend>> {
-    let figures = &scenario.backend;
+    let parameters = &scenario.backend;
     let settings = BackendSettings {
-        work: milliseconds(figures.work_ms),
-        handshake: milliseconds(figures.handshake_ms),
-        capacity: figures.capacity,
-        connections: figures.connections,
-        slow_start_from: figures.slow_start_from,
-        slow_start: seconds(figures.slow_start_s),
+        work: duration_from_millis(parameters.work_ms),
+        handshake: duration_from_millis(parameters.handshake_ms),
+        capacity: parameters.capacity,
+        connections: parameters.connections,
+        slow_start_from: parameters.slow_start_from,
+        slow_start: duration_from_secs(parameters.slow_start_s),
         seed: 0,
     };
     let new_backend = |number: usize| {
@@ -256,12 +260,12 @@
 }
 
 fn discovery_capacity(scenario: &Scenario) -> Capacity {
-    let figures = &scenario.discovery;
+    let parameters = &scenario.discovery;
     Capacity {
-        call: milliseconds(figures.call_ms),
-        endpoint: milliseconds(figures.endpoint_us / 1_000.0),
-        max_wait: milliseconds(figures.max_wait_ms),
-        history: figures.history,
+        call: duration_from_millis(parameters.call_ms),
+        endpoint: duration_from_millis(parameters.endpoint_us / 1_000.0),
+        max_wait: duration_from_millis(parameters.max_wait_ms),
+        history: parameters.history,
     }
 }
 
@@ -271,9 +275,9 @@
         drain_grace: DRAIN_GRACE + REFEREE_MARGIN,
         key_window: KEY_WINDOW,
         overload_multiple: OVERLOAD_MULTIPLE,
-        overload_time: OVERLOAD_TIME,
+        overload_duration: OVERLOAD_DURATION,
         slow_start_from: scenario.backend.slow_start_from,
-        slow_start: seconds(scenario.backend.slow_start_s),
-        work: milliseconds(scenario.backend.work_ms),
+        slow_start: duration_from_secs(scenario.backend.slow_start_s),
+        work: duration_from_millis(scenario.backend.work_ms),
     }
 }
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -16,7 +16,7 @@
 use crate::scenario::{Action, Target};
 
 /// A node that goes on after a stop works off what came meanwhile, for this long.
-const CATCH_UP: Duration = Duration::from_millis(500);
+const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 /// A backend that drains or has died is removed from the list after this.
 const REMOVAL_DELAY: Duration = Duration::from_secs(1);
 
@@ -39,23 +39,23 @@
     fn apply_to_node(&self, action: Action, number: usize) -> io::Result<()> {
         match action {
             Action::Start => self.start_node(number)?,
-            Action::Kill => self.stop_node(number, Signal::KILL)?,
-            Action::Term => self.stop_node(number, Signal::TERM)?,
+            Action::Kill => self.terminate_node(number, Signal::KILL)?,
+            Action::Term => self.terminate_node(number, Signal::TERM)?,
             Action::Stop => self.pause_node(number),
             Action::Cont => self.resume_node(number),
             Action::Reload => {
                 // Valid again, whatever was there before.
-                self.configure_with_current_list(number)?;
+                self.write_config_with_current_list(number)?;
                 self.signal(number, Signal::HUP);
             }
             Action::ReloadHalf => {
                 let config = self.node_config(number, &[]);
-                locked(&self.nodes[number]).configure_half(&config)?;
+                locked(&self.nodes[number]).write_truncated_config(&config)?;
                 self.signal(number, Signal::HUP);
             }
             Action::ReloadMissing => {
                 // It may be missing already.
-                let _ = locked(&self.nodes[number]).remove_configuration();
+                let _ = locked(&self.nodes[number]).remove_config();
                 self.signal(number, Signal::HUP);
             }
             Action::DiscoveryCut => self.discovery_links[number].set(link::Health::Cut),
@@ -71,19 +71,19 @@
     fn start_node(&self, number: usize) -> io::Result<()> {
         let mut node = locked(&self.nodes[number]);
         node.reap(self.clock);
-        node.start(&self.process, self.clock)
+        node.start(&self.process_settings, self.clock)
     }
 
     /// Ends a node's process. Its next incarnation is given the list of this moment.
-    fn stop_node(&self, number: usize, signal: Signal) -> io::Result<()> {
-        self.configure_with_current_list(number)?;
+    fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
+        self.write_config_with_current_list(number)?;
         self.signal(number, signal);
         Ok(())
     }
 
-    fn configure_with_current_list(&self, number: usize) -> io::Result<()> {
+    fn write_config_with_current_list(&self, number: usize) -> io::Result<()> {
         let config = self.node_config(number, &self.discovery.endpoints());
-        locked(&self.nodes[number]).configure(config)
+        locked(&self.nodes[number]).write_config(config)
     }
 
     fn pause_node(&self, number: usize) {
@@ -97,31 +97,31 @@
 
     fn resume_node(&self, number: usize) {
         self.signal(number, Signal::CONT);
-        let until = self.clock.now() + CATCH_UP;
+        let until = self.clock.now() + CATCH_UP_TIME;
         let mut pauses = locked(&self.pauses);
-        let open = |pause: &&mut Pause| pause.node == number && pause.until == Duration::MAX;
-        for pause in pauses.iter_mut().filter(open) {
+        let is_open = |pause: &&mut Pause| pause.node == number && pause.until == Duration::MAX;
+        for pause in pauses.iter_mut().filter(is_open) {
             pause.until = until;
         }
     }
 
     fn apply_to_discovery(&self, action: Action) {
-        let links = || self.discovery_links.iter();
+        let all_links = || self.discovery_links.iter();
         match action {
             Action::DiscoveryUp => {
                 self.discovery.set(Mode::Up);
-                links().for_each(|link| link.set(link::Health::Healthy));
+                all_links().for_each(|link| link.set(link::Health::Healthy));
             }
             Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
             Action::DiscoverySilent => self.discovery.set(Mode::Silent),
             Action::DiscoveryTruncates => self.discovery.set(Mode::Truncates),
-            Action::DiscoveryDown => links().for_each(|link| {
+            Action::DiscoveryDown => all_links().for_each(|link| {
                 link.set(link::Health::Refused);
                 link.reset();
             }),
             Action::DiscoveryRestart => {
                 self.discovery.restart();
-                links().for_each(|link| link.reset());
+                all_links().for_each(|link| link.reset());
             }
             _ => unreachable!("{action:?} is not done to discovery"),
         }
@@ -132,13 +132,13 @@
         let link = &backend.link;
         match event.action {
             Action::Drain => {
-                self.list_as(event.number, EndpointState::Draining);
-                self.remove_later(event.number);
+                self.set_listed_state(event.number, EndpointState::Draining);
+                self.schedule_removal(event.number);
             }
             Action::BackendKill => {
                 link.set(link::Health::Refused);
                 link.reset();
-                self.remove_later(event.number);
+                self.schedule_removal(event.number);
             }
             Action::BackendStart => self.start_backend(event.number, backend),
             Action::BackendSilent => backend.set(backend::Health::Silent),
@@ -157,18 +157,18 @@
         }
     }
 
-    fn list_as(&self, number: usize, state: EndpointState) {
+    fn set_listed_state(&self, number: usize, state: EndpointState) {
         self.discovery.change(Endpoint {
             state,
             ..self.endpoints[number].clone()
         });
     }
 
-    fn remove_later(self: &Arc<Self>, number: usize) {
+    fn schedule_removal(self: &Arc<Self>, number: usize) {
         let cluster = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(REMOVAL_DELAY).await;
-            cluster.list_as(number, EndpointState::Removed);
+            cluster.set_listed_state(number, EndpointState::Removed);
         });
     }
 
--- a/crates/testbed/src/cluster/front.rs
+++ b/crates/testbed/src/cluster/front.rs
@@ -12,32 +12,33 @@
 use tokio::net::TcpStream;
 
 use super::Cluster;
-use crate::scenario::seconds;
+use crate::scenario::duration_from_secs;
 
 /// Time between two rounds over all nodes.
-const ROUND: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// The use of resources is sampled in each round of this multiple.
-const SAMPLE_EVERY: u32 = 10;
+const ROUNDS_PER_SAMPLE: u32 = 10;
 /// A health check that takes longer has failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-const HEALTH_CHECK: &[u8] = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+const HEALTH_CHECK_REQUEST: &[u8] =
+    b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
 /// Length of `HTTP/1.1 200`.
-const STATUS_LENGTH: usize = 12;
+const STATUS_PREFIX_LENGTH: usize = 12;
 
 /// Admits nodes once their health check succeeds, and notices late that one has died. Never ends by
 /// itself.
 pub(super) async fn admit_nodes(cluster: Arc<Cluster>) {
-    let mut died: BTreeMap<usize, Duration> = BTreeMap::new();
+    let mut down_since: BTreeMap<usize, Duration> = BTreeMap::new();
     let mut round = 0u32;
     loop {
         for number in 0..cluster.nodes.len() {
-            cluster.review_node(number, &mut died);
+            cluster.update_admission(number, &mut down_since);
         }
         round += 1;
-        if round.is_multiple_of(SAMPLE_EVERY) {
+        if round.is_multiple_of(ROUNDS_PER_SAMPLE) {
             cluster.sample_usage();
         }
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
@@ -52,22 +53,26 @@
         self.admitted[number].load(Ordering::SeqCst)
     }
 
-    /// `died` has the nodes that were seen down, and since when.
-    fn review_node(self: &Arc<Self>, number: usize, died: &mut BTreeMap<usize, Duration>) {
-        let (up, address) = {
+    /// `down_since` has the nodes that were seen down, and since when.
+    fn update_admission(
+        self: &Arc<Self>,
+        number: usize,
+        down_since: &mut BTreeMap<usize, Duration>,
+    ) {
+        let (is_listening, address) = {
             let mut node = locked(&self.nodes[number]);
             node.reap(self.clock);
-            (node.is_up(), node.address())
+            (node.is_listening(), node.address())
         };
         let now = self.clock.now();
         let admitted = self.is_admitted(number);
-        let notice = seconds(self.scenario.traffic.notice_s);
-        if up {
-            died.remove(&number);
-        } else if admitted && now >= *died.entry(number).or_insert(now) + notice {
+        let detection_delay = duration_from_secs(self.scenario.traffic.notice_s);
+        if is_listening {
+            down_since.remove(&number);
+        } else if admitted && now >= *down_since.entry(number).or_insert(now) + detection_delay {
             self.admitted[number].store(false, Ordering::SeqCst);
         }
-        if let Some(address) = address.filter(|_| up && !admitted) {
+        if let Some(address) = address.filter(|_| is_listening && !admitted) {
             let cluster = self.clone();
             tokio::spawn(async move {
                 if is_healthy(address).await {
@@ -85,8 +90,8 @@
 
 async fn health_check(address: SocketAddr) -> io::Result<bool> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(HEALTH_CHECK).await?;
-    let mut head = [0; STATUS_LENGTH];
+    stream.write_all(HEALTH_CHECK_REQUEST).await?;
+    let mut head = [0; STATUS_PREFIX_LENGTH];
     stream.read_exact(&mut head).await?;
     Ok(head.ends_with(b"200"))
 }
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 
 use super::Cluster;
-use crate::scenario::{Class, Scenario, Traffic, seconds};
+use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
 /// Tells the draws of the misbehaving clients from those of the others.
 const MISBEHAVING_SEED: u64 = 0x0dd;
@@ -22,53 +22,57 @@
 /// Times of a Poisson process within the traffic of a scenario.
 struct PoissonProcess {
     rate: f64,
-    at: Duration,
+    last_arrival: Duration,
     end: Duration,
 }
 
 impl PoissonProcess {
-    fn new(rate: f64, scenario: &Scenario, begin: Duration) -> PoissonProcess {
+    fn new(rate: f64, scenario: &Scenario, run_start: Duration) -> PoissonProcess {
         let traffic = &scenario.traffic;
         PoissonProcess {
             rate,
-            at: begin + seconds(traffic.from_s),
-            end: begin + seconds(traffic.to_s.unwrap_or(scenario.length_s)),
+            last_arrival: run_start + duration_from_secs(traffic.from_s),
+            end: run_start + duration_from_secs(traffic.to_s.unwrap_or(scenario.length_s)),
         }
     }
 
     /// The next time, if the traffic goes on until then.
     fn next(&mut self, random: &mut RandomSource) -> Option<Duration> {
-        self.at += seconds(random.exponential() / self.rate);
-        (self.at < self.end).then_some(self.at)
+        self.last_arrival += duration_from_secs(random.exponential() / self.rate);
+        (self.last_arrival < self.end).then_some(self.last_arrival)
     }
 }
 
 /// A node that takes requests.
-struct ReadyNode {
+struct AdmittedNode {
     number: usize,
     address: SocketAddr,
 }
 
 impl Cluster {
     /// One of the admitted nodes; `None` if there are none, or it has no address yet.
-    fn draw_node(&self, random: &mut RandomSource) -> Option<ReadyNode> {
-        let ready = self.admitted_nodes();
-        let number = ready.get(random.below(ready.len())).copied()?;
+    fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
+        let admitted = self.admitted_nodes();
+        let number = admitted.get(random.below(admitted.len())).copied()?;
         let address = locked(&self.nodes[number]).address()?;
-        Some(ReadyNode { number, address })
+        Some(AdmittedNode { number, address })
     }
 }
 
 /// Sends requests in an open loop.
-pub(super) async fn traffic(cluster: Arc<Cluster>, clients: Arc<Clients>, begin: Duration) {
+pub(super) async fn send_traffic(
+    cluster: Arc<Cluster>,
+    clients: Arc<Clients>,
+    run_start: Duration,
+) {
     let traffic = &cluster.scenario.traffic;
     if traffic.rate <= 0.0 {
         return;
     }
     let mut random = RandomSource::from_seed(cluster.scenario.seed);
-    let mut process = PoissonProcess::new(traffic.rate, &cluster.scenario, begin);
+    let mut arrivals = PoissonProcess::new(traffic.rate, &cluster.scenario, run_start);
     for number in 0u64.. {
-        let Some(planned) = process.next(&mut random) else {
+        let Some(planned) = arrivals.next(&mut random) else {
             return;
         };
         tokio::time::sleep_until(cluster.clock.at(planned)).await;
@@ -92,20 +96,20 @@
 /// A class by the classes' shares; `None` if there are no classes.
 fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
     let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
-    let mut rest = random.unit() * shares;
+    let mut remaining = random.unit() * shares;
     let drawn = traffic.class.iter().find(|class| {
-        rest -= class.share;
-        rest < 0.0
+        remaining -= class.share;
+        remaining < 0.0
     });
     // Rounding may leave a rest behind the last class.
     drawn.or(traffic.class.last())
 }
 
 /// Plays misbehaving clients, and waits for the ends of all.
-pub(super) async fn misbehaving_traffic(
+pub(super) async fn send_misbehaving_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<MisbehavingClients>,
-    begin: Duration,
+    run_start: Duration,
 ) {
     let scenario = &cluster.scenario;
     let rate = scenario.traffic.misbehaving_rate;
@@ -115,10 +119,10 @@
         return;
     }
     let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED);
-    let mut process = PoissonProcess::new(rate, scenario, begin);
-    let mut playing = JoinSet::new();
+    let mut arrivals = PoissonProcess::new(rate, scenario, run_start);
+    let mut tasks = JoinSet::new();
     for number in 0u64.. {
-        let Some(at) = process.next(&mut random) else {
+        let Some(at) = arrivals.next(&mut random) else {
             break;
         };
         tokio::time::sleep_until(cluster.clock.at(at)).await;
@@ -134,14 +138,14 @@
             client_timeout: class.client_timeout(),
             behaviour,
         };
-        playing.spawn(clients.clone().play(request, node.number, node.address));
+        tasks.spawn(clients.clone().play(request, node.number, node.address));
     }
-    while playing.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
 /// Half of the clients disconnect, within half of their timeout; the others do one of the rest.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
-    let wait = seconds(random.unit() * class.client_timeout_ms / 2_000.0);
+    let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
     let index = random.below(2 * BEHAVIOURS.len());
     let behaviour = BEHAVIOURS.get(index).copied();
     behaviour.unwrap_or(Behaviour::Disconnects(wait))
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -8,32 +8,37 @@
 use serde_json::{Value, json};
 
 use super::{
-    ANSWER_SLACK, Cluster, DRAIN_GRACE, KEY_WINDOW, OVERLOAD_MULTIPLE, OVERLOAD_TIME, zone,
+    ANSWER_SLACK, Cluster, DRAIN_GRACE, KEY_WINDOW, OVERLOAD_DURATION, OVERLOAD_MULTIPLE, zone,
 };
 use crate::scenario::{Class, Known};
 
 /// Spreads the seeds of nodes.
 const NODE_SEED_MULTIPLIER: u64 = 7_919;
 /// In a stale list, so many of ten endpoints have a name that no backend has.
-const STALE_OF_TEN: usize = 3;
+const STALE_TENTHS: usize = 3;
 
 impl Cluster {
     /// Writes the configurations with which nodes start first.
-    pub(super) fn configure_nodes(&self) -> io::Result<()> {
-        let known = self.first_known();
+    pub(super) fn write_initial_configs(&self) -> io::Result<()> {
+        let endpoints = self.initial_list();
         for (number, node) in self.nodes.iter().enumerate() {
-            let config = self.node_config(number, &known);
-            locked(node).configure(config)?;
+            let config = self.node_config(number, &endpoints);
+            locked(node).write_config(config)?;
         }
         Ok(())
     }
 
     /// The list that nodes are given at their first start.
-    fn first_known(&self) -> Vec<Endpoint> {
+    fn initial_list(&self) -> Vec<Endpoint> {
         match self.scenario.fleet.known {
             Known::Empty => Vec::new(),
             Known::Current => self.endpoints.clone(),
-            Known::Stale => self.endpoints.iter().enumerate().map(aged).collect(),
+            Known::Stale => self
+                .endpoints
+                .iter()
+                .enumerate()
+                .map(stale_endpoint)
+                .collect(),
         }
     }
 
@@ -58,7 +63,7 @@
     fn settings(&self, number: usize) -> Value {
         let fleet = &self.scenario.fleet;
         let zones: Vec<String> = (0..fleet.zones).map(|zone| format!("z{zone}")).collect();
-        let membership = if self.scenario.discovery.pushed {
+        let membership_mode = if self.scenario.discovery.pushed {
             "automatic"
         } else {
             "subscribe"
@@ -66,12 +71,12 @@
         json!({
             "azs": zones,
             "kinds": ["m"],
-            "membershipMode": membership,
+            "membershipMode": membership_mode,
             "tickNs": 1_000_000,
             "me": number,
             "zone": zone(&self.scenario, number),
             "siblings": fleet.proxy_count.unwrap_or(fleet.nodes),
-            "grades": self.grades(),
+            "grades": self.all_class_settings(),
             "tenants": [{"name": "acme", "quotaPerS": 1e9}],
             "limits": {
                 "cancel": true,
@@ -84,11 +89,11 @@
         })
     }
 
-    fn grades(&self) -> Vec<Value> {
+    fn all_class_settings(&self) -> Vec<Value> {
         let classes = &self.scenario.traffic.class;
         if classes.is_empty() {
             // The node wants at least one class, also where there is no traffic.
-            return vec![grade(&Class {
+            return vec![class_settings(&Class {
                 name: "check".into(),
                 idempotency: Idempotency::Idempotent,
                 share: 1.0,
@@ -97,7 +102,7 @@
                 priority_weight: 1.0,
             })];
         }
-        classes.iter().map(grade).collect()
+        classes.iter().map(class_settings).collect()
     }
 
     fn platform_rules(&self) -> Value {
@@ -106,7 +111,7 @@
             "coldFrom": backend.slow_start_from,
             "coldNs": nanoseconds(backend.slow_start_s * 1e3).max(1),
             "drainGraceNs": DRAIN_GRACE.as_nanos() as u64,
-            "fallNs": OVERLOAD_TIME.as_nanos() as u64,
+            "fallNs": OVERLOAD_DURATION.as_nanos() as u64,
             "tipMultiple": OVERLOAD_MULTIPLE,
             "answerSlackNs": ANSWER_SLACK.as_nanos() as u64,
             "askWithinNs": 10_000_000_000u64,
@@ -115,24 +120,24 @@
 }
 
 /// An endpoint of a stale list: of some, the address belongs to another backend by now.
-fn aged((number, endpoint): (usize, &Endpoint)) -> Endpoint {
-    let mut aged = endpoint.clone();
-    if number % 10 < STALE_OF_TEN {
-        aged.uid = format!("old-{number:04}");
+fn stale_endpoint((number, endpoint): (usize, &Endpoint)) -> Endpoint {
+    let mut stale = endpoint.clone();
+    if number % 10 < STALE_TENTHS {
+        stale.uid = format!("old-{number:04}");
     }
-    aged
+    stale
 }
 
 /// A class as the platform's settings write it.
-fn grade(class: &Class) -> Value {
-    let effect = match class.idempotency {
+fn class_settings(class: &Class) -> Value {
+    let idempotency = match class.idempotency {
         Idempotency::Idempotent => "repeatable",
         Idempotency::IdempotencyKey => "by_key",
         Idempotency::NotIdempotent => "once",
     };
     json!({
         "name": class.name,
-        "effect": effect,
+        "effect": idempotency,
         "keyScope": "cell",
         "windowNs": KEY_WINDOW.as_nanos() as u64,
         "goalTimeNs": nanoseconds(class.latency_objective_ms),
--- a/crates/testbed/src/cluster/programs.rs
+++ b/crates/testbed/src/cluster/programs.rs
@@ -18,7 +18,7 @@
 
 impl Programs {
     /// A program, and the shim where cargo puts it beside that.
-    pub fn beside(node: &Path) -> Programs {
+    pub fn with_adjacent_shim(node: &Path) -> Programs {
         Programs {
             node: node.to_path_buf(),
             shim: node.with_file_name("libkitefork_fault_shim.so"),
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::zone;
-use crate::scenario::{Action, Scenario, Step, Target, seconds};
+use crate::scenario::{Action, Scenario, Step, Target, duration_from_secs};
 
 /// One action, done to one node or backend.
 #[derive(Clone, Debug)]
@@ -23,13 +23,13 @@
     let mut events: Vec<Event> = scenario
         .at
         .iter()
-        .flat_map(|step| events_of(scenario, step))
+        .flat_map(|step| step_events(scenario, step))
         .collect();
     events.sort_by_key(|event| event.at);
     events
 }
 
-fn events_of(scenario: &Scenario, step: &Step) -> Vec<Event> {
+fn step_events(scenario: &Scenario, step: &Step) -> Vec<Event> {
     let count = match step.action.target() {
         Target::Nodes => scenario.fleet.nodes,
         Target::Discovery => 1,
@@ -44,7 +44,7 @@
     let event = |(index, number): (usize, &usize)| {
         let delay_s = step.over_s * index as f64 / chosen.len() as f64;
         Event {
-            at: seconds(step.at_s + delay_s),
+            at: duration_from_secs(step.at_s + delay_s),
             action: step.action,
             number: *number,
             size: step.size,
--- a/crates/testbed/src/cluster/usage.rs
+++ b/crates/testbed/src/cluster/usage.rs
@@ -24,15 +24,15 @@
             let mut node = locked(node);
             node.reap(self.clock);
             let mut usage = locked(&self.usage);
-            if let Some(memory) = node.memory_mb() {
+            if let Some(memory_mb) = node.peak_memory_mb() {
                 let max = usage.max_memory_mb.entry(node.number).or_default();
-                *max = memory.max(*max);
+                *max = memory_mb.max(*max);
             }
-            if let Some(count) = node.descriptors() {
+            if let Some(count) = node.open_descriptors() {
                 usage.max_descriptors = count.max(usage.max_descriptors);
             }
-            if let Some(cpu) = node.cpu_s() {
-                usage.cpu_s.insert(node.number, cpu);
+            if let Some(cpu_s) = node.cpu_seconds() {
+                usage.cpu_s.insert(node.number, cpu_s);
             }
         }
     }
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -70,7 +70,7 @@
     Json(#[from] serde_json::Error),
     /// A play whose figures are compared had a violation or a panic.
     #[error("{backends} backends: {violation}")]
-    Unsound {
+    FailedRun {
         /// Backends of the play.
         backends: usize,
         /// The first violation or panic.
@@ -80,13 +80,13 @@
 
 impl CommandError {
     /// For `map_err`: the error with the file that it is about.
-    fn of_file(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
+    fn for_file(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
         let path = path.to_path_buf();
         |source| CommandError::File { path, source }
     }
 
     /// For `map_err`: the error with the program that it is about.
-    fn of_program(program: &Path) -> impl FnOnce(io::Error) -> CommandError {
+    fn for_program(program: &Path) -> impl FnOnce(io::Error) -> CommandError {
         let program = program.to_path_buf();
         |source| CommandError::Program { program, source }
     }
@@ -94,7 +94,7 @@
 
 /// Reads a scenario; another number of nodes takes backends and traffic with it.
 fn read_scenario(file: &Path, nodes: Option<usize>) -> Result<Scenario, CommandError> {
-    let text = std::fs::read_to_string(file).map_err(CommandError::of_file(file))?;
+    let text = std::fs::read_to_string(file).map_err(CommandError::for_file(file))?;
     let scenario = Scenario::parse(&text);
     let mut scenario = scenario.map_err(|source| CommandError::Scenario {
         path: file.to_path_buf(),
@@ -113,13 +113,13 @@
     Runtime::new().map_err(CommandError::Runtime)
 }
 
-fn play(scenario: &Scenario, programs: &Programs) -> Result<Report, CommandError> {
+fn run_scenario(scenario: &Scenario, programs: &Programs) -> Result<Report, CommandError> {
     let report = new_runtime()?.block_on(cluster::run(scenario, programs));
-    report.map_err(CommandError::of_program(&programs.node))
+    report.map_err(CommandError::for_program(&programs.node))
 }
 
 fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
-    std::fs::write(path, text).map_err(CommandError::of_file(path))
+    std::fs::write(path, text).map_err(CommandError::for_file(path))
 }
 
 /// The values that each figure had in several plays.
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -2,12 +2,12 @@
 
 use kitefork_testbed::cluster::Programs;
 
-use super::{CommandError, FigureSeries, Verdict, play, read_scenario};
+use super::{CommandError, FigureSeries, Verdict, read_scenario, run_scenario};
 use crate::CompareArguments;
 
 /// Carries the command out.
 pub fn run(arguments: &CompareArguments) -> Result<Verdict, CommandError> {
-    let series = play_in_turn(arguments)?;
+    let series = run_alternately(arguments)?;
     println!(
         "{:<22} min, median, max of {} for each program in the order given",
         "figure", arguments.rounds
@@ -21,7 +21,7 @@
 }
 
 /// The figures of each program, in the order in which the programs were given.
-fn play_in_turn(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
+fn run_alternately(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
     let programs = &arguments.program;
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
     let mut series = vec![FigureSeries::default(); programs.len()];
@@ -30,7 +30,7 @@
         for position in 0..programs.len() {
             // Another program begins each round, so that none always has the warmer machine.
             let index = (position + round as usize) % programs.len();
-            let report = play(&scenario, &Programs::beside(&programs[index]))?;
+            let report = run_scenario(&scenario, &Programs::with_adjacent_shim(&programs[index]))?;
             series[index].add(report.figures);
         }
     }
@@ -39,7 +39,12 @@
 
 fn column(series: &FigureSeries, name: &str) -> String {
     let values = series.sorted(name);
-    let at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
-    let (median, last) = (values.len() / 2, values.len().max(1) - 1);
-    format!("{:>9.3} {:>9.3} {:>9.3}", at(0), at(median), at(last))
+    let value_at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
+    let (median_index, last_index) = (values.len() / 2, values.len().max(1) - 1);
+    format!(
+        "{:>9.3} {:>9.3} {:>9.3}",
+        value_at(0),
+        value_at(median_index),
+        value_at(last_index)
+    )
 }
--- a/crates/testbed/src/commands/describe.rs
+++ b/crates/testbed/src/commands/describe.rs
@@ -8,11 +8,14 @@
 
 /// Prints the scenarios of a folder, by name.
 pub fn list(folder: &Path) -> Result<Verdict, CommandError> {
-    let entries = std::fs::read_dir(folder).map_err(CommandError::of_file(folder))?;
+    let entries = std::fs::read_dir(folder).map_err(CommandError::for_file(folder))?;
     let mut files: Vec<PathBuf> = entries
         .filter_map(|entry| Some(entry.ok()?.path()))
         .collect();
-    files.retain(|file| file.extension().is_some_and(|end| end == "toml"));
+    files.retain(|file| {
+        file.extension()
+            .is_some_and(|extension| extension == "toml")
+    });
     files.sort();
     for file in files {
         let about = read_scenario(&file, None)?.about;
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -6,7 +6,7 @@
 use kitefork_testbed::cluster::Programs;
 use kitefork_testbed::report::Report;
 
-use super::{CommandError, Verdict, play, read_scenario, write_file};
+use super::{CommandError, Verdict, read_scenario, run_scenario, write_file};
 use crate::RunArguments;
 
 /// Violations that are printed.
@@ -18,9 +18,9 @@
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     let programs = Programs {
         trace: arguments.logs.is_some(),
-        ..Programs::beside(&arguments.program)
+        ..Programs::with_adjacent_shim(&arguments.program)
     };
-    let report = play(&scenario, &programs)?;
+    let report = run_scenario(&scenario, &programs)?;
     print_figures(&report);
     if let Some(path) = &arguments.json {
         write_file(path, &serde_json::to_string_pretty(&report)?)?;
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -7,18 +7,18 @@
 use kitefork_testbed::report::Report;
 use kitefork_testbed::scale::{self, Comparison};
 
-use super::{CommandError, FigureSeries, Verdict, play};
+use super::{CommandError, FigureSeries, Verdict, run_scenario};
 use crate::ScaleArguments;
 
 /// Carries the command out.
 pub fn run(arguments: &ScaleArguments) -> Result<Verdict, CommandError> {
     let medians = |backends| median_figures(backends, &arguments.program, arguments.rounds);
-    let usual = medians(scale::USUAL_BACKENDS)?;
-    let longer = medians(scale::LONGER_BACKENDS)?;
-    let comparisons = scale::compare(&usual, &longer);
+    let baseline = medians(scale::BASELINE_BACKENDS)?;
+    let large = medians(scale::LARGE_BACKENDS)?;
+    let comparisons = scale::compare(&baseline, &large);
     print_comparisons(&comparisons);
-    let holds = comparisons.iter().all(|comparison| comparison.holds);
-    Ok(holds.into())
+    let within_bounds = comparisons.iter().all(|comparison| comparison.within_bound);
+    Ok(within_bounds.into())
 }
 
 fn median_figures(
@@ -29,9 +29,9 @@
     let mut series = FigureSeries::default();
     for round in 0..rounds.max(1) {
         let scenario = scale::scenario(backends, round + 1);
-        let report = play(&scenario, &Programs::beside(program))?;
+        let report = run_scenario(&scenario, &Programs::with_adjacent_shim(program))?;
         if let Some(violation) = first_failure(&report) {
-            return Err(CommandError::Unsound {
+            return Err(CommandError::FailedRun {
                 backends,
                 violation,
             });
@@ -54,19 +54,19 @@
     println!(
         "{:<18} {:>10} {:>10} {:>10}",
         "figure",
-        scale::USUAL_BACKENDS,
-        scale::LONGER_BACKENDS,
+        scale::BASELINE_BACKENDS,
+        scale::LARGE_BACKENDS,
         "bound"
     );
     for comparison in comparisons {
-        let verdict = if comparison.holds {
+        let remark = if comparison.within_bound {
             ""
         } else {
             "  PASSED ITS BOUND"
         };
         println!(
-            "{:<18} {:>10.3} {:>10.3} {:>10.3}{verdict}",
-            comparison.figure, comparison.usual, comparison.longer, comparison.bound
+            "{:<18} {:>10.3} {:>10.3} {:>10.3}{remark}",
+            comparison.figure, comparison.baseline, comparison.large, comparison.bound
         );
     }
 }
--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -12,46 +12,46 @@
 /// Carries the command out.
 pub fn run(arguments: &SoakArguments) -> Result<Verdict, CommandError> {
     let runtime = new_runtime()?;
-    let programs = Programs::beside(&arguments.program);
+    let programs = Programs::with_adjacent_shim(&arguments.program);
     let options = Options {
         nodes: arguments.nodes,
         quiet_s: arguments.quiet,
         shrink: !arguments.no_shrink,
     };
-    let mut failed = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in arguments.from..arguments.from + arguments.seeds {
-        let verdict = runtime.block_on(soak::play(seed, options, &programs));
-        let verdict = verdict.map_err(CommandError::of_program(&arguments.program))?;
-        print_verdict(&verdict);
-        if !verdict.report.passed() {
-            print_failures(&verdict, seed, &options);
-            failed.push(seed);
+        let result = runtime.block_on(soak::run_seed(seed, options, &programs));
+        let result = result.map_err(CommandError::for_program(&arguments.program))?;
+        print_verdict(&result);
+        if !result.report.passed() {
+            print_failures(&result, seed, &options);
+            failed_seeds.push(seed);
         }
     }
-    let passed = arguments.seeds - failed.len() as u64;
+    let passed = arguments.seeds - failed_seeds.len() as u64;
     println!(
-        "{passed} of {} seeds passed; failed: {failed:?}",
+        "{passed} of {} seeds passed; failed: {failed_seeds:?}",
         arguments.seeds
     );
-    Ok(failed.is_empty().into())
+    Ok(failed_seeds.is_empty().into())
 }
 
-fn print_verdict(verdict: &soak::Verdict) {
-    let passed = verdict.report.passed();
-    let word = if passed { "passed" } else { "FAILED" };
-    let served = verdict.report.figures["served"];
-    println!("{word} {}; served {served:.3}", verdict.plan);
+fn print_verdict(result: &soak::SeedResult) {
+    let passed = result.report.passed();
+    let status = if passed { "passed" } else { "FAILED" };
+    let served = result.report.figures["served"];
+    println!("{status} {}; served {served:.3}", result.plan);
 }
 
-fn print_failures(verdict: &soak::Verdict, seed: u64, options: &Options) {
-    let report = &verdict.report;
+fn print_failures(result: &soak::SeedResult, seed: u64, options: &Options) {
+    let report = &result.report;
     let violations = report.violations.iter().map(ToString::to_string);
     let lines = violations.chain(report.panics.iter().cloned());
     for line in lines.take(MAX_VIOLATIONS) {
         println!("  {line}");
     }
     let count = report.violations.len();
-    let again = format!("kitefork-testbed soak --from {seed} --seeds 1");
+    let command = format!("kitefork-testbed soak --from {seed} --seeds 1");
     let Options { nodes, quiet_s, .. } = options;
-    println!("  {count} violations; again: {again} --nodes {nodes} --quiet {quiet_s}");
+    println!("  {count} violations; again: {command} --nodes {nodes} --quiet {quiet_s}");
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,9 +10,9 @@
 use commands::{CommandError, Verdict};
 
 /// Exit code where a rule is broken or an expectation does not hold.
-const FAILED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 /// Exit code where a file or a program can't be used.
-const UNUSABLE: u8 = 2;
+const EXIT_ERROR: u8 = 2;
 
 #[derive(Parser)]
 #[command(about = "Plays scenarios with many processes of the node, and judges them")]
@@ -127,10 +127,10 @@
 fn main() -> ExitCode {
     match run(&Arguments::parse().command) {
         Ok(Verdict::Passed) => ExitCode::SUCCESS,
-        Ok(Verdict::Failed) => ExitCode::from(FAILED),
+        Ok(Verdict::Failed) => ExitCode::from(EXIT_FAILED),
         Err(error) => {
             eprintln!("kitefork-testbed: {error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -14,11 +14,11 @@
 use tokio::process::{Child, ChildStderr, Command};
 
 /// Lines of a node's log that are kept.
-const MAX_LINES: usize = 20_000;
+const MAX_LOG_LINES: usize = 20_000;
 /// Where a node listens at its first start; it keeps the port that it is given then.
 const ANY_PORT: &str = "127.0.0.1:0";
 /// Begin of the line that a node logs when it listens.
-const START_LINE: &str = "kitefork: start ";
+const START_LINE_PREFIX: &str = "kitefork: start ";
 
 /// The signal that ends a process.
 #[derive(Clone, Copy, Debug)]
@@ -68,22 +68,22 @@
 pub struct Node {
     /// Its number.
     pub number: usize,
-    config: PathBuf,
+    config_path: PathBuf,
     child: Option<Child>,
-    observed: Arc<Mutex<Observed>>,
+    observed: Arc<Mutex<ObservedState>>,
 }
 
 /// What is known of a node from its log and its process.
 #[derive(Default)]
-struct Observed {
+struct ObservedState {
     address: Option<SocketAddr>,
     incarnations: Vec<Incarnation>,
-    lines: Vec<String>,
+    log_lines: Vec<String>,
 }
 
-impl Observed {
+impl ObservedState {
     fn add_line(&mut self, line: String, now: Duration) {
-        if line.contains(START_LINE)
+        if line.contains(START_LINE_PREFIX)
             && let Some(rest) = line.split(" listen=").nth(1)
         {
             self.address = rest
@@ -94,8 +94,8 @@
                 incarnation.listens = Some(now);
             }
         }
-        if self.lines.len() < MAX_LINES {
-            self.lines.push(line);
+        if self.log_lines.len() < MAX_LOG_LINES {
+            self.log_lines.push(line);
         }
     }
 }
@@ -105,13 +105,13 @@
     pub fn new(number: usize, folder: &Path) -> Node {
         Node {
             number,
-            config: folder.join(format!("n{number}.json")),
+            config_path: folder.join(format!("n{number}.json")),
             child: None,
             observed: Arc::default(),
         }
     }
 
-    fn observed(&self) -> MutexGuard<'_, Observed> {
+    fn observed(&self) -> MutexGuard<'_, ObservedState> {
         locked(&self.observed)
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// It listens now, for all that is known.
-    pub fn is_up(&self) -> bool {
+    pub fn is_listening(&self) -> bool {
         let observed = self.observed();
         let last = observed.incarnations.last();
         last.is_some_and(|last| last.listens.is_some() && last.exit.is_none())
@@ -133,8 +133,8 @@
     }
 
     /// Its log so far.
-    pub fn lines(&self) -> Vec<String> {
-        self.observed().lines.clone()
+    pub fn log_lines(&self) -> Vec<String> {
+        self.observed().log_lines.clone()
     }
 
     /// Writes its configuration.
@@ -142,12 +142,12 @@
     /// # Errors
     ///
     /// If the file can't be written.
-    pub fn configure(&self, mut config: Value) -> io::Result<()> {
+    pub fn write_config(&self, mut config: Value) -> io::Result<()> {
         let address = self
             .address()
             .map_or(ANY_PORT.to_string(), |address| address.to_string());
         config["listen"] = Value::from(address);
-        std::fs::write(&self.config, config.to_string())
+        std::fs::write(&self.config_path, config.to_string())
     }
 
     /// Writes the first half of a configuration.
@@ -155,9 +155,9 @@
     /// # Errors
     ///
     /// If the file can't be written.
-    pub fn configure_half(&self, config: &Value) -> io::Result<()> {
+    pub fn write_truncated_config(&self, config: &Value) -> io::Result<()> {
         let text = config.to_string();
-        std::fs::write(&self.config, &text[..text.len() / 2])
+        std::fs::write(&self.config_path, &text[..text.len() / 2])
     }
 
     /// Removes its configuration.
@@ -165,8 +165,8 @@
     /// # Errors
     ///
     /// If there is none.
-    pub fn remove_configuration(&self) -> io::Result<()> {
-        std::fs::remove_file(&self.config)
+    pub fn remove_config(&self) -> io::Result<()> {
+        std::fs::remove_file(&self.config_path)
     }
 
     /// Starts a process, unless one runs.
@@ -185,7 +185,7 @@
         let variables = settings.variables.iter();
         let mut child = Command::new(&settings.program)
             .env_clear()
-            .env("BALANCER_CONFIG", &self.config)
+            .env("BALANCER_CONFIG", &self.config_path)
             .envs(variables.map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -239,12 +239,12 @@
             return;
         };
         if [Signal::KILL, Signal::TERM].contains(&signal) {
-            self.note_stop_signal(clock.now(), signal == Signal::KILL);
+            self.record_stop_signal(clock.now(), signal == Signal::KILL);
         }
         let _ = kill_process(pid, signal);
     }
 
-    fn note_stop_signal(&self, now: Duration, is_kill: bool) {
+    fn record_stop_signal(&self, now: Duration, is_kill: bool) {
         let mut observed = self.observed();
         let Some(incarnation) = observed.incarnations.last_mut() else {
             return;
@@ -257,7 +257,7 @@
     }
 
     /// The most memory that its process has had, in MB, while it runs.
-    pub fn memory_mb(&self) -> Option<f64> {
+    pub fn peak_memory_mb(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
@@ -265,7 +265,7 @@
     }
 
     /// Seconds of a core that its process has used, while it runs.
-    pub fn cpu_s(&self) -> Option<f64> {
+    pub fn cpu_seconds(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         // The kernel's scheduler counts nanoseconds; the node has one thread.
         let stat = std::fs::read_to_string(format!("/proc/{id}/schedstat")).ok()?;
@@ -273,7 +273,7 @@
     }
 
     /// Descriptors that its process holds, while it runs.
-    pub fn descriptors(&self) -> Option<usize> {
+    pub fn open_descriptors(&self) -> Option<usize> {
         let id = self.child.as_ref()?.id()?;
         Some(std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count())
     }
@@ -282,7 +282,7 @@
 /// Reads the log of a process; where it is to stay unread, only its first line.
 async fn read_log(
     mut lines: Lines<BufReader<ChildStderr>>,
-    observed: Arc<Mutex<Observed>>,
+    observed: Arc<Mutex<ObservedState>>,
     clock: Clock,
     unread: bool,
 ) {
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -34,7 +34,7 @@
     /// ...
     pub overload_multiple: f64,
     /// ... within this time.
-    pub overload_time: Duration,
+    pub overload_duration: Duration,
     /// Fraction of its speed that a backend starts with.
     pub slow_start_from: f64,
     /// Time after a start until a backend is at full speed.
@@ -99,17 +99,17 @@
         AttemptsByRequest(by_txn)
     }
 
-    fn of(&self, txn: &str) -> &[&'a Attempt] {
+    fn attempts_for(&self, txn: &str) -> &[&'a Attempt] {
         self.0.get(txn).map_or(&[], |attempts| attempts)
     }
 }
 
 /// Every violation of a rule.
-pub fn judge(rules: &Rules, records: &Records) -> Vec<Violation> {
+pub fn find_violations(rules: &Rules, records: &Records) -> Vec<Violation> {
     let attempts = AttemptsByRequest::new(&records.attempts);
     let mut violations = Vec::new();
     for record in &records.requests {
-        let attempts = attempts.of(&record.request.txn);
+        let attempts = attempts.attempts_for(&record.request.txn);
         let broken = requests::broken_rules(rules, records, record, attempts);
         violations.extend(broken.into_iter().map(|rule| Violation::Request {
             rule,
@@ -118,7 +118,7 @@
         }));
     }
     for record in &records.misbehaving {
-        let attempts = attempts.of(&record.request.txn);
+        let attempts = attempts.attempts_for(&record.request.txn);
         let broken = misbehaving::broken_rules(records, record, attempts);
         violations.extend(broken.into_iter().map(|rule| Violation::MisbehavingClient {
             rule,
@@ -128,12 +128,12 @@
     }
     violations.extend(backends::sends_after_drain(rules, records));
     violations.extend(backends::slow_start_overloads(rules, records));
-    violations.extend(records.incarnations.iter().filter_map(bad_exit));
+    violations.extend(records.incarnations.iter().filter_map(exit_violation));
     violations
 }
 
 /// A process ends only after a signal, and with exit code 0 unless it is killed.
-fn bad_exit(incarnation: &Incarnation) -> Option<Violation> {
+fn exit_violation(incarnation: &Incarnation) -> Option<Violation> {
     let exit = incarnation.exit?;
     let is_bad = match incarnation.stop_signal {
         None => true,
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -11,7 +11,7 @@
 /// What the nodes have been notified of, and when.
 struct EndpointHistory<'a> {
     /// Node of each request, by the request's name.
-    nodes: BTreeMap<&'a str, usize>,
+    node_by_request: BTreeMap<&'a str, usize>,
     /// Notifications of each node.
     notifications: BTreeMap<usize, Vec<&'a Notification>>,
     /// Changes of each backend, by revision.
@@ -23,17 +23,17 @@
         let requests = records.requests.iter();
         let nodes = requests.map(|record| (record.request.txn.as_str(), record.node));
         let mut history = EndpointHistory {
-            nodes: nodes.collect(),
+            node_by_request: nodes.collect(),
             notifications: BTreeMap::new(),
             changes: BTreeMap::new(),
         };
         for notification in &records.notifications {
-            let of_node = history.notifications.entry(notification.node);
-            of_node.or_default().push(notification);
+            let node_notifications = history.notifications.entry(notification.node);
+            node_notifications.or_default().push(notification);
         }
         for change in &records.endpoint_changes {
-            let of_backend = history.changes.entry(&change.endpoint.uid);
-            of_backend.or_default().push(change);
+            let backend_changes = history.changes.entry(&change.endpoint.uid);
+            backend_changes.or_default().push(change);
         }
         history
     }
@@ -49,7 +49,7 @@
 
     /// The node that made an attempt, if it knew a grace before that the backend takes nothing new.
     fn sender_after_drain(&self, rules: &Rules, attempt: &Attempt) -> Option<usize> {
-        let node = *self.nodes.get(attempt.txn.as_str())?;
+        let node = *self.node_by_request.get(attempt.txn.as_str())?;
         let changes = self.changes.get(attempt.uid.as_str())?;
         let grace = rules.drain_grace + OBSERVATION_DELAY;
         let revision = self.revision(node, attempt.arrived.saturating_sub(grace));
@@ -58,8 +58,9 @@
         // The node may have been notified since that the backend is back; what came after the
         // attempt does not count.
         let last = latest_first().find(|change| change.at <= attempt.arrived);
-        let is_back = last.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
-        let is_violation = known.endpoint.state != EndpointState::Ready && !is_back;
+        let is_ready_again =
+            last.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
+        let is_violation = known.endpoint.state != EndpointState::Ready && !is_ready_again;
         is_violation.then_some(node)
     }
 }
@@ -89,13 +90,13 @@
     records: &Records,
     start: &BackendStart,
 ) -> Option<Violation> {
-    let sends = sends_since(records, start);
+    let arrivals = arrivals_since(records, start);
     let within_slow_start = |from: &Duration| *from < rules.slow_start;
-    let begins = sends.iter().copied().take_while(within_slow_start);
-    for (index, from) in begins.enumerate() {
+    let window_starts = arrivals.iter().copied().take_while(within_slow_start);
+    for (index, from) in window_starts.enumerate() {
         let capacity = slow_start_capacity(rules, from);
-        let in_time = |at: &&Duration| **at <= from + rules.overload_time;
-        let sent = sends[index..].iter().take_while(in_time).count();
+        let within_window = |at: &&Duration| **at <= from + rules.overload_duration;
+        let sent = arrivals[index..].iter().take_while(within_window).count();
         // Three standard deviations of a Poisson process, and a few for small numbers.
         if sent as f64 > capacity + 3.0 * capacity.sqrt() + 3.0 {
             return Some(Violation::SlowStartOverload {
@@ -110,15 +111,15 @@
 }
 
 /// Times after a start at which attempts came to the backend, in order.
-fn sends_since(records: &Records, start: &BackendStart) -> Vec<Duration> {
-    let mut sends: Vec<Duration> = records
+fn arrivals_since(records: &Records, start: &BackendStart) -> Vec<Duration> {
+    let mut arrivals: Vec<Duration> = records
         .attempts
         .iter()
         .filter(|attempt| attempt.uid == start.uid && attempt.arrived >= start.at)
         .map(|attempt| attempt.arrived.checked_sub(start.at).unwrap())
         .collect();
-    sends.sort_unstable();
-    sends
+    arrivals.sort_unstable();
+    arrivals
 }
 
 /// Attempts that a backend can take in the overload time that begins this long after its start.
@@ -126,6 +127,6 @@
     let slow_start_s = rules.slow_start.as_secs_f64().max(1e-9);
     let fraction =
         rules.slow_start_from + (1.0 - rules.slow_start_from) * from.as_secs_f64() / slow_start_s;
-    rules.overload_multiple * fraction * rules.overload_time.as_secs_f64()
+    rules.overload_multiple * fraction * rules.overload_duration.as_secs_f64()
         / rules.work.as_secs_f64()
 }
--- a/crates/testbed/src/referee/misbehaving.rs
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -10,7 +10,7 @@
 /// An attempt may begin this long after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 /// Within this a client that stops in the middle of a request gets an error or a close.
-const HALF_REQUEST_LIMIT: Duration = Duration::from_secs(3);
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The rules that the treatment of a misbehaving client breaks.
 pub(super) fn broken_rules(
@@ -22,11 +22,11 @@
         return Vec::new();
     };
     let mut broken = Vec::new();
-    let begins_after = |disconnected: Duration| {
-        let limit = disconnected + DISCONNECT_SLACK + OBSERVATION_DELAY;
-        attempts.iter().any(|attempt| attempt.arrived > limit)
+    let any_attempt_after = |disconnected: Duration| {
+        let latest = disconnected + DISCONNECT_SLACK + OBSERVATION_DELAY;
+        attempts.iter().any(|attempt| attempt.arrived > latest)
     };
-    if record.disconnected.is_some_and(begins_after) {
+    if record.disconnected.is_some_and(any_attempt_after) {
         broken.push(Rule::AttemptAfterDisconnect);
     }
     if !is_excused(records, record, connected) {
@@ -37,10 +37,10 @@
 
 /// The client's node was killed, shut down, ended or was stopped near the time of the client.
 fn is_excused(records: &Records, record: &MisbehavingRecord, connected: Duration) -> bool {
-    let wait = record.request.client_timeout.max(HALF_REQUEST_LIMIT);
+    let wait = record.request.client_timeout.max(PARTIAL_REQUEST_TIMEOUT);
     let end = record.sent.max(connected) + wait;
     let is_near = |at: Duration| at + wait >= connected && at <= end + OBSERVATION_DELAY;
-    let disturbed = records
+    let node_ended = records
         .incarnations
         .iter()
         .filter(|incarnation| incarnation.node == record.node)
@@ -49,12 +49,12 @@
             let exit = incarnation.exit.map(|exit| exit.at);
             signal.is_some_and(is_near) || exit.is_some_and(is_near)
         });
-    let stopped = records.pauses.iter().any(|pause| {
+    let node_paused = records.pauses.iter().any(|pause| {
         pause.node == record.node
             && pause.from <= end + OBSERVATION_DELAY
             && pause.until.saturating_add(OBSERVATION_DELAY) >= connected
     });
-    disturbed || stopped
+    node_ended || node_paused
 }
 
 fn missing_answer(record: &MisbehavingRecord) -> Option<Rule> {
@@ -63,8 +63,8 @@
             (record.answers == 0).then_some(Rule::ReadButNotAnswered)
         }
         Behaviour::StopsMidway => {
-            let limit = record.sent + HALF_REQUEST_LIMIT + OBSERVATION_DELAY;
-            let in_time = record.ended.is_some_and(|ended| ended <= limit);
+            let latest = record.sent + PARTIAL_REQUEST_TIMEOUT + OBSERVATION_DELAY;
+            let in_time = record.ended.is_some_and(|ended| ended <= latest);
             (!in_time).then_some(Rule::HalfRequestIgnored)
         }
         Behaviour::Disconnects(_) | Behaviour::Silent => None,
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -11,7 +11,7 @@
 /// The time left that a backend is notified of may exceed the client's by this.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 /// Requests that come this long after SIGTERM find a process that may have ended.
-const SHUTDOWN_NOTICE: Duration = Duration::from_millis(700);
+const SHUTDOWN_NOTICE_TIME: Duration = Duration::from_millis(700);
 
 /// The rules that the outcome and the attempts of a request break.
 pub(super) fn broken_rules(
@@ -35,7 +35,7 @@
 }
 
 /// Whether a backend may have executed the attempt.
-fn may_be_executed(attempt: &Attempt) -> bool {
+fn may_have_executed(attempt: &Attempt) -> bool {
     attempt.outcome != AttemptOutcome::Overloaded
 }
 
@@ -55,7 +55,7 @@
         }
         429 | 503 => {
             let is_idempotent = record.request.idempotency == Idempotency::Idempotent;
-            let executed = attempts.iter().any(|attempt| may_be_executed(attempt));
+            let executed = attempts.iter().any(|attempt| may_have_executed(attempt));
             (!is_idempotent && executed).then_some(Rule::RejectedThoughExecuted)
         }
         _ => None,
@@ -79,28 +79,30 @@
 /// there.
 fn is_excused(records: &Records, record: &RequestRecord, end: Duration) -> bool {
     let planned = record.request.planned;
-    let died = records
+    let node_ended = records
         .incarnations
         .iter()
         .filter(|incarnation| incarnation.node == record.node)
-        .any(|incarnation| died_meanwhile(incarnation, planned, end));
-    let stopped = records
+        .any(|incarnation| ended_during_request(incarnation, planned, end));
+    let node_paused = records
         .pauses
         .iter()
         .any(|pause| pause.node == record.node && pause.from <= end && pause.until >= planned);
-    died || stopped
+    node_ended || node_paused
 }
 
 /// The process was killed while a request was there, or ended well after SIGTERM.
-fn died_meanwhile(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
+fn ended_during_request(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
     let Some(signal) = incarnation.stop_signal else {
         return false;
     };
-    let is_between = |at: Duration| planned <= at + OBSERVATION_DELAY && at <= end;
-    let killed = signal.is_kill && is_between(signal.at);
-    let came_late = planned + OBSERVATION_DELAY > signal.at + SHUTDOWN_NOTICE;
-    let ended = incarnation.exit.is_some_and(|exit| is_between(exit.at));
-    killed || came_late && ended
+    let is_during_request = |at: Duration| planned <= at + OBSERVATION_DELAY && at <= end;
+    let killed = signal.is_kill && is_during_request(signal.at);
+    let sent_after_notice = planned + OBSERVATION_DELAY > signal.at + SHUTDOWN_NOTICE_TIME;
+    let ended = incarnation
+        .exit
+        .is_some_and(|exit| is_during_request(exit.at));
+    killed || sent_after_notice && ended
 }
 
 /// There is one attempt at a time.
@@ -114,7 +116,9 @@
 
 /// After an attempt that may have been executed, another one goes out only as the class allows.
 fn forbidden_repeats(rules: &Rules, idempotency: Idempotency, attempts: &[&Attempt]) -> Vec<Rule> {
-    let first = attempts.iter().position(|attempt| may_be_executed(attempt));
+    let first = attempts
+        .iter()
+        .position(|attempt| may_have_executed(attempt));
     let Some(index) = first else {
         return Vec::new();
     };
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -18,7 +18,7 @@
         drain_grace: MS(300),
         key_window: MS(3_000),
         overload_multiple: 3.0,
-        overload_time: MS(2_000),
+        overload_duration: MS(2_000),
         slow_start_from: 0.3,
         slow_start: MS(4_000),
         work: MS(10),
@@ -70,12 +70,12 @@
 }
 
 /// An attempt that is served.
-fn one() -> Vec<Attempt> {
+fn served_attempt() -> Vec<Attempt> {
     vec![attempt("a", 1, 1_010, 1_100, Served)]
 }
 
 /// An attempt in cell 2 with this outcome, and one that is served.
-fn two(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
+fn retried(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
     vec![
         attempt("b", 2, 1_010, 1_300, outcome),
         attempt("a", cell, arrived, arrived + 9, Served),
@@ -83,13 +83,13 @@
 }
 
 fn broken_rules(records: &Records) -> Vec<&'static str> {
-    let violations = judge(&rules(), records).into_iter();
+    let violations = find_violations(&rules(), records).into_iter();
     violations
         .map(|violation| violation.rule().text())
         .collect()
 }
 
-fn found(request: RequestRecord, attempts: Vec<Attempt>) -> Vec<&'static str> {
+fn rules_broken_by(request: RequestRecord, attempts: Vec<Attempt>) -> Vec<&'static str> {
     broken_rules(&Records {
         requests: vec![request],
         attempts,
@@ -102,7 +102,7 @@
     outcome: ClientOutcome,
     ended: u64,
     attempts: Vec<Attempt>,
-    wanted: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 fn case(
@@ -110,34 +110,34 @@
     outcome: ClientOutcome,
     ended: u64,
     attempts: Vec<Attempt>,
-    wanted: &'static [&'static str],
+    expected: &'static [&'static str],
 ) -> Case {
     Case {
         idempotency,
         outcome,
         ended,
         attempts,
-        wanted,
+        expected,
     }
 }
 
 #[rustfmt::skip]
 fn answer_cases() -> Vec<Case> {
-    const FOREIGN: &[&str] = &["served with something that no backend made for it"];
+    const WRONG_SOURCE: &[&str] = &["served with something that no backend made for it"];
     const EXECUTED: &[&str] = &["refused though it may have run"];
-    let unseen = vec![attempt("a", 1, 1_010, 1_020, Overloaded)];
+    let rejected_attempt = vec![attempt("a", 1, 1_010, 1_020, Overloaded)];
     vec![
-        case(Idempotent, served(), 1_100, one(), &[]),
-        case(Idempotent, served(), 1_800, one(), &["answered too late"]),
-        case(Idempotent, ClientOutcome::TimedOut, 1_570, one(), &["never answered"]),
+        case(Idempotent, served(), 1_100, served_attempt(), &[]),
+        case(Idempotent, served(), 1_800, served_attempt(), &["answered too late"]),
+        case(Idempotent, ClientOutcome::TimedOut, 1_570, served_attempt(), &["never answered"]),
         case(Idempotent, ClientOutcome::ConnectionLost, 1_200, vec![], &["never answered"]),
         case(Idempotent, ClientOutcome::Unreachable, 1_200, vec![], &[]),
-        case(Idempotent, served(), 1_100, vec![], FOREIGN),
-        case(Idempotent, answered(200, "b:t1"), 1_100, one(), FOREIGN),
-        case(Idempotent, rejected(), 1_100, one(), &[]),
-        case(NotIdempotent, rejected(), 1_100, one(), EXECUTED),
-        case(IdempotencyKey, rejected(), 1_100, one(), EXECUTED),
-        case(NotIdempotent, rejected(), 1_100, unseen, &[]),
+        case(Idempotent, served(), 1_100, vec![], WRONG_SOURCE),
+        case(Idempotent, answered(200, "b:t1"), 1_100, served_attempt(), WRONG_SOURCE),
+        case(Idempotent, rejected(), 1_100, served_attempt(), &[]),
+        case(NotIdempotent, rejected(), 1_100, served_attempt(), EXECUTED),
+        case(IdempotencyKey, rejected(), 1_100, served_attempt(), EXECUTED),
+        case(NotIdempotent, rejected(), 1_100, rejected_attempt, &[]),
     ]
 }
 
@@ -147,55 +147,55 @@
     const REPEATED: &[&str] = &["an unsafe request went out again"];
     const LEFT_CELL: &[&str] = &["a keyed request left its cell"];
     vec![
-        case(Idempotent, served(), 1_450, two(ConnectionLost, 1, 1_400), &[]),
-        case(Idempotent, served(), 1_450, two(ConnectionLost, 1, 1_020), CONCURRENT),
-        case(NotIdempotent, served(), 1_450, two(Overloaded, 1, 1_400), &[]),
-        case(NotIdempotent, served(), 1_450, two(ConnectionLost, 1, 1_400), REPEATED),
-        case(IdempotencyKey, served(), 1_450, two(Failed, 2, 1_400), &[]),
-        case(IdempotencyKey, served(), 1_450, two(Failed, 1, 1_400), LEFT_CELL),
+        case(Idempotent, served(), 1_450, retried(ConnectionLost, 1, 1_400), &[]),
+        case(Idempotent, served(), 1_450, retried(ConnectionLost, 1, 1_020), CONCURRENT),
+        case(NotIdempotent, served(), 1_450, retried(Overloaded, 1, 1_400), &[]),
+        case(NotIdempotent, served(), 1_450, retried(ConnectionLost, 1, 1_400), REPEATED),
+        case(IdempotencyKey, served(), 1_450, retried(Failed, 2, 1_400), &[]),
+        case(IdempotencyKey, served(), 1_450, retried(Failed, 1, 1_400), LEFT_CELL),
     ]
 }
 
 #[test]
-fn every_planted_violation_is_found_and_nothing_else() {
+fn exactly_the_planted_answer_and_repeat_violations_are_reported() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
             outcome,
             ended,
             attempts,
-            wanted,
+            expected,
         } = case;
         assert_eq!(
-            found(
+            rules_broken_by(
                 record(idempotency, outcome.clone(), ended),
                 attempts.clone()
             ),
-            wanted,
+            expected,
             "{idempotency:?} {outcome:?} {attempts:?}"
         );
     }
     let mut late = record(IdempotencyKey, served(), 4_500);
     late.request.client_timeout = MS(5_000);
     assert_eq!(
-        found(late, two(Failed, 2, 4_200)),
+        rules_broken_by(late, retried(Failed, 2, 4_200)),
         ["a keyed request went out after its window"]
     );
 }
 
 #[test]
-fn more_time_than_the_client_has_left_is_found() {
-    for (remaining, wanted) in [
+fn remaining_time_above_the_clients_own_is_reported() {
+    for (remaining, expected) in [
         (790, &[][..]),
         (
             791,
             &["a backend was told more time than the client has left"],
         ),
     ] {
-        let mut attempts = one();
+        let mut attempts = served_attempt();
         attempts[0].remaining_time = Some(MS(remaining));
         let request = record(Idempotent, served(), 1_100);
-        assert_eq!(found(request, attempts), wanted, "{remaining}");
+        assert_eq!(rules_broken_by(request, attempts), expected, "{remaining}");
     }
 }
 
@@ -214,7 +214,10 @@
 }
 
 /// The rules that are broken where the node's client gets no answer.
-fn broken_by_loss(incarnation: Incarnation, pauses: Vec<Pause>) -> Vec<&'static str> {
+fn rules_broken_by_lost_connection(
+    incarnation: Incarnation,
+    pauses: Vec<Pause>,
+) -> Vec<&'static str> {
     broken_rules(&Records {
         requests: vec![record(Idempotent, ClientOutcome::ConnectionLost, 1_200)],
         incarnations: vec![incarnation],
@@ -224,29 +227,29 @@
 }
 
 #[test]
-fn a_killed_or_stopped_node_excuses_what_it_held_and_no_other() {
+fn killed_or_paused_node_excuses_only_its_requests_at_the_time() {
     const NEVER: &[&str] = &["never answered"];
-    const BADLY: &[&str] = &["never answered", "a node ended by itself or badly"];
-    for (stop, exit, wanted) in [
+    const BAD_EXIT: &[&str] = &["never answered", "a node ended by itself or badly"];
+    for (stop, exit, expected) in [
         (Some((1_200, true)), Some((1_201, None)), &[][..]),
         (Some((2_200, true)), Some((2_201, None)), NEVER),
         // SIGTERM excuses what came long after it, and only that.
         (Some((900, false)), Some((1_201, Some(0))), NEVER),
         (Some((200, false)), Some((1_201, Some(0))), &[]),
-        (None, Some((5_000, Some(101))), BADLY),
-        (Some((5_000, false)), Some((5_100, Some(1))), BADLY),
+        (None, Some((5_000, Some(101))), BAD_EXIT),
+        (Some((5_000, false)), Some((5_100, Some(1))), BAD_EXIT),
     ] {
-        let found = broken_by_loss(incarnation(stop, exit), vec![]);
-        assert_eq!(found, wanted, "{stop:?} {exit:?}");
+        let broken = rules_broken_by_lost_connection(incarnation(stop, exit), vec![]);
+        assert_eq!(broken, expected, "{stop:?} {exit:?}");
     }
-    for (node, wanted) in [(3, &[][..]), (4, NEVER)] {
+    for (node, expected) in [(3, &[][..]), (4, NEVER)] {
         let pause = Pause {
             node,
             from: MS(800),
             until: MS(1_100),
         };
-        let found = broken_by_loss(incarnation(None, None), vec![pause]);
-        assert_eq!(found, wanted, "pause of {node}");
+        let broken = rules_broken_by_lost_connection(incarnation(None, None), vec![pause]);
+        assert_eq!(broken, expected, "pause of {node}");
     }
 }
 
@@ -270,10 +273,10 @@
 }
 
 #[test]
-fn what_is_owed_to_misbehaving_clients_and_missing_is_found() {
+fn missing_answers_to_misbehaving_clients_are_reported() {
     const UNANSWERED: &[&str] = &["a request that was read was never answered"];
     const IGNORED: &[&str] = &["a client that stopped midway got neither error nor close in time"];
-    for (record, wanted) in [
+    for (record, expected) in [
         (misbehaving(Behaviour::HalfCloses, 1, Some(1_100)), &[][..]),
         (misbehaving(Behaviour::HalfCloses, 0, None), UNANSWERED),
         (misbehaving(Behaviour::Trickles, 0, None), UNANSWERED),
@@ -287,13 +290,13 @@
             misbehaving: vec![record.clone()],
             ..Records::default()
         };
-        assert_eq!(broken_rules(&records), wanted, "{record:?}");
+        assert_eq!(broken_rules(&records), expected, "{record:?}");
     }
 }
 
 #[test]
-fn a_node_that_is_stopped_and_never_continued_excuses_its_misbehaving_clients() {
-    for (node, wanted) in [
+fn node_never_resumed_excuses_its_misbehaving_clients() {
+    for (node, expected) in [
         (3, &[][..]),
         (4, &["a request that was read was never answered"]),
     ] {
@@ -307,16 +310,16 @@
             pauses: vec![pause],
             ..Records::default()
         };
-        assert_eq!(broken_rules(&records), wanted, "pause of {node}");
+        assert_eq!(broken_rules(&records), expected, "pause of {node}");
     }
 }
 
 #[test]
-fn an_attempt_for_a_client_that_has_disconnected_is_found() {
+fn attempt_after_client_disconnect_is_reported() {
     let behaviour = Behaviour::Disconnects(MS(50));
     let mut record = misbehaving(behaviour, 0, None);
     record.disconnected = Some(MS(1_060));
-    for (arrived, wanted) in [
+    for (arrived, expected) in [
         (1_310, &[][..]),
         (1_311, &["an attempt began after its client had left"]),
     ] {
@@ -325,7 +328,7 @@
             attempts: vec![attempt("a", 1, arrived, 1_400, ConnectionLost)],
             ..Records::default()
         };
-        assert_eq!(broken_rules(&records), wanted, "{arrived}");
+        assert_eq!(broken_rules(&records), expected, "{arrived}");
     }
 }
 
@@ -345,7 +348,7 @@
 }
 
 /// The rules broken by an attempt at a time, where the node is notified of revision 2 at another.
-fn broken_by_send(at: u64, notified: u64, changes: &[EndpointChange]) -> Vec<&'static str> {
+fn rules_broken_by_send(at: u64, notified: u64, changes: &[EndpointChange]) -> Vec<&'static str> {
     broken_rules(&Records {
         requests: vec![record(Idempotent, served(), at + 10)],
         attempts: vec![attempt("a", 1, at, at + 9, Served)],
@@ -371,22 +374,22 @@
         }],
         ..Records::default()
     };
-    judge(&rules(), &records).len()
+    find_violations(&rules(), &records).len()
 }
 
 #[test]
-fn a_send_after_a_known_drain_and_an_overload_in_slow_start_are_found() {
+fn sends_after_drain_and_slow_start_overloads_are_reported() {
     const AFTER_DRAIN: [&str; 1] = ["sent after a drain was told"];
     let mut changes = vec![change(2, 500, EndpointState::Draining)];
-    assert_eq!(broken_by_send(1_100, 900, &changes), [""; 0]);
-    assert_eq!(broken_by_send(1_100, 600, &changes), AFTER_DRAIN);
+    assert_eq!(rules_broken_by_send(1_100, 900, &changes), [""; 0]);
+    assert_eq!(rules_broken_by_send(1_100, 600, &changes), AFTER_DRAIN);
     changes.push(change(3, 1_000, EndpointState::Ready));
-    assert_eq!(broken_by_send(1_100, 600, &changes), [""; 0]);
+    assert_eq!(rules_broken_by_send(1_100, 600, &changes), [""; 0]);
     // A second start, or another drain, after the attempt.
     for state in [EndpointState::Ready, EndpointState::Draining] {
         let again = [&changes[..], &[change(4, 5_000, state)]].concat();
-        assert_eq!(broken_by_send(1_100, 600, &again), [""; 0]);
-        assert_eq!(broken_by_send(950, 450, &again), AFTER_DRAIN);
+        assert_eq!(rules_broken_by_send(1_100, 600, &again), [""; 0]);
+        assert_eq!(rules_broken_by_send(950, 450, &again), AFTER_DRAIN);
     }
     // Three tenths of a hundred a second, times three, for two seconds: 180, and some for chance.
     assert_eq!((overloads(180), overloads(300)), (0, 1));
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -18,9 +18,9 @@
 use crate::scenario::{Scenario, UnmetExpectation};
 
 /// In a node's log, what it found broken itself.
-const VIOLATION_LINE: &str = "kitefork: violation ";
+const VIOLATION_MARKER: &str = "kitefork: violation ";
 /// In a node's log, a panic.
-const PANIC_LINE: &str = "panicked";
+const PANIC_MARKER: &str = "panicked";
 
 /// Everything that a run has recorded.
 pub struct Measurements<'a> {
@@ -31,7 +31,7 @@
     /// What the stand-ins and processes recorded.
     pub records: &'a Records,
     /// When the run began, on the clock of the records.
-    pub begin: Duration,
+    pub run_start: Duration,
     /// Calls that came to discovery.
     pub discovery_calls: Vec<DiscoveryCall>,
     /// Bytes of lists and watch events written to nodes.
@@ -48,7 +48,7 @@
 
 impl Measurements<'_> {
     /// The request was served within its class's latency objective.
-    fn is_in_time(&self, record: &RequestRecord) -> bool {
+    fn meets_latency_objective(&self, record: &RequestRecord) -> bool {
         let request = &record.request;
         let mut classes = self.scenario.traffic.class.iter();
         let class = classes.find(|class| class.name == request.class);
@@ -56,7 +56,7 @@
         record.outcome.is_served() && record.ended <= request.planned + objective
     }
 
-    fn log_lines_with(&self, part: &str) -> Vec<String> {
+    fn log_lines_containing(&self, part: &str) -> Vec<String> {
         let lines = self.log_lines.iter();
         lines.filter(|line| line.contains(part)).cloned().collect()
     }
@@ -89,13 +89,15 @@
 impl Report {
     /// Judges and counts what a run has recorded.
     pub fn new(measurements: &Measurements) -> Report {
-        let mut violations = referee::judge(&measurements.rules, measurements.records);
-        let panics = measurements.log_lines_with(PANIC_LINE);
+        let mut violations = referee::find_violations(&measurements.rules, measurements.records);
+        let panics = measurements.log_lines_containing(PANIC_MARKER);
         let mut figures = figures::count(measurements);
         figures.insert("broken_rules".into(), violations.len() as f64);
         figures.insert("panics".into(), panics.len() as f64);
-        let found_by_nodes = measurements.log_lines_with(VIOLATION_LINE).into_iter();
-        violations.extend(found_by_nodes.map(|line| Violation::FoundByNode { line }));
+        let node_violations = measurements
+            .log_lines_containing(VIOLATION_MARKER)
+            .into_iter();
+        violations.extend(node_violations.map(|line| Violation::FoundByNode { line }));
         Report {
             unmet: measurements.scenario.unmet(&figures),
             figures,
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -8,15 +8,15 @@
 
 use super::Measurements;
 use crate::node::Incarnation;
-use crate::scenario::seconds;
+use crate::scenario::duration_from_secs;
 
 /// Length of the interval in which the most calls to discovery are counted.
-const CALL_BURST: Duration = Duration::from_millis(100);
+const BURST_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
-struct Figures(BTreeMap<String, f64>);
+struct FigureMap(BTreeMap<String, f64>);
 
-impl Figures {
+impl FigureMap {
     fn put(&mut self, name: &str, value: f64) {
         self.0.insert(name.to_string(), value);
     }
@@ -24,7 +24,7 @@
 
 /// All figures that are counted in the records of a run.
 pub(super) fn count(measurements: &Measurements) -> BTreeMap<String, f64> {
-    let mut figures = Figures::default();
+    let mut figures = FigureMap::default();
     put_calls(&mut figures, measurements);
     put_list_delays(&mut figures, measurements);
     put_connections(&mut figures, measurements);
@@ -39,7 +39,7 @@
 }
 
 /// Calls to discovery.
-fn put_calls(figures: &mut Figures, measurements: &Measurements) {
+fn put_calls(figures: &mut FigureMap, measurements: &Measurements) {
     let calls = &measurements.discovery_calls;
     let count = calls.len() as f64;
     let failed = calls
@@ -59,17 +59,22 @@
     figures.put("calls_worst_100ms", largest_burst(&times) as f64);
 }
 
-/// The most calls that came within [`CALL_BURST`]; the times are in order.
+/// The most calls that came within [`BURST_INTERVAL`]; the times are in order.
 fn largest_burst(times: &[Duration]) -> usize {
-    let burst = |(index, from): (usize, &Duration)| {
-        let end = *from + CALL_BURST;
+    let calls_within = |(index, from): (usize, &Duration)| {
+        let end = *from + BURST_INTERVAL;
         times[index..].iter().take_while(|at| **at < end).count()
     };
-    times.iter().enumerate().map(burst).max().unwrap_or(0)
+    times
+        .iter()
+        .enumerate()
+        .map(calls_within)
+        .max()
+        .unwrap_or(0)
 }
 
 /// From the start of a process to the first list, for processes that run to the end.
-fn put_list_delays(figures: &mut Figures, measurements: &Measurements) {
+fn put_list_delays(figures: &mut FigureMap, measurements: &Measurements) {
     let incarnations = measurements.records.incarnations.iter();
     let running: Vec<&Incarnation> = incarnations
         .filter(|incarnation| incarnation.exit.is_none())
@@ -81,12 +86,12 @@
     delays.sort_by(f64::total_cmp);
     let or_nan = |delay: Option<&f64>| delay.copied().unwrap_or(f64::NAN);
     let scenario = measurements.scenario;
-    let floor_s = scenario.discovery.call_ms / 1e3 * scenario.fleet.nodes as f64;
-    let without = running.len() - delays.len();
-    figures.put("nodes_without_list", without as f64);
+    let min_last_delay_s = scenario.discovery.call_ms / 1e3 * scenario.fleet.nodes as f64;
+    let missing = running.len() - delays.len();
+    figures.put("nodes_without_list", missing as f64);
     figures.put("list_median_s", or_nan(delays.get(delays.len() / 2)));
     figures.put("list_last_s", or_nan(delays.last()));
-    figures.put("list_floor_s", floor_s);
+    figures.put("list_floor_s", min_last_delay_s);
 }
 
 /// Seconds from the start of a process until it was notified of anything.
@@ -101,7 +106,7 @@
 }
 
 /// Connections to backends, and what backends rejected.
-fn put_connections(figures: &mut Figures, measurements: &Measurements) {
+fn put_connections(figures: &mut FigureMap, measurements: &Measurements) {
     let accepted = measurements.accepted_connections.iter();
     let accepted: Vec<f64> = accepted.map(|count| *count as f64).collect();
     let sum: f64 = accepted.iter().sum();
@@ -113,28 +118,29 @@
 }
 
 /// What became of requests.
-fn put_requests(figures: &mut Figures, measurements: &Measurements) {
+fn put_requests(figures: &mut FigureMap, measurements: &Measurements) {
     let records = measurements.records;
     let requests = &records.requests;
-    let share_since = |from: Duration, kept: &dyn Fn(&RequestRecord) -> bool| {
+    let fraction_since = |from: Duration, matches: &dyn Fn(&RequestRecord) -> bool| {
         let all: Vec<&RequestRecord> = requests
             .iter()
             .filter(|record| record.request.planned >= from)
             .collect();
-        let count = all.iter().filter(|record| kept(record)).count();
+        let count = all.iter().filter(|record| matches(record)).count();
         ratio(count as f64, all.len())
     };
-    let share = |kept: &dyn Fn(&RequestRecord) -> bool| share_since(Duration::ZERO, kept);
-    let is_in_time = |record: &RequestRecord| measurements.is_in_time(record);
+    let fraction =
+        |matches: &dyn Fn(&RequestRecord) -> bool| fraction_since(Duration::ZERO, matches);
+    let meets_objective = |record: &RequestRecord| measurements.meets_latency_objective(record);
     let is_unreachable = |record: &RequestRecord| record.outcome == ClientOutcome::Unreachable;
-    let steps_end = measurements.begin + last_step_end(measurements);
+    let steps_end = measurements.run_start + last_step_end(measurements);
     let attempts = records.attempts.len() as f64;
     figures.put("asked", requests.len() as f64);
-    figures.put("in_time", share(&is_in_time));
-    figures.put("served", share(&|record| record.outcome.is_served()));
-    figures.put("refused", share(&|record| record.outcome.is_rejected()));
-    figures.put("unreachable", share(&is_unreachable));
-    figures.put("in_time_after", share_since(steps_end, &is_in_time));
+    figures.put("in_time", fraction(&meets_objective));
+    figures.put("served", fraction(&|record| record.outcome.is_served()));
+    figures.put("refused", fraction(&|record| record.outcome.is_rejected()));
+    figures.put("unreachable", fraction(&is_unreachable));
+    figures.put("in_time_after", fraction_since(steps_end, &meets_objective));
     figures.put("attempts_per_ask", ratio(attempts, requests.len()));
     figures.put("lives", records.incarnations.len() as f64);
 }
@@ -142,7 +148,7 @@
 /// When the last step of the scenario is over.
 fn last_step_end(measurements: &Measurements) -> Duration {
     let steps = measurements.scenario.at.iter();
-    seconds(
+    duration_from_secs(
         steps
             .map(|step| step.at_s + step.over_s)
             .fold(0.0, f64::max),
@@ -150,7 +156,7 @@
 }
 
 /// What processes used, and what discovery wrote to them.
-fn put_resources(figures: &mut Figures, measurements: &Measurements) {
+fn put_resources(figures: &mut FigureMap, measurements: &Measurements) {
     let usage = &measurements.usage;
     let memory = usage.max_memory_mb.values().copied();
     let cpu_s: f64 = usage.cpu_s.values().sum();
--- a/crates/testbed/src/report/timeline.rs
+++ b/crates/testbed/src/report/timeline.rs
@@ -35,27 +35,27 @@
 pub(super) fn seconds(measurements: &Measurements) -> Vec<Second> {
     let length = measurements.scenario.length_s.ceil() as usize;
     let mut seconds = vec![Second::default(); length];
-    let index = |at: Duration| at.saturating_sub(measurements.begin).as_secs() as usize;
+    let second_index = |at: Duration| at.saturating_sub(measurements.run_start).as_secs() as usize;
     for call in &measurements.discovery_calls {
-        if let Some(second) = seconds.get_mut(index(call.arrived)) {
+        if let Some(second) = seconds.get_mut(second_index(call.arrived)) {
             second.calls += 1;
             second.failed_calls += usize::from(call.outcome != CallOutcome::Answered);
         }
     }
     for record in &measurements.records.requests {
-        if let Some(second) = seconds.get_mut(index(record.request.planned)) {
+        if let Some(second) = seconds.get_mut(second_index(record.request.planned)) {
             second.requests += 1;
-            second.in_time += usize::from(measurements.is_in_time(record));
+            second.in_time += usize::from(measurements.meets_latency_objective(record));
             second.rejected += usize::from(record.outcome.is_rejected());
         }
     }
     for attempt in &measurements.records.attempts {
-        if let Some(second) = seconds.get_mut(index(attempt.arrived)) {
+        if let Some(second) = seconds.get_mut(second_index(attempt.arrived)) {
             second.attempts += 1;
         }
     }
     for (number, second) in seconds.iter_mut().enumerate() {
-        let end = measurements.begin + Duration::from_secs(number as u64 + 1);
+        let end = measurements.run_start + Duration::from_secs(number as u64 + 1);
         second.nodes_with_list = nodes_with_list(measurements, end);
     }
     seconds
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -6,15 +6,15 @@
 use kitefork_standin::clients::Idempotency;
 
 use crate::scenario::{
-    Action, BackendFigures, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
+    Action, BackendParameters, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
 };
 
 /// Backends of the usual list.
-pub const USUAL_BACKENDS: usize = 200;
+pub const BASELINE_BACKENDS: usize = 200;
 /// Backends of the longest list.
-pub const LONGER_BACKENDS: usize = 3_200;
+pub const LARGE_BACKENDS: usize = 3_200;
 /// Share served at the longer list, at least, of that at the usual one.
-pub const MIN_SERVED: f64 = 0.85;
+pub const MIN_SERVED_RATIO: f64 = 0.85;
 /// Requests a second of the node.
 const RATE: f64 = 40.0;
 /// Seconds of traffic.
@@ -22,10 +22,10 @@
 /// Number of nodes that the node's settings have.
 const PROXY_COUNT: usize = 300;
 /// Descriptors that the node may hold.
-const SOCKETS: usize = 512;
+const DESCRIPTOR_LIMIT: usize = 512;
 
 /// What a figure at the longer list may be: `factor` times that at the usual one, plus `constant`,
-/// plus `per_thousand` for each thousand backends.
+/// plus `per_thousand_backends` for each thousand backends.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
     /// Name of the figure in a report.
@@ -35,14 +35,14 @@
     /// What is added, in the unit of the figure.
     pub constant: f64,
     /// What is added for each thousand backends, in the unit of the figure.
-    pub per_thousand: f64,
+    pub per_thousand_backends: f64,
 }
 
 impl Allowance {
     /// Most that the figure may be at the longer list.
-    fn bound(&self, usual: f64) -> f64 {
-        let thousands = LONGER_BACKENDS as f64 / 1_000.0;
-        self.factor * usual + self.constant + self.per_thousand * thousands
+    fn bound(&self, baseline: f64) -> f64 {
+        let thousands = LARGE_BACKENDS as f64 / 1_000.0;
+        self.factor * baseline + self.constant + self.per_thousand_backends * thousands
     }
 }
 
@@ -52,31 +52,31 @@
         figure: "cpu_s_mean",
         factor: 1.4,
         constant: 0.02,
-        per_thousand: 0.03,
+        per_thousand_backends: 0.03,
     },
     Allowance {
         figure: "memory_mb_most",
         factor: 1.5,
         constant: 8.0,
-        per_thousand: 4.0,
+        per_thousand_backends: 4.0,
     },
     Allowance {
         figure: "descriptors_most",
         factor: 2.0,
         constant: 40.0,
-        per_thousand: 0.0,
+        per_thousand_backends: 0.0,
     },
     Allowance {
         figure: "connections",
         factor: 2.5,
         constant: 40.0,
-        per_thousand: 0.0,
+        per_thousand_backends: 0.0,
     },
     Allowance {
         figure: "list_kb",
         factor: 2.0,
         constant: 64.0,
-        per_thousand: 500.0,
+        per_thousand_backends: 500.0,
     },
 ];
 
@@ -86,13 +86,13 @@
     /// Name of the figure.
     pub figure: &'static str,
     /// At the usual list.
-    pub usual: f64,
+    pub baseline: f64,
     /// At the longer list.
-    pub longer: f64,
+    pub large: f64,
     /// Bound of the latter.
     pub bound: f64,
     /// Whether the bound holds.
-    pub holds: bool,
+    pub within_bound: bool,
 }
 
 /// One node, so many backends, traffic, and a change of the list each second.
@@ -105,19 +105,19 @@
         zone: None,
         size: 1.0,
     };
-    let drained = LENGTH_S / backends as f64 / 2.0;
+    let drained_fraction = LENGTH_S / backends as f64 / 2.0;
     Scenario {
         about: format!("One node, {backends} backends, a change of the list each second"),
         seed,
         length_s: LENGTH_S,
         fleet: fleet(backends),
         discovery: Discovery::default(),
-        backend: BackendFigures::default(),
+        backend: BackendParameters::default(),
         traffic: traffic(),
         at: vec![
             step(0.0, Action::Start, [0.0, 1.0], 0.0),
             // Each is removed a second after its drain: two changes a backend.
-            step(0.5, Action::Drain, [0.0, drained], LENGTH_S),
+            step(0.5, Action::Drain, [0.0, drained_fraction], LENGTH_S),
         ],
         expect: Vec::new(),
     }
@@ -130,7 +130,7 @@
         zones: 1,
         known: Known::Current,
         proxy_count: Some(PROXY_COUNT),
-        sockets: SOCKETS,
+        sockets: DESCRIPTOR_LIMIT,
         faults: String::new(),
         log_unread: false,
     }
@@ -153,29 +153,29 @@
 }
 
 /// The figures of both lists, side by side with their bounds.
-pub fn compare(usual: &BTreeMap<String, f64>, longer: &BTreeMap<String, f64>) -> Vec<Comparison> {
-    let figure =
+pub fn compare(baseline: &BTreeMap<String, f64>, large: &BTreeMap<String, f64>) -> Vec<Comparison> {
+    let value_of =
         |figures: &BTreeMap<String, f64>, name| figures.get(name).copied().unwrap_or(f64::NAN);
     let allowed = ALLOWANCES.iter().map(|allowance| {
-        let usual = figure(usual, allowance.figure);
-        let longer = figure(longer, allowance.figure);
-        let bound = allowance.bound(usual);
+        let baseline = value_of(baseline, allowance.figure);
+        let large = value_of(large, allowance.figure);
+        let bound = allowance.bound(baseline);
         Comparison {
             figure: allowance.figure,
-            usual,
-            longer,
+            baseline,
+            large,
             bound,
-            holds: longer <= bound,
+            within_bound: large <= bound,
         }
     });
-    let (usual, longer) = (figure(usual, "served"), figure(longer, "served"));
-    let bound = MIN_SERVED * usual;
+    let (baseline, large) = (value_of(baseline, "served"), value_of(large, "served"));
+    let bound = MIN_SERVED_RATIO * baseline;
     let served = Comparison {
         figure: "served",
-        usual,
-        longer,
+        baseline,
+        large,
         bound,
-        holds: longer >= bound,
+        within_bound: large >= bound,
     };
     allowed.chain([served]).collect()
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -28,7 +28,7 @@
     pub discovery: Discovery,
     /// The backends.
     #[serde(default)]
-    pub backend: BackendFigures,
+    pub backend: BackendParameters,
     /// The clients.
     #[serde(default)]
     pub traffic: Traffic,
@@ -126,7 +126,7 @@
 /// Figures of a backend.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct BackendFigures {
+pub struct BackendParameters {
     /// Mean work of a request, milliseconds.
     pub work_ms: f64,
     /// Work of a new connection, milliseconds.
@@ -144,9 +144,9 @@
     pub slow_start_s: f64,
 }
 
-impl Default for BackendFigures {
-    fn default() -> BackendFigures {
-        BackendFigures {
+impl Default for BackendParameters {
+    fn default() -> BackendParameters {
+        BackendParameters {
             work_ms: 10.0,
             handshake_ms: 0.5,
             capacity: 40,
@@ -222,12 +222,12 @@
 impl Class {
     /// How long clients wait.
     pub fn client_timeout(&self) -> Duration {
-        seconds(self.client_timeout_ms / 1_000.0)
+        duration_from_secs(self.client_timeout_ms / 1_000.0)
     }
 
     /// An answer within this time has its full weight.
     pub fn latency_objective(&self) -> Duration {
-        seconds(self.latency_objective_ms / 1_000.0)
+        duration_from_secs(self.latency_objective_ms / 1_000.0)
     }
 }
 
@@ -389,7 +389,7 @@
 }
 
 /// Seconds as a duration; zero for what is none, as a negative number.
-pub fn seconds(seconds: f64) -> Duration {
+pub fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -55,7 +55,7 @@
     /// The expectation.
     pub expect: Expect,
     /// The figure; `None` if the run has not counted it.
-    pub found: Option<f64>,
+    pub measured: Option<f64>,
 }
 
 impl fmt::Display for UnmetExpectation {
@@ -65,10 +65,10 @@
             least,
             most,
         } = &self.expect;
-        let Some(found) = self.found else {
+        let Some(measured) = self.measured else {
             return write!(f, "{figure} was not counted");
         };
-        write!(f, "{figure} is {found:.3}, wanted")?;
+        write!(f, "{figure} is {measured:.3}, wanted")?;
         if let Some(least) = least {
             write!(f, " at least {least}")?;
         }
@@ -109,13 +109,13 @@
 
     /// The expectations that these figures don't meet. One whose figure was not counted is unmet.
     pub fn unmet(&self, figures: &BTreeMap<String, f64>) -> Vec<UnmetExpectation> {
-        let expects = self.expect.iter();
-        let found = expects.map(|expect| UnmetExpectation {
+        let expectations = self.expect.iter();
+        let checked = expectations.map(|expect| UnmetExpectation {
             expect: expect.clone(),
-            found: figures.get(&expect.figure).copied(),
+            measured: figures.get(&expect.figure).copied(),
         });
-        found
-            .filter(|found| !found.expect.holds_for(found.found))
+        checked
+            .filter(|checked| !checked.expect.is_met_by(checked.measured))
             .collect()
     }
 }
@@ -143,12 +143,12 @@
         Ok(())
     }
 
-    fn holds_for(&self, found: Option<f64>) -> bool {
-        let Some(found) = found else {
+    fn is_met_by(&self, measured: Option<f64>) -> bool {
+        let Some(measured) = measured else {
             return false;
         };
-        let too_low = self.least.is_some_and(|least| found < least);
-        let too_high = self.most.is_some_and(|most| found > most);
-        !(too_low || too_high || found.is_nan())
+        let too_low = self.least.is_some_and(|least| measured < least);
+        let too_high = self.most.is_some_and(|most| measured > most);
+        !(too_low || too_high || measured.is_nan())
     }
 }
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -7,8 +7,8 @@
 const MINIMAL: &str = "about = \"x\"\nlength_s = 1\n[fleet]\nnodes = 2\nbackends = 2\n";
 
 #[test]
-fn errors_name_their_place() {
-    for (more, wanted) in [
+fn parse_errors_name_their_location() {
+    for (extra, expected) in [
         ("[list]\ncall = 3\n", "line 7, column 1"),
         ("[[at]]\ns = 0\ndo = \"jump\"\n", "line 8, column 6"),
         (
@@ -18,15 +18,15 @@
         ("[[expect]]\nfigure = \"calls\"\n", "expect `calls`"),
         ("[traffic]\nrate = 3\n", "a rate and no class"),
     ] {
-        let error = Scenario::parse(&format!("{MINIMAL}{more}"))
+        let error = Scenario::parse(&format!("{MINIMAL}{extra}"))
             .unwrap_err()
             .to_string();
-        assert!(error.contains(wanted), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
 
 #[test]
-fn what_is_not_met_or_not_counted_is_named() {
+fn unmet_and_uncounted_expectations_are_named() {
     let text = format!(
         "{MINIMAL}[[expect]]\nfigure = \"a\"\nmost = 2\n[[expect]]\nfigure = \"b\"\nleast = 1\n"
     );
@@ -90,7 +90,7 @@
 ];
 
 #[test]
-fn spellings_of_earlier_versions_mean_the_same() {
+fn old_key_spellings_parse_to_the_same_scenario() {
     let parse = |text: &str| format!("{:?}", Scenario::parse(text).unwrap());
     for (old, new) in SPELLINGS {
         assert_eq!(
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_scenario_file_in_the_earlier_spelling_means_the_same() {
+fn file_in_old_spelling_parses_to_the_same_scenario() {
     let old = include_str!("../tests/data/old-spelling.toml");
     let new = include_str!("../tests/data/current-spelling.toml");
     let parse = |text: &str| format!("{:?}", Scenario::parse(text).unwrap());
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -7,14 +7,14 @@
 use std::io;
 
 pub use fault::{FaultKind, PlannedFault};
-pub use plan::{Plan, draw};
+pub use plan::{Plan, draw_plan};
 
 use crate::cluster::{Programs, run};
 use crate::report::Report;
 
 /// The result of a seed.
 #[derive(Debug)]
-pub struct Verdict {
+pub struct SeedResult {
     /// The smallest plan that still fails, or the full one where none does.
     pub plan: Plan,
     /// Its report.
@@ -37,29 +37,29 @@
 /// # Errors
 ///
 /// If a stand-in or a process can't be started.
-pub async fn play(seed: u64, options: Options, programs: &Programs) -> io::Result<Verdict> {
+pub async fn run_seed(seed: u64, options: Options, programs: &Programs) -> io::Result<SeedResult> {
     let plan = Plan {
         quiet_s: options.quiet_s,
-        ..draw(seed, options.nodes)
+        ..draw_plan(seed, options.nodes)
     };
     let report = run(&plan.scenario(), programs).await?;
-    let mut verdict = Verdict { plan, report };
-    if verdict.report.passed() || !options.shrink {
-        return Ok(verdict);
+    let mut result = SeedResult { plan, report };
+    if result.report.passed() || !options.shrink {
+        return Ok(result);
     }
-    while let Some(smaller) = without_one_fault(&verdict.plan, programs).await? {
-        verdict = smaller;
+    while let Some(smaller_failure) = drop_one_fault(&result.plan, programs).await? {
+        result = smaller_failure;
     }
-    Ok(verdict)
+    Ok(result)
 }
 
 /// The first plan with one fault less that still fails.
-async fn without_one_fault(plan: &Plan, programs: &Programs) -> io::Result<Option<Verdict>> {
+async fn drop_one_fault(plan: &Plan, programs: &Programs) -> io::Result<Option<SeedResult>> {
     for index in 0..plan.faults.len() {
-        let plan = plan.without(index);
+        let plan = plan.without_fault(index);
         let report = run(&plan.scenario(), programs).await?;
         if !report.passed() {
-            return Ok(Some(Verdict { plan, report }));
+            return Ok(Some(SeedResult { plan, report }));
         }
     }
     Ok(None)
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -118,9 +118,9 @@
 /// A backend that died is off the list after a second, and starts anew this long after its fault.
 const BACKEND_START_AFTER_S: f64 = 1.2;
 /// Each step of a fault is spread over so many seconds.
-const SPREAD_S: f64 = 0.2;
+const STEP_SPREAD_S: f64 = 0.2;
 /// Descriptors that the fault leaves to a node: at least this many, and at most twice as many.
-const FEW_DESCRIPTORS: usize = 64;
+const MIN_DESCRIPTORS: usize = 64;
 
 /// A fault with its time and the range of nodes or backends that it concerns.
 #[derive(Clone, Debug)]
@@ -130,7 +130,7 @@
     /// From this second on.
     pub from_s: f64,
     /// For so long.
-    pub lasts_s: f64,
+    pub duration_s: f64,
     /// Nodes or backends, from 0 to 1 by their numbers.
     pub part: [f64; 2],
     /// A draw from [0, 1) for what the kind leaves open.
@@ -143,7 +143,7 @@
         write!(
             f,
             "{:?} at {:.2} s for {:.2} s of {from:.2} to {to:.2}",
-            self.kind, self.from_s, self.lasts_s
+            self.kind, self.from_s, self.duration_s
         )
     }
 }
@@ -161,14 +161,14 @@
             action,
             part: self.part,
             zone: None,
-            over_s: SPREAD_S,
+            over_s: STEP_SPREAD_S,
             size: 1.0,
         }
     }
 
     /// The faults that are actions of a scenario: their steps.
     fn steps(&self) -> Vec<Step> {
-        let (from, to) = (self.from_s, self.from_s + self.lasts_s);
+        let (from, to) = (self.from_s, self.from_s + self.duration_s);
         match self.kind {
             FaultKind::Restart => vec![
                 self.step(from, Action::Term),
@@ -178,7 +178,7 @@
             FaultKind::Kill => vec![self.step(from, Action::Kill), self.step(to, Action::Start)],
             FaultKind::Stop => vec![
                 self.step(from, Action::Stop),
-                self.step(from + self.lasts_s.min(MAX_STOP_S), Action::Cont),
+                self.step(from + self.duration_s.min(MAX_STOP_S), Action::Cont),
             ],
             FaultKind::Reloads => vec![
                 self.step(from, Action::ReloadHalf),
@@ -198,13 +198,13 @@
                 self.step(from, Action::BackendKill),
                 self.step(to + BACKEND_START_AFTER_S, Action::BackendStart),
             ],
-            _ => self.begin_and_end(from, to),
+            _ => self.start_and_end_steps(from, to),
         }
     }
 
     /// The faults that one action begins, and that last until another one puts things right.
-    fn begin_and_end(&self, from: f64, to: f64) -> Vec<Step> {
-        let begin = match self.kind {
+    fn start_and_end_steps(&self, from: f64, to: f64) -> Vec<Step> {
+        let start_action = match self.kind {
             FaultKind::DiscoveryDown => Action::DiscoveryDown,
             FaultKind::DiscoverySilent => Action::DiscoverySilent,
             FaultKind::DiscoveryOverloaded => Action::DiscoveryOverloaded,
@@ -217,14 +217,14 @@
             FaultKind::AnswerInPieces => Action::AnswerInPieces,
             _ => return Vec::new(),
         };
-        let end = match self.kind {
+        let end_action = match self.kind {
             FaultKind::DiscoveryDown
             | FaultKind::DiscoverySilent
             | FaultKind::DiscoveryOverloaded
             | FaultKind::DiscoveryCut => Action::DiscoveryUp,
             _ => Action::BackendWorks,
         };
-        vec![self.step(from, begin), self.step(to, end)]
+        vec![self.step(from, start_action), self.step(to, end_action)]
     }
 
     /// The faults that are settings of the nodes' processes.
@@ -232,15 +232,15 @@
         let fleet = &mut scenario.fleet;
         match self.kind {
             FaultKind::SystemCalls => {
-                fleet.faults += &self.for_a_time(self.choose(&SYSTEM_CALL_FAULTS));
+                fleet.faults += &self.during_fault(self.choose(&SYSTEM_CALL_FAULTS));
             }
-            FaultKind::Delays => fleet.faults += &self.for_a_time(self.choose(&DELAYS)),
-            FaultKind::ClockStep => fleet.faults += &self.for_a_time(&self.clock_step()),
+            FaultKind::Delays => fleet.faults += &self.during_fault(self.choose(&DELAYS)),
+            FaultKind::ClockStep => fleet.faults += &self.during_fault(&self.clock_step()),
             FaultKind::ClockOff => fleet.faults += &format!("{};", self.clock_step()),
             FaultKind::LogUnread => fleet.log_unread = true,
             FaultKind::FewDescriptors => {
-                let more = (self.draw * FEW_DESCRIPTORS as f64) as usize;
-                fleet.sockets = FEW_DESCRIPTORS + more;
+                let extra = (self.draw * MIN_DESCRIPTORS as f64) as usize;
+                fleet.sockets = MIN_DESCRIPTORS + extra;
             }
             _ => {}
         }
@@ -256,9 +256,9 @@
     }
 
     /// A plan of the shim, in force for this fault's time counted from the start of each process.
-    fn for_a_time(&self, plan: &str) -> String {
+    fn during_fault(&self, plan: &str) -> String {
         let from = (self.from_s * 1e3) as u64;
-        let to = ((self.from_s + self.lasts_s) * 1e3) as u64;
+        let to = ((self.from_s + self.duration_s) * 1e3) as u64;
         let rules = plan.split(';');
         rules
             .map(|rule| format!("{rule},from:{from},to:{to};"))
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -8,23 +8,23 @@
 
 use super::fault::{FaultKind, PlannedFault};
 use crate::scenario::{
-    Action, BackendFigures, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
+    Action, BackendParameters, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
 };
 
 /// Seconds from the start to the end of the traffic.
-const LENGTH_S: f64 = 10.0;
+const TRAFFIC_END_S: f64 = 10.0;
 /// Seconds behind the traffic, for the last answers.
 const SETTLING_S: f64 = 2.0;
 /// The traffic begins at this second.
-const TRAFFIC_FROM_S: f64 = 1.5;
+const TRAFFIC_START_S: f64 = 1.5;
 /// Requests a second for each node.
-const RATE_PER_NODE: f64 = 6.0;
+const REQUEST_RATE_PER_NODE: f64 = 6.0;
 /// Misbehaving clients a second for each node.
-const MISBEHAVING_PER_NODE: f64 = 1.0;
+const MISBEHAVING_RATE_PER_NODE: f64 = 1.0;
 /// Least number of backends.
 const MIN_BACKENDS: usize = 8;
 /// Descriptors of a node, unless a fault leaves it fewer.
-const SOCKETS: usize = 512;
+const DESCRIPTOR_LIMIT: usize = 512;
 /// Spreads neighbouring seeds: 2^64 divided by the golden ratio.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
@@ -42,7 +42,7 @@
 }
 
 /// Draws the plan of a seed for so many nodes.
-pub fn draw(seed: u64, nodes: usize) -> Plan {
+pub fn draw_plan(seed: u64, nodes: usize) -> Plan {
     let mut random = RandomSource::from_seed(seed.wrapping_mul(SEED_MULTIPLIER));
     let fleet = draw_fleet(&mut random, nodes);
     let discovery = draw_discovery(&mut random);
@@ -58,10 +58,10 @@
     let base = Scenario {
         about: format!("soak, seed {seed}"),
         seed,
-        length_s: LENGTH_S + SETTLING_S,
+        length_s: TRAFFIC_END_S + SETTLING_S,
         fleet,
         discovery,
-        backend: BackendFigures::default(),
+        backend: BackendParameters::default(),
         traffic,
         at: vec![start],
         expect: Vec::new(),
@@ -85,7 +85,7 @@
         zones,
         known: random.choose(&[Known::Empty, Known::Current, Known::Stale]),
         proxy_count: None,
-        sockets: SOCKETS,
+        sockets: DESCRIPTOR_LIMIT,
         faults: String::new(),
         log_unread: false,
     }
@@ -109,10 +109,10 @@
         .map(|number| draw_class(random, number))
         .collect();
     Traffic {
-        rate: RATE_PER_NODE * nodes as f64,
-        misbehaving_rate: MISBEHAVING_PER_NODE * nodes as f64,
-        from_s: TRAFFIC_FROM_S,
-        to_s: Some(LENGTH_S),
+        rate: REQUEST_RATE_PER_NODE * nodes as f64,
+        misbehaving_rate: MISBEHAVING_RATE_PER_NODE * nodes as f64,
+        from_s: TRAFFIC_START_S,
+        to_s: Some(TRAFFIC_END_S),
         notice_s: random.choose(&[0.2, 1.0]),
         class,
     }
@@ -137,15 +137,15 @@
 }
 
 fn draw_fault(random: &mut RandomSource) -> PlannedFault {
-    let from = random.unit() * 0.7;
+    let part_start = random.unit() * 0.7;
     let kind = random.choose(&FaultKind::ALL);
     let from_s = 2.5 + 2.5 * random.unit();
-    let lasts_s = 0.5 + 2.5 * random.unit();
-    let part = [from, from + 0.15 + 0.15 * random.unit()];
+    let duration_s = 0.5 + 2.5 * random.unit();
+    let part = [part_start, part_start + 0.15 + 0.15 * random.unit()];
     PlannedFault {
         kind,
         from_s,
-        lasts_s,
+        duration_s,
         part,
         draw: random.unit(),
     }
@@ -159,17 +159,17 @@
         scenario.traffic.from_s += self.quiet_s;
         scenario.traffic.to_s = scenario.traffic.to_s.map(|end| end + self.quiet_s);
         for fault in &self.faults {
-            let later = PlannedFault {
+            let delayed = PlannedFault {
                 from_s: fault.from_s + self.quiet_s,
                 ..fault.clone()
             };
-            later.add_to(&mut scenario);
+            delayed.add_to(&mut scenario);
         }
         scenario
     }
 
     /// The same without one fault.
-    pub(super) fn without(&self, index: usize) -> Plan {
+    pub(super) fn without_fault(&self, index: usize) -> Plan {
         let mut plan = self.clone();
         plan.faults.remove(index);
         plan
@@ -189,8 +189,8 @@
             "seed {}: {} nodes, {} backends, {} zones, ",
             self.seed, fleet.nodes, fleet.backends, fleet.zones
         )?;
-        let source = if discovery.pushed { "pushed" } else { "polled" };
-        write!(f, "{source}, known {:?};", fleet.known)?;
+        let delivery = if discovery.pushed { "pushed" } else { "polled" };
+        write!(f, "{delivery}, known {:?};", fleet.known)?;
         for class in &traffic.class {
             write!(f, " {:?} {} ms", class.idempotency, class.client_timeout_ms)?;
         }
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -9,8 +9,8 @@
 
 /// The program that this test run has built.
 fn program() -> PathBuf {
-    let test = std::env::current_exe().unwrap();
-    let program = test
+    let test_binary = std::env::current_exe().unwrap();
+    let program = test_binary
         .parent()
         .and_then(Path::parent)
         .unwrap()
@@ -35,16 +35,16 @@
     scenario.traffic.rate *= scale;
     scenario.fleet.nodes = nodes;
     // A few nodes are through sooner than the fleet that the length is for.
-    let last = scenario
+    let last_step_end_s = scenario
         .at
         .iter()
         .map(|step| step.at_s + step.over_s)
         .fold(0.0, f64::max);
-    scenario.length_s = scenario.length_s.min(last + 9.0);
+    scenario.length_s = scenario.length_s.min(last_step_end_s + 9.0);
     scenario
 }
 
-async fn play(name: &str, nodes: usize) {
+async fn check_scenario(name: &str, nodes: usize) {
     let mut scenario = read_scenario(name, nodes);
     scenario.expect = vec![
         Expect {
@@ -58,7 +58,7 @@
             most: None,
         },
     ];
-    let report = cluster::run(&scenario, &Programs::beside(&program()))
+    let report = cluster::run(&scenario, &Programs::with_adjacent_shim(&program()))
         .await
         .unwrap();
     assert!(
@@ -82,37 +82,37 @@
     ($($test:ident $file:literal,)*) => {
         $(#[tokio::test(flavor = "multi_thread", worker_threads = 3)]
         async fn $test() {
-            play($file, 12).await;
+            check_scenario($file, 12).await;
         })*
 
         #[test]
-        fn every_scenario_file_is_played() {
+        fn every_scenario_file_has_a_test() {
             let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
             let names = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().file_name());
             let mut names: Vec<String> = names.map(|name| name.into_string().unwrap()).collect();
-            let mut played = vec![$(format!("{}.toml", $file)),*];
+            let mut tested = vec![$(format!("{}.toml", $file)),*];
             names.sort();
-            played.sort();
-            assert_eq!(names, played);
+            tested.sort();
+            assert_eq!(names, tested);
         }
     };
 }
 
 scenarios! {
-    nodes_that_start_with_nothing "cold-start",
-    nodes_that_start_with_nothing_at_a_fast_discovery "cold-start-fast",
-    nodes_that_start_with_nothing_at_a_slow_discovery "cold-start-slow",
-    nodes_that_start_with_an_old_list "stale-start",
-    nodes_that_start_in_an_outage "outage-at-start",
-    a_discovery_that_is_overloaded_then_silent_then_breaks_off "busy-silent-half",
-    a_discovery_that_forgets_its_history "list-restart",
-    most_nodes_die_in_a_release "release-kill",
-    nodes_end_one_after_the_other_by_sigterm "rolling-restart",
-    nodes_die_one_after_the_other_by_sigkill "kill-each",
+    nodes_start_with_empty_lists "cold-start",
+    nodes_start_with_empty_lists_and_a_fast_discovery "cold-start-fast",
+    nodes_start_with_empty_lists_and_a_slow_discovery "cold-start-slow",
+    nodes_start_with_stale_lists "stale-start",
+    nodes_start_during_a_discovery_outage "outage-at-start",
+    discovery_overloads_then_hangs_then_truncates_answers "busy-silent-half",
+    discovery_restarts_without_its_history "list-restart",
+    most_nodes_are_killed_in_a_release "release-kill",
+    nodes_are_restarted_in_groups_by_sigterm "rolling-restart",
+    nodes_are_restarted_in_groups_by_sigkill "kill-each",
     a_zone_is_cut_off_from_discovery "cut-from-list",
-    a_zone_of_backends_falls_silent "cut-from-backends",
-    nodes_are_stopped_and_go_on "stall",
-    nodes_die_again_and_again "crash-loop",
-    all_nodes_read_their_configuration_anew "reload-all",
-    backends_swallow_fail_and_reset "swallow-and-reset",
+    links_to_a_zone_of_backends_are_cut "cut-from-backends",
+    nodes_are_paused_and_resumed "stall",
+    nodes_are_killed_repeatedly "crash-loop",
+    all_nodes_reload_their_configuration "reload-all",
+    backends_hang_fail_and_reset_connections "swallow-and-reset",
 }
