--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The test cluster: one run of a scenario with stand-ins, processes of the node, and a timeline of
-//! what happens to them.
+//! Test cluster: runs a scenario with stand-ins, processes of the node, and a timeline of the actions
+//! on them.
 
 mod actions;
 mod front;
@@ -32,47 +32,49 @@
 use crate::report::{Measurements, Report};
 use crate::scenario::{Scenario, duration_from_secs};
 
-/// Grace after a backend was listed as draining, as the nodes' settings have it.
+/// Time after the notification that a backend drains in which nodes may still send to it, as in the
+/// nodes' settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// A final answer may come this much after the client's timeout, as the nodes' settings have it.
+/// Time after the client's timeout in which a final answer may still arrive, as in the nodes'
+/// settings.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
-/// Repeats of an idempotency key are dropped for this long.
+/// Time in which the backends of a cell drop repeats of an idempotency key.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
-/// A backend in slow start breaks down if it is sent too much for this long ...
+/// Time after which a backend in slow start breaks down if it is overloaded.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
-/// ... where too much is this multiple of what it can do.
+/// Multiple of its capacity at the time above which a backend in slow start is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// What the referee allows nodes beyond their own grace and slack.
+/// Time that the referee allows nodes beyond their own grace and slack.
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
-/// Behind the longest timeout of a client, the run goes on for this long.
+/// Time for which the run continues after the longest client timeout.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
-/// Backends of a cell, within which repeats of an idempotency key are dropped.
+/// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
-/// Spreads the seeds of backends.
+/// Keeps the seeds of backends apart in runs with different seeds.
 const BACKEND_SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// Everything that takes part in a run.
+/// Processes, stand-ins and records of a run.
 struct Cluster {
     scenario: Scenario,
     clock: Clock,
     process_settings: ProcessSettings,
     discovery: Arc<DiscoveryService>,
-    /// Links of nodes to discovery, by number of the node.
+    /// Links from the nodes to discovery, by node number.
     discovery_links: Vec<Arc<Link>>,
     discovery_addresses: Vec<SocketAddr>,
     attempt_log: Arc<AttemptLog>,
     backends: Vec<Arc<Backend>>,
-    /// The endpoints of the backends as they were first listed.
+    /// Endpoints of the backends as discovery lists them at the start.
     endpoints: Vec<Endpoint>,
     nodes: Vec<Mutex<Node>>,
-    /// Whether clients are sent to a node, by its number.
+    /// Whether the front sends clients to a node, by node number.
     admitted: Vec<AtomicBool>,
     pauses: Mutex<Vec<Pause>>,
     backend_starts: Mutex<Vec<BackendStart>>,
     usage: Mutex<ResourceUsage>,
 }
 
-/// Plays a scenario.
+/// Runs a scenario, and reports what the stand-ins and the processes recorded.
 ///
 /// # Errors
 ///
@@ -101,7 +103,7 @@
         cluster.apply(&event)?;
     }
     tokio::time::sleep_until(clock.at(run_start + duration_from_secs(scenario.length_s))).await;
-    // Requests that are on their way come to their ends; the traffic has stopped before.
+    // No new requests are sent any more; those in flight get the time for their final answers.
     let _ = traffic_task.await;
     let _ = misbehaving_task.await;
     tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING_TIME).await;
@@ -124,7 +126,7 @@
     duration_from_secs(ms / 1_000.0)
 }
 
-/// Nodes and backends are dealt over the zones in turn.
+/// Zone of the node or backend with this number; they are assigned to the zones in turn.
 fn zone(scenario: &Scenario, number: usize) -> usize {
     number % scenario.fleet.zones
 }
@@ -172,7 +174,7 @@
             let mut node = locked(node);
             node.reap(self.clock);
             node.signal(Signal::CONT, self.clock);
-            // The run is over, whatever the node's state: its process ends with it.
+            // The run is over, so the process is killed whatever its state.
             node.signal(Signal::KILL, self.clock);
         }
     }
@@ -207,7 +209,7 @@
         }
     }
 
-    /// The logs of all nodes, each line with its node.
+    /// Log lines of all nodes, each prefixed with the number of its node.
     fn log_lines(&self) -> Vec<String> {
         let numbered_lines = |node: &Mutex<Node>| {
             let node = locked(node);
@@ -240,7 +242,7 @@
     (0..scenario.fleet.backends).map(new_backend).collect()
 }
 
-/// Starts the backends' listeners; gives the backends as discovery lists them at first.
+/// Starts the listeners of the backends; returns the endpoints that discovery lists at the start.
 async fn serve_backends(
     scenario: &Scenario,
     backends: &[Arc<Backend>],
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -1,4 +1,4 @@
-//! Does the actions of a scenario to nodes, discovery and backends.
+//! Applies the actions of a scenario to nodes, discovery and backends.
 
 use std::io;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use crate::referee::{BackendStart, Pause};
 use crate::scenario::{Action, Target};
 
-/// A node that goes on after a stop works off what came meanwhile, for this long.
+/// Time that a resumed node is given to process what arrived while it was stopped.
 const CATCH_UP_TIME: Duration = Duration::from_millis(500);
-/// A backend that drains or has died is removed from the list after this.
+/// Time after which a draining or dead backend is removed from the list.
 const REMOVAL_DELAY: Duration = Duration::from_secs(1);
 
 impl Cluster {
-    /// Does one event.
+    /// Applies an event to its target.
     pub(super) fn apply(self: &Arc<Self>, event: &Event) -> io::Result<()> {
         match event.action.target() {
             Target::Nodes => self.apply_to_node(event.action, event.number),
@@ -44,7 +44,7 @@
             Action::Stop => self.pause_node(number),
             Action::Cont => self.resume_node(number),
             Action::Reload => {
-                // Valid again, whatever was there before.
+                // Replaces a file that an earlier step may have truncated or removed.
                 self.write_config_with_current_list(number)?;
                 self.signal(number, Signal::HUP);
             }
@@ -54,12 +54,12 @@
                 self.signal(number, Signal::HUP);
             }
             Action::ReloadMissing => {
-                // It may be missing already.
+                // An earlier step may have removed the file already.
                 let _ = locked(&self.nodes[number]).remove_config();
                 self.signal(number, Signal::HUP);
             }
             Action::DiscoveryCut => self.discovery_links[number].set(link::Health::Cut),
-            _ => unreachable!("{action:?} is not done to nodes"),
+            _ => unreachable!("{action:?} is not an action on nodes"),
         }
         Ok(())
     }
@@ -74,7 +74,8 @@
         node.start(&self.process_settings, self.clock)
     }
 
-    /// Ends a node's process. Its next incarnation is given the list of this moment.
+    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list of
+    /// this time.
     fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         self.write_config_with_current_list(number)?;
         self.signal(number, signal);
@@ -123,7 +124,7 @@
                 self.discovery.restart();
                 all_links().for_each(|link| link.reset());
             }
-            _ => unreachable!("{action:?} is not done to discovery"),
+            _ => unreachable!("{action:?} is not an action on discovery"),
         }
     }
 
@@ -153,7 +154,7 @@
             Action::BackendCut => link.set(link::Health::Cut),
             Action::BackendCutOut => link.set(link::Health::CutOut),
             Action::BackendReset => link.reset(),
-            action => unreachable!("{action:?} is not done to backends"),
+            action => unreachable!("{action:?} is not an action on backends"),
         }
     }
 
--- a/crates/testbed/src/cluster/front.rs
+++ b/crates/testbed/src/cluster/front.rs
@@ -1,4 +1,4 @@
-//! The front that admits nodes to the clients, as a load balancer before the nodes would.
+//! Front that admits nodes to the clients, as a load balancer in front of the nodes would.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,17 +16,17 @@
 
 /// Time between two rounds over all nodes.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
-/// The use of resources is sampled in each round of this multiple.
+/// Number of rounds between two samples of the resource usage.
 const ROUNDS_PER_SAMPLE: u32 = 10;
 /// A health check that takes longer has failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 const HEALTH_CHECK_REQUEST: &[u8] =
     b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-/// Length of `HTTP/1.1 200`.
+/// Length of `HTTP/1.1 200`, in bytes.
 const STATUS_PREFIX_LENGTH: usize = 12;
 
-/// Admits nodes once their health check succeeds, and notices late that one has died. Never ends by
-/// itself.
+/// Admits nodes once their health check succeeds, and stops sending clients to a dead node only after
+/// the scenario's `notice_s`. Runs until its task is aborted.
 pub(super) async fn admit_nodes(cluster: Arc<Cluster>) {
     let mut down_since: BTreeMap<usize, Duration> = BTreeMap::new();
     let mut round = 0u32;
@@ -43,7 +43,7 @@
 }
 
 impl Cluster {
-    /// Numbers of the nodes that clients are sent to.
+    /// Numbers of the nodes to which clients are sent.
     pub(super) fn admitted_nodes(&self) -> Vec<usize> {
         let numbers = 0..self.nodes.len();
         numbers.filter(|number| self.is_admitted(*number)).collect()
@@ -53,7 +53,9 @@
         self.admitted[number].load(Ordering::SeqCst)
     }
 
-    /// `down_since` has the nodes that were seen down, and since when.
+    /// Withdraws an admitted node that has been down for `notice_s`, and checks the health of a
+    /// listening node that is not admitted. `down_since` has the time at which a node was first seen
+    /// down, by node number.
     fn update_admission(
         self: &Arc<Self>,
         number: usize,
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -1,5 +1,5 @@
-//! The load of a run: well-behaved clients and misbehaving ones, each from a Poisson process, over
-//! the nodes that the front has admitted.
+//! Load of a run: well-behaved and misbehaving clients arrive in two Poisson processes, and are sent
+//! to nodes that the front has admitted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use super::Cluster;
 use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
-/// Tells the draws of the misbehaving clients from those of the others.
+/// Makes the draws for misbehaving clients differ from those for well-behaved ones.
 const MISBEHAVING_SEED: u64 = 0x0dd;
 
-/// Times of a Poisson process within the traffic of a scenario.
+/// Arrival times of a Poisson process within the traffic period of a scenario.
 struct PoissonProcess {
     rate: f64,
     last_arrival: Duration,
@@ -36,21 +36,21 @@
         }
     }
 
-    /// The next time, if the traffic goes on until then.
+    /// Draws the next arrival time; `None` if it is not before the end of the traffic.
     fn next(&mut self, random: &mut RandomSource) -> Option<Duration> {
         self.last_arrival += duration_from_secs(random.exponential() / self.rate);
         (self.last_arrival < self.end).then_some(self.last_arrival)
     }
 }
 
-/// A node that takes requests.
+/// A node to which the front sends clients.
 struct AdmittedNode {
     number: usize,
     address: SocketAddr,
 }
 
 impl Cluster {
-    /// One of the admitted nodes; `None` if there are none, or it has no address yet.
+    /// Draws an admitted node; `None` if there is none, or if its address is not known yet.
     fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
         let admitted = self.admitted_nodes();
         let number = admitted.get(random.below(admitted.len())).copied()?;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Sends requests in an open loop.
+/// Sends the requests of well-behaved clients in an open loop.
 pub(super) async fn send_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<Clients>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A class by the classes' shares; `None` if there are no classes.
+/// Draws a class in proportion to the shares; `None` if there are no classes.
 fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
     let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
     let mut remaining = random.unit() * shares;
@@ -101,11 +101,11 @@
         remaining -= class.share;
         remaining < 0.0
     });
-    // Rounding may leave a rest behind the last class.
+    // Rounding may leave a remainder after the last class.
     drawn.or(traffic.class.last())
 }
 
-/// Plays misbehaving clients, and waits for the ends of all.
+/// Starts misbehaving clients, and waits until all have ended.
 pub(super) async fn send_misbehaving_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<MisbehavingClients>,
@@ -143,7 +143,8 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Half of the clients disconnect, within half of their timeout; the others do one of the rest.
+/// Draws a behaviour: half of the clients disconnect within half of their timeout, the others have
+/// one of the other behaviours.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
     let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
     let index = random.below(2 * BEHAVIOURS.len());
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node, in the platform's JSON.
+//! Configuration of a node, in the platform's JSON format.
 
 use std::io;
 
@@ -12,13 +12,13 @@
 };
 use crate::scenario::{Class, Known};
 
-/// Spreads the seeds of nodes.
+/// Keeps the seeds of nodes apart in runs with different seeds.
 const NODE_SEED_MULTIPLIER: u64 = 7_919;
-/// In a stale list, so many of ten endpoints have a name that no backend has.
+/// Number of endpoints out of ten whose uid in a stale list is that of no backend.
 const STALE_TENTHS: usize = 3;
 
 impl Cluster {
-    /// Writes the configurations with which nodes start first.
+    /// Writes the configurations for the first start of all nodes.
     pub(super) fn write_initial_configs(&self) -> io::Result<()> {
         let endpoints = self.initial_list();
         for (number, node) in self.nodes.iter().enumerate() {
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// The list that nodes are given at their first start.
+    /// Endpoint list that nodes are given at their first start.
     fn initial_list(&self) -> Vec<Endpoint> {
         match self.scenario.fleet.known {
             Known::Empty => Vec::new(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The configuration of a node that knows this list.
+    /// Configuration of a node that is given this endpoint list.
     pub(super) fn node_config(&self, number: usize, known: &[Endpoint]) -> Value {
         let scenario = &self.scenario;
         let seed = scenario
@@ -92,7 +92,7 @@
     fn all_class_settings(&self) -> Vec<Value> {
         let classes = &self.scenario.traffic.class;
         if classes.is_empty() {
-            // The node wants at least one class, also where there is no traffic.
+            // The node requires at least one class, even if there is no traffic.
             return vec![class_settings(&Class {
                 name: "check".into(),
                 idempotency: Idempotency::Idempotent,
@@ -119,7 +119,8 @@
     }
 }
 
-/// An endpoint of a stale list: of some, the address belongs to another backend by now.
+/// Endpoint as a stale list has it. Some get the uid of a former backend, whose address now belongs
+/// to another backend.
 fn stale_endpoint((number, endpoint): (usize, &Endpoint)) -> Endpoint {
     let mut stale = endpoint.clone();
     if number % 10 < STALE_TENTHS {
@@ -128,7 +129,7 @@
     stale
 }
 
-/// A class as the platform's settings write it.
+/// Settings of a class in the platform's format.
 fn class_settings(class: &Class) -> Value {
     let idempotency = match class.idempotency {
         Idempotency::Idempotent => "repeatable",
--- a/crates/testbed/src/cluster/programs.rs
+++ b/crates/testbed/src/cluster/programs.rs
@@ -1,23 +1,23 @@
-//! The program under test and what it is started with.
+//! Paths of the program under test and of the fault shim, and the environment of the processes.
 
 use std::path::{Path, PathBuf};
 
 use crate::node::ProcessSettings;
 use crate::scenario::Scenario;
 
-/// The programs of a run.
+/// Program and library that a run uses.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The node.
+    /// Path of the program that the nodes run.
     pub node: PathBuf,
-    /// The fault shim, for scenarios that have a plan of it.
+    /// Path of the fault shim, which is preloaded if the scenario has a plan for it.
     pub shim: PathBuf,
-    /// The nodes trace each event and decision.
+    /// Whether the nodes trace each event and decision.
     pub trace: bool,
 }
 
 impl Programs {
-    /// A program, and the shim where cargo puts it beside that.
+    /// The program at this path, and the shim in the same folder, where cargo puts it.
     pub fn with_adjacent_shim(node: &Path) -> Programs {
         Programs {
             node: node.to_path_buf(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How the nodes of a scenario are started.
+    /// Settings for starting the nodes of a scenario.
     pub(super) fn process_settings(&self, scenario: &Scenario) -> ProcessSettings {
         let fleet = &scenario.fleet;
         let mut variables = Vec::new();
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -1,24 +1,24 @@
-//! When each step of a scenario happens to which node or backend.
+//! Expands the steps of a scenario into events on single nodes or backends.
 
 use std::time::Duration;
 
 use super::zone;
 use crate::scenario::{Action, Scenario, Step, Target, duration_from_secs};
 
-/// One action, done to one node or backend.
+/// One action on discovery or on one node or backend.
 #[derive(Clone, Debug)]
 pub(super) struct Event {
-    /// When, from the begin of the run.
+    /// Time after the start of the run.
     pub at: Duration,
-    /// What.
+    /// Action that is applied.
     pub action: Action,
-    /// To the node or backend of this number.
+    /// Number of the node or backend; 0 for discovery.
     pub number: usize,
-    /// A figure that some actions take.
+    /// Fraction of the full speed, for actions that take one.
     pub size: f64,
 }
 
-/// All events of a scenario, by time.
+/// All events of a scenario in order of time.
 pub(super) fn events(scenario: &Scenario) -> Vec<Event> {
     let mut events: Vec<Event> = scenario
         .at
--- a/crates/testbed/src/cluster/usage.rs
+++ b/crates/testbed/src/cluster/usage.rs
@@ -1,4 +1,4 @@
-//! What the processes of the nodes use.
+//! Resource usage of the node processes.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use super::Cluster;
 
-/// Resources that the processes of a run have used.
+/// Resource usage of the node processes in a run.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceUsage {
-    /// The most memory that a process of a node had, in MB, by number of the node.
+    /// Maximum resident memory of a node's processes, in MB, by node number.
     pub max_memory_mb: BTreeMap<usize, f64>,
-    /// Seconds of a core that the latest process of a node has used, by number of the node.
+    /// CPU time of the latest process of a node, in seconds, by node number.
     pub cpu_s: BTreeMap<usize, f64>,
-    /// The most descriptors that a process held.
+    /// Maximum number of descriptors that a process had open in a sample.
     pub max_descriptors: usize,
 }
 
 impl Cluster {
-    /// Notes what processes use, and which have ended.
+    /// Samples the resource usage of the running processes, and records which processes have ended.
     pub(super) fn sample_usage(&self) {
         for node in &self.nodes {
             let mut node = locked(node);
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, and what they share.
+//! The commands of the program, and the code that they share.
 
 pub mod compare;
 pub mod describe;
@@ -16,12 +16,12 @@
 use thiserror::Error;
 use tokio::runtime::Runtime;
 
-/// Whether what a command was to hold holds.
+/// Result of the checks of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It holds.
+    /// All checks passed, or the command has none.
     Passed,
-    /// It does not.
+    /// A rule, an expectation or a bound does not hold.
     Failed,
 }
 
@@ -35,64 +35,65 @@
     }
 }
 
-/// Why a command could not be carried out.
+/// Reason why a command could not be completed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// A file or folder can't be read or written.
     #[error("{path}: {source}")]
     File {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is no scenario.
+    /// A file is not a valid scenario.
     #[error("{path}: {source}")]
     Scenario {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Syntax error, or value out of its bounds.
         source: ScenarioError,
     },
-    /// The runtime of the stand-ins can't be started.
+    /// The asynchronous runtime of the stand-ins can't be started.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// A stand-in or a process of the program can't be started.
     #[error("{program}: {source}")]
     Program {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The report can't be written as JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A play whose figures are compared had a violation or a panic.
+    /// A run whose figures were to be compared had a violation or a panic.
     #[error("{backends} backends: {violation}")]
     FailedRun {
-        /// Backends of the play.
+        /// Number of backends in the run.
         backends: usize,
-        /// The first violation or panic.
+        /// Text of the first violation, or the first log line that reports a panic.
         violation: String,
     },
 }
 
 impl CommandError {
-    /// For `map_err`: the error with the file that it is about.
+    /// Returns a function for `map_err` that adds the path of the file to an error.
     fn for_file(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
         let path = path.to_path_buf();
         |source| CommandError::File { path, source }
     }
 
-    /// For `map_err`: the error with the program that it is about.
+    /// Returns a function for `map_err` that adds the path of the program to an error.
     fn for_program(program: &Path) -> impl FnOnce(io::Error) -> CommandError {
         let program = program.to_path_buf();
         |source| CommandError::Program { program, source }
     }
 }
 
-/// Reads a scenario; another number of nodes takes backends and traffic with it.
+/// Reads a scenario. With another number of nodes, the number of backends and the request rate are
+/// scaled in proportion.
 fn read_scenario(file: &Path, nodes: Option<usize>) -> Result<Scenario, CommandError> {
     let text = std::fs::read_to_string(file).map_err(CommandError::for_file(file))?;
     let scenario = Scenario::parse(&text);
@@ -122,7 +123,7 @@
     std::fs::write(path, text).map_err(CommandError::for_file(path))
 }
 
-/// The values that each figure had in several plays.
+/// Values of each figure in several runs.
 #[derive(Clone, Debug, Default)]
 struct FigureSeries(BTreeMap<String, Vec<f64>>);
 
@@ -137,7 +138,7 @@
         self.0.keys()
     }
 
-    /// The values of a figure in order; none if it was not counted.
+    /// Values of a figure in ascending order; empty if no run reported the figure.
     fn sorted(&self, name: &str) -> Vec<f64> {
         let mut values = self.0.get(name).cloned().unwrap_or_default();
         values.sort_by(f64::total_cmp);
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -1,11 +1,11 @@
-//! `compare`: plays a scenario with several programs and prints their figures side by side.
+//! `compare`: runs a scenario with several programs and prints their figures side by side.
 
 use kitefork_testbed::cluster::Programs;
 
 use super::{CommandError, FigureSeries, Verdict, read_scenario, run_scenario};
 use crate::CompareArguments;
 
-/// Carries the command out.
+/// Executes the command.
 pub fn run(arguments: &CompareArguments) -> Result<Verdict, CommandError> {
     let series = run_alternately(arguments)?;
     println!(
@@ -20,7 +20,8 @@
     Ok(Verdict::Passed)
 }
 
-/// The figures of each program, in the order in which the programs were given.
+/// Runs the scenario with each program in each round. Returns the figures of each program, in the
+/// order in which the programs were given.
 fn run_alternately(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
     let programs = &arguments.program;
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
@@ -28,7 +29,8 @@
     for round in 0..arguments.rounds {
         scenario.seed += 1;
         for position in 0..programs.len() {
-            // Another program begins each round, so that none always has the warmer machine.
+            // Each round starts with another program, so that no program always runs on the warmer
+            // machine.
             let index = (position + round as usize) % programs.len();
             let report = run_scenario(&scenario, &Programs::with_adjacent_shim(&programs[index]))?;
             series[index].add(report.figures);
--- a/crates/testbed/src/commands/describe.rs
+++ b/crates/testbed/src/commands/describe.rs
@@ -1,4 +1,4 @@
-//! `list` and `explain`: what scenarios are about, without playing them.
+//! `list` and `explain`: print the contents of scenarios without running them.
 
 use std::path::{Path, PathBuf};
 
@@ -6,7 +6,7 @@
 
 use super::{CommandError, Verdict, read_scenario};
 
-/// Prints the scenarios of a folder, by name.
+/// Prints the scenario files of a folder, sorted by path, with their descriptions.
 pub fn list(folder: &Path) -> Result<Verdict, CommandError> {
     let entries = std::fs::read_dir(folder).map_err(CommandError::for_file(folder))?;
     let mut files: Vec<PathBuf> = entries
@@ -24,7 +24,7 @@
     Ok(Verdict::Passed)
 }
 
-/// Prints what a scenario does and expects.
+/// Prints the fleet, the steps and the expectations of a scenario.
 pub fn explain(file: &Path) -> Result<Verdict, CommandError> {
     let scenario = read_scenario(file, None)?;
     print_cluster(&scenario);
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays one scenario and prints what it has shown.
+//! `run`: runs one scenario and prints its report.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -9,10 +9,10 @@
 use super::{CommandError, Verdict, read_scenario, run_scenario, write_file};
 use crate::RunArguments;
 
-/// Violations that are printed.
+/// Maximum number of violations that are printed.
 const MAX_VIOLATIONS: usize = 10;
 
-/// Carries the command out.
+/// Executes the command.
 pub fn run(arguments: &RunArguments) -> Result<Verdict, CommandError> {
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
@@ -61,7 +61,7 @@
     report.unmet.iter().for_each(|unmet| print(unmet));
     report.panics.iter().for_each(|line| print(line));
     println!(
-        "again: kitefork-testbed run {} --seed {seed}",
+        "to repeat: kitefork-testbed run {} --seed {seed}",
         file.display()
     );
 }
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -1,4 +1,4 @@
-//! `scale`: holds the allowances for a long list of backends.
+//! `scale`: checks the bounds on the resource usage of a node with a long list of backends.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use super::{CommandError, FigureSeries, Verdict, run_scenario};
 use crate::ScaleArguments;
 
-/// Carries the command out.
+/// Executes the command.
 pub fn run(arguments: &ScaleArguments) -> Result<Verdict, CommandError> {
     let medians = |backends| median_figures(backends, &arguments.program, arguments.rounds);
     let baseline = medians(scale::BASELINE_BACKENDS)?;
@@ -62,7 +62,7 @@
         let remark = if comparison.within_bound {
             ""
         } else {
-            "  PASSED ITS BOUND"
+            "  BOUND NOT MET"
         };
         println!(
             "{:<18} {:>10.3} {:>10.3} {:>10.3}{remark}",
--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: plays seeds and prints those that fail.
+//! `soak`: runs a range of seeds and prints the result of each.
 
 use kitefork_testbed::cluster::Programs;
 use kitefork_testbed::soak::{self, Options};
@@ -6,10 +6,10 @@
 use super::{CommandError, Verdict, new_runtime};
 use crate::SoakArguments;
 
-/// Violations and panics that are printed of a seed that fails.
+/// Maximum number of violations and panics that are printed for a seed that fails.
 const MAX_VIOLATIONS: usize = 5;
 
-/// Carries the command out.
+/// Executes the command.
 pub fn run(arguments: &SoakArguments) -> Result<Verdict, CommandError> {
     let runtime = new_runtime()?;
     let programs = Programs::with_adjacent_shim(&arguments.program);
@@ -53,5 +53,5 @@
     let count = report.violations.len();
     let command = format!("kitefork-testbed soak --from {seed} --seeds 1");
     let Options { nodes, quiet_s, .. } = options;
-    println!("  {count} violations; again: {command} --nodes {nodes} --quiet {quiet_s}");
+    println!("  {count} violations; to repeat: {command} --nodes {nodes} --quiet {quiet_s}");
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,7 @@
-//! The testbed: many processes of the node as it is shipped, between stand-ins, with faults put
-//! between them and never into them. A scenario file says what happens and what is expected; the
-//! referee judges what the stand-ins recorded.
+//! Testbed that runs many processes of the unmodified node program between stand-ins for its
+//! clients, its backends and its discovery service. Faults are injected around the processes, never
+//! into the program. A scenario file defines the steps of a run and the expected results; the
+//! referee checks the records of the stand-ins.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitefork-testbed`: see `docs/testbed.md`.
+//! Command line of `kitefork-testbed`. `docs/testbed.md` describes the commands.
 
 mod commands;
 
@@ -9,13 +9,13 @@
 
 use commands::{CommandError, Verdict};
 
-/// Exit code where a rule is broken or an expectation does not hold.
+/// Exit code if a rule is broken, or an expectation or bound is not met.
 const EXIT_FAILED: u8 = 1;
-/// Exit code where a file or a program can't be used.
+/// Exit code if a file or a program can't be used, or a run for a comparison fails.
 const EXIT_ERROR: u8 = 2;
 
 #[derive(Parser)]
-#[command(about = "Plays scenarios with many processes of the node, and judges them")]
+#[command(about = "Runs test scenarios with many processes of the node and checks the results")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -23,92 +23,95 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario; exit code 1 if a rule is broken or an expectation does not hold.
+    /// Runs a scenario; the exit code is 1 if a rule is broken or an expectation is not met.
     Run(RunArguments),
-    /// Plays a scenario with two programs in turn, and prints min, median and max of each figure.
+    /// Runs a scenario with several programs in alternation, and prints the minimum, median and
+    /// maximum of each figure.
     Compare(CompareArguments),
-    /// Plays one node with a short and with a long list of backends, and holds the acceptance's
-    /// allowances; exit code 1 if one is exceeded.
+    /// Runs one node with a short and with a long list of backends, and checks the required bounds
+    /// on its resource usage; the exit code is 1 if a bound is not met.
     Scale(ScaleArguments),
-    /// Plays seeds of overlapping faults over many processes; a seed that fails is shrunk.
+    /// Runs seeds that each inject overlapping faults into a fleet of nodes; a seed that fails is
+    /// run again with fewer faults.
     Soak(SoakArguments),
-    /// Lists the scenarios of a folder.
+    /// Lists the scenarios of a folder with their descriptions.
     List {
-        /// The folder.
+        /// Folder with the scenario files.
         #[arg(default_value = "scenarios")]
         folder: PathBuf,
     },
-    /// Says what a scenario does, without playing it.
+    /// Prints what a scenario does and expects, without running it.
     Explain {
-        /// The scenario.
+        /// Path of the scenario file.
         file: PathBuf,
     },
 }
 
 #[derive(Args)]
 struct RunArguments {
-    /// The scenario.
+    /// Path of the scenario file.
     file: PathBuf,
-    /// The program that nodes run.
+    /// Path of the program that the nodes run.
     #[arg(long, default_value = "target/release/kitefork")]
     program: PathBuf,
-    /// Another number of nodes; backends and traffic follow in proportion.
+    /// Number of nodes instead of the scenario's; backends and request rate scale in proportion.
     #[arg(long)]
     nodes: Option<usize>,
-    /// Another seed.
+    /// Seed instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Writes the whole report there, as JSON.
+    /// Path of a file to which the whole report is written, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes the logs of all nodes there, with a trace of each event and decision.
+    /// Path of a file to which the logs of all nodes are written, with a trace of each event and
+    /// decision.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct CompareArguments {
-    /// The scenario.
+    /// Path of the scenario file.
     file: PathBuf,
-    /// A program that nodes run; may be given several times.
+    /// Path of a program that the nodes run; the option can be given several times.
     #[arg(long)]
     program: Vec<PathBuf>,
-    /// Plays of each program.
+    /// Number of runs of each program.
     #[arg(long, default_value_t = 5)]
     rounds: u64,
-    /// Another number of nodes; backends and traffic follow in proportion.
+    /// Number of nodes instead of the scenario's; backends and request rate scale in proportion.
     #[arg(long)]
     nodes: Option<usize>,
 }
 
 #[derive(Args)]
 struct ScaleArguments {
-    /// The program that the node runs.
+    /// Path of the program that the node runs.
     #[arg(long, default_value = "target/release/kitefork")]
     program: PathBuf,
-    /// Plays of each size; the median of each figure counts.
+    /// Number of runs with each list; the median of each figure is checked.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
 }
 
 #[derive(Args)]
 struct SoakArguments {
-    /// First seed.
+    /// First seed to run.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Number of seeds.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Processes of the node.
+    /// Number of nodes.
     #[arg(long, default_value_t = 24)]
     nodes: usize,
-    /// Seconds in which nothing happens, before the traffic and the faults.
+    /// Seconds of idle time before the traffic and the faults start.
     #[arg(long, default_value_t = 0.0)]
     quiet: f64,
-    /// Leaves a seed that fails as it is.
+    /// Does not run a seed that fails again with fewer faults.
     #[arg(long)]
     no_shrink: bool,
-    /// The program that nodes run; the fault shim lies beside it.
+    /// Path of the program that the nodes run; the fault shim is expected in the same folder.
     #[arg(long, default_value = "target/release/kitefork")]
     program: PathBuf,
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,4 +1,4 @@
-//! One process of the program: its configuration, its signals, its log, and what it uses.
+//! A node under test: its process, configuration, signals, log and resource usage.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,67 +13,67 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStderr, Command};
 
-/// Lines of a node's log that are kept.
+/// Maximum number of log lines that are kept for a node.
 const MAX_LOG_LINES: usize = 20_000;
-/// Where a node listens at its first start; it keeps the port that it is given then.
+/// Listening address at the first start of a node; later starts use the port assigned then.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Begin of the line that a node logs when it listens.
+/// Start of the line that a node logs when it begins to listen.
 const START_LINE_PREFIX: &str = "kitefork: start ";
 
-/// The signal that ends a process.
+/// Signals that were sent to end a process.
 #[derive(Clone, Copy, Debug)]
 pub struct StopSignal {
-    /// When the first one was sent.
+    /// Time at which the first signal was sent.
     pub at: Duration,
-    /// Whether the last one was SIGKILL; else SIGTERM.
+    /// Whether SIGKILL was sent; otherwise only SIGTERM was.
     pub is_kill: bool,
 }
 
-/// The end of a process.
+/// End of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
-    /// When it was seen.
+    /// Time at which the end was observed.
     pub at: Duration,
-    /// The exit code; `None` if a signal ended the process.
+    /// Exit code; `None` if a signal ended the process.
     pub code: Option<i32>,
 }
 
-/// One life of a process under the same number: from its start to its end.
+/// One run of a node's process, from its start to its end.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
     /// Number of the node.
     pub node: usize,
-    /// When it was started.
+    /// Time at which the process was started.
     pub started: Duration,
-    /// When it said that it listens.
+    /// Time at which the process logged that it listens; `None` before that.
     pub listens: Option<Duration>,
-    /// The signal that was to end it, if one was sent.
+    /// Signals that were sent to end the process; `None` if there were none.
     pub stop_signal: Option<StopSignal>,
-    /// Its end, if it has ended.
+    /// End of the process; `None` while it runs.
     pub exit: Option<Exit>,
 }
 
-/// How the processes of nodes are started.
+/// Settings for starting the processes of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessSettings {
     /// Path of the program.
     pub program: PathBuf,
-    /// Variables of the environment, names and values.
+    /// Names and values of the environment variables.
     pub variables: Vec<(String, String)>,
-    /// Nobody reads the log after its first line.
+    /// Whether the log is left unread after its first line.
     pub log_unread: bool,
 }
 
-/// A node, over all its incarnations.
+/// A node across all its incarnations.
 pub struct Node {
-    /// Its number.
+    /// Number of the node, counted from 0.
     pub number: usize,
     config_path: PathBuf,
     child: Option<Child>,
     observed: Arc<Mutex<ObservedState>>,
 }
 
-/// What is known of a node from its log and its process.
+/// State of a node as observed from its log and its process.
 #[derive(Default)]
 struct ObservedState {
     address: Option<SocketAddr>,
@@ -101,7 +101,7 @@
 }
 
 impl Node {
-    /// A node that has not started; its configuration is written to `folder`.
+    /// Creates a node that has not been started; its configuration file lies in `folder`.
     pub fn new(number: usize, folder: &Path) -> Node {
         Node {
             number,
@@ -115,29 +115,29 @@
         locked(&self.observed)
     }
 
-    /// Where it listens, once it has said so; the same in all its incarnations.
+    /// Listening address, the same in all incarnations; `None` until the first one has logged it.
     pub fn address(&self) -> Option<SocketAddr> {
         self.observed().address
     }
 
-    /// It listens now, for all that is known.
+    /// Whether the latest incarnation has logged that it listens, and its end was not observed.
     pub fn is_listening(&self) -> bool {
         let observed = self.observed();
         let last = observed.incarnations.last();
         last.is_some_and(|last| last.listens.is_some() && last.exit.is_none())
     }
 
-    /// Its incarnations so far.
+    /// All incarnations so far, in order of their starts.
     pub fn incarnations(&self) -> Vec<Incarnation> {
         self.observed().incarnations.clone()
     }
 
-    /// Its log so far.
+    /// Log lines of all incarnations so far, up to a maximum number.
     pub fn log_lines(&self) -> Vec<String> {
         self.observed().log_lines.clone()
     }
 
-    /// Writes its configuration.
+    /// Writes the configuration file, with the address of the node as `listen`.
     ///
     /// # Errors
     ///
@@ -150,7 +150,7 @@
         std::fs::write(&self.config_path, config.to_string())
     }
 
-    /// Writes the first half of a configuration.
+    /// Writes a configuration file that ends after half of its bytes.
     ///
     /// # Errors
     ///
@@ -160,16 +160,16 @@
         std::fs::write(&self.config_path, &text[..text.len() / 2])
     }
 
-    /// Removes its configuration.
+    /// Removes the configuration file.
     ///
     /// # Errors
     ///
-    /// If there is none.
+    /// If the file does not exist or can't be removed.
     pub fn remove_config(&self) -> io::Result<()> {
         std::fs::remove_file(&self.config_path)
     }
 
-    /// Starts a process, unless one runs.
+    /// Starts a process, unless one is running.
     ///
     /// # Errors
     ///
@@ -177,7 +177,7 @@
     ///
     /// # Panics
     ///
-    /// Never: standard error of a process that was just started is piped.
+    /// Never: the standard error of a process that was just started is piped.
     pub fn start(&mut self, settings: &ProcessSettings, clock: Clock) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
@@ -200,21 +200,21 @@
             exit: None,
         };
         self.observed().incarnations.push(incarnation);
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
         let observed = self.observed.clone();
         tokio::spawn(read_log(lines, observed, clock, settings.log_unread));
         self.child = Some(child);
         Ok(())
     }
 
-    /// Whether its process is there.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Notes that its process has ended, if it has.
+    /// Records the end of the process, if it has ended.
     pub fn reap(&mut self, clock: Clock) {
         let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) else {
             return;
@@ -228,13 +228,13 @@
         }
     }
 
-    /// Sends its process a signal; none if it has ended.
+    /// Sends a signal to the process, unless it has ended.
     pub fn signal(&mut self, signal: Signal, clock: Clock) {
         self.reap(clock);
         let Some(child) = self.child.as_ref() else {
             return;
         };
-        // Only a child that has not been waited for still has its number.
+        // A child that was waited for has no id any more, as another process may get it.
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
@@ -256,7 +256,7 @@
         }
     }
 
-    /// The most memory that its process has had, in MB, while it runs.
+    /// Maximum resident memory of the process so far, in MB; `None` if the process has ended.
     pub fn peak_memory_mb(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
@@ -264,22 +264,23 @@
         Some(line.split_whitespace().nth(1)?.parse::<f64>().ok()? / 1024.0)
     }
 
-    /// Seconds of a core that its process has used, while it runs.
+    /// CPU time of the process so far, in seconds; `None` if the process has ended.
     pub fn cpu_seconds(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
-        // The kernel's scheduler counts nanoseconds; the node has one thread.
+        // The first field is the CPU time of the main thread in nanoseconds; a node has no other
+        // thread.
         let stat = std::fs::read_to_string(format!("/proc/{id}/schedstat")).ok()?;
         Some(stat.split_whitespace().next()?.parse::<f64>().ok()? / 1e9)
     }
 
-    /// Descriptors that its process holds, while it runs.
+    /// Number of descriptors that the process has open; `None` if the process has ended.
     pub fn open_descriptors(&self) -> Option<usize> {
         let id = self.child.as_ref()?.id()?;
         Some(std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count())
     }
 }
 
-/// Reads the log of a process; where it is to stay unread, only its first line.
+/// Reads the log of a process; if `unread` is set, only its first line.
 async fn read_log(
     mut lines: Lines<BufReader<ChildStderr>>,
     observed: Arc<Mutex<ObservedState>>,
@@ -293,7 +294,7 @@
         }
     }
     if unread {
-        // The pipe stays open, so that the process blocks on it instead of seeing it closed.
+        // Keeps the pipe open, so that the process blocks on it instead of seeing it closed.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown: figures, the same by second, violations and panics.
+//! Report of a run: figures, figures of each second, violations and panics.
 
 mod figures;
 mod timeline;
@@ -17,37 +17,37 @@
 use crate::referee::{self, Records, Rules, Violation};
 use crate::scenario::{Scenario, UnmetExpectation};
 
-/// In a node's log, what it found broken itself.
+/// Part of the log lines in which a node reports a violation that it detected itself.
 const VIOLATION_MARKER: &str = "kitefork: violation ";
-/// In a node's log, a panic.
+/// Part of the log lines that report a panic.
 const PANIC_MARKER: &str = "panicked";
 
 /// Everything that a run has recorded.
 pub struct Measurements<'a> {
-    /// What was played.
+    /// Scenario that was run.
     pub scenario: &'a Scenario,
-    /// The figures of the rules.
+    /// Parameters of the referee's rules.
     pub rules: Rules,
-    /// What the stand-ins and processes recorded.
+    /// Records of the stand-ins and the processes.
     pub records: &'a Records,
-    /// When the run began, on the clock of the records.
+    /// Start of the run, on the clock of the records.
     pub run_start: Duration,
-    /// Calls that came to discovery.
+    /// Calls that discovery received.
     pub discovery_calls: Vec<DiscoveryCall>,
-    /// Bytes of lists and watch events written to nodes.
+    /// Number of bytes of lists and watch events that discovery wrote to nodes.
     pub discovery_bytes: u64,
-    /// Connections that each backend accepted.
+    /// Number of connections that each backend accepted.
     pub accepted_connections: Vec<usize>,
-    /// Attempts that backends rejected.
+    /// Number of attempts that backends rejected.
     pub rejected_attempts: u64,
-    /// What the processes of the nodes used.
+    /// Resource usage of the node processes.
     pub usage: ResourceUsage,
-    /// The logs of all nodes.
+    /// Log lines of all nodes, in the order of the nodes.
     pub log_lines: Vec<String>,
 }
 
 impl Measurements<'_> {
-    /// The request was served within its class's latency objective.
+    /// Whether the request was served within the latency objective of its class.
     fn meets_latency_objective(&self, record: &RequestRecord) -> bool {
         let request = &record.request;
         let mut classes = self.scenario.traffic.class.iter();
@@ -62,22 +62,22 @@
     }
 }
 
-/// What a run has shown. Its JSON keeps the keys that it had under earlier names.
+/// Result of a run. Its JSON keys are the names that earlier versions used.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Everything counted, by name.
+    /// Values of all figures, by name.
     pub figures: BTreeMap<String, f64>,
-    /// The most telling figures of each second.
+    /// Main figures of each second.
     pub seconds: Vec<Second>,
-    /// Rules broken, each with all that the records have of the request, node or backend.
+    /// Violations of rules, each with all records of the request, node or backend.
     #[serde(rename = "broken", serialize_with = "as_texts")]
     pub violations: Vec<Violation>,
-    /// Expectations that do not hold.
+    /// Expectations that are not met.
     #[serde(serialize_with = "as_texts")]
     pub unmet: Vec<UnmetExpectation>,
-    /// Lines of logs that report a panic.
+    /// Log lines that report a panic.
     pub panics: Vec<String>,
-    /// All that the nodes wrote to their logs, in the order of the nodes.
+    /// Log lines of all nodes, in the order of the nodes; not part of the JSON.
     #[serde(skip)]
     pub logs: Vec<String>,
 }
@@ -87,7 +87,7 @@
 }
 
 impl Report {
-    /// Judges and counts what a run has recorded.
+    /// Checks the records of a run against the rules, and computes its figures.
     pub fn new(measurements: &Measurements) -> Report {
         let mut violations = referee::find_violations(&measurements.rules, measurements.records);
         let panics = measurements.log_lines_containing(PANIC_MARKER);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Nothing was broken, and all that was expected holds.
+    /// Whether there are no violations, no unmet expectations and no panics.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.unmet.is_empty() && self.panics.is_empty()
     }
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run. Scenarios bound them by these names, so that the names stay.
+//! Figures of a run. Scenarios refer to figures by their names, so the names must not change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::node::Incarnation;
 use crate::scenario::duration_from_secs;
 
-/// Length of the interval in which the most calls to discovery are counted.
+/// Length of the interval for the figure `calls_worst_100ms`.
 const BURST_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
@@ -22,7 +22,7 @@
     }
 }
 
-/// All figures that are counted in the records of a run.
+/// Computes all figures from the records of a run.
 pub(super) fn count(measurements: &Measurements) -> BTreeMap<String, f64> {
     let mut figures = FigureMap::default();
     put_calls(&mut figures, measurements);
@@ -33,12 +33,12 @@
     figures.0
 }
 
-/// A ratio whose denominator is a count; that of nothing is 0.
+/// `part / count`; 0 if nothing was counted.
 fn ratio(part: f64, count: usize) -> f64 {
     part / count.max(1) as f64
 }
 
-/// Calls to discovery.
+/// Adds the figures of the calls to discovery.
 fn put_calls(figures: &mut FigureMap, measurements: &Measurements) {
     let calls = &measurements.discovery_calls;
     let count = calls.len() as f64;
@@ -59,7 +59,7 @@
     figures.put("calls_worst_100ms", largest_burst(&times) as f64);
 }
 
-/// The most calls that came within [`BURST_INTERVAL`]; the times are in order.
+/// Maximum number of calls within [`BURST_INTERVAL`]; `times` must be in ascending order.
 fn largest_burst(times: &[Duration]) -> usize {
     let calls_within = |(index, from): (usize, &Duration)| {
         let end = *from + BURST_INTERVAL;
@@ -73,7 +73,8 @@
         .unwrap_or(0)
 }
 
-/// From the start of a process to the first list, for processes that run to the end.
+/// Adds the figures of the delay from the start of a process to its first list, for processes that
+/// run until the end.
 fn put_list_delays(figures: &mut FigureMap, measurements: &Measurements) {
     let incarnations = measurements.records.incarnations.iter();
     let running: Vec<&Incarnation> = incarnations
@@ -94,7 +95,7 @@
     figures.put("list_floor_s", min_last_delay_s);
 }
 
-/// Seconds from the start of a process until it was notified of anything.
+/// Seconds from the start of a process to its first notification by discovery; `None` without one.
 fn list_delay_s(measurements: &Measurements, incarnation: &Incarnation) -> Option<f64> {
     let started = incarnation.started;
     let notifications = measurements.records.notifications.iter();
@@ -105,7 +106,7 @@
     Some(first.checked_sub(started).unwrap().as_secs_f64())
 }
 
-/// Connections to backends, and what backends rejected.
+/// Adds the figures of connections to backends and of rejected attempts.
 fn put_connections(figures: &mut FigureMap, measurements: &Measurements) {
     let accepted = measurements.accepted_connections.iter();
     let accepted: Vec<f64> = accepted.map(|count| *count as f64).collect();
@@ -117,7 +118,7 @@
     figures.put("turned_away", measurements.rejected_attempts as f64);
 }
 
-/// What became of requests.
+/// Adds the figures of the outcomes of requests.
 fn put_requests(figures: &mut FigureMap, measurements: &Measurements) {
     let records = measurements.records;
     let requests = &records.requests;
@@ -145,7 +146,7 @@
     figures.put("lives", records.incarnations.len() as f64);
 }
 
-/// When the last step of the scenario is over.
+/// Time after the start of the run at which the last step of the scenario is complete.
 fn last_step_end(measurements: &Measurements) -> Duration {
     let steps = measurements.scenario.at.iter();
     duration_from_secs(
@@ -155,7 +156,7 @@
     )
 }
 
-/// What processes used, and what discovery wrote to them.
+/// Adds the figures of resource usage and of the bytes that discovery wrote.
 fn put_resources(figures: &mut FigureMap, measurements: &Measurements) {
     let usage = &measurements.usage;
     let memory = usage.max_memory_mb.values().copied();
--- a/crates/testbed/src/report/timeline.rs
+++ b/crates/testbed/src/report/timeline.rs
@@ -1,4 +1,4 @@
-//! The figures of each second of a run.
+//! Figures of each second of a run.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 use super::Measurements;
 use crate::node::Incarnation;
 
-/// What happened in a second.
+/// Figures of one second of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
-    /// Calls to discovery.
+    /// Number of calls that discovery received.
     pub calls: usize,
-    /// Calls to discovery that were not answered.
+    /// Number of calls that discovery did not answer.
     #[serde(rename = "failed")]
     pub failed_calls: usize,
-    /// Nodes that discovery has written anything to in their present incarnation.
+    /// Number of nodes that discovery has notified in their current incarnation.
     #[serde(rename = "fresh")]
     pub nodes_with_list: usize,
-    /// Requests, by when they were meant to be sent.
+    /// Number of requests that were planned for this second.
     #[serde(rename = "asked")]
     pub requests: usize,
-    /// Of these, served within their latency objectives.
+    /// Number of these requests that were served within their latency objectives.
     pub in_time: usize,
-    /// Of these, rejected.
+    /// Number of these requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// Attempts that backends received.
+    /// Number of attempts that backends received.
     pub attempts: usize,
 }
 
-/// The seconds of a run, from its begin.
+/// Computes the figures of each second from the start of the run.
 pub(super) fn seconds(measurements: &Measurements) -> Vec<Second> {
     let length = measurements.scenario.length_s.ceil() as usize;
     let mut seconds = vec![Second::default(); length];
@@ -61,7 +61,7 @@
     seconds
 }
 
-/// Nodes that run at a time and were notified of anything before.
+/// Number of nodes that run at this time and were notified by discovery before it.
 fn nodes_with_list(measurements: &Measurements, time: Duration) -> usize {
     let records = measurements.records;
     let has_list = |incarnation: &&Incarnation| {
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -1,5 +1,5 @@
-//! What one node needs with a short list of backends and with a long one, under the same traffic,
-//! held against the allowances of the operators' acceptance.
+//! Resource usage of one node with a short list of backends and with a long one, under the same
+//! traffic, compared with the allowances that the operators require.
 
 use std::collections::BTreeMap;
 
@@ -9,44 +9,44 @@
     Action, BackendParameters, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
 };
 
-/// Backends of the usual list.
+/// Number of backends in the baseline list.
 pub const BASELINE_BACKENDS: usize = 200;
-/// Backends of the longest list.
+/// Number of backends in the large list.
 pub const LARGE_BACKENDS: usize = 3_200;
-/// Share served at the longer list, at least, of that at the usual one.
+/// Minimum of the served fraction with the large list, relative to that with the baseline list.
 pub const MIN_SERVED_RATIO: f64 = 0.85;
-/// Requests a second of the node.
+/// Requests per second.
 const RATE: f64 = 40.0;
-/// Seconds of traffic.
+/// Length of the run, in seconds.
 const LENGTH_S: f64 = 25.0;
-/// Number of nodes that the node's settings have.
+/// Number of proxies that the node's settings state.
 const PROXY_COUNT: usize = 300;
-/// Descriptors that the node may hold.
+/// Maximum number of descriptors of the node.
 const DESCRIPTOR_LIMIT: usize = 512;
 
-/// What a figure at the longer list may be: `factor` times that at the usual one, plus `constant`,
-/// plus `per_thousand_backends` for each thousand backends.
+/// Upper bound on a figure with the large list: `factor` times the value with the baseline list, plus
+/// `constant`, plus `per_thousand_backends` for each thousand backends.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
     /// Name of the figure in a report.
     pub figure: &'static str,
-    /// What the figure at the usual list is multiplied by.
+    /// Factor for the value with the baseline list.
     pub factor: f64,
-    /// What is added, in the unit of the figure.
+    /// Constant term, in the unit of the figure.
     pub constant: f64,
-    /// What is added for each thousand backends, in the unit of the figure.
+    /// Term for each thousand backends, in the unit of the figure.
     pub per_thousand_backends: f64,
 }
 
 impl Allowance {
-    /// Most that the figure may be at the longer list.
+    /// Maximum value of the figure with the large list.
     fn bound(&self, baseline: f64) -> f64 {
         let thousands = LARGE_BACKENDS as f64 / 1_000.0;
         self.factor * baseline + self.constant + self.per_thousand_backends * thousands
     }
 }
 
-/// The acceptance's table; seconds of a core, MB, and KB of lists.
+/// Allowances that the operators require. CPU time is in seconds, memory in MB, lists in kB.
 pub const ALLOWANCES: [Allowance; 5] = [
     Allowance {
         figure: "cpu_s_mean",
@@ -80,22 +80,22 @@
     },
 ];
 
-/// A figure at both lists.
+/// Values of a figure with both lists.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     /// Name of the figure.
     pub figure: &'static str,
-    /// At the usual list.
+    /// Value with the baseline list.
     pub baseline: f64,
-    /// At the longer list.
+    /// Value with the large list.
     pub large: f64,
-    /// Bound of the latter.
+    /// Bound on the value with the large list: a minimum for `served`, otherwise a maximum.
     pub bound: f64,
-    /// Whether the bound holds.
+    /// Whether the value with the large list is within the bound.
     pub within_bound: bool,
 }
 
-/// One node, so many backends, traffic, and a change of the list each second.
+/// Scenario with one node, this number of backends, traffic, and a change of the list each second.
 pub fn scenario(backends: usize, seed: u64) -> Scenario {
     let step = |at_s, action, part: [f64; 2], over_s| Step {
         at_s,
@@ -116,7 +116,7 @@
         traffic: traffic(),
         at: vec![
             step(0.0, Action::Start, [0.0, 1.0], 0.0),
-            // Each is removed a second after its drain: two changes a backend.
+            // A drained backend changes the list twice, as it is removed a second after its drain.
             step(0.5, Action::Drain, [0.0, drained_fraction], LENGTH_S),
         ],
         expect: Vec::new(),
@@ -152,7 +152,7 @@
     }
 }
 
-/// The figures of both lists, side by side with their bounds.
+/// Compares the figures of the runs with both lists, and checks their bounds.
 pub fn compare(baseline: &BTreeMap<String, f64>, large: &BTreeMap<String, f64>) -> Vec<Comparison> {
     let value_of =
         |figures: &BTreeMap<String, f64>, name| figures.get(name).copied().unwrap_or(f64::NAN);
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,5 +1,6 @@
-//! The soak: a seed draws a fleet, its settings and some faults that overlap in time; the referee
-//! judges. A seed that fails is played again with fewer faults, to find those that it takes.
+//! Soak test: a seed draws a fleet, its settings and several faults that overlap in time, and the
+//! referee checks the run. A seed that fails is run again with fewer faults, to find those that the
+//! failure needs.
 
 mod fault;
 mod plan;
@@ -12,27 +13,27 @@
 use crate::cluster::{Programs, run};
 use crate::report::Report;
 
-/// The result of a seed.
+/// Result of running a seed.
 #[derive(Debug)]
 pub struct SeedResult {
-    /// The smallest plan that still fails, or the full one where none does.
+    /// The full plan of the seed, or the smallest plan found that still fails.
     pub plan: Plan,
-    /// Its report.
+    /// Report of the run of that plan.
     pub report: Report,
 }
 
-/// How seeds are played.
+/// Options for running seeds.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Processes of the node.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Seconds before the traffic and the faults in which nothing happens.
+    /// Seconds of idle time before the traffic and the faults start.
     pub quiet_s: f64,
-    /// A seed that fails is played again with fewer faults.
+    /// Whether a seed that fails is run again with fewer faults.
     pub shrink: bool,
 }
 
-/// Plays a seed; one that fails is played again with one fault less, as long as it still fails.
+/// Runs a seed. If it fails, removes one fault at a time for as long as the run still fails.
 ///
 /// # Errors
 ///
@@ -53,7 +54,7 @@
     Ok(result)
 }
 
-/// The first plan with one fault less that still fails.
+/// Runs the plan without each of its faults in turn; returns the first run that still fails.
 async fn drop_one_fault(plan: &Plan, programs: &Programs) -> io::Result<Option<SeedResult>> {
     for index in 0..plan.faults.len() {
         let plan = plan.without_fault(index);
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -1,64 +1,65 @@
-//! The faults of the soak, and the steps of a scenario that each of them is made of.
+//! Faults of the soak test, and the scenario steps and node settings that implement them.
 
 use std::fmt;
 
 use crate::scenario::{Action, Scenario, Step};
 
-/// Something that goes wrong for a while.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Nodes shut down gracefully and start anew.
+    /// Nodes are shut down gracefully and restarted.
     Restart,
-    /// Nodes are killed and start anew.
+    /// Nodes are killed and restarted.
     Kill,
-    /// Nodes are stopped, and go on after a second at most.
+    /// Nodes are stopped, and resumed after a second at most.
     Stop,
-    /// Configurations in quick succession: half a file, none, a valid one.
+    /// Nodes reload several times within a second: a truncated file, a missing file, a valid one.
     Reloads,
-    /// The process of discovery has died.
+    /// The discovery process is dead: connections are reset, and new ones are refused.
     DiscoveryDown,
-    /// Discovery takes calls and never answers.
+    /// Discovery accepts calls and never answers them.
     DiscoverySilent,
     /// Discovery answers 503.
     DiscoveryOverloaded,
-    /// Discovery starts anew without its history.
+    /// Discovery restarts without its history of changes.
     DiscoveryRestart,
-    /// Links of some nodes to discovery are cut.
+    /// Links of some nodes to discovery carry no bytes.
     DiscoveryCut,
-    /// Backends take requests and answer none.
+    /// Backends accept requests and never answer them.
     BackendSilent,
     /// Backends answer 500.
     BackendFails,
-    /// Backends' connections are reset, twice.
+    /// Connections to backends are reset at the start and at the end of the fault.
     BackendReset,
-    /// Links to backends are cut.
+    /// Links to backends carry no bytes in either direction.
     BackendCut,
-    /// Bytes of backends do not arrive.
+    /// Bytes from backends do not arrive, bytes to backends do.
     BackendCutOut,
-    /// Backends drain.
+    /// Backends are listed as draining, and then removed from the list.
     Drain,
-    /// Backends die and start anew, in slow start.
+    /// Backends die and are restarted, in slow start.
     BackendCrash,
-    /// Calls of the nodes' C library fail for a moment.
+    /// Calls of the nodes to the C library fail with some probability during the fault.
     SystemCalls,
-    /// Nodes' wall clocks are stepped.
+    /// Nodes' wall clocks are off during the fault: they step at its start and back at its end.
     ClockStep,
-    /// Nobody reads the logs.
+    /// Nodes' logs are not read after their first line.
     LogUnread,
-    /// Nodes are delayed: before they read or write, or behind their wait for events.
+    /// Nodes are delayed before they receive or send, or after they wait for events.
     Delays,
-    /// Nodes may hold few descriptors.
+    /// Nodes have a low limit of descriptors.
     FewDescriptors,
-    /// Nodes' wall clocks are off from their start to their end.
+    /// Nodes' wall clocks are off from the start to the end of each process.
     ClockOff,
-    /// All bytes of backends come twice.
+    /// All bytes from backends arrive twice.
     AnswerTwice,
-    /// Backends answer a few bytes at a time.
+    /// Bytes from backends arrive a few at a time.
     AnswerInPieces,
 }
 
 impl FaultKind {
-    /// All of them. A seed draws an index into this array, so their order decides its plan.
+    /// All kinds. A seed draws an index into this array, so another order would change the plans of
+    /// all seeds.
     pub const ALL: [FaultKind; 24] = [
         FaultKind::Restart,
         FaultKind::Kill,
@@ -87,7 +88,8 @@
     ];
 }
 
-/// Plans of the shim, each of calls that fail as Linux documents.
+/// Plans of the fault shim in which calls fail, or transfer fewer bytes than requested, in ways that
+/// Linux documents.
 const SYSTEM_CALL_FAULTS: [&str; 8] = [
     "send=ENOBUFS,chance:0.05",
     "recv=ENOMEM,chance:0.05",
@@ -102,38 +104,40 @@
 /// Steps of the wall clock, in seconds.
 const CLOCK_STEPS: [i64; 6] = [-3_600, -3, 3, 3_600, 6, -6];
 
-/// Plans of the shim that delay nodes for less than the protocol's rules allow.
+/// Plans of the fault shim with delays, in milliseconds, that are shorter than the protocol's rules
+/// allow.
 const DELAYS: [&str; 3] = [
     "send=sleep:120,chance:0.01",
     "recv=sleep:120,chance:0.005",
     "epoll_wait=late:120,chance:0.02",
 ];
 
-/// A node that has not ended this long after SIGTERM is killed, as the platform does.
+/// Seconds after SIGTERM at which a node that has not ended is killed, as the platform does it.
 const KILL_AFTER_S: f64 = 6.5;
-/// A node that was shut down starts anew this long after SIGTERM.
+/// Seconds after SIGTERM at which a node that was shut down is started again.
 const START_AFTER_S: f64 = 6.8;
-/// Longest stop of a node.
+/// Maximum time for which a node is stopped, in seconds.
 const MAX_STOP_S: f64 = 1.0;
-/// A backend that died is off the list after a second, and starts anew this long after its fault.
+/// Seconds after the end of the fault at which a dead backend is restarted. This is more than the
+/// second after which a dead backend is removed from the list.
 const BACKEND_START_AFTER_S: f64 = 1.2;
-/// Each step of a fault is spread over so many seconds.
+/// Seconds over which each step of a fault is spread.
 const STEP_SPREAD_S: f64 = 0.2;
-/// Descriptors that the fault leaves to a node: at least this many, and at most twice as many.
+/// Minimum descriptor limit that the fault sets for the nodes; the maximum is twice this value.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// A fault with its time and the range of nodes or backends that it concerns.
+/// A fault with its time and the range of the nodes or backends that it affects.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// From this second on.
+    /// Start of the fault, in seconds after the start of the run.
     pub from_s: f64,
-    /// For so long.
+    /// Duration of the fault, in seconds.
     pub duration_s: f64,
-    /// Nodes or backends, from 0 to 1 by their numbers.
+    /// Range of the affected nodes or backends, as fractions of their numbers from 0 to 1.
     pub part: [f64; 2],
-    /// A draw from [0, 1) for what the kind leaves open.
+    /// Uniform draw from [0, 1) that selects the variant of a kind that has several.
     pub draw: f64,
 }
 
@@ -149,7 +153,7 @@
 }
 
 impl PlannedFault {
-    /// Adds the fault to a scenario.
+    /// Adds the steps and the settings of the fault to a scenario.
     pub(super) fn add_to(&self, scenario: &mut Scenario) {
         scenario.at.extend(self.steps());
         self.add_to_fleet(scenario);
@@ -166,7 +170,7 @@
         }
     }
 
-    /// The faults that are actions of a scenario: their steps.
+    /// Steps of the fault; empty if the fault consists of node settings.
     fn steps(&self) -> Vec<Step> {
         let (from, to) = (self.from_s, self.from_s + self.duration_s);
         match self.kind {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// The faults that one action begins, and that last until another one puts things right.
+    /// Steps of a fault that one action starts and another action ends.
     fn start_and_end_steps(&self, from: f64, to: f64) -> Vec<Step> {
         let start_action = match self.kind {
             FaultKind::DiscoveryDown => Action::DiscoveryDown,
@@ -227,7 +231,7 @@
         vec![self.step(from, start_action), self.step(to, end_action)]
     }
 
-    /// The faults that are settings of the nodes' processes.
+    /// Sets the node settings of the fault, if it consists of settings.
     fn add_to_fleet(&self, scenario: &mut Scenario) {
         let fleet = &mut scenario.fleet;
         match self.kind {
@@ -250,12 +254,13 @@
         format!("clock=step:{}", self.choose(&CLOCK_STEPS))
     }
 
-    /// One of several values, by this fault's own draw.
+    /// Selects one of several values by the fault's own draw.
     fn choose<T: Copy>(&self, values: &[T]) -> T {
         values[(self.draw * values.len() as f64) as usize]
     }
 
-    /// A plan of the shim, in force for this fault's time counted from the start of each process.
+    /// Limits all rules of a shim plan to the time of the fault. The shim counts the time from the
+    /// start of each process.
     fn during_fault(&self, plan: &str) -> String {
         let from = (self.from_s * 1e3) as u64;
         let to = ((self.from_s + self.duration_s) * 1e3) as u64;
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,5 +1,5 @@
-//! What a seed stands for. The order of the draws is part of that: another order gives every seed
-//! another plan.
+//! Draws the plan of a seed. The order of the draws must not change, as another order gives every
+//! seed another plan.
 
 use std::fmt;
 
@@ -11,37 +11,37 @@
     Action, BackendParameters, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
 };
 
-/// Seconds from the start to the end of the traffic.
+/// End of the traffic, in seconds after the start of the run.
 const TRAFFIC_END_S: f64 = 10.0;
-/// Seconds behind the traffic, for the last answers.
+/// Seconds after the traffic, in which the last answers can arrive.
 const SETTLING_S: f64 = 2.0;
-/// The traffic begins at this second.
+/// Start of the traffic, in seconds after the start of the run.
 const TRAFFIC_START_S: f64 = 1.5;
-/// Requests a second for each node.
+/// Requests per second for each node.
 const REQUEST_RATE_PER_NODE: f64 = 6.0;
-/// Misbehaving clients a second for each node.
+/// Misbehaving clients per second for each node.
 const MISBEHAVING_RATE_PER_NODE: f64 = 1.0;
-/// Least number of backends.
+/// Minimum number of backends.
 const MIN_BACKENDS: usize = 8;
-/// Descriptors of a node, unless a fault leaves it fewer.
+/// Maximum number of descriptors of a node, unless a fault lowers it.
 const DESCRIPTOR_LIMIT: usize = 512;
-/// Spreads neighbouring seeds: 2^64 divided by the golden ratio.
+/// 2^64 divided by the golden ratio, by which neighbouring seeds are spread over all 64-bit values.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a seed has drawn.
+/// Fleet, settings and faults that a seed has drawn.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// The fleet, before any fault.
+    /// Scenario of the fleet without faults.
     pub base: Scenario,
-    /// The faults.
+    /// Faults in the order in which they were drawn.
     pub faults: Vec<PlannedFault>,
-    /// Seconds before the traffic and the faults in which nothing happens.
+    /// Seconds of idle time before the traffic and the faults start.
     pub quiet_s: f64,
 }
 
-/// Draws the plan of a seed for so many nodes.
+/// Draws the plan of a seed for the given number of nodes.
 pub fn draw_plan(seed: u64, nodes: usize) -> Plan {
     let mut random = RandomSource::from_seed(seed.wrapping_mul(SEED_MULTIPLIER));
     let fleet = draw_fleet(&mut random, nodes);
@@ -152,7 +152,7 @@
 }
 
 impl Plan {
-    /// The scenario of the fleet with its faults.
+    /// Builds the scenario with all faults, delayed by the idle time.
     pub fn scenario(&self) -> Scenario {
         let mut scenario = self.base.clone();
         scenario.length_s += self.quiet_s;
@@ -168,7 +168,7 @@
         scenario
     }
 
-    /// The same without one fault.
+    /// Returns the plan without the fault at this index.
     pub(super) fn without_fault(&self, index: usize) -> Plan {
         let mut plan = self.clone();
         plan.faults.remove(index);
