--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Test cluster: runs a scenario with stand-ins, processes of the node, and a timeline of the actions
-//! on them.
+//! Test cluster: runs a scenario with stand-ins, processes of the node, and a timeline of the
+//! actions on them.
 
 mod actions;
 mod front;
@@ -32,7 +32,7 @@
 use crate::report::{Measurements, Report};
 use crate::scenario::{Scenario, duration_from_secs};
 
-/// Time after the notification that a backend drains in which nodes may still send to it, as in the
+/// Time after a backend was listed as draining in which nodes may still send to it, as in the
 /// nodes' settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// Time after the client's timeout in which a final answer may still arrive, as in the nodes'
--- a/crates/testbed/src/cluster/front.rs
+++ b/crates/testbed/src/cluster/front.rs
@@ -25,8 +25,8 @@
 /// Length of `HTTP/1.1 200`, in bytes.
 const STATUS_PREFIX_LENGTH: usize = 12;
 
-/// Admits nodes once their health check succeeds, and stops sending clients to a dead node only after
-/// the scenario's `notice_s`. Runs until its task is aborted.
+/// Admits nodes once their health check succeeds, and stops sending clients to a dead node only
+/// after the scenario's `notice_s`. Runs until its task is aborted.
 pub(super) async fn admit_nodes(cluster: Arc<Cluster>) {
     let mut down_since: BTreeMap<usize, Duration> = BTreeMap::new();
     let mut round = 0u32;
@@ -54,8 +54,8 @@
     }
 
     /// Withdraws an admitted node that has been down for `notice_s`, and checks the health of a
-    /// listening node that is not admitted. `down_since` has the time at which a node was first seen
-    /// down, by node number.
+    /// listening node that is not admitted. `down_since` has the time at which a node was first
+    /// seen down, by node number.
     fn update_admission(
         self: &Arc<Self>,
         number: usize,
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -1,5 +1,5 @@
-//! Load of a run: well-behaved and misbehaving clients arrive in two Poisson processes, and are sent
-//! to nodes that the front has admitted.
+//! Load of a run: well-behaved and misbehaving clients arrive in two Poisson processes, and are
+//! sent to nodes that the front has admitted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -1,4 +1,4 @@
-//! The referee: holds the records of a run against the rules of the protocol.
+//! The referee: checks the records of a run against the rules of the protocol.
 
 mod backends;
 mod misbehaving;
@@ -17,74 +17,73 @@
 
 use crate::node::Incarnation;
 
-/// What a stand-in notices late on a busy machine: it reads that a connection is closed only when
-/// it is scheduled.
+/// Maximum delay with which a stand-in observes an event on a busy machine. For example, it reads
+/// that a connection is closed only when it is scheduled.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(150);
 
-/// The figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// A final answer may come this much after the client's timeout.
+    /// Time after the client's timeout in which a final answer may still arrive.
     pub answer_slack: Duration,
-    /// Nothing new goes to a backend later than this after the node was notified that it drains.
+    /// Time after the notification that a backend drains in which the node may still send to it.
     pub drain_grace: Duration,
-    /// Repeats of an idempotency key are dropped within a cell for this long.
+    /// Time in which the backends of a cell drop repeats of an idempotency key.
     pub key_window: Duration,
-    /// A backend in slow start breaks down if it is sent more than this multiple of what it can do
-    /// ...
+    /// Multiple of its capacity at the time above which a backend in slow start breaks down.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
-    /// Fraction of its speed that a backend starts with.
+    /// Fraction of the full speed at which a backend starts.
     pub slow_start_from: f64,
-    /// Time after a start until a backend is at full speed.
+    /// Time from the start of a backend to its full speed.
     pub slow_start: Duration,
-    /// Mean work of a request.
+    /// Mean processing time of a request at full speed.
     pub work: Duration,
 }
 
-/// A time in which a node was stopped, with what it took to catch up.
+/// A period in which a node was stopped, including the time that it had to catch up.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
     /// Number of the node.
     pub node: usize,
-    /// When it was stopped.
+    /// Time at which the node was stopped.
     pub from: Duration,
-    /// When it had caught up; [`Duration::MAX`] while it is stopped.
+    /// End of the time to catch up; [`Duration::MAX`] while the node is stopped.
     pub until: Duration,
 }
 
-/// The start of a backend in the course of a run.
+/// Restart of a backend during a run.
 #[derive(Clone, Debug)]
 pub struct BackendStart {
-    /// The backend.
+    /// Name of the backend in the endpoint list.
     pub uid: String,
-    /// When it started.
+    /// Time of the restart.
     pub at: Duration,
 }
 
-/// All that is judged.
+/// All records that the referee checks.
 #[derive(Default)]
 pub struct Records {
-    /// Requests of the well-behaved clients.
+    /// Requests of well-behaved clients, with their outcomes.
     pub requests: Vec<RequestRecord>,
-    /// Requests of the misbehaving clients.
+    /// Requests of misbehaving clients, with their outcomes.
     pub misbehaving: Vec<MisbehavingRecord>,
     /// Attempts that backends received.
     pub attempts: Vec<Attempt>,
-    /// What discovery wrote to nodes.
+    /// Lists and watch events that discovery wrote to nodes.
     pub notifications: Vec<Notification>,
-    /// Changes of the endpoint list, by revision.
+    /// Changes of the endpoint list, in order of revision.
     pub endpoint_changes: Vec<EndpointChange>,
-    /// Incarnations of the nodes.
+    /// Incarnations of all nodes.
     pub incarnations: Vec<Incarnation>,
-    /// Times in which nodes were stopped.
+    /// Periods in which nodes were stopped.
     pub pauses: Vec<Pause>,
-    /// Starts of backends.
+    /// Restarts of backends.
     pub backend_starts: Vec<BackendStart>,
 }
 
-/// The attempts of each request, by arrival.
+/// Attempts of each request in order of arrival, by `X-Txn`.
 struct AttemptsByRequest<'a>(BTreeMap<&'a str, Vec<&'a Attempt>>);
 
 impl<'a> AttemptsByRequest<'a> {
@@ -104,7 +103,7 @@
     }
 }
 
-/// Every violation of a rule.
+/// Checks all rules, and returns every violation.
 pub fn find_violations(rules: &Rules, records: &Records) -> Vec<Violation> {
     let attempts = AttemptsByRequest::new(&records.attempts);
     let mut violations = Vec::new();
@@ -132,7 +131,7 @@
     violations
 }
 
-/// A process ends only after a signal, and with exit code 0 unless it is killed.
+/// Checks that a process ended only after a signal, and with exit code 0 unless it was killed.
 fn exit_violation(incarnation: &Incarnation) -> Option<Violation> {
     let exit = incarnation.exit?;
     let is_bad = match incarnation.stop_signal {
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -1,4 +1,4 @@
-//! The rules for what all nodes together send to a backend.
+//! Rules for the attempts that all nodes together send to a backend.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use super::{BackendStart, OBSERVATION_DELAY, Records, Rules, Violation};
 
-/// What the nodes have been notified of, and when.
+/// Changes of the endpoint list, and the times at which nodes were notified of them.
 struct EndpointHistory<'a> {
-    /// Node of each request, by the request's name.
+    /// Node of each request, by `X-Txn`.
     node_by_request: BTreeMap<&'a str, usize>,
-    /// Notifications of each node.
+    /// Notifications of each node, by node number.
     notifications: BTreeMap<usize, Vec<&'a Notification>>,
-    /// Changes of each backend, by revision.
+    /// Changes of each backend in order of revision, by uid.
     changes: BTreeMap<&'a str, Vec<&'a EndpointChange>>,
 }
 
@@ -38,7 +38,7 @@
         history
     }
 
-    /// The latest revision that a node had been notified of at a time.
+    /// Latest revision of which a node had been notified at this time.
     fn revision(&self, node: usize, at: Duration) -> Option<u64> {
         let notifications = self.notifications.get(&node).into_iter().flatten();
         notifications
@@ -47,7 +47,8 @@
             .max()
     }
 
-    /// The node that made an attempt, if it knew a grace before that the backend takes nothing new.
+    /// Returns the node that sent an attempt, if it had been notified that the backend drains or
+    /// was removed, and the grace since then was over.
     fn sender_after_drain(&self, rules: &Rules, attempt: &Attempt) -> Option<usize> {
         let node = *self.node_by_request.get(attempt.txn.as_str())?;
         let changes = self.changes.get(attempt.uid.as_str())?;
@@ -55,8 +56,8 @@
         let revision = self.revision(node, attempt.arrived.saturating_sub(grace));
         let latest_first = || changes.iter().rev();
         let known = latest_first().find(|change| Some(change.revision) <= revision)?;
-        // The node may have been notified since that the backend is back; what came after the
-        // attempt does not count.
+        // The backend may have become ready again since then, and the node may know it. Changes
+        // after the attempt do not count.
         let last = latest_first().find(|change| change.at <= attempt.arrived);
         let is_ready_again =
             last.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Nothing new goes to a backend after the grace of its drain or removal.
+/// Finds the attempts that were sent to a backend after the grace of its drain or removal.
 pub(super) fn sends_after_drain(rules: &Rules, records: &Records) -> Vec<Violation> {
     let history = EndpointHistory::new(records);
     let violation = |attempt: &Attempt| {
@@ -76,7 +77,8 @@
     records.attempts.iter().filter_map(violation).collect()
 }
 
-/// What all nodes together send to a backend in slow start stays within what it can take.
+/// Finds the backends that received more attempts from all nodes together than they can take in
+/// slow start.
 pub(super) fn slow_start_overloads(rules: &Rules, records: &Records) -> Vec<Violation> {
     let starts = records.backend_starts.iter();
     starts
@@ -84,7 +86,7 @@
         .collect()
 }
 
-/// The first overload after a start.
+/// Finds the first overload after a restart of a backend.
 fn slow_start_overload(
     rules: &Rules,
     records: &Records,
@@ -97,7 +99,8 @@
         let capacity = slow_start_capacity(rules, from);
         let within_window = |at: &&Duration| **at <= from + rules.overload_duration;
         let sent = arrivals[index..].iter().take_while(within_window).count();
-        // Three standard deviations of a Poisson process, and a few for small numbers.
+        // Tolerates three standard deviations of a Poisson process, and 3 attempts more for small
+        // counts.
         if sent as f64 > capacity + 3.0 * capacity.sqrt() + 3.0 {
             return Some(Violation::SlowStartOverload {
                 uid: start.uid.clone(),
@@ -110,7 +113,7 @@
     None
 }
 
-/// Times after a start at which attempts came to the backend, in order.
+/// Times after a restart at which the backend received attempts, in ascending order.
 fn arrivals_since(records: &Records, start: &BackendStart) -> Vec<Duration> {
     let mut arrivals: Vec<Duration> = records
         .attempts
@@ -122,7 +125,8 @@
     arrivals
 }
 
-/// Attempts that a backend can take in the overload time that begins this long after its start.
+/// Number of attempts that a backend can take in a window of the overload duration. `from` is the
+/// start of the window, relative to the restart of the backend.
 fn slow_start_capacity(rules: &Rules, from: Duration) -> f64 {
     let slow_start_s = rules.slow_start.as_secs_f64().max(1e-9);
     let fraction =
--- a/crates/testbed/src/referee/misbehaving.rs
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -1,4 +1,4 @@
-//! What is owed to misbehaving clients.
+//! Rules for the requests of misbehaving clients.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use super::{OBSERVATION_DELAY, Records, Rule};
 
-/// An attempt may begin this long after its client has disconnected.
+/// Time after a client's disconnect in which an attempt for it may still begin.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// Within this a client that stops in the middle of a request gets an error or a close.
+/// Time within which a client that stops in the middle of a request gets an error or a close.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The rules that the treatment of a misbehaving client breaks.
+/// Returns the rules that were broken for a misbehaving client.
 pub(super) fn broken_rules(
     records: &Records,
     record: &MisbehavingRecord,
@@ -35,7 +35,8 @@
     broken
 }
 
-/// The client's node was killed, shut down, ended or was stopped near the time of the client.
+/// Whether the client's node was killed, shut down, ended or was stopped around the time of the
+/// client's connection.
 fn is_excused(records: &Records, record: &MisbehavingRecord, connected: Duration) -> bool {
     let wait = record.request.client_timeout.max(PARTIAL_REQUEST_TIMEOUT);
     let end = record.sent.max(connected) + wait;
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -1,4 +1,4 @@
-//! The rules for requests of well-behaved clients.
+//! Rules for the requests of well-behaved clients.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use super::{OBSERVATION_DELAY, Records, Rule, Rules};
 use crate::node::Incarnation;
 
-/// The time left that a backend is notified of may exceed the client's by this.
+/// Maximum excess of the remaining time that a backend is sent over that of the client.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
-/// Requests that come this long after SIGTERM find a process that may have ended.
+/// Time after SIGTERM from which a request may find that the process has ended.
 const SHUTDOWN_NOTICE_TIME: Duration = Duration::from_millis(700);
 
-/// The rules that the outcome and the attempts of a request break.
+/// Returns the rules that the outcome and the attempts of a request break.
 pub(super) fn broken_rules(
     rules: &Rules,
     records: &Records,
@@ -34,13 +34,13 @@
     broken
 }
 
-/// Whether a backend may have executed the attempt.
+/// Whether a backend may have executed the attempt. An overloaded backend rejects it unexecuted.
 fn may_have_executed(attempt: &Attempt) -> bool {
     attempt.outcome != AttemptOutcome::Overloaded
 }
 
-/// An answer 200 is that of a backend for the request, and what may have been executed is not
-/// rejected.
+/// Checks that an answer 200 is a backend's answer to the request, and that a request is not
+/// rejected if it may have been executed and is not idempotent.
 fn wrong_answer(record: &RequestRecord, attempts: &[&Attempt]) -> Option<Rule> {
     let ClientOutcome::Answered { status, body } = &record.outcome else {
         return None;
@@ -62,7 +62,7 @@
     }
 }
 
-/// A final answer comes, and in time, unless what happened to the node excuses it.
+/// Checks that a final answer arrives in time, unless an event at the node excuses its absence.
 fn missing_answer(rules: &Rules, records: &Records, record: &RequestRecord) -> Option<Rule> {
     let end = record.request.planned + record.request.client_timeout + rules.answer_slack;
     let broken = match record.outcome {
@@ -75,8 +75,8 @@
     (!is_excused(records, record, end)).then_some(broken)
 }
 
-/// The request's node was killed, shut down some time before, or stopped while the request was
-/// there.
+/// Whether the request's node was killed or stopped during the request, or ended during it some
+/// time after SIGTERM.
 fn is_excused(records: &Records, record: &RequestRecord, end: Duration) -> bool {
     let planned = record.request.planned;
     let node_ended = records
@@ -91,7 +91,8 @@
     node_ended || node_paused
 }
 
-/// The process was killed while a request was there, or ended well after SIGTERM.
+/// Whether the process was killed during a request, or ended during one that was sent
+/// [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later.
 fn ended_during_request(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
     let Some(signal) = incarnation.stop_signal else {
         return false;
@@ -105,7 +106,7 @@
     killed || sent_after_notice && ended
 }
 
-/// There is one attempt at a time.
+/// Checks that the attempts of a request do not overlap.
 fn concurrent_attempts(attempts: &[&Attempt]) -> Option<Rule> {
     let overlaps = |pair: &[&Attempt]| pair[0].ended > pair[1].arrived + OBSERVATION_DELAY;
     attempts
@@ -114,7 +115,8 @@
         .then_some(Rule::ConcurrentAttempts)
 }
 
-/// After an attempt that may have been executed, another one goes out only as the class allows.
+/// Checks that the attempts after one that may have been executed are allowed by the idempotency of
+/// the request.
 fn forbidden_repeats(rules: &Rules, idempotency: Idempotency, attempts: &[&Attempt]) -> Vec<Rule> {
     let first = attempts
         .iter()
@@ -144,7 +146,7 @@
     broken
 }
 
-/// The time left that a backend is notified of is at most what the client has left, with slack.
+/// Checks that the remaining time that a backend is sent is at most that of the client, with slack.
 fn excessive_remaining_time(deadline: Duration, attempts: &[&Attempt]) -> Option<Rule> {
     let is_excessive = |attempt: &&Attempt| {
         let left = deadline.saturating_sub(attempt.arrived);
--- a/crates/testbed/src/referee/violation.rs
+++ b/crates/testbed/src/referee/violation.rs
@@ -1,4 +1,4 @@
-//! Violations, as values and as text.
+//! Rules, violations and their texts in reports.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,65 +9,72 @@
 
 use crate::node::{Exit, Incarnation};
 
-/// A rule that the referee holds, named by what breaks it.
+/// A rule that the referee checks, named after its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// An answer 200 comes from an attempt at a backend for the same request.
+    /// An answer 200 is a backend's answer to an attempt of the same request.
     AnswerOfNoBackend,
-    /// A request that may have been executed is not rejected, as its client would send it again.
+    /// A request that is not idempotent is not rejected if it may have been executed, as its client
+    /// would send it again.
     RejectedThoughExecuted,
     /// Each request gets a final answer.
     NeverAnswered,
-    /// The final answer comes in time.
+    /// The final answer arrives within the client's timeout and the allowed slack.
     AnsweredTooLate,
-    /// A request has one attempt at a time.
+    /// The attempts of a request do not overlap.
     ConcurrentAttempts,
-    /// A request that is not idempotent is executed once at most.
+    /// A request that is not idempotent is not sent again once it may have been executed.
     RepeatedNotIdempotent,
-    /// Repeats of an idempotency key go to the cell of the first attempt.
+    /// Repeats of an idempotency key are sent to the cell of the first attempt.
     KeyLeftCell,
-    /// Repeats of an idempotency key go out within its window.
+    /// Repeats of an idempotency key are sent within the key's window.
     KeyAfterWindow,
-    /// The time left that a backend is notified of is at most the client's.
+    /// The remaining time that a backend is sent is at most that of the client, with slack.
     RemainingTimeTooLong,
     /// No attempt begins after the client has disconnected.
     AttemptAfterDisconnect,
-    /// A request that was read is answered, whatever its client does.
+    /// A request that was read completely is answered, unless its client disconnects.
     ReadButNotAnswered,
-    /// Half a request gets an error or a close in time.
+    /// An incomplete request is answered with an error or a close in time.
     HalfRequestIgnored,
-    /// Nothing new goes to a backend after the grace of its drain.
+    /// No attempt is sent to a backend after the grace of its drain or removal.
     SentAfterDrain,
-    /// All nodes together send a backend in slow start no more than it can take.
+    /// All nodes together send a backend in slow start no more attempts than it can take.
     SlowStartOverload,
-    /// A process ends only after a signal, and with exit code 0 unless killed.
+    /// A process ends only after a signal, and with exit code 0 unless it is killed.
     BadExit,
-    /// The node itself found a rule broken.
+    /// A node detects no violation of its own rules.
     FoundByNode,
 }
 
 impl Rule {
-    /// What broke the rule, for a report.
+    /// Text that describes a violation of the rule in a report.
     pub fn text(self) -> &'static str {
         match self {
-            Rule::AnswerOfNoBackend => "served with something that no backend made for it",
-            Rule::RejectedThoughExecuted => "refused though it may have run",
+            Rule::AnswerOfNoBackend => {
+                "answered 200 without such an answer of a backend to this request"
+            }
+            Rule::RejectedThoughExecuted => "rejected although it may have been executed",
             Rule::NeverAnswered => "never answered",
             Rule::AnsweredTooLate => "answered too late",
-            Rule::ConcurrentAttempts => "two attempts at a time",
-            Rule::RepeatedNotIdempotent => "an unsafe request went out again",
-            Rule::KeyLeftCell => "a keyed request left its cell",
-            Rule::KeyAfterWindow => "a keyed request went out after its window",
-            Rule::RemainingTimeTooLong => "a backend was told more time than the client has left",
-            Rule::AttemptAfterDisconnect => "an attempt began after its client had left",
+            Rule::ConcurrentAttempts => "two attempts overlapped",
+            Rule::RepeatedNotIdempotent => "a request that is not idempotent was sent again",
+            Rule::KeyLeftCell => "a request with an idempotency key was sent to another cell",
+            Rule::KeyAfterWindow => {
+                "a request with an idempotency key was sent again after its window"
+            }
+            Rule::RemainingTimeTooLong => {
+                "a backend was sent a longer remaining time than the client has"
+            }
+            Rule::AttemptAfterDisconnect => "an attempt began after its client had disconnected",
             Rule::ReadButNotAnswered => "a request that was read was never answered",
             Rule::HalfRequestIgnored => {
-                "a client that stopped midway got neither error nor close in time"
+                "an incomplete request got neither an error nor a close in time"
             }
-            Rule::SentAfterDrain => "sent after a drain was told",
-            Rule::SlowStartOverload => "a cold backend was pushed over",
-            Rule::BadExit => "a node ended by itself or badly",
-            Rule::FoundByNode => "a node found a rule broken",
+            Rule::SentAfterDrain => "sent to a backend after the grace of its drain or removal",
+            Rule::SlowStartOverload => "a backend in slow start was overloaded",
+            Rule::BadExit => "a node ended without a signal or with a wrong exit code",
+            Rule::FoundByNode => "a node detected a violation",
         }
     }
 }
@@ -78,62 +85,62 @@
     }
 }
 
-/// A rule that was broken, and by what. Its text names the rule and everything that the records
-/// have of it.
+/// A broken rule with the records that show it. Its text describes the violation and contains all
+/// of these records.
 #[derive(Clone, Debug)]
 pub enum Violation {
-    /// By what became of a request.
+    /// The outcome or the attempts of a request broke a rule.
     Request {
-        /// The rule.
+        /// Broken rule.
         rule: Rule,
-        /// The request, and how it ended for its client.
+        /// Request and its outcome for the client.
         record: RequestRecord,
-        /// Its attempts, by arrival.
+        /// Attempts of the request, in order of arrival.
         attempts: Vec<Attempt>,
     },
-    /// By what became of a misbehaving client.
+    /// A rule was broken for a misbehaving client.
     MisbehavingClient {
-        /// The rule.
+        /// Broken rule.
         rule: Rule,
-        /// The client.
+        /// Request and its outcome for the client.
         record: MisbehavingRecord,
-        /// The attempts of its request, by arrival.
+        /// Attempts of the request, in order of arrival.
         attempts: Vec<Attempt>,
     },
-    /// By an attempt at a backend that the node knew to drain or to be removed.
+    /// A node sent an attempt to a backend that it knew to be draining or removed.
     SentAfterDrain {
-        /// Number of the node.
+        /// Number of the node that sent the attempt.
         node: usize,
-        /// The attempt.
+        /// Attempt as the backend received it.
         attempt: Attempt,
     },
-    /// By the attempts at a backend in slow start.
+    /// A backend in slow start received more attempts than it can take.
     SlowStartOverload {
-        /// The backend.
+        /// Name of the backend in the endpoint list.
         uid: String,
-        /// Attempts that it received ...
+        /// Number of attempts that the backend received in the window.
         sent: usize,
-        /// ... of so many that it can take, ...
+        /// Number of attempts that the backend can take in the window.
         capacity: f64,
-        /// ... in a time that begins this long after its start.
+        /// Start of the window, relative to the restart of the backend.
         from: Duration,
     },
-    /// By the end of a process.
+    /// A process ended without a signal, or with a wrong exit code.
     BadExit {
-        /// The process.
+        /// Incarnation that ended.
         incarnation: Incarnation,
-        /// Its end.
+        /// End of the process.
         exit: Exit,
     },
-    /// By what a node logged of itself.
+    /// A node logged a violation that it detected itself.
     FoundByNode {
-        /// The line of the log, with the node.
+        /// Line of the log, prefixed with the number of the node.
         line: String,
     },
 }
 
 impl Violation {
-    /// The rule that was broken.
+    /// Returns the rule that was broken.
     pub fn rule(&self) -> Rule {
         match self {
             Violation::Request { rule, .. } | Violation::MisbehavingClient { rule, .. } => *rule,
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `referee`: each rule's planted violation is found, and nothing else.
+//! Unit tests of `referee`: records with a violation of a rule yield exactly that violation.
 
 use super::*;
 use kitefork_standin::backend::AttemptOutcome::{self, ConnectionLost, Failed, Overloaded, Served};
@@ -25,7 +25,7 @@
     }
 }
 
-/// A request of node 3 that was meant to be sent at 1,000 ms and may last 500 ms.
+/// A request at node 3, planned for 1,000 ms, whose client waits 500 ms.
 fn record(idempotency: Idempotency, outcome: ClientOutcome, ended: u64) -> RequestRecord {
     RequestRecord {
         request: ClientRequest {
@@ -69,12 +69,12 @@
     answered(503, "refused")
 }
 
-/// An attempt that is served.
+/// One attempt, which is served.
 fn served_attempt() -> Vec<Attempt> {
     vec![attempt("a", 1, 1_010, 1_100, Served)]
 }
 
-/// An attempt in cell 2 with this outcome, and one that is served.
+/// An attempt in cell 2 with this outcome, and a second one in `cell`, which is served.
 fn retried(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
     vec![
         attempt("b", 2, 1_010, 1_300, outcome),
@@ -123,8 +123,8 @@
 
 #[rustfmt::skip]
 fn answer_cases() -> Vec<Case> {
-    const WRONG_SOURCE: &[&str] = &["served with something that no backend made for it"];
-    const EXECUTED: &[&str] = &["refused though it may have run"];
+    const WRONG_SOURCE: &[&str] = &["answered 200 without such an answer of a backend to this request"];
+    const EXECUTED: &[&str] = &["rejected although it may have been executed"];
     let rejected_attempt = vec![attempt("a", 1, 1_010, 1_020, Overloaded)];
     vec![
         case(Idempotent, served(), 1_100, served_attempt(), &[]),
@@ -143,9 +143,9 @@
 
 #[rustfmt::skip]
 fn repeat_cases() -> Vec<Case> {
-    const CONCURRENT: &[&str] = &["two attempts at a time"];
-    const REPEATED: &[&str] = &["an unsafe request went out again"];
-    const LEFT_CELL: &[&str] = &["a keyed request left its cell"];
+    const CONCURRENT: &[&str] = &["two attempts overlapped"];
+    const REPEATED: &[&str] = &["a request that is not idempotent was sent again"];
+    const LEFT_CELL: &[&str] = &["a request with an idempotency key was sent to another cell"];
     vec![
         case(Idempotent, served(), 1_450, retried(ConnectionLost, 1, 1_400), &[]),
         case(Idempotent, served(), 1_450, retried(ConnectionLost, 1, 1_020), CONCURRENT),
@@ -179,7 +179,7 @@
     late.request.client_timeout = MS(5_000);
     assert_eq!(
         rules_broken_by(late, retried(Failed, 2, 4_200)),
-        ["a keyed request went out after its window"]
+        ["a request with an idempotency key was sent again after its window"]
     );
 }
 
@@ -189,7 +189,7 @@
         (790, &[][..]),
         (
             791,
-            &["a backend was told more time than the client has left"],
+            &["a backend was sent a longer remaining time than the client has"],
         ),
     ] {
         let mut attempts = served_attempt();
@@ -199,7 +199,7 @@
     }
 }
 
-/// An incarnation of node 3; each time in milliseconds.
+/// An incarnation of node 3, with times in milliseconds.
 fn incarnation(stop: Option<(u64, bool)>, exit: Option<(u64, Option<i32>)>) -> Incarnation {
     Incarnation {
         node: 3,
@@ -213,7 +213,7 @@
     }
 }
 
-/// The rules that are broken where the node's client gets no answer.
+/// The rules broken if a client of node 3 loses its connection at 1,200 ms without an answer.
 fn rules_broken_by_lost_connection(
     incarnation: Incarnation,
     pauses: Vec<Pause>,
@@ -229,11 +229,14 @@
 #[test]
 fn killed_or_paused_node_excuses_only_its_requests_at_the_time() {
     const NEVER: &[&str] = &["never answered"];
-    const BAD_EXIT: &[&str] = &["never answered", "a node ended by itself or badly"];
+    const BAD_EXIT: &[&str] = &[
+        "never answered",
+        "a node ended without a signal or with a wrong exit code",
+    ];
     for (stop, exit, expected) in [
         (Some((1_200, true)), Some((1_201, None)), &[][..]),
         (Some((2_200, true)), Some((2_201, None)), NEVER),
-        // SIGTERM excuses what came long after it, and only that.
+        // SIGTERM excuses only requests that were sent long after it.
         (Some((900, false)), Some((1_201, Some(0))), NEVER),
         (Some((200, false)), Some((1_201, Some(0))), &[]),
         (None, Some((5_000, Some(101))), BAD_EXIT),
@@ -253,7 +256,8 @@
     }
 }
 
-/// A client of node 3 that connects at 1,000 ms, has sent at 1,010 ms, and gets this.
+/// A client that connects to node 3 at 1,000 ms, sends at 1,010 ms, and receives this number of
+/// answers.
 fn misbehaving(behaviour: Behaviour, answers: usize, ended: Option<u64>) -> MisbehavingRecord {
     MisbehavingRecord {
         request: MisbehavingRequest {
@@ -275,7 +279,7 @@
 #[test]
 fn missing_answers_to_misbehaving_clients_are_reported() {
     const UNANSWERED: &[&str] = &["a request that was read was never answered"];
-    const IGNORED: &[&str] = &["a client that stopped midway got neither error nor close in time"];
+    const IGNORED: &[&str] = &["an incomplete request got neither an error nor a close in time"];
     for (record, expected) in [
         (misbehaving(Behaviour::HalfCloses, 1, Some(1_100)), &[][..]),
         (misbehaving(Behaviour::HalfCloses, 0, None), UNANSWERED),
@@ -321,7 +325,10 @@
     record.disconnected = Some(MS(1_060));
     for (arrived, expected) in [
         (1_310, &[][..]),
-        (1_311, &["an attempt began after its client had left"]),
+        (
+            1_311,
+            &["an attempt began after its client had disconnected"],
+        ),
     ] {
         let records = Records {
             misbehaving: vec![record.clone()],
@@ -347,7 +354,8 @@
     }
 }
 
-/// The rules broken by an attempt at a time, where the node is notified of revision 2 at another.
+/// The rules broken by an attempt at time `at` if the node was notified of revision 2 at time
+/// `notified`, in milliseconds.
 fn rules_broken_by_send(at: u64, notified: u64, changes: &[EndpointChange]) -> Vec<&'static str> {
     broken_rules(&Records {
         requests: vec![record(Idempotent, served(), at + 10)],
@@ -362,7 +370,8 @@
     })
 }
 
-/// Violations by so many attempts in the two seconds after the start of a backend.
+/// Number of violations if a backend receives this number of attempts in the two seconds after its
+/// restart.
 fn overloads(attempts: u64) -> usize {
     let arrivals = (0..attempts).map(|number| 1_000 + number * 2_000 / attempts);
     let attempts = arrivals.map(|arrived| attempt("a", 1, arrived, 4_000, Served));
@@ -379,18 +388,19 @@
 
 #[test]
 fn sends_after_drain_and_slow_start_overloads_are_reported() {
-    const AFTER_DRAIN: [&str; 1] = ["sent after a drain was told"];
+    const AFTER_DRAIN: [&str; 1] = ["sent to a backend after the grace of its drain or removal"];
     let mut changes = vec![change(2, 500, EndpointState::Draining)];
     assert_eq!(rules_broken_by_send(1_100, 900, &changes), [""; 0]);
     assert_eq!(rules_broken_by_send(1_100, 600, &changes), AFTER_DRAIN);
     changes.push(change(3, 1_000, EndpointState::Ready));
     assert_eq!(rules_broken_by_send(1_100, 600, &changes), [""; 0]);
-    // A second start, or another drain, after the attempt.
+    // A change after the attempt, to ready or to draining, does not matter.
     for state in [EndpointState::Ready, EndpointState::Draining] {
         let again = [&changes[..], &[change(4, 5_000, state)]].concat();
         assert_eq!(rules_broken_by_send(1_100, 600, &again), [""; 0]);
         assert_eq!(rules_broken_by_send(950, 450, &again), AFTER_DRAIN);
     }
-    // Three tenths of a hundred a second, times three, for two seconds: 180, and some for chance.
+    // The capacity of 100 attempts a second, times 0.3 at the start, times the overload multiple of
+    // 3, is 180 in two seconds; some more are tolerated.
     assert_eq!((overloads(180), overloads(300)), (0, 1));
 }
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -24,8 +24,8 @@
 /// Maximum number of descriptors of the node.
 const DESCRIPTOR_LIMIT: usize = 512;
 
-/// Upper bound on a figure with the large list: `factor` times the value with the baseline list, plus
-/// `constant`, plus `per_thousand_backends` for each thousand backends.
+/// Upper bound on a figure with the large list: `factor` times the value with the baseline list,
+/// plus `constant`, plus `per_thousand_backends` for each thousand backends.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
     /// Name of the figure in a report.
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenario files: a fleet, what happens to it and when, and bounds on the figures of the report.
-//! Spellings of earlier versions are accepted as aliases.
+//! Scenario files: a fleet, the steps that happen to it, and bounds on the figures of the report.
+//! Keys and words of earlier versions are accepted as aliases.
 
 mod validation;
 
@@ -10,32 +10,32 @@
 
 pub use validation::{ScenarioError, UnmetExpectation};
 
-/// A scenario. `docs/testbed.md` documents each key.
+/// Contents of a scenario file. `docs/testbed.md` documents each key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One line that says what it shows.
+    /// One line that describes the scenario.
     pub about: String,
     /// Seed of all random draws.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Seconds from the first event to the end.
+    /// Length of the run, in seconds.
     pub length_s: f64,
-    /// How many processes and stand-ins there are.
+    /// Numbers of nodes and backends, and the settings for starting the nodes.
     pub fleet: Fleet,
-    /// The discovery service.
+    /// Parameters of the discovery service.
     #[serde(default, alias = "list")]
     pub discovery: Discovery,
-    /// The backends.
+    /// Parameters of each backend.
     #[serde(default)]
     pub backend: BackendParameters,
-    /// The clients.
+    /// Traffic that the clients send.
     #[serde(default)]
     pub traffic: Traffic,
-    /// What happens, in any order.
+    /// Steps of the run, in any order.
     #[serde(default)]
     pub at: Vec<Step>,
-    /// Bounds that decide the verdict, beside violations.
+    /// Bounds on figures. A run passes if all are met and there are no violations or panics.
     #[serde(default)]
     pub expect: Vec<Expect>,
 }
@@ -44,30 +44,30 @@
     1
 }
 
-/// How many nodes and backends there are, and what nodes get at their start.
+/// Numbers of nodes and backends, and the settings for starting the nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Processes of the program.
+    /// Number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Zones, over which nodes and backends are dealt in turn.
+    /// Number of zones, to which nodes and backends are assigned in turn.
     #[serde(default = "default_zones")]
     pub zones: usize,
-    /// The endpoint list that a node is given at its first start.
+    /// Endpoint list that a node is given at its first start.
     #[serde(default)]
     pub known: Known,
-    /// Number of nodes as the settings have it; the true one if absent.
+    /// Number of proxies that the nodes' settings state; the number of nodes if absent.
     #[serde(alias = "siblings")]
     pub proxy_count: Option<usize>,
-    /// Descriptors that a node may hold.
+    /// Maximum number of descriptors of a node.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// A plan of the fault shim that is preloaded into each node; none if empty.
+    /// Plan of the fault shim that is preloaded into each node; no shim is loaded if it is empty.
     #[serde(default)]
     pub faults: String,
-    /// Nobody reads the nodes' logs, and they trace.
+    /// Whether the nodes' logs are left unread while the nodes write traces to them.
     #[serde(default)]
     pub log_unread: bool,
 }
@@ -80,34 +80,36 @@
     1
 }
 
-/// What a node knows at its first start. After that it is given the list of the moment it ended.
+/// Endpoint list that a node is given at its first start. Each later incarnation is given the list
+/// of the time at which the one before was signalled to end.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Known {
-    /// Nothing.
+    /// A list without endpoints.
     Empty,
-    /// The list as it is.
+    /// The current list.
     #[default]
     Current,
-    /// A list in which three in ten have been removed since, and their addresses belong to others.
+    /// A list in which three in ten endpoints are former backends, whose addresses now belong to
+    /// other backends.
     Stale,
 }
 
-/// Figures of the discovery service.
+/// Parameters of the discovery service.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Work of a call, milliseconds.
+    /// Processing time of a call, in milliseconds.
     pub call_ms: f64,
-    /// Work of an endpoint in an answer, microseconds.
+    /// Processing time of each endpoint in an answer, in microseconds.
     #[serde(alias = "row_us")]
     pub endpoint_us: f64,
-    /// Longest wait in its queue, milliseconds.
+    /// Maximum time that a call waits in the queue, in milliseconds.
     #[serde(alias = "most_wait_ms")]
     pub max_wait_ms: f64,
-    /// Changes kept for watches that resume.
+    /// Number of changes that are kept for watches that resume.
     pub history: usize,
-    /// The settings say that lists are pushed to nodes.
+    /// Whether the nodes' settings say that lists are pushed to them.
     pub pushed: bool,
 }
 
@@ -123,23 +125,23 @@
     }
 }
 
-/// Figures of a backend.
+/// Parameters of a backend.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendParameters {
-    /// Mean work of a request, milliseconds.
+    /// Mean processing time of a request at full speed, in milliseconds.
     pub work_ms: f64,
-    /// Work of a new connection, milliseconds.
+    /// Processing time of a new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     #[serde(alias = "room")]
     pub capacity: usize,
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Fraction of its speed that it starts with.
+    /// Fraction of the full speed at the start of slow start.
     #[serde(alias = "cold_from")]
     pub slow_start_from: f64,
-    /// Seconds until it is at full speed.
+    /// Duration of slow start, in seconds.
     #[serde(alias = "cold_s")]
     pub slow_start_s: f64,
 }
@@ -157,22 +159,22 @@
     }
 }
 
-/// What clients send.
+/// Traffic that the clients send.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Traffic {
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     pub rate: f64,
-    /// From this second on.
+    /// Start of the traffic, in seconds after the start of the run.
     pub from_s: f64,
-    /// Up to this one; to the end of the scenario if absent.
+    /// End of the traffic, in seconds after the start of the run; the end of the run if absent.
     pub to_s: Option<f64>,
-    /// Misbehaving clients a second, over all nodes.
+    /// Misbehaving clients per second, over all nodes.
     #[serde(alias = "odd_rate")]
     pub misbehaving_rate: f64,
-    /// Seconds for which clients go on to a node that has died.
+    /// Seconds for which clients are still sent to a node that has died.
     pub notice_s: f64,
-    /// Classes, with their shares.
+    /// Classes of the requests, with their shares.
     pub class: Vec<Class>,
 }
 
@@ -180,26 +182,26 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class, also in the nodes' settings.
     pub name: String,
-    /// What executing one of its requests twice means.
+    /// Whether, and under which condition, a request of the class may be executed twice.
     #[serde(alias = "effect", with = "IdempotencyWord")]
     pub idempotency: Idempotency,
-    /// Its share of all requests, relative to the others'.
+    /// Share of all requests, relative to the shares of the other classes.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// An answer within this time has its full weight, milliseconds.
+    /// Time within which an answer has its full weight, in milliseconds.
     #[serde(alias = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// How long clients wait, milliseconds.
+    /// Time that clients wait for an answer, in milliseconds.
     #[serde(alias = "deadline_ms")]
     pub client_timeout_ms: f64,
-    /// What an answer counts.
+    /// Weight of an answer, relative to the other classes.
     #[serde(alias = "worth", default = "default_priority_weight")]
     pub priority_weight: f64,
 }
 
-/// How scenario files write [`Idempotency`].
+/// Words for [`Idempotency`] in scenario files.
 #[derive(Deserialize)]
 #[serde(remote = "Idempotency", rename_all = "snake_case")]
 enum IdempotencyWord {
@@ -220,37 +222,37 @@
 }
 
 impl Class {
-    /// How long clients wait.
+    /// Time that clients wait for an answer.
     pub fn client_timeout(&self) -> Duration {
         duration_from_secs(self.client_timeout_ms / 1_000.0)
     }
 
-    /// An answer within this time has its full weight.
+    /// Time within which an answer has its full weight.
     pub fn latency_objective(&self) -> Duration {
         duration_from_secs(self.latency_objective_ms / 1_000.0)
     }
 }
 
-/// Something that happens.
+/// An action at a given time, on discovery or on a part of the nodes or backends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in seconds.
+    /// Time of the step, in seconds after the start of the run.
     #[serde(rename = "s")]
     pub at_s: f64,
-    /// What.
+    /// Action that is applied.
     #[serde(rename = "do")]
     pub action: Action,
-    /// Range of the nodes or backends that it concerns, from 0 to 1 by their numbers; all if
+    /// Range of the affected nodes or backends, as fractions of their numbers from 0 to 1; all if
     /// absent.
     #[serde(default = "default_part")]
     pub part: [f64; 2],
-    /// Only those of this zone.
+    /// Zone to which the step is limited; all zones if absent.
     pub zone: Option<usize>,
-    /// Seconds over which it is spread evenly.
+    /// Seconds over which the action is spread evenly.
     #[serde(default)]
     pub over_s: f64,
-    /// A figure that some actions take: a fraction of the speed.
+    /// Fraction of the full speed, for actions that take one.
     #[serde(default = "default_size")]
     pub size: f64,
 }
@@ -263,87 +265,87 @@
     1.0
 }
 
-/// What can happen.
+/// Action of a step.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Nodes start, with what they know; those that run go on.
+    /// Starts nodes with the endpoint lists in their configurations; running nodes are left alone.
     Start,
-    /// Nodes die at once (SIGKILL).
+    /// Kills nodes (SIGKILL).
     Kill,
-    /// Nodes shut down gracefully (SIGTERM).
+    /// Shuts nodes down gracefully (SIGTERM).
     Term,
-    /// Nodes are stopped (SIGSTOP).
+    /// Stops nodes (SIGSTOP).
     Stop,
-    /// Nodes go on (SIGCONT).
+    /// Resumes nodes (SIGCONT).
     Cont,
-    /// Nodes read their configuration anew (SIGHUP).
+    /// Makes nodes reload a valid configuration file (SIGHUP).
     Reload,
-    /// The same, with a file that is half written.
+    /// Makes nodes reload a truncated configuration file (SIGHUP).
     ReloadHalf,
-    /// The same, with no file.
+    /// Makes nodes reload a missing configuration file (SIGHUP).
     ReloadMissing,
-    /// Discovery answers, over healthy links.
+    /// Makes discovery answer, over healthy links.
     #[serde(alias = "list-up")]
     DiscoveryUp,
-    /// Discovery answers 503.
+    /// Makes discovery answer 503.
     #[serde(alias = "list-busy")]
     DiscoveryOverloaded,
-    /// Discovery takes calls and never answers.
+    /// Makes discovery accept calls and never answer them.
     #[serde(alias = "list-silent")]
     DiscoverySilent,
-    /// Discovery ends connections in the middle of answers.
+    /// Makes discovery close connections in the middle of answers.
     #[serde(alias = "list-half")]
     DiscoveryTruncates,
-    /// The process of discovery has died: connections are reset, new ones refused.
+    /// Resets the connections to discovery and refuses new ones, as if its process had died.
     #[serde(alias = "list-down")]
     DiscoveryDown,
-    /// Discovery starts anew without its history: watches are reset.
+    /// Restarts discovery without its history of changes; watches are reset.
     #[serde(alias = "list-restart")]
     DiscoveryRestart,
-    /// The links of nodes to discovery are cut.
+    /// Cuts the links from nodes to discovery in both directions.
     #[serde(alias = "list-cut")]
     DiscoveryCut,
-    /// Backends drain, and are removed from the list a second later.
+    /// Lists backends as draining, and removes them from the list a second later.
     Drain,
-    /// Backends die, and are removed from the list a second later.
+    /// Kills backends, and removes them from the list a second later.
     BackendKill,
-    /// Backends start anew, in slow start, and are listed as ready.
+    /// Restarts backends, in slow start, and lists them as ready.
     BackendStart,
-    /// Backends take requests and answer none.
+    /// Makes backends accept requests and never answer them.
     #[serde(alias = "swallow")]
     BackendSilent,
-    /// Backends answer 500.
+    /// Makes backends answer 500.
     #[serde(alias = "fail")]
     BackendFails,
-    /// Backends work at `size` of their speed, over healthy links.
+    /// Makes backends work at the fraction `size` of their speed, over healthy links.
     #[serde(alias = "work")]
     BackendWorks,
-    /// All bytes of backends come twice.
+    /// Delivers all bytes from backends twice.
     AnswerTwice,
-    /// Bytes of backends come a few at a time.
+    /// Delivers the bytes from backends a few at a time.
     AnswerInPieces,
-    /// The links to backends are cut.
+    /// Cuts the links to backends in both directions.
     BackendCut,
-    /// Bytes of backends don't arrive, bytes of nodes do.
+    /// Cuts the links to backends in the direction to the nodes only.
     BackendCutOut,
-    /// The connections of backends are reset under their requests.
+    /// Resets the connections to backends, also those with requests in flight.
     BackendReset,
 }
 
-/// What an action is done to.
+/// Target of an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// Nodes, or their links to discovery, by number.
+    /// Nodes or their links to discovery, by node number.
     Nodes,
-    /// The one discovery service.
+    /// The discovery service, of which there is one.
     Discovery,
-    /// Backends, or the links to them, by number.
+    /// Backends or the links to them, by backend number.
     Backends,
 }
 
 impl Action {
-    /// What the action is done to.
+    /// Returns the target of the action.
     pub fn target(self) -> Target {
         match self {
             Action::Start
@@ -380,15 +382,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Name of the figure; `kitefork-testbed run` prints all.
+    /// Name of the figure, as `kitefork-testbed run` prints it.
     pub figure: String,
-    /// It is at least this.
+    /// Minimum value; unbounded below if absent.
     pub least: Option<f64>,
-    /// It is at most this.
+    /// Maximum value; unbounded above if absent.
     pub most: Option<f64>,
 }
 
-/// Seconds as a duration; zero for what is none, as a negative number.
+/// Converts seconds to a duration; negative and unrepresentable values become zero.
 pub fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Reading a scenario, and holding a report against what it expects.
+//! Parses and validates scenarios, and checks figures against the expectations.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,54 +7,54 @@
 
 use super::{Expect, Scenario, Step};
 
-/// Most processes of the program in a scenario.
+/// Maximum number of nodes in a scenario.
 const MAX_NODES: usize = 2_000;
-/// Most backends in a scenario.
+/// Maximum number of backends in a scenario.
 const MAX_BACKENDS: usize = 20_000;
-/// Longest scenario, seconds.
+/// Maximum length of a scenario, in seconds.
 const MAX_LENGTH_S: f64 = 3_600.0;
 
-/// Why a file is no scenario.
+/// Reason why a file is not a valid scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// It can't be parsed; the text names line and column.
+    /// The file can't be parsed; the message names line and column.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// Too few or too many nodes, zones or backends.
-    #[error("fleet: 1 to 2,000 nodes, at least one zone, at most 20,000 backends")]
+    /// The number of nodes, zones or backends is out of its bounds.
+    #[error("fleet: nodes must be 1 to 2,000, zones at least 1, backends at most 20,000")]
     FleetSize,
-    /// No length, or too long.
-    #[error("length_s: above 0, at most 3,600")]
+    /// The length is out of its bounds.
+    #[error("length_s: must be above 0 and at most 3,600")]
     Length,
-    /// Requests of no class.
-    #[error("traffic: a rate and no class")]
+    /// There is a request rate, but no class of requests.
+    #[error("traffic: rate is above 0, but there is no class")]
     NoClass,
-    /// A step before the start, or for a part that does not exist.
-    #[error("at {at_s} s: parts lie between 0 and 1, times are 0 or more")]
+    /// The time or the part of a step is out of its bounds.
+    #[error("at {at_s} s: part must lie between 0 and 1, s must be 0 or more")]
     StepBounds {
-        /// When the step is.
+        /// Time of the step, in seconds.
         at_s: f64,
     },
-    /// A step whose size is not a positive number.
+    /// The size of a step is not a positive number.
     #[error("at {at_s} s: size must be above 0")]
     StepSize {
-        /// When the step is.
+        /// Time of the step, in seconds.
         at_s: f64,
     },
-    /// An expectation without a bound.
-    #[error("expect `{figure}`: neither least nor most")]
+    /// An expectation has no bound.
+    #[error("expect `{figure}`: neither least nor most is given")]
     NoBound {
         /// Name of the figure.
         figure: String,
     },
 }
 
-/// An expectation that does not hold.
+/// An expectation that is not met.
 #[derive(Clone, Debug)]
 pub struct UnmetExpectation {
-    /// The expectation.
+    /// Bounds that are not met.
     pub expect: Expect,
-    /// The figure; `None` if the run has not counted it.
+    /// Value of the figure; `None` if the report has no such figure.
     pub measured: Option<f64>,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses and validates the text of a scenario file.
     ///
     /// # Errors
     ///
@@ -107,7 +107,8 @@
         self.expect.iter().try_for_each(Expect::validate)
     }
 
-    /// The expectations that these figures don't meet. One whose figure was not counted is unmet.
+    /// Returns the expectations that these figures do not meet. An expectation on a missing figure
+    /// is not met.
     pub fn unmet(&self, figures: &BTreeMap<String, f64>) -> Vec<UnmetExpectation> {
         let expectations = self.expect.iter();
         let checked = expectations.map(|expect| UnmetExpectation {
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -13,10 +13,13 @@
         ("[[at]]\ns = 0\ndo = \"jump\"\n", "line 8, column 6"),
         (
             "[[at]]\ns = 0\ndo = \"kill\"\npart = [0, 2]\n",
-            "at 0 s: parts",
+            "at 0 s: part must",
         ),
         ("[[expect]]\nfigure = \"calls\"\n", "expect `calls`"),
-        ("[traffic]\nrate = 3\n", "a rate and no class"),
+        (
+            "[traffic]\nrate = 3\n",
+            "traffic: rate is above 0, but there is no class",
+        ),
     ] {
         let error = Scenario::parse(&format!("{MINIMAL}{extra}"))
             .unwrap_err()
@@ -41,7 +44,7 @@
     assert_eq!(unmet(f64::NAN).len(), 2);
 }
 
-/// Keys and words of earlier versions, beside those of today.
+/// Keys and words of earlier versions, each with its current equivalent.
 const SPELLINGS: [(&str, &str); 8] = [
     (
         "[list]\nrow_us = 2\nmost_wait_ms = 3\n",
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -88,8 +88,8 @@
     ];
 }
 
-/// Plans of the fault shim in which calls fail, or transfer fewer bytes than requested, in ways that
-/// Linux documents.
+/// Plans of the fault shim in which calls fail, or transfer fewer bytes than requested, in ways
+/// that Linux documents.
 const SYSTEM_CALL_FAULTS: [&str; 8] = [
     "send=ENOBUFS,chance:0.05",
     "recv=ENOMEM,chance:0.05",
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,13 +1,13 @@
-//! Every scenario of the repository at a small size, with real processes of the program: no rule is
-//! broken, none panics, and what a scenario expects of lists holds. How fast and how much is not
-//! judged here, as the machine may be busy: that is `make fleet`'s.
+//! Runs every scenario of the repository at a small size with real processes of the node. No rule
+//! may be broken, no process may panic, and all nodes must get an endpoint list. Speed and resource
+//! usage are not checked here, as the machine may be busy; `make fleet` checks them.
 
 use std::path::{Path, PathBuf};
 
 use kitefork_testbed::cluster::{self, Programs};
 use kitefork_testbed::scenario::{Expect, Scenario};
 
-/// The program that this test run has built.
+/// Path of the program that this test run has built.
 fn program() -> PathBuf {
     let test_binary = std::env::current_exe().unwrap();
     let program = test_binary
@@ -23,7 +23,8 @@
     program
 }
 
-/// A scenario file of the repository, with so many nodes and the rest in proportion.
+/// Reads a scenario file of the repository, and scales backends and request rate to the number of
+/// nodes.
 fn read_scenario(name: &str, nodes: usize) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
@@ -34,7 +35,7 @@
     scenario.fleet.backends = ((scenario.fleet.backends as f64 * scale).round() as usize).max(6);
     scenario.traffic.rate *= scale;
     scenario.fleet.nodes = nodes;
-    // A few nodes are through sooner than the fleet that the length is for.
+    // A few nodes need less time after the last step than the full fleet.
     let last_step_end_s = scenario
         .at
         .iter()
@@ -77,7 +78,7 @@
     }
 }
 
-/// Twelve processes each.
+/// Defines one test per scenario file, each with 12 nodes.
 macro_rules! scenarios {
     ($($test:ident $file:literal,)*) => {
         $(#[tokio::test(flavor = "multi_thread", worker_threads = 3)]
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A few fixed seeds of the soak, each with overlapping faults over a dozen real processes.
+//! Runs fixed seeds of the soak test, each with overlapping faults over 12 real processes, and
+//! checks the plans that seeds draw.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +9,7 @@
 
 const NODES: usize = 12;
 
-/// The program and the shim that this test run has built.
+/// Paths of the program and of the fault shim that this test run has built.
 fn programs() -> Programs {
     let test_binary = std::env::current_exe().unwrap();
     let build_folder = test_binary.parent().and_then(Path::parent).unwrap();
@@ -46,7 +47,7 @@
     );
 }
 
-/// One test a seed, so that they run side by side and fail by name.
+/// Defines one test per seed, so that seeds run in parallel and a failure names its seed.
 macro_rules! seeds {
     ($($test:ident $seed:literal,)*) => {
         $(#[tokio::test(flavor = "multi_thread", worker_threads = 3)]
@@ -96,7 +97,7 @@
     assert_ne!(text(7), text(8));
 }
 
-/// Plans stay comparable from version to version: another order of draws would change this one.
+/// Seeds must draw the same plans in all versions. Another order of the draws changes this plan.
 #[test]
 fn plan_of_seed_7_matches_the_recorded_text() {
     let recorded = "seed 7: 12 nodes, 8 backends, 4 zones, polled, known Stale; \
