--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -228,16 +228,16 @@
 
 #[test]
 fn killed_or_paused_node_excuses_only_its_requests_at_the_time() {
-    const NEVER: &[&str] = &["never answered"];
+    const NEVER_ANSWERED: &[&str] = &["never answered"];
     const BAD_EXIT: &[&str] = &[
         "never answered",
         "a node ended without a signal or with a wrong exit code",
     ];
     for (stop, exit, expected) in [
         (Some((1_200, true)), Some((1_201, None)), &[][..]),
-        (Some((2_200, true)), Some((2_201, None)), NEVER),
+        (Some((2_200, true)), Some((2_201, None)), NEVER_ANSWERED),
         // SIGTERM excuses only requests that were sent long after it.
-        (Some((900, false)), Some((1_201, Some(0))), NEVER),
+        (Some((900, false)), Some((1_201, Some(0))), NEVER_ANSWERED),
         (Some((200, false)), Some((1_201, Some(0))), &[]),
         (None, Some((5_000, Some(101))), BAD_EXIT),
         (Some((5_000, false)), Some((5_100, Some(1))), BAD_EXIT),
@@ -245,7 +245,7 @@
         let broken = rules_broken_by_lost_connection(incarnation(stop, exit), vec![]);
         assert_eq!(broken, expected, "{stop:?} {exit:?}");
     }
-    for (node, expected) in [(3, &[][..]), (4, NEVER)] {
+    for (node, expected) in [(3, &[][..]), (4, NEVER_ANSWERED)] {
         let pause = Pause {
             node,
             from: MS(800),
@@ -372,7 +372,7 @@
 
 /// Number of violations if a backend receives this number of attempts in the two seconds after its
 /// restart.
-fn overloads(attempts: u64) -> usize {
+fn slow_start_violations(attempts: u64) -> usize {
     let arrivals = (0..attempts).map(|number| 1_000 + number * 2_000 / attempts);
     let attempts = arrivals.map(|arrived| attempt("a", 1, arrived, 4_000, Served));
     let records = Records {
@@ -402,5 +402,8 @@
     }
     // The capacity of 100 attempts a second, times 0.3 at the start, times the overload multiple of
     // 3, is 180 in two seconds; some more are tolerated.
-    assert_eq!((overloads(180), overloads(300)), (0, 1));
+    assert_eq!(
+        (slow_start_violations(180), slow_start_violations(300)),
+        (0, 1)
+    );
 }
