--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -9,7 +9,7 @@
 pub fn run(arguments: &CompareArguments) -> Result<Verdict, CommandError> {
     let series = run_alternately(arguments)?;
     println!(
-        "{:<22} min, median, max of {} for each program in the order given",
+        "{:<22} min, median, max of {} runs of each program, in the order given",
         "figure", arguments.rounds
     );
     let names = series.first().into_iter().flat_map(FigureSeries::names);
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -49,7 +49,7 @@
     pub listens: Option<Duration>,
     /// Signals that were sent to end the process; `None` if there were none.
     pub stop_signal: Option<StopSignal>,
-    /// End of the process; `None` while it runs.
+    /// End of the process; `None` until it is observed.
     pub exit: Option<Exit>,
 }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Result of a run. Its JSON keys are the names that earlier versions used.
+/// Result of a run. Its JSON keeps the keys of earlier versions.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Values of all figures, by name.
