--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -102,13 +102,13 @@
     /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Number of nodes.
+    /// Number of nodes in the fleet.
     #[arg(long, default_value_t = 24)]
     nodes: usize,
     /// Seconds of idle time before the traffic and the faults start.
     #[arg(long, default_value_t = 0.0)]
     quiet: f64,
-    /// Does not run a seed that fails again with fewer faults.
+    /// Skips the runs with fewer faults after a seed has failed.
     #[arg(long)]
     no_shrink: bool,
     /// Path of the program that the nodes run; the fault shim is expected in the same folder.
--- a/crates/testbed/src/referee/violation.rs
+++ b/crates/testbed/src/referee/violation.rs
@@ -12,7 +12,7 @@
 /// A rule that the referee checks, named after its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// An answer 200 is a backend's answer to an attempt of the same request.
+    /// A body answered with 200 is one that a backend sent for an attempt of the same request.
     AnswerOfNoBackend,
     /// A request that is not idempotent is not rejected if it may have been executed, as its client
     /// would send it again.
@@ -52,7 +52,7 @@
     pub fn text(self) -> &'static str {
         match self {
             Rule::AnswerOfNoBackend => {
-                "answered 200 without such an answer of a backend to this request"
+                "answered 200, but no backend served this request with that body"
             }
             Rule::RejectedThoughExecuted => "rejected although it may have been executed",
             Rule::NeverAnswered => "never answered",
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -123,7 +123,7 @@
 
 #[rustfmt::skip]
 fn answer_cases() -> Vec<Case> {
-    const WRONG_SOURCE: &[&str] = &["answered 200 without such an answer of a backend to this request"];
+    const WRONG_SOURCE: &[&str] = &["answered 200, but no backend served this request with that body"];
     const EXECUTED: &[&str] = &["rejected although it may have been executed"];
     let rejected_attempt = vec![attempt("a", 1, 1_010, 1_020, Overloaded)];
     vec![
