--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The test cluster: one run of a scenario with stand-ins, processes of the node, and a timeline of
-//! what happens to them.
+//! Test cluster: runs a scenario with stand-ins, processes of the node, and a timeline of the
+//! actions on them.
 
 mod actions;
 mod front;
@@ -30,49 +30,51 @@
 use crate::node::{Node, ProcessSettings};
 use crate::referee::{BackendStart, Pause, Records, Rules};
 use crate::report::{Measurements, Report};
-use crate::scenario::{Scenario, seconds};
+use crate::scenario::{Scenario, duration_from_secs};
 
-/// Grace after a backend was listed as draining, as the nodes' settings have it.
+/// Time after a backend was listed as draining in which nodes may still send to it, as in the
+/// nodes' settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// A final answer may come this much after the client's timeout, as the nodes' settings have it.
+/// Time after the client's timeout in which a final answer may still arrive, as in the nodes'
+/// settings.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
-/// Repeats of an idempotency key are dropped for this long.
+/// Time in which the backends of a cell drop repeats of an idempotency key.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
-/// A backend in slow start breaks down if it is sent too much for this long ...
-const OVERLOAD_TIME: Duration = Duration::from_secs(2);
-/// ... where too much is this multiple of what it can do.
+/// Time after which a backend in slow start breaks down if it is overloaded.
+const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
+/// Multiple of its capacity at the time above which a backend in slow start is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// What the referee allows nodes beyond their own grace and slack.
+/// Time that the referee allows nodes beyond their own grace and slack.
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
-/// Behind the longest timeout of a client, the run goes on for this long.
-const SETTLING: Duration = Duration::from_millis(300);
-/// Backends of a cell, within which repeats of an idempotency key are dropped.
+/// Time for which the run continues after the longest client timeout.
+const SETTLING_TIME: Duration = Duration::from_millis(300);
+/// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
-/// Spreads the seeds of backends.
+/// Keeps the seeds of backends apart in runs with different seeds.
 const BACKEND_SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// Everything that takes part in a run.
+/// Processes, stand-ins and records of a run.
 struct Cluster {
     scenario: Scenario,
     clock: Clock,
-    process: ProcessSettings,
+    process_settings: ProcessSettings,
     discovery: Arc<DiscoveryService>,
-    /// Links of nodes to discovery, by number of the node.
+    /// Links from the nodes to discovery, by node number.
     discovery_links: Vec<Arc<Link>>,
     discovery_addresses: Vec<SocketAddr>,
     attempt_log: Arc<AttemptLog>,
     backends: Vec<Arc<Backend>>,
-    /// The endpoints of the backends as they were first listed.
+    /// Endpoints of the backends as discovery lists them at the start.
     endpoints: Vec<Endpoint>,
     nodes: Vec<Mutex<Node>>,
-    /// Whether clients are sent to a node, by its number.
+    /// Whether the front sends clients to a node, by node number.
     admitted: Vec<AtomicBool>,
     pauses: Mutex<Vec<Pause>>,
     backend_starts: Mutex<Vec<BackendStart>>,
     usage: Mutex<ResourceUsage>,
 }
 
-/// Plays a scenario.
+/// Runs a scenario, and reports what the stand-ins and the processes recorded.
 ///
 /// # Errors
 ///
@@ -81,31 +83,35 @@
     let folder = tempfile::tempdir()?;
     let clock = Clock::start();
     let cluster = Arc::new(Cluster::new(scenario, programs, folder.path(), clock).await?);
-    cluster.configure_nodes()?;
+    cluster.write_initial_configs()?;
     let clients = Clients::new(clock);
     let misbehaving = MisbehavingClients::new(clock);
-    let begin = clock.now();
-    let front = tokio::spawn(front::admit_nodes(cluster.clone()));
-    let traffic = tokio::spawn(load::traffic(cluster.clone(), clients.clone(), begin));
-    let disturbance = tokio::spawn(load::misbehaving_traffic(
+    let run_start = clock.now();
+    let front_task = tokio::spawn(front::admit_nodes(cluster.clone()));
+    let traffic_task = tokio::spawn(load::send_traffic(
+        cluster.clone(),
+        clients.clone(),
+        run_start,
+    ));
+    let misbehaving_task = tokio::spawn(load::send_misbehaving_traffic(
         cluster.clone(),
         misbehaving.clone(),
-        begin,
+        run_start,
     ));
     for event in timeline::events(scenario) {
-        tokio::time::sleep_until(clock.at(begin + event.at)).await;
+        tokio::time::sleep_until(clock.at(run_start + event.at)).await;
         cluster.apply(&event)?;
     }
-    tokio::time::sleep_until(clock.at(begin + seconds(scenario.length_s))).await;
-    // Requests that are on their way come to their ends; the traffic has stopped before.
-    let _ = traffic.await;
-    let _ = disturbance.await;
-    tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING).await;
-    front.abort();
+    tokio::time::sleep_until(clock.at(run_start + duration_from_secs(scenario.length_s))).await;
+    // No new requests are sent any more; those in flight get the time for their final answers.
+    let _ = traffic_task.await;
+    let _ = misbehaving_task.await;
+    tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING_TIME).await;
+    front_task.abort();
     cluster.sample_usage();
     cluster.kill_nodes();
     let records = cluster.records(&clients, &misbehaving);
-    Ok(Report::new(&cluster.measurements(&records, begin)))
+    Ok(Report::new(&cluster.measurements(&records, run_start)))
 }
 
 fn longest_client_timeout(scenario: &Scenario) -> Duration {
@@ -113,14 +119,14 @@
     let longest_ms = classes
         .map(|class| class.client_timeout_ms)
         .fold(0.0, f64::max);
-    milliseconds(longest_ms)
+    duration_from_millis(longest_ms)
 }
 
-fn milliseconds(ms: f64) -> Duration {
-    seconds(ms / 1_000.0)
+fn duration_from_millis(ms: f64) -> Duration {
+    duration_from_secs(ms / 1_000.0)
 }
 
-/// Nodes and backends are dealt over the zones in turn.
+/// Zone of the node or backend with this number; they are assigned to the zones in turn.
 fn zone(scenario: &Scenario, number: usize) -> usize {
     number % scenario.fleet.zones
 }
@@ -148,7 +154,7 @@
         Ok(Cluster {
             scenario: scenario.clone(),
             clock,
-            process: programs.process_settings(scenario),
+            process_settings: programs.process_settings(scenario),
             discovery,
             discovery_links,
             discovery_addresses,
@@ -168,7 +174,7 @@
             let mut node = locked(node);
             node.reap(self.clock);
             node.signal(Signal::CONT, self.clock);
-            // The run is over, whatever the node's state: its process ends with it.
+            // The run is over, so the process is killed whatever its state.
             node.signal(Signal::KILL, self.clock);
         }
     }
@@ -187,13 +193,13 @@
         }
     }
 
-    fn measurements<'a>(&'a self, records: &'a Records, begin: Duration) -> Measurements<'a> {
+    fn measurements<'a>(&'a self, records: &'a Records, run_start: Duration) -> Measurements<'a> {
         let backends = || self.backends.iter();
         Measurements {
             scenario: &self.scenario,
             rules: rules(&self.scenario),
             records,
-            begin,
+            run_start,
             discovery_calls: self.discovery.calls(),
             discovery_bytes: self.discovery.bytes_written(),
             accepted_connections: backends().map(|backend| backend.link.accepted()).collect(),
@@ -203,27 +209,27 @@
         }
     }
 
-    /// The logs of all nodes, each line with its node.
+    /// Log lines of all nodes, each prefixed with the number of its node.
     fn log_lines(&self) -> Vec<String> {
-        let lines_of = |node: &Mutex<Node>| {
+        let numbered_lines = |node: &Mutex<Node>| {
             let node = locked(node);
             let number = node.number;
-            let lines = node.lines().into_iter();
+            let lines = node.log_lines().into_iter();
             lines.map(move |line| format!("n{number}: {line}"))
         };
-        self.nodes.iter().flat_map(lines_of).collect()
+        self.nodes.iter().flat_map(numbered_lines).collect()
     }
 }
 
 fn new_backends(scenario: &Scenario, clock: Clock, log: &Arc<AttemptLog>) -> Vec<Arc<Backend>> {
-    let figures = &scenario.backend;
+    let parameters = &scenario.backend;
     let settings = BackendSettings {
-        work: milliseconds(figures.work_ms),
-        handshake: milliseconds(figures.handshake_ms),
-        capacity: figures.capacity,
-        connections: figures.connections,
-        slow_start_from: figures.slow_start_from,
-        slow_start: seconds(figures.slow_start_s),
+        work: duration_from_millis(parameters.work_ms),
+        handshake: duration_from_millis(parameters.handshake_ms),
+        capacity: parameters.capacity,
+        connections: parameters.connections,
+        slow_start_from: parameters.slow_start_from,
+        slow_start: duration_from_secs(parameters.slow_start_s),
         seed: 0,
     };
     let new_backend = |number: usize| {
@@ -236,7 +242,7 @@
     (0..scenario.fleet.backends).map(new_backend).collect()
 }
 
-/// Starts the backends' listeners; gives the backends as discovery lists them at first.
+/// Starts the listeners of the backends; returns the endpoints that discovery lists at the start.
 async fn serve_backends(
     scenario: &Scenario,
     backends: &[Arc<Backend>],
@@ -256,12 +262,12 @@
 }
 
 fn discovery_capacity(scenario: &Scenario) -> Capacity {
-    let figures = &scenario.discovery;
+    let parameters = &scenario.discovery;
     Capacity {
-        call: milliseconds(figures.call_ms),
-        endpoint: milliseconds(figures.endpoint_us / 1_000.0),
-        max_wait: milliseconds(figures.max_wait_ms),
-        history: figures.history,
+        call: duration_from_millis(parameters.call_ms),
+        endpoint: duration_from_millis(parameters.endpoint_us / 1_000.0),
+        max_wait: duration_from_millis(parameters.max_wait_ms),
+        history: parameters.history,
     }
 }
 
@@ -271,9 +277,9 @@
         drain_grace: DRAIN_GRACE + REFEREE_MARGIN,
         key_window: KEY_WINDOW,
         overload_multiple: OVERLOAD_MULTIPLE,
-        overload_time: OVERLOAD_TIME,
+        overload_duration: OVERLOAD_DURATION,
         slow_start_from: scenario.backend.slow_start_from,
-        slow_start: seconds(scenario.backend.slow_start_s),
-        work: milliseconds(scenario.backend.work_ms),
+        slow_start: duration_from_secs(scenario.backend.slow_start_s),
+        work: duration_from_millis(scenario.backend.work_ms),
     }
 }
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -1,5 +1,5 @@
-//! The load of a run: well-behaved clients and misbehaving ones, each from a Poisson process, over
-//! the nodes that the front has admitted.
+//! Load of a run: well-behaved and misbehaving clients arrive in two Poisson processes, and are
+//! sent to nodes that the front has admitted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,61 +14,65 @@
 use tokio::task::JoinSet;
 
 use super::Cluster;
-use crate::scenario::{Class, Scenario, Traffic, seconds};
+use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
-/// Tells the draws of the misbehaving clients from those of the others.
+/// Makes the draws for misbehaving clients differ from those for well-behaved ones.
 const MISBEHAVING_SEED: u64 = 0x0dd;
 
-/// Times of a Poisson process within the traffic of a scenario.
+/// Arrival times of a Poisson process within the traffic period of a scenario.
 struct PoissonProcess {
     rate: f64,
-    at: Duration,
+    last_arrival: Duration,
     end: Duration,
 }
 
 impl PoissonProcess {
-    fn new(rate: f64, scenario: &Scenario, begin: Duration) -> PoissonProcess {
+    fn new(rate: f64, scenario: &Scenario, run_start: Duration) -> PoissonProcess {
         let traffic = &scenario.traffic;
         PoissonProcess {
             rate,
-            at: begin + seconds(traffic.from_s),
-            end: begin + seconds(traffic.to_s.unwrap_or(scenario.length_s)),
+            last_arrival: run_start + duration_from_secs(traffic.from_s),
+            end: run_start + duration_from_secs(traffic.to_s.unwrap_or(scenario.length_s)),
         }
     }
 
-    /// The next time, if the traffic goes on until then.
+    /// Draws the next arrival time; `None` if it is not before the end of the traffic.
     fn next(&mut self, random: &mut RandomSource) -> Option<Duration> {
-        self.at += seconds(random.exponential() / self.rate);
-        (self.at < self.end).then_some(self.at)
+        self.last_arrival += duration_from_secs(random.exponential() / self.rate);
+        (self.last_arrival < self.end).then_some(self.last_arrival)
     }
 }
 
-/// A node that takes requests.
-struct ReadyNode {
+/// A node to which the front sends clients.
+struct AdmittedNode {
     number: usize,
     address: SocketAddr,
 }
 
 impl Cluster {
-    /// One of the admitted nodes; `None` if there are none, or it has no address yet.
-    fn draw_node(&self, random: &mut RandomSource) -> Option<ReadyNode> {
-        let ready = self.admitted_nodes();
-        let number = ready.get(random.below(ready.len())).copied()?;
+    /// Draws an admitted node; `None` if there is none, or if its address is not known yet.
+    fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
+        let admitted = self.admitted_nodes();
+        let number = admitted.get(random.below(admitted.len())).copied()?;
         let address = locked(&self.nodes[number]).address()?;
-        Some(ReadyNode { number, address })
+        Some(AdmittedNode { number, address })
     }
 }
 
-/// Sends requests in an open loop.
-pub(super) async fn traffic(cluster: Arc<Cluster>, clients: Arc<Clients>, begin: Duration) {
+/// Sends the requests of well-behaved clients in an open loop.
+pub(super) async fn send_traffic(
+    cluster: Arc<Cluster>,
+    clients: Arc<Clients>,
+    run_start: Duration,
+) {
     let traffic = &cluster.scenario.traffic;
     if traffic.rate <= 0.0 {
         return;
     }
     let mut random = RandomSource::from_seed(cluster.scenario.seed);
-    let mut process = PoissonProcess::new(traffic.rate, &cluster.scenario, begin);
+    let mut arrivals = PoissonProcess::new(traffic.rate, &cluster.scenario, run_start);
     for number in 0u64.. {
-        let Some(planned) = process.next(&mut random) else {
+        let Some(planned) = arrivals.next(&mut random) else {
             return;
         };
         tokio::time::sleep_until(cluster.clock.at(planned)).await;
@@ -89,23 +93,23 @@
     }
 }
 
-/// A class by the classes' shares; `None` if there are no classes.
+/// Draws a class in proportion to the shares; `None` if there are no classes.
 fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
     let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
-    let mut rest = random.unit() * shares;
+    let mut remaining = random.unit() * shares;
     let drawn = traffic.class.iter().find(|class| {
-        rest -= class.share;
-        rest < 0.0
+        remaining -= class.share;
+        remaining < 0.0
     });
-    // Rounding may leave a rest behind the last class.
+    // Rounding may leave a remainder after the last class.
     drawn.or(traffic.class.last())
 }
 
-/// Plays misbehaving clients, and waits for the ends of all.
-pub(super) async fn misbehaving_traffic(
+/// Starts misbehaving clients, and waits until all have ended.
+pub(super) async fn send_misbehaving_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<MisbehavingClients>,
-    begin: Duration,
+    run_start: Duration,
 ) {
     let scenario = &cluster.scenario;
     let rate = scenario.traffic.misbehaving_rate;
@@ -115,10 +119,10 @@
         return;
     }
     let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED);
-    let mut process = PoissonProcess::new(rate, scenario, begin);
-    let mut playing = JoinSet::new();
+    let mut arrivals = PoissonProcess::new(rate, scenario, run_start);
+    let mut tasks = JoinSet::new();
     for number in 0u64.. {
-        let Some(at) = process.next(&mut random) else {
+        let Some(at) = arrivals.next(&mut random) else {
             break;
         };
         tokio::time::sleep_until(cluster.clock.at(at)).await;
@@ -134,14 +138,15 @@
             client_timeout: class.client_timeout(),
             behaviour,
         };
-        playing.spawn(clients.clone().play(request, node.number, node.address));
+        tasks.spawn(clients.clone().play(request, node.number, node.address));
     }
-    while playing.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
-/// Half of the clients disconnect, within half of their timeout; the others do one of the rest.
+/// Draws a behaviour: half of the clients disconnect within half of their timeout, the others have
+/// one of the other behaviours.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
-    let wait = seconds(random.unit() * class.client_timeout_ms / 2_000.0);
+    let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
     let index = random.below(2 * BEHAVIOURS.len());
     let behaviour = BEHAVIOURS.get(index).copied();
     behaviour.unwrap_or(Behaviour::Disconnects(wait))
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -1,35 +1,35 @@
-//! When each step of a scenario happens to which node or backend.
+//! Expands the steps of a scenario into events on single nodes or backends.
 
 use std::time::Duration;
 
 use super::zone;
-use crate::scenario::{Action, Scenario, Step, Target, seconds};
+use crate::scenario::{Action, Scenario, Step, Target, duration_from_secs};
 
-/// One action, done to one node or backend.
+/// One action on discovery or on one node or backend.
 #[derive(Clone, Debug)]
 pub(super) struct Event {
-    /// When, from the begin of the run.
+    /// Time after the start of the run.
     pub at: Duration,
-    /// What.
+    /// Action that is applied.
     pub action: Action,
-    /// To the node or backend of this number.
+    /// Number of the node or backend; 0 for discovery.
     pub number: usize,
-    /// A figure that some actions take.
+    /// Fraction of the full speed, for actions that take one.
     pub size: f64,
 }
 
-/// All events of a scenario, by time.
+/// All events of a scenario in order of time.
 pub(super) fn events(scenario: &Scenario) -> Vec<Event> {
     let mut events: Vec<Event> = scenario
         .at
         .iter()
-        .flat_map(|step| events_of(scenario, step))
+        .flat_map(|step| step_events(scenario, step))
         .collect();
     events.sort_by_key(|event| event.at);
     events
 }
 
-fn events_of(scenario: &Scenario, step: &Step) -> Vec<Event> {
+fn step_events(scenario: &Scenario, step: &Step) -> Vec<Event> {
     let count = match step.action.target() {
         Target::Nodes => scenario.fleet.nodes,
         Target::Discovery => 1,
@@ -44,7 +44,7 @@
     let event = |(index, number): (usize, &usize)| {
         let delay_s = step.over_s * index as f64 / chosen.len() as f64;
         Event {
-            at: seconds(step.at_s + delay_s),
+            at: duration_from_secs(step.at_s + delay_s),
             action: step.action,
             number: *number,
             size: step.size,
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -1,15 +1,15 @@
-//! `compare`: plays a scenario with several programs and prints their figures side by side.
+//! `compare`: runs a scenario with several programs and prints their figures side by side.
 
 use kitefork_testbed::cluster::Programs;
 
-use super::{CommandError, FigureSeries, Verdict, play, read_scenario};
+use super::{CommandError, FigureSeries, Verdict, read_scenario, run_scenario};
 use crate::CompareArguments;
 
-/// Carries the command out.
+/// Executes the command.
 pub fn run(arguments: &CompareArguments) -> Result<Verdict, CommandError> {
-    let series = play_in_turn(arguments)?;
+    let series = run_alternately(arguments)?;
     println!(
-        "{:<22} min, median, max of {} for each program in the order given",
+        "{:<22} min, median, max of {} runs of each program, in the order given",
         "figure", arguments.rounds
     );
     let names = series.first().into_iter().flat_map(FigureSeries::names);
@@ -20,17 +20,19 @@
     Ok(Verdict::Passed)
 }
 
-/// The figures of each program, in the order in which the programs were given.
-fn play_in_turn(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
+/// Runs the scenario with each program in each round. Returns the figures of each program, in the
+/// order in which the programs were given.
+fn run_alternately(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
     let programs = &arguments.program;
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
     let mut series = vec![FigureSeries::default(); programs.len()];
     for round in 0..arguments.rounds {
         scenario.seed += 1;
         for position in 0..programs.len() {
-            // Another program begins each round, so that none always has the warmer machine.
+            // Each round starts with another program, so that no program always runs on the warmer
+            // machine.
             let index = (position + round as usize) % programs.len();
-            let report = play(&scenario, &Programs::beside(&programs[index]))?;
+            let report = run_scenario(&scenario, &Programs::with_adjacent_shim(&programs[index]))?;
             series[index].add(report.figures);
         }
     }
@@ -39,7 +41,12 @@
 
 fn column(series: &FigureSeries, name: &str) -> String {
     let values = series.sorted(name);
-    let at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
-    let (median, last) = (values.len() / 2, values.len().max(1) - 1);
-    format!("{:>9.3} {:>9.3} {:>9.3}", at(0), at(median), at(last))
+    let value_at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
+    let (median_index, last_index) = (values.len() / 2, values.len().max(1) - 1);
+    format!(
+        "{:>9.3} {:>9.3} {:>9.3}",
+        value_at(0),
+        value_at(median_index),
+        value_at(last_index)
+    )
 }
--- a/crates/testbed/src/commands/describe.rs
+++ b/crates/testbed/src/commands/describe.rs
@@ -1,4 +1,4 @@
-//! `list` and `explain`: what scenarios are about, without playing them.
+//! `list` and `explain`: print the contents of scenarios without running them.
 
 use std::path::{Path, PathBuf};
 
@@ -6,13 +6,16 @@
 
 use super::{CommandError, Verdict, read_scenario};
 
-/// Prints the scenarios of a folder, by name.
+/// Prints the scenario files of a folder, sorted by path, with their descriptions.
 pub fn list(folder: &Path) -> Result<Verdict, CommandError> {
-    let entries = std::fs::read_dir(folder).map_err(CommandError::of_file(folder))?;
+    let entries = std::fs::read_dir(folder).map_err(CommandError::for_file(folder))?;
     let mut files: Vec<PathBuf> = entries
         .filter_map(|entry| Some(entry.ok()?.path()))
         .collect();
-    files.retain(|file| file.extension().is_some_and(|end| end == "toml"));
+    files.retain(|file| {
+        file.extension()
+            .is_some_and(|extension| extension == "toml")
+    });
     files.sort();
     for file in files {
         let about = read_scenario(&file, None)?.about;
@@ -21,7 +24,7 @@
     Ok(Verdict::Passed)
 }
 
-/// Prints what a scenario does and expects.
+/// Prints the fleet, the steps and the expectations of a scenario.
 pub fn explain(file: &Path) -> Result<Verdict, CommandError> {
     let scenario = read_scenario(file, None)?;
     print_cluster(&scenario);
