--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -197,7 +197,7 @@
     ///
     /// Returns the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let failed = self.checks().into_iter().find(|check| !check.holds);
+        let failed = self.checks().into_iter().find(|check| !check.is_valid);
         failed.map_or(Ok(()), |Check { key, reason, .. }| {
             Err(SettingsError { key, reason })
         })
@@ -250,14 +250,18 @@
 
 /// One condition on the settings.
 struct Check {
-    holds: bool,
+    is_valid: bool,
     key: &'static str,
     reason: &'static str,
 }
 
 impl Check {
-    fn new(holds: bool, key: &'static str, reason: &'static str) -> Check {
-        Check { holds, key, reason }
+    fn new(is_valid: bool, key: &'static str, reason: &'static str) -> Check {
+        Check {
+            is_valid,
+            key,
+            reason,
+        }
     }
 }
 
