--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -58,7 +58,7 @@
     Complete,
     /// No data, or no complete object or list, was received within the time limit.
     #[error("silent for too long")]
-    Silent,
+    TimedOut,
     /// The connection was closed or broke.
     #[error("the connection ended")]
     Disconnected,
@@ -89,7 +89,7 @@
     pub updates: Vec<EndpointUpdate>,
     /// Whether a complete object was received, or an empty line, which only shows that discovery is
     /// reachable.
-    pub spoke: bool,
+    pub received_object: bool,
     /// Why the call has ended; `None` while it is open.
     pub end: Option<CallEnd>,
     /// The machine temporarily lacks resources: read again after a short delay.
@@ -132,7 +132,7 @@
     opened_at: Nanos,
     /// When the call was opened, or the last complete object or empty line was received.
     last_object_at: Nanos,
-    has_received_data: bool,
+    has_received_object: bool,
     deadline: Deadline,
     registration: Registration,
 }
@@ -171,7 +171,7 @@
             last_byte_at: now,
             opened_at: now,
             last_object_at: now,
-            has_received_data: false,
+            has_received_object: false,
             deadline: Deadline::new(),
             registration: Registration::default(),
         }
@@ -248,7 +248,7 @@
 
     /// When the call is closed if nothing more is received.
     fn receive_deadline(&self) -> Nanos {
-        let idle_timeout = if self.has_received_data {
+        let idle_timeout = if self.has_received_object {
             WATCH_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
@@ -335,8 +335,8 @@
         while let Some(end) = self.scanner.find_end(&self.parser.body) {
             let line = self.parser.body.split_front(end);
             self.last_object_at = self.last_byte_at;
-            self.has_received_data = true;
-            progress.spoke = true;
+            self.has_received_object = true;
+            progress.received_object = true;
             if !line.trim_ascii().is_empty() {
                 progress.updates.push(EndpointUpdate::parse(&line)?);
             }
@@ -354,7 +354,7 @@
             .take_message()
             .ok_or(CallEnd::IncompleteResponse)?;
         progress.updates.push(EndpointUpdate::parse(&body)?);
-        progress.spoke = true;
+        progress.received_object = true;
         Ok(())
     }
 }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -154,7 +154,7 @@
     /// Switches to discovery at another address and closes all calls, so that their end does not
     /// count as a failure. Returns how many polls were open, as the lists that they requested are
     /// still needed.
-    pub fn move_to(&mut self, address: SocketAddr) -> usize {
+    pub fn switch_address(&mut self, address: SocketAddr) -> usize {
         self.address = address;
         let open: Vec<u32> = self.calls.iter().map(|(number, _)| number).collect();
         open.into_iter()
@@ -247,7 +247,7 @@
     fn dial(&mut self, kind: CallKind, event_loop: &mut EventLoop) -> Result<(), Errno> {
         let now = event_loop.now();
         let socket = net::dial(self.address)?;
-        let number = self.calls.vacant().ok_or(Errno::MFILE)?;
+        let number = self.calls.next_number().ok_or(Errno::MFILE)?;
         let mut call = DiscoveryCall::new(socket, kind, self.revision, self.address, now);
         call.register(number, event_loop)?;
         call.set_deadline(now + self.mode.connect_timeout(), number, event_loop);
@@ -322,7 +322,7 @@
     /// Records the progress of a call before its updates are applied, and closes a call that has
     /// ended.
     pub fn note_progress(&mut self, number: u32, progress: &CallProgress, now: Nanos) {
-        if progress.spoke {
+        if progress.received_object {
             self.sync = SyncState::Synced;
         }
         if progress.end.is_some()
@@ -335,7 +335,7 @@
 
     /// Records that discovery has confirmed the list at `now`: the next update has the changes
     /// since then.
-    pub fn confirm(&mut self, now: Nanos) {
+    pub fn record_confirmation(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
 
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -134,7 +134,7 @@
         // All starts are recorded before any is converted: the latest one gives the tightest bound
         // on the error of the wall clock.
         for entry in &update.entries {
-            self.start_times.note(entry.boot_ms, observation.now);
+            self.start_times.record(entry.boot_ms, observation.now);
         }
         update
             .entries
--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -21,7 +21,7 @@
         now,
         wall_now_ms: 0,
         wall_at_zero: 0,
-        confirmed: None,
+        confirmed_at: None,
     }
 }
 
--- a/crates/node/src/downstream/connection/connection_tests.rs
+++ b/crates/node/src/downstream/connection/connection_tests.rs
@@ -19,7 +19,7 @@
     let mut connection = ClientConnection::new(server, 0, 0, &BufferBudget::default());
     client.write_all(REQUEST.as_bytes()).unwrap();
     assert!(matches!(connection.read(0, 0), ReadEvent::Message(_)));
-    connection.reply(0, Reply::new(200, b"hi"));
+    connection.queue_reply(0, Reply::new(200, b"hi"));
     assert!(connection.flush(0) == WriteOutcome::Done && client.read(&mut [0; 256]).unwrap() > 0);
     client.write_all(REQUEST.as_bytes()).unwrap();
     connection.close_gracefully();
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -13,7 +13,7 @@
 impl ClientConnection {
     /// The events that the present state of the connection needs.
     fn wanted_events(&self) -> EventFlags {
-        match (self.is_written(), self.is_input_full()) {
+        match (self.is_outbox_empty(), self.is_input_full()) {
             // The end of the client's stream is already known, and every poll would report it
             // again.
             _ if self.peer_closed => EventFlags::OUT,
@@ -76,7 +76,7 @@
         if outcome == WriteOutcome::Broken {
             return Err(CloseReason::Broken);
         }
-        if self.peer_closed && self.is_written() && self.request.is_none() {
+        if self.peer_closed && self.is_outbox_empty() && self.request.is_none() {
             return Err(match self.state {
                 ConnectionState::Lingering => CloseReason::Answered,
                 ConnectionState::Open | ConnectionState::Closing => CloseReason::ClientDisconnected,
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Whether the outbox is empty.
-    pub fn is_written(&self) -> bool {
+    pub fn is_outbox_empty(&self) -> bool {
         self.outbox.is_empty()
     }
 
@@ -153,8 +153,10 @@
             ConnectionState::Open if self.request.is_some() => return Deadline::NEVER,
             ConnectionState::Open if self.is_idle() && self.has_sent_message() => IDLE_TIMEOUT,
             ConnectionState::Open if self.is_idle() => HEAD_TIMEOUT,
-            ConnectionState::Open if self.is_written() && !self.input.has_head() => HEAD_TIMEOUT,
-            ConnectionState::Open if self.is_written() => {
+            ConnectionState::Open if self.is_outbox_empty() && !self.input.has_head() => {
+                HEAD_TIMEOUT
+            }
+            ConnectionState::Open if self.is_outbox_empty() => {
                 let next_byte_deadline = self.input.last_byte_at() + BODY_PAUSE_TIMEOUT;
                 return (self.state_since + STALL_TIMEOUT).min(next_byte_deadline);
             }
@@ -166,7 +168,7 @@
     /// This connection, whose number is `number`, as a candidate for eviction. `None` while a
     /// request waits for its answer or an answer is being written.
     pub fn eviction_candidate(&self, number: u32, now: Nanos) -> Option<EvictionCandidate> {
-        if self.request.is_some() || !self.is_written() {
+        if self.request.is_some() || !self.is_outbox_empty() {
             return None;
         }
         let age = now.saturating_sub(self.state_since);
@@ -202,7 +204,7 @@
     /// Whether a message has been received in part. Meaningful only while no request waits for its
     /// answer.
     pub fn has_partial_message(&self) -> bool {
-        self.state == ConnectionState::Open && self.is_written() && !self.is_idle()
+        self.state == ConnectionState::Open && self.is_outbox_empty() && !self.is_idle()
     }
 
     /// Whether the last message is answered and at least a part of the next one has been received.
@@ -211,7 +213,7 @@
     }
 
     fn accepts_message(&self) -> bool {
-        self.state == ConnectionState::Open && self.request.is_none() && self.is_written()
+        self.state == ConnectionState::Open && self.request.is_none() && self.is_outbox_empty()
     }
 
     /// Whether the inbox is full, so that nothing more can be read until the current request is
@@ -224,7 +226,7 @@
     /// connection, shuts down its sending side.
     pub fn flush(&mut self, now: Nanos) -> WriteOutcome {
         let outcome = self.outbox.write_to(&self.socket);
-        if self.state == ConnectionState::Closing && self.is_written() {
+        if self.state == ConnectionState::Closing && self.is_outbox_empty() {
             self.shut_down_write();
             self.state = ConnectionState::Lingering;
             self.state_since = now;
@@ -296,7 +298,7 @@
     /// initiative.
     pub fn close_facts(&self) -> CloseFacts {
         CloseFacts {
-            answer_pending: self.request.is_some() || !self.is_written(),
+            answer_pending: self.request.is_some() || !self.is_outbox_empty(),
             has_unread_input: self.may_have_unread() || self.has_next_message(),
         }
     }
@@ -327,7 +329,7 @@
 
     /// Puts an answer into the outbox. The connection closes after it if the answer or the last
     /// message requires that.
-    pub fn reply(&mut self, now: Nanos, reply: Reply) {
+    pub fn queue_reply(&mut self, now: Nanos, reply: Reply) {
         self.request = None;
         self.state_since = now;
         let reply = Reply {
--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -17,7 +17,7 @@
 
     /// The idempotency key, which the client's own retries share, for the trace; `-` if it is
     /// absent or occurs more than once.
-    pub fn key(&self) -> &str {
+    pub fn idempotency_key(&self) -> &str {
         self.head
             .unique("idempotency-key")
             .ok()
@@ -26,7 +26,7 @@
     }
 
     /// The serialised request for a backend that has `timeout_ms` milliseconds to answer.
-    pub fn bytes(&self, timeout_ms: u64) -> Vec<u8> {
+    pub fn encode(&self, timeout_ms: u64) -> Vec<u8> {
         let Start::Request { method, target } = &self.head.start else {
             return Vec::new();
         };
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -89,7 +89,7 @@
     pub fn has_waiting_client(&self) -> Result<bool, Errno> {
         match &self.state {
             ListenerState::Accepting(socket) | ListenerState::Paused(socket) => {
-                net::has_client(socket)
+                net::has_pending_connection(socket)
             }
             ListenerState::Closed => Ok(false),
         }
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -27,7 +27,7 @@
         (spec.class, spec.tenant, spec.client_timeout, spec.work_hint),
         (0, 0, 450 * MS, Some(1_500_000))
     );
-    let bytes = String::from_utf8(payload.bytes(449)).unwrap();
+    let bytes = String::from_utf8(payload.encode(449)).unwrap();
     assert!(
         bytes.starts_with("POST /api?a=b HTTP/1.1\r\nhost: h\r\nx-txn: 1f\r\n"),
         "{bytes}"
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -120,7 +120,7 @@
 /// # Errors
 ///
 /// Those of poll(2).
-pub fn has_client(listener: &OwnedFd) -> Result<bool, Errno> {
+pub fn has_pending_connection(listener: &OwnedFd) -> Result<bool, Errno> {
     is_ready(listener, PollFlags::IN)
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -153,10 +153,10 @@
     /// Handles the signals that have arrived, whether or not the byte that wakes the loop could be
     /// written.
     fn handle_signals(&mut self) {
-        if self.signals.get(SignalKind::Terminate).take() {
+        if self.signals.get(SignalKind::Terminate).take_pending() {
             self.begin_shutdown();
         }
-        if self.signals.get(SignalKind::Reload).take() {
+        if self.signals.get(SignalKind::Reload).take_pending() {
             self.reload();
         }
         self.flush_pending();
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -54,7 +54,7 @@
 
     /// Closes a connection that its client has closed or that has failed.
     fn drop_client(&mut self, number: u32, reason: CloseReason) {
-        self.close_client(number, ClosePermit::no_answer_pending(), reason);
+        self.close_client(number, ClosePermit::client_or_process_ended(), reason);
     }
 
     pub(super) fn client_deadline_due(&mut self, number: u32) {
@@ -192,7 +192,7 @@
         connection.note_peer_closed();
         if let Some(request) = connection.request() {
             self.reply_to_disconnected(number, request);
-        } else if connection.is_written() {
+        } else if connection.is_outbox_empty() {
             return self.drop_client(number, CloseReason::ClientDisconnected);
         }
         // The client may still read: sends the rest of its answer.
@@ -239,7 +239,7 @@
         if self.diagnostics.is_tracing()
             && let Some(payload) = self.requests.payload(request)
         {
-            let key = payload.key();
+            let key = payload.idempotency_key();
             self.diagnostics
                 .trace(now, format_args!("accepted id={request} key={key}"));
         }
@@ -272,7 +272,7 @@
                 close: reply.close || is_draining || connection.is_peer_closed(),
                 ..reply
             };
-            connection.reply(self.event_loop.now(), reply);
+            connection.queue_reply(self.event_loop.now(), reply);
         }
     }
 
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -20,7 +20,7 @@
             Ok(address) => {
                 self.diagnostics
                     .log(now, "reload", format_args!("discovery={address}"));
-                for _ in 0..self.discovery.move_to(address) {
+                for _ in 0..self.discovery.switch_address(address) {
                     self.open_discovery_call(CallKind::Poll);
                 }
                 // Resumes the watch, or opens it before its backoff ends.
@@ -89,7 +89,7 @@
 
     pub(super) fn discovery_deadline_due(&mut self, number: u32) {
         if self.discovery.is_call_due(number, &mut self.event_loop) {
-            self.handle_call_progress(number, CallProgress::ended(CallEnd::Silent));
+            self.handle_call_progress(number, CallProgress::ended(CallEnd::TimedOut));
         }
     }
 
@@ -98,10 +98,10 @@
         self.discovery.note_progress(number, &progress, now);
         for update in &progress.updates {
             self.apply_update(update);
-            self.discovery.confirm(now);
+            self.discovery.record_confirmation(now);
         }
-        if progress.spoke {
-            self.discovery.confirm(now);
+        if progress.received_object {
+            self.discovery.record_confirmation(now);
         }
         if let Some(end) = progress.into_failure() {
             let notice =
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -90,7 +90,7 @@
         for number in self.clients.numbers() {
             self.close_client(
                 number,
-                ClosePermit::no_answer_pending(),
+                ClosePermit::client_or_process_ended(),
                 CloseReason::Shutdown,
             );
         }
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -160,7 +160,7 @@
         let Some(connection) = self.upstreams.get_mut(number) else {
             return;
         };
-        if !connection.begin(&bytes) {
+        if !connection.queue_request(&bytes) {
             return self.end_attempt(number, Outcome::ConnectFailed);
         }
         self.advance_upstream(number, false);
@@ -221,7 +221,7 @@
             )),
             UpstreamAttempt::Request { request, .. } => {
                 let payload = self.requests.payload(request)?;
-                Some(payload.bytes(timeout_ms))
+                Some(payload.encode(timeout_ms))
             }
         }
     }
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -240,7 +240,7 @@
 impl ClosePermit {
     /// Permits closing a connection on which no answer is pending any more: its client has closed
     /// it, it has failed, or the process ends.
-    pub fn no_answer_pending() -> ClosePermit {
+    pub fn client_or_process_ended() -> ClosePermit {
         ClosePermit(())
     }
 
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether one of the signals has arrived since the last call, and resets the flag.
-    pub fn take(&self) -> bool {
+    pub fn take_pending(&self) -> bool {
         self.is_pending.swap(false, Ordering::SeqCst)
     }
 }
--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -43,7 +43,7 @@
     }
 
     /// The number that the next entry will get; `None` when the table is full.
-    pub fn vacant(&mut self) -> Option<u32> {
+    pub fn next_number(&mut self) -> Option<u32> {
         if self.is_full() {
             return None;
         }
@@ -56,7 +56,7 @@
     /// Adds an entry and returns its number; when the table is full, drops `value` and returns
     /// `None`.
     pub fn insert(&mut self, value: T) -> Option<u32> {
-        let number = self.vacant()?;
+        let number = self.next_number()?;
         let slot = self.slot_index(number);
         self.slots[slot] = Some(Entry { number, value });
         self.next_number = number.wrapping_add(1);
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -37,18 +37,18 @@
     pub wall_at_zero: Nanos,
     /// When the list was last confirmed without this start, in nanoseconds on the monotonic clock;
     /// `None` before the first list.
-    pub confirmed: Option<Nanos>,
+    pub confirmed_at: Option<Nanos>,
 }
 
 impl StartObservation {
     /// Creates an observation at `now`, a reading of `clock`, of a list that was last confirmed at
-    /// `confirmed`.
-    pub fn new(clock: &Clock, now: Nanos, confirmed: Option<Nanos>) -> StartObservation {
+    /// `confirmed_at`.
+    pub fn new(clock: &Clock, now: Nanos, confirmed_at: Option<Nanos>) -> StartObservation {
         StartObservation {
             now,
             wall_now_ms: clock::unix_time().as_millis() as u64,
             wall_at_zero: clock.unix_time_at_zero(),
-            confirmed,
+            confirmed_at,
         }
     }
 }
@@ -64,7 +64,7 @@
 impl StartTimes {
     /// Records that a start at `boot_ms` (in Unix milliseconds) was observed at `now`, in
     /// nanoseconds on the monotonic clock.
-    pub fn note(&mut self, boot_ms: u64, now: Nanos) {
+    pub fn record(&mut self, boot_ms: u64, now: Nanos) {
         self.min_wall_at_zero = self
             .min_wall_at_zero
             .max(boot_ms.saturating_mul(MS).saturating_sub(now));
@@ -80,7 +80,7 @@
             .wall_now_ms
             .saturating_sub(boot_ms)
             .saturating_mul(MS);
-        let Some(confirmed) = observation.confirmed else {
+        let Some(confirmed_at) = observation.confirmed_at else {
             return (age_by_wall_clock <= MAX_CLOCK_ERROR).then_some(observation.now);
         };
         let boot = boot_ms.saturating_mul(MS);
@@ -94,7 +94,7 @@
         let started = latest
             .map(|at| at.min(observation.now))
             .filter(|at| *at > 0);
-        let earliest = confirmed.saturating_sub(MAX_LIST_LAG);
+        let earliest = confirmed_at.saturating_sub(MAX_LIST_LAG);
         // If the clocks contradict the node's observations, all that is known is that the backend
         // is new.
         if started.is_none_or(|at| at < earliest) {
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -13,14 +13,14 @@
         now: NOW,
         wall_now_ms: WALL_NOW_MS,
         wall_at_zero: WALL_AT_ZERO_MS * MS,
-        confirmed: Some(NOW - SECOND),
+        confirmed_at: Some(NOW - SECOND),
     }
 }
 
 /// Determines a start time after one start was observed without delay and with correct clocks.
 fn started_at(boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
     let mut starts = StartTimes::default();
-    starts.note(WALL_NOW_MS, NOW);
+    starts.record(WALL_NOW_MS, NOW);
     starts.started_at(boot_ms, observation)
 }
 
@@ -34,7 +34,7 @@
         };
         let mut starts = StartTimes::default();
         // Observed 0.1 s after the start. Other starts therefore can't be dated much too early.
-        starts.note(WALL_NOW_MS - 100, NOW);
+        starts.record(WALL_NOW_MS - 100, NOW);
         assert_eq!(
             starts.started_at(WALL_NOW_MS - 100, &observation),
             Some(NOW),
@@ -51,8 +51,8 @@
 #[test]
 fn an_implausible_future_start_makes_no_other_backend_old() {
     let mut starts = StartTimes::default();
-    starts.note(u64::MAX, NOW);
-    starts.note(WALL_NOW_MS + 3_600_000, NOW);
+    starts.record(u64::MAX, NOW);
+    starts.record(WALL_NOW_MS + 3_600_000, NOW);
     assert_eq!(
         starts.started_at(WALL_NOW_MS - 3_000, &observation()),
         Some(NOW - 3 * SECOND)
@@ -74,7 +74,7 @@
         let wall_now_ms = WALL_NOW_MS.checked_add_signed(step_ms).unwrap();
         let at_start = StartObservation {
             wall_now_ms,
-            confirmed: None,
+            confirmed_at: None,
             ..observation()
         };
         for age_ms in [0, 50_000, 3_600_000] {
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -196,7 +196,7 @@
 
     /// Puts a request in the outbox; returns `false` if it does not fit.
     #[must_use]
-    pub fn begin(&mut self, bytes: &[u8]) -> bool {
+    pub fn queue_request(&mut self, bytes: &[u8]) -> bool {
         self.state = UpstreamState::Sending;
         self.outbox.push(bytes)
     }
