--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -54,7 +54,7 @@
     latency_ratio: f64,
     /// Latency of the last answer as a multiple of the mean latency of its class; infinite after a
     /// timeout or a rejection.
-    last_latency_ratio: f64,
+    last_ratio_to_mean: f64,
     last_answer_at: Nanos,
 }
 
@@ -110,7 +110,7 @@
 
     /// Whether the last answer came at `since` or later and was faster than the mean of its class.
     pub(crate) fn was_fast_since(&self, since: Nanos) -> bool {
-        self.last_latency_ratio < 1.0 && self.last_answer_at >= since
+        self.last_ratio_to_mean < 1.0 && self.last_answer_at >= since
     }
 
     /// Summed time, in seconds, that the attempts in flight have waited.
@@ -218,7 +218,7 @@
             _ => return,
         };
         let is_success = sample.outcome == Outcome::Success;
-        load.last_latency_ratio = if is_success {
+        load.last_ratio_to_mean = if is_success {
             sample.ratio_to_mean
         } else {
             f64::INFINITY
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -202,9 +202,9 @@
     /// t of K ln t / t, in slots; at least e. Unless evidence is pooled, t does not advance before
     /// the first completion of a backend: the exploration weight would fall to nearly 0 by then.
     fn exploration_age(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
-        let has_started =
+        let t_advances =
             record.service_times.has_completions() || inputs.pooled_kind_count.is_some();
-        let since = if has_started {
+        let since = if t_advances {
             record.weights.exploring_since
         } else {
             now
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -117,17 +117,17 @@
 
     /// Maximum number of members of a zone, where `zone_count` zones have usable backends.
     fn zone_member_limit(&self, zone: ZoneId, estimable_backends: f64, zone_count: usize) -> usize {
-        let remote_sharing_zones = if self.has_cross_zone_cost {
+        let remote_divisor = if self.has_cross_zone_cost {
             zone_count as f64 - 1.0
         } else {
             1.0
         };
-        let sharing_zones = if zone == self.zone {
+        let divisor = if zone == self.zone {
             1.0
         } else {
-            remote_sharing_zones.max(1.0)
+            remote_divisor.max(1.0)
         };
-        (estimable_backends / sharing_zones)
+        (estimable_backends / divisor)
             .max(MIN_MEMBERS_PER_ZONE)
             .ceil() as usize
     }
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -310,8 +310,9 @@
         let now = self.event_loop.now();
         match attempt {
             UpstreamAttempt::Request { request, attempt } => {
-                let waiting = self.requests.attempt_ended(now, request, attempt, outcome);
-                if let (Some(connection), Some(answer)) = (waiting, answer) {
+                let waiting_connection =
+                    self.requests.attempt_ended(now, request, attempt, outcome);
+                if let (Some(connection), Some(answer)) = (waiting_connection, answer) {
                     self.forward_answer(connection, &answer);
                 }
             }
