--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -2,10 +2,10 @@
 //! together.
 //!
 //! The limit of a backend follows its latency: it grows while answers take up to [`TOLERANCE`]
-//! times the unloaded latency, and shrinks beyond that. It is bounded by this proxy's share of the
-//! attempts that a backend is assumed to execute at once. The limits protect against overload,
-//! against backends that stop answering and against the collapse of a whole fleet. A limit that is
-//! too small wastes capacity, so it grows with each success.
+//! times the unloaded latency, and shrinks beyond that. Its bounds depend on this proxy's share of
+//! the attempts that all proxies together may have in flight there. The limits protect against
+//! overload, against backends that stop answering and against the collapse of a whole fleet. A
+//! limit that is too small wastes capacity, so it grows with each success.
 //!
 //! Where that share is less than one attempt, limits are too coarse and the
 //! [admission rate](crate::admission_rate) takes their place.
@@ -16,8 +16,8 @@
 use crate::timescale::seconds;
 
 /// c of the service rate c N / L: the number of requests that a backend is assumed to execute at
-/// once, so that c completions come in one latency. The same value applies to all backends; the
-/// summed service rates exceed the arrivals under ordinary load.
+/// once, so that c completions come in one latency. The same value applies to all backends; with
+/// it, the summed service rates exceed the arrivals under ordinary load.
 pub(crate) const CONCURRENCY: f64 = 8.0;
 
 /// Attempts that all proxies together may have in flight at a backend: half of c, as the limit must
@@ -113,7 +113,7 @@
         self.last_ratio_to_mean < 1.0 && self.last_answer_at >= since
     }
 
-    /// Summed time, in seconds, that the attempts in flight have waited.
+    /// Summed time, in seconds, that the attempts in flight have waited, limited for each backend.
     pub(crate) fn summed_wait_seconds(&self, now_seconds: f64) -> f64 {
         self.in_flight * now_seconds - self.in_flight_sent_at_sum
     }
@@ -144,9 +144,10 @@
 
 /// Sets and applies the concurrency limits of this proxy.
 pub(crate) struct ConcurrencyLimiter {
-    /// This proxy's share of the attempts that a backend is assumed to execute at once.
+    /// This proxy's share of [`SHARED_LIMIT`].
     share: f64,
     proxy_count: f64,
+    /// Shortest latency objective of a class, in seconds.
     shortest_objective: f64,
     /// Attempts in flight at all backends.
     in_flight: f64,
@@ -194,9 +195,10 @@
         self.in_flight -= 1.0;
     }
 
-    /// Sets the limit of all backends together to their summed limits. A pressure above
-    /// [`OVERLOAD_RATIO`] reduces it by the square of pressure over that ratio. Where this proxy's
-    /// share of a backend is below one attempt, the limits don't apply and are not reduced.
+    /// Sets the limit of all backends together to their summed limits. If the pressure exceeds
+    /// [`OVERLOAD_RATIO`], the limit is divided by the square of the pressure as a multiple of that
+    /// ratio. Where this proxy's share of a backend is below one attempt, the limits don't apply
+    /// and are not reduced.
     pub(crate) fn set_total(&mut self, summed_limits: f64, pressure: f64) {
         self.limit = summed_limits;
         if !self.is_below_one() {
@@ -236,10 +238,10 @@
     }
 
     /// Maximum limit of one backend. All proxies together may have at most [`SHARED_LIMIT`]
-    /// attempts in flight there, and only so many of the longest work that an attempt of the class
-    /// with the shortest objective is still answered in time behind them. The limit is this proxy's
-    /// share of that plus the square root of the share, as not all other proxies use their whole
-    /// shares at the same time.
+    /// attempts in flight there. They must also be few enough that an attempt with the shortest
+    /// objective is still answered in time after them, if each of them takes the longest unloaded
+    /// latency. The limit is this proxy's share of that number plus the square root of the share,
+    /// as not all other proxies use their whole shares at the same time.
     fn max_backend_limit(&self, longest_unloaded_latency: f64) -> f64 {
         let max_attempts_in_time = self.shortest_objective / longest_unloaded_latency - 1.0;
         let proxy_share = SHARED_LIMIT.min(max_attempts_in_time).max(1.0) / self.proxy_count;
@@ -254,8 +256,11 @@
 /// another reason.
 #[derive(Default)]
 pub(crate) struct Pressure {
+    /// Sum of the decayed latency sums of the backends, in seconds.
     latency_sum: f64,
+    /// Summed time, in seconds, that the attempts in flight have waited.
     summed_wait: f64,
+    /// Sum of the latency ratios of the backends, weighted by their completions.
     weighted_ratio_sum: f64,
     completions: f64,
 }
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -1,7 +1,8 @@
 //! The optimal split, formula (9) of Choudhury, Joshi, Wang and Shakkottai (2021), and the
 //! exploration weights, K ln t / t.
 //!
-//! Both are calculated together from the estimated service rates, at a limited frequency, and
+//! The split is calculated from the estimated service rates, the exploration weights from the time
+//! for which each backend has been explored. Both are renewed together, at a limited frequency, and
 //! stored with each backend until the next renewal. This module decides the weight with which a
 //! backend is picked; [`pick`](crate::pick) decides which backend a request gets.
 
@@ -29,16 +30,17 @@
 pub(crate) struct PickWeights {
     /// Estimated service rate, in completions per slot; 0 if the backend is not part of the split.
     service_rate: f64,
-    /// Share by formula (9), from 0 to 1; reduced by the spillover fraction in other zones.
+    /// Share by formula (9), from 0 to 1; multiplied by the spillover fraction in other zones.
     share: f64,
-    /// Exploration weight K ln t / t, reduced by consecutive failures.
+    /// Exploration weight K ln t / t, multiplied by the capacity fraction and divided by 1 plus the
+    /// number of consecutive failures.
     exploration: f64,
-    /// Start of t in K ln t / t.
+    /// The time from which t of K ln t / t is counted.
     exploring_since: Nanos,
 }
 
 impl PickWeights {
-    /// Weights of a backend that is listed since `now`: 0 until the next renewal.
+    /// Weights of a backend that was added to the list at `now`: 0 until the next renewal.
     pub(crate) fn new(now: Nanos) -> PickWeights {
         PickWeights {
             exploring_since: now,
@@ -51,17 +53,18 @@
         self.service_rate
     }
 
-    /// Share by formula (9), from 0 to 1; reduced by the spillover fraction in other zones.
+    /// Share by formula (9), from 0 to 1; multiplied by the spillover fraction in other zones.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
 
-    /// Exploration weight K ln t / t, reduced by consecutive failures.
+    /// Exploration weight K ln t / t, multiplied by the capacity fraction and divided by 1 plus the
+    /// number of consecutive failures.
     pub(crate) fn exploration(&self) -> f64 {
         self.exploration
     }
 
-    /// Restarts t of K ln t / t at `at`; the exploration weight changes at the next renewal.
+    /// Counts t of K ln t / t from `at` on; the exploration weight changes at the next renewal.
     pub(crate) fn restart_exploration(&mut self, at: Nanos) {
         self.exploring_since = at;
     }
@@ -88,8 +91,8 @@
     pub(crate) capacity_fractions: Vec<f64>,
     /// Number of backends in the subset.
     pub(crate) member_count: usize,
-    /// Number of kinds of machines if evidence is pooled over them because each backend has too few
-    /// completions; `None` if it is not pooled.
+    /// Number of kinds of machines if completions are pooled by kind, because each backend has too
+    /// few of its own; `None` if they are not pooled.
     pub(crate) pooled_kind_count: Option<usize>,
     /// Latencies in the local zone as a multiple of those in other zones.
     pub(crate) local_to_remote_ratio: f64,
@@ -97,9 +100,11 @@
 
 /// The split of one proxy's attempts among the backends.
 pub(crate) struct OptimalSplit {
+    /// Zone of this proxy.
     zone: ZoneId,
     has_cross_zone_cost: bool,
     tick: Nanos,
+    /// Shortest latency objective of a class, in seconds.
     shortest_objective: f64,
     renewed_at: Nanos,
     /// Whether the endpoint list has changed, or a backend was ejected, since the last renewal.
@@ -199,8 +204,9 @@
         self.is_stale = false;
     }
 
-    /// t of K ln t / t, in slots; at least e. Unless evidence is pooled, t does not advance before
-    /// the first completion of a backend: the exploration weight would fall to nearly 0 by then.
+    /// t of K ln t / t, in slots; at least e. Unless completions are pooled, t does not advance
+    /// before the first completion of a backend: otherwise the exploration weight would fall to
+    /// nearly 0 by then.
     fn exploration_age(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
         let t_advances =
             record.service_times.has_completions() || inputs.pooled_kind_count.is_some();
@@ -232,8 +238,8 @@
 }
 
 /// K of K ln t / t for each backend: 1 if the rate of each backend is estimated by itself. If
-/// evidence is pooled, only as many rates are unknown as there are kinds of machines, and K is
-/// divided among the backends accordingly.
+/// completions are pooled, only as many rates are unknown as there are kinds of machines, and the
+/// backends share that number equally.
 fn exploration_constant(backends: usize, inputs: &SplitInputs) -> f64 {
     match inputs.pooled_kind_count {
         Some(kinds) => kinds as f64 / backends.max(1) as f64,
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -185,8 +185,8 @@
                     weight_if(is_preferred_and_idle(record), record.weights.share())
                 })
             })
-            // A backend without a share by formula (9) is slow, but an idle one starts at once.
-            // Overloaded backends are left out.
+            // A backend without a share by formula (9) is slow, but an idle one starts an attempt
+            // at once. Overloaded backends are left out.
             .or_else(|| {
                 pick_weighted(pool, fraction, |record| {
                     let is_not_overloaded = record.load.latency_ratio() < OVERLOAD_RATIO;
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -3,9 +3,9 @@
 //! All proxies order the backends of a zone in the same way, by the hash of their names, and each
 //! proxy starts at an offset of its own. The proxies exchange no messages, and together they cover
 //! the fleet evenly. In each zone, a proxy's subset consists of the first backends in its order, as
-//! many as get the completions that an estimate needs. In its own zone it prefers a section of
-//! backends of its own: as proxies do not know each other's attempts in flight, several could
-//! otherwise send to one backend while another one is idle.
+//! many as get enough completions for an estimate. In its own zone it prefers a section of backends
+//! of its own: as proxies do not know each other's attempts in flight, several could otherwise send
+//! to one backend while another one is idle.
 //!
 //! If attempts to other zones have a cost, few are sent there: all other zones together have as
 //! many backends in the subset as the proxy's own zone. If all backends of the subset fail at once,
@@ -23,7 +23,8 @@
 /// Position of one backend in this proxy's order of the backend's zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SubsetPosition {
-    /// Rank from 0 to 1; the backends with the lowest ranks are in the subset.
+    /// Rank within the zone, counted from this proxy's offset, as a fraction from 0 to 1; the
+    /// backends with the lowest ranks are in the subset.
     relative_rank: f64,
     /// Whether it is in the section of the local zone that this proxy prefers.
     is_preferred: bool,
