--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -21,11 +21,12 @@
 
 /// A call that receives nothing for this long, in nanoseconds, is closed, as TCP does not report an
 /// unreachable peer. A watch receives data every 2 s, and discovery answers or rejects a call
-/// within 3 s. Short enough that missed updates are requested again within the 6 s after which they
-/// count as notified.
+/// within 3 s. The limit is short enough that missed updates are requested again within the 6 s
+/// after which they count as notified.
 const IDLE_TIMEOUT: Nanos = 4_200 * MS;
-/// The same for a watch that has received data before, in nanoseconds: it receives data every 2 s,
-/// and the next watch may at first be rejected, which takes up to 3 s more.
+/// The same limit, in nanoseconds, for a watch that has received an object or an empty line: it
+/// receives data every 2 s, and the watch that replaces it may at first be rejected, which takes up
+/// to 3 s more.
 const WATCH_IDLE_TIMEOUT: Nanos = 3_200 * MS;
 /// Maximum time to receive a complete object or list, in nanoseconds. A call whose sender is slower
 /// is closed like an idle one, as the updates that it delays count as notified 6 s after they were
@@ -33,8 +34,8 @@
 const OBJECT_TIMEOUT: Nanos = IDLE_TIMEOUT;
 /// Maximum length of an object or list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Maximum number of reads of one call in a loop iteration: enough for the longest list, but a
-/// sender that never stops can't block the event loop.
+/// Maximum number of reads of one call in a loop iteration: enough for the longest list at 2048
+/// bytes a read, but a sender that never stops can't block the event loop.
 const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
 /// Capacity of the outbox, which holds the request of a call, in bytes.
 const OUTBOX_BYTES: usize = 4096;
@@ -87,8 +88,8 @@
 pub struct CallProgress {
     /// The updates that were received, oldest first.
     pub updates: Vec<EndpointUpdate>,
-    /// Whether a complete object was received, or an empty line, which only shows that discovery is
-    /// reachable.
+    /// Whether a complete object, a whole list or an empty line was received. An empty line only
+    /// shows that discovery is reachable.
     pub received_object: bool,
     /// Why the call has ended; `None` while it is open.
     pub end: Option<CallEnd>,
@@ -128,10 +129,13 @@
     inbox: RingBuffer,
     parser: Parser,
     scanner: ObjectScanner,
+    /// When bytes were last received, the request was completely written, or the call was opened,
+    /// whichever is the latest.
     last_byte_at: Nanos,
     opened_at: Nanos,
     /// When the call was opened, or the last complete object or empty line was received.
     last_object_at: Nanos,
+    /// Whether a watch has received a complete object or an empty line; always `false` for a poll.
     has_received_object: bool,
     deadline: Deadline,
     registration: Registration,
@@ -207,7 +211,7 @@
         self.set_events(number, event_loop, wanted)
     }
 
-    /// Deregisters all events of the call `number`, as they would be reported in every loop
+    /// Deregisters all events of the call `number`, which would otherwise be reported in every loop
     /// iteration.
     ///
     /// # Errors
@@ -233,8 +237,8 @@
         event_loop.set_deadline(&mut self.deadline, at, event);
     }
 
-    /// Sets the deadline of the call `number` to the limits for receiving data, once the request is
-    /// completely written.
+    /// Sets the deadline of the call `number` by the time limits for receiving data, once the
+    /// request is completely written.
     pub fn set_receive_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
         if self.outbox.is_empty() {
             self.set_deadline(self.receive_deadline(), number, event_loop);
@@ -256,8 +260,8 @@
         (self.last_byte_at + idle_timeout).min(self.last_object_at + OBJECT_TIMEOUT)
     }
 
-    /// Writes the rest of the request. A connection that could not be established is found by the
-    /// next read.
+    /// Writes the rest of the request. If the connection could not be established, the next read
+    /// reports that.
     pub fn send(&mut self, now: Nanos) -> SendOutcome {
         if self.outbox.is_empty() {
             return SendOutcome::Continue;
@@ -299,8 +303,8 @@
         progress
     }
 
-    /// Handles the end of the connection. It completes a list whose response gives no length; any
-    /// other response is truncated.
+    /// Handles the end of the connection, which completes a list whose response gives no length;
+    /// any other response is truncated by it.
     fn end_of_stream(&mut self, progress: &mut CallProgress) -> CallEnd {
         if !self.parser.end_of_input() || self.kind == CallKind::Watch {
             return CallEnd::Disconnected;
@@ -344,7 +348,8 @@
         Ok(())
     }
 
-    /// Parses the whole list of a poll, whose response is complete.
+    /// Handles a complete response: parses the whole list of a poll, or ends a watch, which must
+    /// stay open.
     fn complete(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         if self.kind == CallKind::Watch {
             return Err(CallEnd::WatchEnded);
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -21,8 +21,8 @@
 
 /// Maximum number of open calls: a watch, a poll, and the calls that replace them after a reload.
 const MAX_CALLS: usize = 4;
-/// Delay before a call that could not be started for lack of local resources is tried again, in
-/// nanoseconds.
+/// Delay, in nanoseconds, after which a call that could not be opened for lack of local resources
+/// is tried again.
 const CALL_RETRY_DELAY: Nanos = 20 * MS;
 /// A watch that has lasted longer than this, in nanoseconds, resets the number of consecutive
 /// failures; one that ends at once must not be opened again without a delay.
@@ -74,8 +74,8 @@
 }
 
 impl Discovery {
-    /// Creates a client of discovery at `address` without open calls; the list of `revision` is
-    /// still to be applied.
+    /// Creates a client of discovery at `address` without open calls. `revision` is that of the
+    /// cached list, which is still to be applied.
     pub fn new(
         address: SocketAddr,
         mode: DiscoveryMode,
@@ -124,7 +124,8 @@
     }
 
     /// Where lists are pushed, opens the watch that the node keeps open; no request is served until
-    /// discovery has sent data, or the time limit for that has passed.
+    /// discovery has sent data or the time limit for that has passed. Where lists are polled, does
+    /// nothing.
     pub fn start(
         &mut self,
         event_loop: &mut EventLoop,
@@ -177,7 +178,8 @@
         if should_be_open && open.is_none() {
             return WatchChange::Open;
         }
-        // A watch is already open if a reload came before the end of a backoff.
+        // A watch that should be opened may be open already: a reload before the end of the backoff
+        // has opened it.
         if !should_be_open && let Some(number) = open {
             self.calls.remove(number);
         }
@@ -200,7 +202,7 @@
         self.open_call(CallKind::Watch, event_loop, diagnostics)
     }
 
-    /// Tries again to open a call that could not be started for lack of local resources. A watch is
+    /// Tries again to open a call that could not be opened for lack of local resources. A watch is
     /// not opened if a reload has opened one in the meantime.
     pub fn retry_call(
         &mut self,
@@ -302,8 +304,8 @@
     }
 
     /// Pauses a call because the machine temporarily lacks resources, and resumes it after
-    /// [`MIN_RETRY`]. Until then its events are deregistered, as they would be reported in every
-    /// loop iteration.
+    /// [`MIN_RETRY`]. Until then its events are deregistered, as they would otherwise be reported
+    /// in every loop iteration.
     pub fn pause_call(&mut self, number: u32, event_loop: &mut EventLoop) {
         if let Some(call) = self.calls.get_mut(number) {
             let _ = call.pause(number, event_loop);
@@ -339,7 +341,8 @@
         self.confirmed_at = Some(now);
     }
 
-    /// Applies an update that discovery has sent, and logs one with an older revision.
+    /// Applies an update that discovery has sent; logs it if its revision is lower than the known
+    /// one.
     pub fn apply(
         &mut self,
         update: &EndpointUpdate,
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -140,7 +140,7 @@
         net::has_peer_closed(&self.socket)
     }
 
-    /// Whether the outbox is empty.
+    /// Whether everything queued for the client is written to the socket.
     pub fn is_outbox_empty(&self) -> bool {
         self.outbox.is_empty()
     }
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -18,7 +18,7 @@
     pub head: Head,
     /// The body of the message; may be empty.
     pub body: Body,
-    /// Earliest arrival time of the first byte, in nanoseconds on the node's clock.
+    /// Earliest possible arrival time of the first byte, in nanoseconds on the node's clock.
     pub started_at: Nanos,
 }
 
@@ -27,7 +27,8 @@
     inbox: RingBuffer,
     parser: Parser,
     arrival: ArrivalTracker,
-    /// Earliest arrival time of the first byte of the current message; `None` between two messages.
+    /// Earliest possible arrival time of the first byte of the current message; `None` between two
+    /// messages.
     message_started_at: Option<Nanos>,
     last_byte_at: Nanos,
     /// Number of complete messages so far.
@@ -70,7 +71,7 @@
         self.keep_alive
     }
 
-    /// Whether no part of a message is buffered or begun.
+    /// Whether no byte of a message is buffered and no message has begun.
     pub fn is_between_messages(&self) -> bool {
         self.inbox.is_empty() && self.message_started_at.is_none()
     }
@@ -90,8 +91,8 @@
         self.inbox.is_empty()
     }
 
-    /// Whether the inbox holds more than a head of the maximum length: it counts as full until the
-    /// current request is answered.
+    /// Whether the inbox contains more bytes than a head of the maximum length. It then counts as
+    /// full until the current request is answered.
     pub fn is_full(&self) -> bool {
         self.inbox.len() > MAX_HEAD
     }
@@ -113,20 +114,20 @@
         self.arrival.note_watched(now);
     }
 
-    /// Earliest arrival time of bytes that are read at `now`; see
+    /// Earliest possible arrival time of bytes that are read at `now`; see
     /// [`ArrivalTracker::earliest_arrival`].
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
         self.arrival.earliest_arrival(now, previous_poll_at)
     }
 
-    /// Sets the earliest arrival time of the bytes after a message that the last read has
-    /// completed: it is the arrival time of that message's end.
+    /// Sets the earliest possible arrival time of the bytes that follow a message, after the read
+    /// that has completed the message: they can have arrived with its end, at `arrived_at`.
     pub fn set_first_byte_at(&mut self, arrived_at: Nanos) {
         self.arrival.set_first_byte_at(arrived_at);
     }
 
     /// Reads from the socket once and updates the arrival times. `arrived_at` is the earliest
-    /// arrival time of the bytes that are read.
+    /// possible arrival time of the bytes that are read.
     pub fn fill(&mut self, socket: &OwnedFd, now: Nanos, arrived_at: Nanos) -> ReadOutcome {
         let was_empty = self.inbox.is_empty();
         let outcome = self.inbox.read_from(socket);
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Begins a message with the first byte in the inbox, unless one is begun already. Returns
-    /// whether it has begun a message that is not the first one on the connection.
+    /// Begins a message with the first byte in the inbox, unless one has begun already. Returns
+    /// `true` if this begins a message that is not the first one on the connection.
     pub fn begin_message(&mut self) -> bool {
         if self.message_started_at.is_some() {
             return false;
@@ -209,7 +210,7 @@
         self.continue_sent = is_sent;
     }
 
-    /// Takes the current message out; `None` while it is incomplete.
+    /// Removes and returns the current message; `None` while it is incomplete.
     pub fn take_message(&mut self, now: Nanos) -> Option<Message> {
         if self.parser.is_at_start() && self.inbox.is_empty() {
             self.message_started_at = None;
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -18,7 +18,7 @@
 enum ListenerState {
     /// The socket is registered for events of connecting clients.
     Accepting(OwnedFd),
-    /// The socket has no events, and clients wait in the kernel's accept queue.
+    /// No events of the socket are registered; clients wait in the kernel's accept queue.
     Paused(OwnedFd),
     /// The socket is closed; no more clients can connect.
     Closed,
@@ -34,7 +34,7 @@
     ClientDisconnected,
     /// This machine has a temporary shortage of a resource.
     RetryLater(Errno),
-    /// The process has no free descriptor, or the call itself is wrong.
+    /// The process has no free descriptor, or the call itself is invalid.
     Failed(Errno),
 }
 
@@ -43,8 +43,8 @@
     state: ListenerState,
     /// When the accept queue was last found empty.
     queue_empty_at: Nanos,
-    /// Since when the polls report every client that connects; [`Nanos::MAX`] from a pause, or a
-    /// queue that was not emptied, until the queue is found empty again.
+    /// Since when the polls have reported every client that connects. [`Nanos::MAX`] after a pause,
+    /// or after an iteration that did not empty the queue, until the queue is found empty.
     watched_since: Nanos,
     /// The next delay after a temporary shortage of resources, in nanoseconds.
     retry_delay: Nanos,
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Records that more clients are queued than one iteration accepts, so that it is unknown how
-    /// long they have waited.
+    /// Records that more clients were queued than one iteration accepts, so that it is unknown how
+    /// long the remaining ones have waited.
     pub fn note_queue_not_emptied(&mut self) {
         self.watched_since = Nanos::MAX;
     }
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -20,7 +20,7 @@
                 return;
             }
         }
-        // The time since when the remaining clients have been waiting is no longer known.
+        // It is unknown how long the remaining clients have waited.
         self.listener.note_queue_not_emptied();
     }
 
@@ -35,8 +35,7 @@
                     self.listener.note_queue_empty(now);
                     return ControlFlow::Break(());
                 }
-                // Whether a client is waiting is unknown; the listener is tried again after a
-                // delay.
+                // It is unknown whether a client is waiting: tries again after a delay.
                 Err(_) => {
                     self.listener.retry_later(&mut self.event_loop);
                     return ControlFlow::Break(());
@@ -101,7 +100,7 @@
     }
 
     /// Returns whether the descriptor budget has capacity for another client connection; if
-    /// necessary, closes the most expendable connection to free it.
+    /// necessary, closes the most expendable connection first.
     fn ensure_client_capacity(&mut self) -> bool {
         if self.client_fits() {
             return true;
@@ -134,8 +133,8 @@
     }
 
     /// Closes an expendable connection to free its descriptor, unless it has unread input: that may
-    /// be a request, which its client would see closed without an answer. Returns whether the
-    /// connection was closed.
+    /// be a request, and its client would see the connection close without an answer. Returns
+    /// whether the connection was closed.
     pub(super) fn evict(&mut self, number: u32) -> bool {
         self.close_if_allowed(number, CloseReason::Evicted)
     }
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -13,11 +13,11 @@
 };
 
 /// In an iteration that has lasted longer than this, in nanoseconds, a client may have disconnected
-/// unnoticed, so its connection is checked again.
+/// unnoticed, so its connection is checked again before an attempt is written.
 const MAX_CLIENT_STATE_AGE: Nanos = 5 * MS;
-/// In an iteration that has lasted longer than this, in nanoseconds, attempts wait for unread
-/// updates of the endpoint list. A shorter delay is covered by the grace period of draining
-/// backends.
+/// In an iteration that has lasted longer than this, in nanoseconds, attempts wait until unread
+/// updates of the endpoint list are read. A shorter delay is covered by the grace period of
+/// draining backends.
 const MAX_UNREAD_UPDATE_AGE: Nanos = 20 * MS;
 
 impl Node {
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether the descriptor budget has capacity for another upstream connection; if
-    /// necessary, closes the most expendable connection to free it.
+    /// necessary, closes the most expendable connection first.
     fn ensure_upstream_capacity(&mut self) -> bool {
         let budget = self.descriptor_budget;
         if budget.fits(Purpose::Upstream, self.upstreams.len(), self.clients.len()) {
@@ -137,8 +137,9 @@
         }
     }
 
-    /// Starts writing the request on an established connection, if the rules still allow it
-    /// according to a fresh reading of the clock and of the client's connection.
+    /// Starts writing the request on an established connection if the rules still allow it. The
+    /// clock is read again for that and, in a long iteration, the client's connection is checked
+    /// again.
     fn begin_request(&mut self, number: u32) {
         let now = self.event_loop.clock().read();
         if self.must_wait_for_discovery(number, now) {
@@ -169,8 +170,9 @@
         }
     }
 
-    /// Whether an attempt must wait for unread updates of the endpoint list, which are applied
-    /// before anything is sent. In a long iteration such updates may have arrived since its poll.
+    /// Whether an attempt must wait for unread updates of the endpoint list; if so, delays it. In a
+    /// long iteration such updates may have arrived since its poll, and they are applied before the
+    /// attempt is sent.
     fn must_wait_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
         self.event_loop
             .has_run_longer_than(now, MAX_UNREAD_UPDATE_AGE)
@@ -300,7 +302,7 @@
     }
 
     /// Reports the end of an attempt to the request table or the decision module, and forwards an
-    /// answer to the client if it still waits for one.
+    /// answer to a client that still waits for one.
     fn report_attempt_end(
         &mut self,
         attempt: UpstreamAttempt,
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -1,11 +1,12 @@
-//! The rules of the protocol, decided in one place: whether at this moment an attempt may start,
-//! whether its first byte may be written, whether a request may be rejected, and whether an idle
-//! client connection may be closed. All times are in nanoseconds on the node's clock.
+//! The protocol rules, in one place: whether an attempt may start now, whether its first byte may
+//! be written, whether a request may be rejected, and whether an idle client connection may be
+//! closed. All times are in nanoseconds on the node's clock.
 //!
-//! This module does no I/O and reads no clock: each function takes facts and returns a permit or a
-//! [`Denial`]. A permit can only be created here and is consumed by the action that it allows, so
-//! that an action without a permit does not compile. Actions are checked against the same rules
-//! afterwards; see [`Violation`].
+//! This module does no I/O and reads no clock: each function takes facts and returns a [`Denial`]
+//! if a rule forbids the action. For a write or a close it otherwise returns a permit, which can
+//! only be created here. Closing a client connection consumes a permit, so that a close without one
+//! does not compile; the timeout that is sent with an attempt comes from its permit. Actions are
+//! checked against the same rules afterwards; see [`Violation`].
 
 use std::fmt;
 
@@ -13,8 +14,8 @@
 
 use crate::clock::MS;
 
-/// Minimum time until its abandonment with which an attempt is written, in nanoseconds. Less than a
-/// millisecond is sent as a timeout of 0 ms, and such an attempt has expired when it arrives.
+/// Minimum time between the write of an attempt and its abandonment, in nanoseconds. Less than a
+/// millisecond would be sent as a timeout of 0 ms, and the attempt would have expired on arrival.
 const MIN_TIME_LEFT: Nanos = MS;
 
 /// Why the rules do not allow an action now.
@@ -35,16 +36,16 @@
     /// The deduplication window is over: backends no longer drop a repeated request by its
     /// idempotency key.
     WindowClosed,
-    /// The endpoint list does not have the backend as ready: it is draining or removed.
+    /// The backend is not ready according to the endpoint list: it is draining or removed.
     BackendNotReady,
-    /// The connection has received bytes that are not read yet.
+    /// The connection may have received bytes that are not parsed yet.
     UnreadInput,
-    /// A request on the connection waits for its answer, or the answer is not completely written.
+    /// A request on the connection waits for its answer, or an answer is not completely written.
     AnswerPending,
 }
 
 impl Denial {
-    /// The stable word for it in logs and counters.
+    /// The name of the denial in logs and counters, which must not change.
     pub fn name(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
@@ -67,7 +68,7 @@
     }
 }
 
-/// The history of a request's earlier attempts.
+/// The earlier attempts of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptHistory {
     /// Whether the request can be executed twice without harm; set by its class.
@@ -92,7 +93,7 @@
     pub deadline: Nanos,
     /// Maximum number of attempts of a request, from the settings.
     pub max_attempts: usize,
-    /// Its earlier attempts.
+    /// The earlier attempts of the request.
     pub history: AttemptHistory,
 }
 
@@ -125,9 +126,9 @@
 pub struct WriteFacts {
     /// Whether the request has its final answer.
     pub answered: bool,
-    /// Whether the client's connection has been closed by the client or reset.
+    /// Whether the client has closed or reset its connection.
     pub client_disconnected: bool,
-    /// Whether the endpoint list has the backend as ready.
+    /// Whether the backend is ready according to the endpoint list.
     pub backend_ready: bool,
     /// When the attempt is abandoned.
     pub abandon_at: Nanos,
@@ -206,8 +207,8 @@
     }
 }
 
-/// A final answer later than this after its client's timeout, in nanoseconds, counts as lost
-/// (protocol page).
+/// How long after its client's timeout a final answer may still be given, in nanoseconds; a later
+/// one counts as lost (protocol page).
 const ANSWER_GRACE: Nanos = 500 * MS;
 
 /// Checks whether a final answer that is given now is in time.
@@ -226,10 +227,10 @@
 /// The facts that decide whether a client connection may be closed at the node's own initiative.
 #[derive(Debug, Clone, Copy)]
 pub struct CloseFacts {
-    /// Whether a request of this connection waits for its answer, or an answer is not completely
+    /// Whether a request on the connection waits for its answer, or an answer is not completely
     /// written.
     pub answer_pending: bool,
-    /// Whether the connection may have received bytes that are not read yet.
+    /// Whether the connection may have received bytes that are not parsed yet.
     pub has_unread_input: bool,
 }
 
@@ -238,14 +239,14 @@
 pub struct ClosePermit(());
 
 impl ClosePermit {
-    /// Permits closing a connection on which no answer is pending any more: its client has closed
-    /// it, it has failed, or the process ends.
+    /// Permits closing a connection whose client has closed it, that has failed, or that ends with
+    /// the process. An answer may still be pending on it.
     pub fn client_or_process_ended() -> ClosePermit {
         ClosePermit(())
     }
 
-    /// Permits closing a connection whose client has used up the time allowed for a message or for
-    /// taking an answer.
+    /// Permits closing a connection whose client has used up the time allowed for sending a message
+    /// or for reading an answer.
     pub fn deadline_passed() -> ClosePermit {
         ClosePermit(())
     }
@@ -267,19 +268,19 @@
 }
 
 /// A violation of a rule that was detected after the action. It is counted and logged; a debug
-/// build panics.
+/// build panics, unless the process was stalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An attempt was written too long after the end of its deduplication window.
     WrittenLate,
-    /// A connection was closed although one of its requests waited for an answer.
+    /// The node closed a connection although a request on it waited for its answer.
     ClosedUnanswered,
     /// A request was answered more than the grace period after its client's timeout.
     AnsweredLate,
 }
 
 impl Violation {
-    /// The stable word for it in logs and counters.
+    /// The name of the violation in logs and counters, which must not change.
     pub fn name(self) -> &'static str {
         match self {
             Violation::WrittenLate => "written_late",
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -1,31 +1,34 @@
 //! Determines when a backend started, on the node's own monotonic clock.
 //!
 //! Endpoint lists give start times as wall-clock time, and any wall clock may be stepped. So the
-//! listed time is bounded by the node's own observations: a start is not later than its first
-//! observation and, if the node had an earlier list that was confirmed without it, not much earlier
-//! than that confirmation. Since no start is later than its observation, each observed start also
-//! bounds how far the wall clock can be ahead. Of the remaining estimates the latest is used: a
-//! backend that is assumed to be younger than it is gets fewer requests for some seconds; one that
-//! is assumed to be older may be overloaded during its slow start.
+//! node's own observations bound a start: it is not later than its first observation and, if an
+//! earlier list was confirmed without it, not much earlier than that confirmation. As no start is
+//! later than its observation, each observed start is also a lower bound of the wall-clock time at
+//! that moment. A start is estimated from the node's wall clock now, from its wall clock when the
+//! node started, and from that lower bound, and the latest estimate is used: a backend that is
+//! assumed to be younger than it is gets fewer requests for some seconds; one that is assumed to be
+//! older may be overloaded during its slow start.
 //!
 //! The ages of the backends on the first list can't be verified: a node that starts with a wrong
-//! clock has no earlier observation. All starts on that list count as observed now, except those
-//! that are too old to be explained by a clock that is off by an hour. As a result, after a restart
-//! of the node, backends that started recently get fewer requests for some seconds.
+//! clock has no earlier observation. All starts on that list count as happening now, except those
+//! too old to be explained by a clock that is off by an hour. As a result, after a restart of the
+//! node, backends that started recently get fewer requests for some seconds.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::{self, Clock, MS, SECOND};
 
-/// Maximum delay, in nanoseconds, after which a change in discovery counts as notified (protocol
-/// page). A start that is new on a list is therefore not much older than the last confirmed list.
+/// How long after a change in discovery it counts as notified at the latest, in nanoseconds
+/// (protocol page). So a start that is new on a list is at most this much older than the last
+/// confirmation of the list without it.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
-/// A start that seems older than this, in nanoseconds, is old. The wall clock may be off by an hour
-/// (the operators' terms); this allows for twice that.
+/// A start on the first list that is older than this by the wall clock, in nanoseconds, counts as
+/// long ago. The wall clock may be off by an hour (the operators' terms); this allows for twice
+/// that.
 const MAX_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
 
-/// What the node knows at the time when it observes a start on a list.
+/// What the node knows when it observes a start on a list.
 #[derive(Debug, Clone, Copy)]
 pub struct StartObservation {
     /// The time of the observation, in nanoseconds on the monotonic clock.
@@ -36,7 +39,7 @@
     /// started.
     pub wall_at_zero: Nanos,
     /// When the list was last confirmed without this start, in nanoseconds on the monotonic clock;
-    /// `None` before the first list.
+    /// `None` if there was no confirmation before.
     pub confirmed_at: Option<Nanos>,
 }
 
@@ -71,7 +74,8 @@
     }
 
     /// When the backend whose list entry has this `boot_ms` (in Unix milliseconds) started, in
-    /// nanoseconds on the monotonic clock; `None` if that was long ago.
+    /// nanoseconds on the monotonic clock; `None` if that was long ago, or if `boot_ms` is 0, which
+    /// means unknown.
     pub fn started_at(&self, boot_ms: u64, observation: &StartObservation) -> Option<Nanos> {
         if boot_ms == 0 {
             return None;
@@ -90,7 +94,7 @@
         let latest = by_wall_clock
             .max(by_wall_clock_at_start)
             .max(by_observed_starts);
-        // A listed start in the future counts as observed now.
+        // A start that is listed in the future counts as happening now.
         let started = latest
             .map(|at| at.min(observation.now))
             .filter(|at| *at > 0);
