--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -6,7 +6,7 @@
 
 use rustix::net::sockopt::set_socket_linger;
 
-use super::{LIMIT, header};
+use super::{TEST_TIMEOUT, header};
 
 /// One connection, and what has been received on it and not been taken yet.
 pub struct Connection {
@@ -17,7 +17,7 @@
 impl Connection {
     /// Sets a limit to each read, so that a test that waits in vain fails.
     pub(super) fn new(stream: TcpStream) -> Connection {
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Connection {
             stream,
@@ -32,32 +32,32 @@
     }
 
     /// Reads until `part` has come; gives all up to its end.
-    pub fn expect(&mut self, part: &str) -> String {
-        let found = self.expect_or_close(part);
-        found.unwrap_or_else(|| {
+    pub fn expect(&mut self, pattern: &str) -> String {
+        let has_byte = self.expect_or_close(pattern);
+        has_byte.unwrap_or_else(|| {
             panic!(
-                "an end before {part:?}; got {:?}",
+                "an end before {pattern:?}; got {:?}",
                 String::from_utf8_lossy(&self.received)
             )
         })
     }
 
     /// Reads until `part` has come, or `None` where the connection ends before.
-    pub fn expect_or_close(&mut self, part: &str) -> Option<String> {
+    pub fn expect_or_close(&mut self, pattern: &str) -> Option<String> {
         loop {
-            let at = self
+            let start = self
                 .received
-                .windows(part.len())
-                .position(|w| w == part.as_bytes());
-            if let Some(end) = at.map(|at| at + part.len()) {
+                .windows(pattern.len())
+                .position(|w| w == pattern.as_bytes());
+            if let Some(end) = start.map(|start| start + pattern.len()) {
                 return Some(String::from_utf8(self.received.drain(..end).collect()).unwrap());
             }
-            let mut bytes = [0; 4096];
-            match self.stream.read(&mut bytes) {
+            let mut buffer = [0; 4096];
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(count) => self.received.extend_from_slice(&bytes[..count]),
+                Ok(count) => self.received.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
-                Err(error) => panic!("{error} before {part:?}"),
+                Err(error) => panic!("{error} before {pattern:?}"),
             }
         }
     }
@@ -87,33 +87,33 @@
     }
 
     /// Bytes have come that nobody has read.
-    pub fn has_bytes(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
-        let found = matches!(self.stream.peek(&mut [0]), Ok(1));
+        let has_byte = matches!(self.stream.peek(&mut [0]), Ok(1));
         self.stream.set_nonblocking(false).unwrap();
-        found
+        has_byte
     }
 
     /// Sends a request again and again until the body of its answer is this one.
-    pub fn request_until(&mut self, request: &str, wanted: &str) {
-        let since = std::time::Instant::now();
+    pub fn request_until(&mut self, request: &str, expected_body: &str) {
+        let started_at = std::time::Instant::now();
         while !self.send(request).expect("\n").is_empty() {
             let head = self.expect("\r\n\r\n");
             let body = self.take(header(&head, "content-length").parse().unwrap());
-            if body == wanted {
+            if body == expected_body {
                 return;
             }
-            assert!(since.elapsed() < LIMIT, "{body}");
+            assert!(started_at.elapsed() < TEST_TIMEOUT, "{body}");
         }
     }
 
     /// Takes so many bytes.
     pub fn take(&mut self, count: usize) -> String {
         while self.received.len() < count {
-            let mut bytes = [0; 4096];
-            let read = self.stream.read(&mut bytes).unwrap();
+            let mut buffer = [0; 4096];
+            let read = self.stream.read(&mut buffer).unwrap();
             assert!(read > 0);
-            self.received.extend_from_slice(&bytes[..read]);
+            self.received.extend_from_slice(&buffer[..read]);
         }
         String::from_utf8(self.received.drain(..count).collect()).unwrap()
     }
--- a/crates/node/tests/common/messages.rs
+++ b/crates/node/tests/common/messages.rs
@@ -13,15 +13,15 @@
 }
 
 /// The head of discovery's answer to a watch.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Discovery's answer to a watch, up to one object with these changes.
-pub fn changes(revision: u32, endpoints: &[String]) -> String {
-    WATCH.to_string() + &more_changes(revision, endpoints)
+pub fn watch_response(revision: u32, endpoints: &[String]) -> String {
+    WATCH_RESPONSE_HEAD.to_string() + &watch_update(revision, endpoints)
 }
 
 /// One more object of a watch that has begun.
-pub fn more_changes(revision: u32, endpoints: &[String]) -> String {
+pub fn watch_update(revision: u32, endpoints: &[String]) -> String {
     let line = format!(
         r#"{{"rev":{revision},"all":false,"targets":[{}]}}"#,
         endpoints.join(",")
@@ -53,24 +53,24 @@
 }
 
 /// A configuration with one more backend, at the head of its list.
-pub fn with_backend(config: String, uid: &str, at: SocketAddr) -> String {
+pub fn with_backend(config: String, uid: &str, address: SocketAddr) -> String {
     config.replace(
         r#""targets":["#,
-        &format!(r#""targets":[{},"#, endpoint_json(uid, at, "Ready")),
+        &format!(r#""targets":[{},"#, endpoint_json(uid, address, "Ready")),
     )
 }
 
 /// A configuration whose one ready backend is here, and whose connections have time to come up.
-pub fn slow_to_connect(config: String, at: SocketAddr) -> String {
+pub fn with_long_connect_timeout(config: String, address: SocketAddr) -> String {
     let config = config.replace("Ready", "Terminating");
-    with_backend(config, "s-0", at).replace(
+    with_backend(config, "s-0", address).replace(
         r#""maxAttempts":5"#,
         r#""maxAttempts":5,"connectTimeoutNs":20000000000"#,
     )
 }
 
 /// A health check of the node.
-pub const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
+pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
 /// The value of a header that must be there.
 pub fn header<'a>(head: &'a str, name: &str) -> &'a str {
@@ -82,7 +82,7 @@
 }
 
 /// A request as clients send it, with the time that the client still waits in milliseconds.
-pub fn report(id: &str, client_timeout_ms: u32) -> String {
+pub fn report_request(id: &str, client_timeout_ms: u32) -> String {
     format!(
         "POST /api?n={id} HTTP/1.1\r\nHost: api.internal\r\nX-Txn: {id}\r\nX-Lane: report\r\nX-Org: acme\r\n\
          X-Remaining-Ms: {client_timeout_ms}\r\nIdempotency-Key: k{id}\r\nContent-Length: 4\r\n\r\nbody"
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -11,9 +11,9 @@
 
 pub use connection::Connection;
 pub use messages::{
-    HEALTH, WATCH, changes, chunk, default_config, endpoint_json, header, more_changes, report,
-    slow_to_connect, with_backend,
+    HEALTH_CHECK, WATCH_RESPONSE_HEAD, chunk, default_config, endpoint_json, header,
+    report_request, watch_response, watch_update, with_backend, with_long_connect_timeout,
 };
 pub use stand_in::StandIn;
-pub use test_node::{TestNode, run};
-pub use waiting::{LIMIT, pass, until};
+pub use test_node::{TestNode, spawn_with_config};
+pub use waiting::{TEST_TIMEOUT, sleep_ms, wait_for};
--- a/crates/node/tests/common/stand_in.rs
+++ b/crates/node/tests/common/stand_in.rs
@@ -4,7 +4,7 @@
 
 use rustix::net::sockopt::{Timeout, set_socket_timeout};
 
-use super::{Connection, LIMIT};
+use super::{Connection, TEST_TIMEOUT};
 
 /// A listener of the test's own, which stands in for discovery or a backend.
 pub struct StandIn(TcpListener);
@@ -21,7 +21,7 @@
     }
 
     /// A listener whose queue is full: connections to it don't come up. The stream keeps it so.
-    pub fn full() -> (StandIn, TcpStream) {
+    pub fn with_full_backlog() -> (StandIn, TcpStream) {
         let stand_in = StandIn::new();
         rustix::net::listen(&stand_in.0, 0).unwrap();
         let stream = TcpStream::connect(stand_in.address()).unwrap();
@@ -29,12 +29,12 @@
     }
 
     /// No connection of the node's waits here.
-    pub fn is_quiet(&self) -> bool {
-        self.poll().is_none()
+    pub fn has_no_pending_connection(&self) -> bool {
+        self.try_accept().is_none()
     }
 
     /// The node's next connection, if one waits here.
-    pub fn poll(&self) -> Option<Connection> {
+    pub fn try_accept(&self) -> Option<Connection> {
         self.0.set_nonblocking(true).unwrap();
         let found = self.0.accept().ok();
         self.0.set_nonblocking(false).unwrap();
@@ -45,8 +45,8 @@
     }
 
     /// Waits for the node's next connection, as long as a test may last.
-    pub fn wait_or_timeout(&self) -> Option<Connection> {
-        set_socket_timeout(&self.0, Timeout::Recv, Some(LIMIT)).unwrap();
+    pub fn accept_or_timeout(&self) -> Option<Connection> {
+        set_socket_timeout(&self.0, Timeout::Recv, Some(TEST_TIMEOUT)).unwrap();
         self.0
             .accept()
             .ok()
@@ -54,8 +54,8 @@
     }
 
     /// Waits for the node's next connection.
-    pub fn wait(&self) -> Connection {
-        set_socket_timeout(&self.0, Timeout::Recv, Some(LIMIT)).unwrap();
+    pub fn accept(&self) -> Connection {
+        set_socket_timeout(&self.0, Timeout::Recv, Some(TEST_TIMEOUT)).unwrap();
         Connection::new(self.0.accept().expect("a connection of the node's").0)
     }
 }
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -8,7 +8,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::process::{Pid, Signal, WaitOptions, kill_process, waitpid};
 
-use super::{Connection, HEALTH, LIMIT, StandIn, default_config};
+use super::{Connection, HEALTH_CHECK, StandIn, TEST_TIMEOUT, default_config};
 
 /// The program, with one backend in its list, between stand-ins.
 pub struct TestNode {
@@ -25,11 +25,11 @@
 impl TestNode {
     /// Starts the program with one backend in its list.
     pub fn start() -> TestNode {
-        TestNode::with(|config| config)
+        TestNode::with_config(|config| config)
     }
 
     /// Starts it on a changed configuration.
-    pub fn with(change: impl Fn(String) -> String) -> TestNode {
+    pub fn with_config(change: impl Fn(String) -> String) -> TestNode {
         TestNode::with_environment(change, &[])
     }
 
@@ -42,14 +42,14 @@
         let config = change(default_config(&discovery, &backend));
         let address = discovery.address().to_string();
         let variables = [&[("BALANCER_DISCOVERY", address.as_str())], variables].concat();
-        let mut process = run(&config, &variables);
+        let mut process = spawn_with_config(&config, &variables);
         let mut log = BufReader::new(process.stderr.take().unwrap());
         let line = next_line(&mut log);
         let address = line
             .strip_prefix("kitefork: start name=t1 listen=")
-            .and_then(|l| l.split(' ').next());
+            .and_then(|rest| rest.split(' ').next());
         let address = address
-            .and_then(|a| a.parse().ok())
+            .and_then(|text| text.parse().ok())
             .unwrap_or_else(|| panic!("no start in {line:?}"));
         TestNode {
             discovery,
@@ -72,23 +72,23 @@
     pub fn wait_for_iteration(&self) {
         let mut client = self.client();
         for _ in 0..2 {
-            client.send(HEALTH).expect("\r\n\r\n");
+            client.send(HEALTH_CHECK).expect("\r\n\r\n");
             client.expect("\n");
         }
     }
 
     /// Starts it with the fault shim preloaded; `plan` is what the shim's `plan` module reads.
     pub fn with_faults(plan: &str, change: impl Fn(String) -> String) -> TestNode {
-        TestNode::with_faults_and(plan, &[], change)
+        TestNode::with_faults_and_environment(plan, &[], change)
     }
 
     /// The same with more variables in its environment.
-    pub fn with_faults_and(
+    pub fn with_faults_and_environment(
         plan: &str,
         variables: &[(&str, &str)],
         change: impl Fn(String) -> String,
     ) -> TestNode {
-        let shim = fault_shim();
+        let shim = fault_shim_path();
         let faults = [("LD_PRELOAD", shim.as_str()), ("KITEFORK_FAULTS", plan)];
         TestNode::with_environment(change, &[&faults, variables].concat())
     }
@@ -99,21 +99,21 @@
     }
 
     /// Waits for a line of the log that holds `part`; gives the lines up to it.
-    pub fn expect_log(&mut self, part: &str) -> String {
+    pub fn expect_log(&mut self, pattern: &str) -> String {
         let mut lines = String::new();
-        while !lines.contains(part) {
+        while !lines.contains(pattern) {
             lines += &next_line(self.log.as_mut().expect("a log"));
         }
         lines
     }
 
     /// Nobody reads the log from here on.
-    pub fn drop_log(&mut self) {
+    pub fn close_log(&mut self) {
         self.log = None;
     }
 
     /// Processor time that the program has used.
-    pub fn cpu(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap();
         let fields: Vec<&str> = stat
             .rsplit(')')
@@ -142,14 +142,14 @@
     }
 
     /// How many descriptors the program holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
             .unwrap()
             .count()
     }
 
     /// Ends the node; gives what the log still held.
-    pub fn last_log(mut self) -> String {
+    pub fn stop_and_read_log(mut self) -> String {
         self.terminate();
         let mut lines = String::new();
         self.log
@@ -162,7 +162,7 @@
 
     /// Starts the program on a configuration that it has to wait for; gives what writes it once the
     /// program reads. Its signals have their handlers by then, and it is not ready.
-    pub fn waiting_for_configuration(variables: &[(&str, &str)]) -> (Child, std::fs::File) {
+    pub fn spawn_without_configuration(variables: &[(&str, &str)]) -> (Child, std::fs::File) {
         let path = config_path().with_extension("fifo");
         let _ = std::fs::remove_file(&path);
         rustix::fs::mkfifoat(
@@ -223,7 +223,7 @@
     }
 
     /// Puts a valid configuration in place of whatever is there, and notifies the node.
-    pub fn reload_sound(&self) {
+    pub fn reload_valid(&self) {
         std::fs::remove_file(config_path()).unwrap();
         self.reload(str::to_string);
     }
@@ -250,12 +250,12 @@
     let mut line = String::new();
     if log.buffer().is_empty() {
         let mut polled = [PollFd::new(log.get_ref(), PollFlags::IN)];
-        let limit = Timespec {
-            tv_sec: LIMIT.as_secs() as i64,
+        let timeout = Timespec {
+            tv_sec: TEST_TIMEOUT.as_secs() as i64,
             tv_nsec: 0,
         };
         assert!(
-            poll(&mut polled, Some(&limit)).unwrap() > 0,
+            poll(&mut polled, Some(&timeout)).unwrap() > 0,
             "the log says nothing more"
         );
     }
@@ -264,7 +264,7 @@
 }
 
 /// Where cargo puts the fault shim, on which the tests depend: beside their own program.
-fn fault_shim() -> String {
+fn fault_shim_path() -> String {
     let program = std::env::current_exe().unwrap();
     let shim = program.with_file_name("libkitefork_fault_shim.so");
     assert!(shim.exists(), "{} is not built", shim.display());
@@ -283,7 +283,7 @@
 }
 
 /// Runs the program with this configuration, and variables in its environment.
-pub fn run(config: &str, variables: &[(&str, &str)]) -> Child {
+pub fn spawn_with_config(config: &str, variables: &[(&str, &str)]) -> Child {
     std::fs::write(config_path(), config).unwrap();
     spawn(&config_path(), variables)
 }
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use crate::common::{Connection, TestNode, changes, endpoint_json, more_changes, pass};
+use crate::common::{Connection, TestNode, endpoint_json, sleep_ms, watch_response, watch_update};
 
 fn unix_ms() -> i64 {
     SystemTime::now()
@@ -12,17 +12,18 @@
 }
 
 /// An endpoint with the moment of its start.
-fn started(node: &TestNode, uid: &str, boot_ms: i64) -> String {
+fn endpoint_started_at(node: &TestNode, uid: &str, boot_ms: i64) -> String {
     endpoint_json(uid, node.backend.address(), "Ready")
         .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
 }
 
 /// A node whose wall clock follows a plan, and its watch, on which its list has come.
-fn followed(plan: &str) -> (TestNode, Connection) {
-    let node = TestNode::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| config);
-    let mut watch = node.discovery.wait();
+fn node_with_watch(plan: &str) -> (TestNode, Connection) {
+    let node =
+        TestNode::with_faults_and_environment(plan, &[("BALANCER_TRACE", "1")], |config| config);
+    let mut watch = node.discovery.accept();
     watch.expect("\r\n\r\n");
-    watch.send(&changes(
+    watch.send(&watch_response(
         8,
         &[endpoint_json("s-1", node.backend.address(), "Ready")],
     ));
@@ -31,10 +32,10 @@
 
 /// A node whose wall clock follows a plan, and that starts with a list on which `s-2` has just
 /// started.
-fn started_with(plan: &str, boot_ms: i64) -> TestNode {
-    TestNode::with_faults_and(plan, &[("BALANCER_TRACE", "1")], |config| {
-        let fresh = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
-        fresh.replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
+fn node_with_new_backend(plan: &str, boot_ms: i64) -> TestNode {
+    TestNode::with_faults_and_environment(plan, &[("BALANCER_TRACE", "1")], |config| {
+        let with_new_uid = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
+        with_new_uid.replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
     })
 }
 
@@ -58,51 +59,61 @@
 const HOUR_MS: i64 = 3_600_000;
 
 #[test]
-fn a_start_notified_on_an_open_watch_is_recent_whatever_the_clocks_say() {
+fn start_on_an_open_watch_is_recent_despite_wrong_clocks() {
     // The node's clock is ahead from its start on; the machines' clocks are set back while it runs.
-    for (plan, machines) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
-        let (mut node, mut watch) = followed(plan);
-        let boot = unix_ms() + machines - 500;
-        watch.send(&more_changes(9, &[started(&node, "s-2", boot)]));
+    for (plan, machine_offset_ms) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
+        let (mut node, mut watch) = node_with_watch(plan);
+        let boot = unix_ms() + machine_offset_ms - 500;
+        watch.send(&watch_update(9, &[endpoint_started_at(&node, "s-2", boot)]));
         let age = age_ms(&mut node, "s-2");
-        assert!((0..=6_000).contains(&age), "{plan} {machines}: {age} ms");
+        assert!(
+            (0..=6_000).contains(&age),
+            "{plan} {machine_offset_ms}: {age} ms"
+        );
     }
 }
 
 #[test]
-fn a_start_that_lies_ahead_is_not_later_than_the_moment_it_was_received() {
-    for (plan, machines) in [("clock=step:-3600", 0), ("", HOUR_MS)] {
-        let (mut node, mut watch) = followed(plan);
-        watch.send(&more_changes(
+fn start_in_the_future_counts_as_observed_now() {
+    for (plan, machine_offset_ms) in [("clock=step:-3600", 0), ("", HOUR_MS)] {
+        let (mut node, mut watch) = node_with_watch(plan);
+        watch.send(&watch_update(
             9,
-            &[started(&node, "s-2", unix_ms() + machines)],
+            &[endpoint_started_at(
+                &node,
+                "s-2",
+                unix_ms() + machine_offset_ms,
+            )],
         ));
         let age = age_ms(&mut node, "s-2");
-        assert!((0..=100).contains(&age), "{plan} {machines}: {age} ms");
+        assert!(
+            (0..=100).contains(&age),
+            "{plan} {machine_offset_ms}: {age} ms"
+        );
     }
 }
 
 #[test]
-fn a_clock_that_is_stepped_while_the_node_runs_makes_no_backend_old() {
+fn clock_step_while_the_node_runs_makes_no_backend_old() {
     for step in [3, -3, 3_600, -3_600] {
-        let (mut node, mut watch) = followed(&format!("clock=step:{step},from:200"));
-        pass(400);
+        let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step},from:200"));
+        sleep_ms(400);
         // All machines read one clock.
         let boot = unix_ms() + step * 1_000 - 1_000;
-        watch.send(&more_changes(9, &[started(&node, "s-2", boot)]));
+        watch.send(&watch_update(9, &[endpoint_started_at(&node, "s-2", boot)]));
         let age = age_ms(&mut node, "s-2");
         assert!((0..=1_500).contains(&age), "{step}: {age} ms");
     }
 }
 
 #[test]
-fn a_clock_that_is_seconds_ahead_from_the_start_on_makes_no_backend_older() {
+fn clock_ahead_since_the_node_started_makes_no_backend_older() {
     for step in [2, 5] {
-        let (mut node, mut watch) = followed(&format!("clock=step:{step}"));
+        let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step}"));
         for (revision, uid, delay_ms) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
-            watch.send(&more_changes(
+            watch.send(&watch_update(
                 revision,
-                &[started(&node, uid, unix_ms() - delay_ms)],
+                &[endpoint_started_at(&node, uid, unix_ms() - delay_ms)],
             ));
             let age = age_ms(&mut node, uid);
             assert!(
@@ -114,38 +125,38 @@
 }
 
 #[test]
-fn a_start_on_the_first_list_is_recent_whatever_the_clock_says() {
-    for (plan, at_least_so_old) in [
+fn start_on_the_first_list_is_recent_despite_a_wrong_clock() {
+    for (plan, start_age_ms) in [
         ("", 500),
         ("clock=step:3600", 500),
         ("clock=step:-3600", 500),
         ("", HOUR_MS),
     ] {
-        let mut node = started_with(plan, unix_ms() - at_least_so_old);
+        let mut node = node_with_new_backend(plan, unix_ms() - start_age_ms);
         let age = age_ms(&mut node, "s-2");
-        assert!(
-            (0..=100).contains(&age),
-            "{plan} {at_least_so_old}: {age} ms"
-        );
+        assert!((0..=100).contains(&age), "{plan} {start_age_ms}: {age} ms");
     }
     // A clock that is an hour off can't explain this.
-    let mut node = started_with("clock=step:3600", unix_ms() - 3 * HOUR_MS);
+    let mut node = node_with_new_backend("clock=step:3600", unix_ms() - 3 * HOUR_MS);
     assert_eq!(age_ms(&mut node, "s-2"), -1);
 }
 
 #[test]
-fn a_correct_clock_is_believed() {
-    let (mut node, mut watch) = followed("");
+fn correct_clock_determines_the_age_of_a_backend() {
+    let (mut node, mut watch) = node_with_watch("");
     // The first start that is notified soon shows that the clock is not ahead.
-    watch.send(&more_changes(9, &[started(&node, "s-4", unix_ms())]));
-    watch.send(&more_changes(
+    watch.send(&watch_update(
+        9,
+        &[endpoint_started_at(&node, "s-4", unix_ms())],
+    ));
+    watch.send(&watch_update(
         10,
-        &[started(&node, "s-2", unix_ms() - 3_000)],
+        &[endpoint_started_at(&node, "s-2", unix_ms() - 3_000)],
     ));
     let age = age_ms(&mut node, "s-2");
     assert!((2_900..=3_500).contains(&age), "{age} ms");
     // Notified again, it is as old as it was: nothing has started anew.
-    pass(Duration::from_millis(100).as_millis() as u64);
-    watch.send(&more_changes(11, &[started(&node, "s-3", 0)]));
+    sleep_ms(Duration::from_millis(100).as_millis() as u64);
+    watch.send(&watch_update(11, &[endpoint_started_at(&node, "s-3", 0)]));
     assert_eq!(age_ms(&mut node, "s-3"), -1, "long ago has no age");
 }
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -3,112 +3,119 @@
 use std::time::{Duration, Instant};
 
 use super::REMAINING_TIME_SLACK;
-use crate::common::{Connection, HEALTH, StandIn, TestNode, header, pass, report, slow_to_connect};
+use crate::common::{
+    Connection, HEALTH_CHECK, StandIn, TestNode, header, report_request, sleep_ms,
+    with_long_connect_timeout,
+};
 
 const CLIENT_TIMEOUT_MS: u32 = 4_000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS as u64);
 
 /// The request that has come on a backend's connection has no more time left than its client.
-fn expect_remaining_time(backend: &mut Connection, sent: Instant) {
+fn check_remaining_time(backend: &mut Connection, sent: Instant) {
     let head = backend.expect("body");
-    let left = CLIENT_TIMEOUT.saturating_sub(sent.elapsed());
+    let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent.elapsed());
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
-        remaining <= left + REMAINING_TIME_SLACK,
-        "passed on {remaining:?}, left {left:?}"
+        remaining <= client_remaining + REMAINING_TIME_SLACK,
+        "passed on {remaining:?}, left {client_remaining:?}"
     );
 }
 
 #[test]
-fn a_connection_that_comes_up_late_passes_the_time_left_then() {
-    let (full, queued) = StandIn::full();
-    let node = TestNode::with(|config| slow_to_connect(config, full.address()));
+fn connect_time_is_deducted_from_the_remaining_time() {
+    let (full_backend, queued) = StandIn::with_full_backlog();
+    let node =
+        TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut client = node.client();
     let sent = Instant::now();
-    client.send(&report("late", CLIENT_TIMEOUT_MS));
-    pass(300);
+    client.send(&report_request("late", CLIENT_TIMEOUT_MS));
+    sleep_ms(300);
     // The kernel of the backend's machine accepts the connection once its backlog has a place.
     drop(queued);
-    full.wait();
-    expect_remaining_time(&mut full.wait(), sent);
+    full_backend.accept();
+    check_remaining_time(&mut full_backend.accept(), sent);
 }
 
 #[test]
-fn a_request_that_waited_behind_another_passes_the_time_left() {
-    for in_one_piece in [false, true] {
+fn wait_behind_another_request_is_deducted_from_the_remaining_time() {
+    for pipelined in [false, true] {
         let node = TestNode::start();
         let mut client = node.client();
-        let (first, second) = (report("first", 5_000), report("second", CLIENT_TIMEOUT_MS));
+        let (first, second) = (
+            report_request("first", 5_000),
+            report_request("second", CLIENT_TIMEOUT_MS),
+        );
         let mut sent = Instant::now();
-        client.send(&if in_one_piece { first + &second } else { first });
-        let mut backend = node.backend.wait();
+        client.send(&if pipelined { first + &second } else { first });
+        let mut backend = node.backend.accept();
         backend.expect("body");
-        if !in_one_piece {
+        if !pipelined {
             sent = Instant::now();
             client.send(&second);
         }
-        pass(600);
+        sleep_ms(600);
         backend.serve("200 OK", "first");
-        expect_remaining_time(&mut backend, sent);
+        check_remaining_time(&mut backend, sent);
     }
 }
 
 #[test]
-fn a_request_that_lay_in_the_kernel_through_a_stall_passes_the_time_left() {
+fn stall_before_the_read_is_deducted_from_the_remaining_time() {
     for in_accept_queue in [false, true] {
         let node = TestNode::start();
-        let mut known = node.client();
-        known.send(HEALTH).expect("ok\n");
+        let mut accepted = node.client();
+        accepted.send(HEALTH_CHECK).expect("ok\n");
         node.stall();
         let sent = Instant::now();
         let mut client = if in_accept_queue {
             node.client()
         } else {
-            known
+            accepted
         };
-        client.send(&report("stalled", CLIENT_TIMEOUT_MS));
-        pass(800);
+        client.send(&report_request("stalled", CLIENT_TIMEOUT_MS));
+        sleep_ms(800);
         node.resume();
-        expect_remaining_time(&mut node.backend.wait(), sent);
+        check_remaining_time(&mut node.backend.accept(), sent);
     }
 }
 
 #[test]
-fn a_retry_passes_the_time_left_when_it_goes_out() {
+fn first_attempt_is_deducted_from_the_remaining_time_of_a_retry() {
     // An attempt is not called off as overdue within the pause.
-    let patient =
+    let with_long_objective =
         |config: String| config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":3000000000"#);
-    let node = TestNode::with(patient);
+    let node = TestNode::with_config(with_long_objective);
     let mut client = node.client();
-    client.send(&report("w0", 5_000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("w0", 5_000));
+    let mut backend = node.backend.accept();
     for number in 1..=5 {
         // Served first attempts pay for a retry.
         backend.expect("body");
         backend.serve("200 OK", "warm");
         client.expect("warm");
         let name = format!("w{number}");
-        client.send(&report(
+        client.send(&report_request(
             if number < 5 { &name } else { "again" },
             CLIENT_TIMEOUT_MS,
         ));
     }
     let sent = Instant::now();
-    expect_remaining_time(&mut backend, sent);
-    pass(400);
+    check_remaining_time(&mut backend, sent);
+    sleep_ms(400);
     backend.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
-    expect_remaining_time(&mut backend, sent);
+    check_remaining_time(&mut backend, sent);
 }
 
 #[test]
-fn a_request_that_arrives_at_an_idle_node_passes_nearly_all_of_its_time() {
+fn idle_time_before_a_request_is_not_deducted() {
     let node = TestNode::start();
     let mut client = node.client();
-    client.send(HEALTH).expect("ok\n");
-    pass(1_500);
+    client.send(HEALTH_CHECK).expect("ok\n");
+    sleep_ms(1_500);
     let sent = Instant::now();
-    client.send(&report("idle", CLIENT_TIMEOUT_MS));
-    let head = node.backend.wait().expect("body");
+    client.send(&report_request("idle", CLIENT_TIMEOUT_MS));
+    let head = node.backend.accept().expect("body");
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining + REMAINING_TIME_SLACK >= CLIENT_TIMEOUT.saturating_sub(sent.elapsed()),
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use super::{EchoBackend, node_with_echo_backend, send_requests};
-use crate::common::{Connection, TestNode, report, slow_to_connect};
+use crate::common::{Connection, TestNode, report_request, with_long_connect_timeout};
 
-fn node(plan: &str) -> (TestNode, EchoBackend) {
+fn node_with_faults(plan: &str) -> (TestNode, EchoBackend) {
     node_with_echo_backend(|config| TestNode::with_faults(plan, config))
 }
 
 #[test]
-fn calls_that_are_interrupted_or_short_cost_no_client_its_answer() {
+fn interrupted_and_short_calls_lose_no_answer() {
     for plan in [
         "send=EINTR,every:3",
         "send=short,every:2",
@@ -18,14 +18,14 @@
         "recv=short,every:2",
         "epoll_wait=EINTR,every:3",
     ] {
-        let (node, backend) = node(plan);
+        let (node, backend) = node_with_faults(plan);
         let served = send_requests(&node, 120);
         assert_eq!((served, backend.served()), (120, 120), "{plan}");
     }
 }
 
 #[test]
-fn calls_that_fail_for_a_moment_cost_no_client_its_answer() {
+fn temporary_call_failures_lose_no_answer() {
     for plan in [
         "send=ENOBUFS,chance:0.12",
         "send=ENOMEM,chance:0.12",
@@ -42,7 +42,7 @@
         "connect=ENOBUFS,chance:0.5",
         "poll=ENOMEM,chance:0.3",
     ] {
-        let (node, backend) = node(plan);
+        let (node, backend) = node_with_faults(plan);
         let served = send_requests(&node, 120);
         assert!(
             served >= 114,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_accept_that_fails_for_a_moment_blocks_no_other_client() {
+fn temporary_accept_failure_blocks_no_other_client() {
     for errno in [
         "ENFILE",
         "ENOBUFS",
@@ -72,28 +72,28 @@
         "ECONNRESET",
         "EINTR",
     ] {
-        let (node, _backend) = node(&format!("accept={errno},every:5"));
+        let (node, _backend) = node_with_faults(&format!("accept={errno},every:5"));
         let mut idle = node.client();
-        idle.send(crate::common::HEALTH).expect("ok\n");
-        let since = Instant::now();
+        idle.send(crate::common::HEALTH_CHECK).expect("ok\n");
+        let started_at = Instant::now();
         for number in 0..100 {
             let mut client = node.client();
             let name = format!("r{number}");
             client
-                .send(&report(&name, 3_000))
+                .send(&report_request(&name, 3_000))
                 .expect(&format!("\r\n\r\n{name}"));
         }
         assert!(
-            since.elapsed() < Duration::from_millis(1_200),
+            started_at.elapsed() < Duration::from_millis(1_200),
             "{errno}: {:?}",
-            since.elapsed()
+            started_at.elapsed()
         );
         assert!(!idle.is_closed(), "{errno}: an idle connection was closed");
     }
 }
 
 #[test]
-fn a_shortage_of_this_machine_neither_burns_an_attempt_nor_speaks_against_the_backend() {
+fn local_shortage_uses_up_no_attempt_and_ejects_no_backend() {
     for fault in [
         "connect=EADDRNOTAVAIL",
         "connect=ENETUNREACH",
@@ -103,20 +103,23 @@
         let stand_in = crate::common::StandIn::new();
         let address = stand_in.address();
         let node = TestNode::with_faults(&format!("{fault},from:300,to:700"), |config| {
-            slow_to_connect(config, address).replace(r#""maxAttempts":5"#, r#""maxAttempts":1"#)
+            with_long_connect_timeout(config, address)
+                .replace(r#""maxAttempts":5"#, r#""maxAttempts":1"#)
         });
         let _backend = EchoBackend::serve(stand_in);
         let mut client = node.client();
-        client.send(crate::common::HEALTH).expect("ok\n");
-        crate::common::pass(400);
-        client.send(&report("once", 3_000)).expect("\r\n\r\nonce");
-        let log = node.last_log();
+        client.send(crate::common::HEALTH_CHECK).expect("ok\n");
+        crate::common::sleep_ms(400);
+        client
+            .send(&report_request("once", 3_000))
+            .expect("\r\n\r\nonce");
+        let log = node.stop_and_read_log();
         assert!(!log.contains("ejected"), "{fault}: {log}");
     }
 }
 
 #[test]
-fn a_shortage_that_lasts_is_not_spun_on() {
+fn lasting_shortage_causes_no_busy_loop() {
     for fault in [
         "send=ENOBUFS",
         "recv=ENOMEM",
@@ -124,19 +127,19 @@
         "connect=EADDRNOTAVAIL",
         "socket=ENOBUFS",
     ] {
-        let (node, _backend) = node(&format!("{fault},from:300,to:1300"));
+        let (node, _backend) = node_with_faults(&format!("{fault},from:300,to:1300"));
         assert_eq!(send_requests(&node, 5), 5, "{fault}");
         let mut clients: Vec<Connection> = (0..5).map(|_| node.client()).collect();
-        crate::common::pass(400);
+        crate::common::sleep_ms(400);
         for (number, client) in clients.iter_mut().enumerate() {
-            client.send(&report(&format!("s{number}"), 4_000));
+            client.send(&report_request(&format!("s{number}"), 4_000));
         }
-        let before = node.cpu();
-        crate::common::pass(700);
-        let used = node.cpu().checked_sub(before).unwrap();
+        let cpu_time_before = node.cpu_time();
+        crate::common::sleep_ms(700);
+        let used_cpu_time = node.cpu_time().checked_sub(cpu_time_before).unwrap();
         assert!(
-            used < Duration::from_millis(200),
-            "{fault}: {used:?} of a core in 0.7 s"
+            used_cpu_time < Duration::from_millis(200),
+            "{fault}: {used_cpu_time:?} of a core in 0.7 s"
         );
         for (number, mut client) in clients.into_iter().enumerate() {
             client.expect(&format!("\r\n\r\ns{number}"));
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_with_any_errno_costs_its_own_client_only() {
+fn broken_connection_affects_only_its_own_client() {
     for plan in [
         "recv=ETIMEDOUT,chance:0.05",
         "recv=EHOSTUNREACH,chance:0.05",
@@ -161,10 +164,10 @@
         "connect=ECONNREFUSED,chance:0.3",
         "connect=EHOSTUNREACH,chance:0.3",
     ] {
-        let (node, _backend) = node(plan);
+        let (node, _backend) = node_with_faults(plan);
         let answered = (0..120).filter(|number| {
             let mut client = node.client();
-            client.send(&report(&format!("r{number}"), 3_000));
+            client.send(&report_request(&format!("r{number}"), 3_000));
             client.expect_or_close("\r\n\r\n").is_some()
         });
         let answered = answered.count();
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn a_signal_whose_wake_up_is_lost_is_handled_all_the_same() {
+fn signal_with_a_lost_wake_up_byte_is_handled() {
     // The handler wakes the loop by a byte on a socket; the machine has no memory for it.
     let mut node = TestNode::with_faults("send=ENOBUFS", |config| config);
     node.reload(|config| config.replace(r#""seed":"8c1f""#, r#""seed":"zz""#));
@@ -184,67 +187,69 @@
 }
 
 #[test]
-fn a_process_out_of_descriptors_for_a_moment_answers_all_the_same() {
+fn temporary_descriptor_exhaustion_loses_no_answer() {
     for plan in ["accept=EMFILE,chance:0.1", "socket=EMFILE,chance:0.3"] {
-        let (node, _backend) = node(plan);
+        let (node, _backend) = node_with_faults(plan);
         assert_eq!(send_requests(&node, 60), 60, "{plan}");
     }
 }
 
 #[test]
-fn no_client_is_closed_for_want_of_descriptors_while_nobody_else_waits() {
+fn emfile_closes_no_client_while_no_other_client_waits() {
     // An accept fails without descriptors also where no client waits: the one behind each client.
-    let (node, _backend) = node("accept=EMFILE,every:2");
+    let (node, _backend) = node_with_faults("accept=EMFILE,every:2");
     for number in 0..10 {
         let mut client = node.client();
         std::thread::sleep(Duration::from_millis(20));
         let name = format!("late{number}");
         client
-            .send(&report(&name, 3_000))
+            .send(&report_request(&name, 3_000))
             .expect(&format!("\r\n\r\n{name}"));
     }
 }
 
 #[test]
-fn a_configuration_that_gives_an_io_error_changes_nothing_and_is_read_again() {
-    let (mut node, backend) = node_with_echo_backend(|config| TestNode::with(config));
+fn unreadable_configuration_changes_nothing_until_the_next_reload() {
+    let (mut node, backend) = node_with_echo_backend(|config| TestNode::with_config(config));
     node.reload_unreadable();
     let log = node.expect_log("reload-failed");
     assert!(log.contains("os error 5"), "{log}");
     assert_eq!(send_requests(&node, 10), 10);
     assert_eq!(backend.served(), 10);
-    node.reload_sound();
+    node.reload_valid();
     node.expect_log("reload discovery=");
 }
 
 #[test]
-fn a_configuration_that_never_ends_or_never_comes_blocks_nobody() {
-    for put in [
+fn endless_or_blocking_configuration_file_blocks_no_request() {
+    for replace_configuration in [
         |node: &TestNode| node.reload_from("/dev/zero"),
         TestNode::reload_from_pipe,
     ] {
-        let (mut node, backend) = node_with_echo_backend(|config| TestNode::with(config));
-        put(&node);
+        let (mut node, backend) = node_with_echo_backend(|config| TestNode::with_config(config));
+        replace_configuration(&node);
         node.expect_log("reload-failed");
         assert_eq!((send_requests(&node, 10), backend.served()), (10, 10));
-        node.reload_sound();
+        node.reload_valid();
         node.expect_log("reload discovery=");
     }
 }
 
 #[test]
-fn a_request_that_cannot_be_read_for_a_moment_when_the_node_stops_accepting_is_answered() {
+fn temporarily_unreadable_request_at_shutdown_is_answered() {
     // The node stops accepting 0.6 s after SIGTERM, in the span in which nothing can be read.
     let started = Instant::now();
-    let (node, _backend) = node("recv=ENOMEM,from:1500,to:1900");
+    let (node, _backend) = node_with_faults("recv=ENOMEM,from:1500,to:1900");
     let mut client = node.client();
-    client.send(&report("first", 3_000)).expect("\r\n\r\nfirst");
+    client
+        .send(&report_request("first", 3_000))
+        .expect("\r\n\r\nfirst");
     let mut idle = node.client();
-    idle.send(crate::common::HEALTH).expect("ok\n");
-    wait_until(started, Duration::from_millis(1_150));
+    idle.send(crate::common::HEALTH_CHECK).expect("ok\n");
+    sleep_until(started, Duration::from_millis(1_150));
     node.terminate();
-    wait_until(started, Duration::from_millis(1_650));
-    client.send(&report("second", 3_000));
+    sleep_until(started, Duration::from_millis(1_650));
+    client.send(&report_request("second", 3_000));
     let head = client
         .expect_or_close("\r\n\r\n")
         .expect("an answer, not a close");
@@ -261,6 +266,6 @@
     assert_eq!(node.wait_exit().code(), Some(0));
 }
 
-fn wait_until(started: Instant, time: Duration) {
-    crate::common::pass(time.saturating_sub(started.elapsed()).as_millis() as u64);
+fn sleep_until(started: Instant, time: Duration) {
+    crate::common::sleep_ms(time.saturating_sub(started.elapsed()).as_millis() as u64);
 }
--- a/crates/node/tests/protocol_rules/half_close.rs
+++ b/crates/node/tests/protocol_rules/half_close.rs
@@ -1,37 +1,38 @@
 //! A request that was read gets an answer, also where its client has ended its sending behind it.
 //! Nothing is forwarded for such a client: a half-close can't be distinguished from a close.
 
-use crate::common::{TestNode, pass, report};
+use crate::common::{TestNode, report_request, sleep_ms};
 
 #[test]
-fn a_client_that_half_closes_behind_its_request_is_rejected_and_not_forwarded() {
+fn half_closed_request_is_rejected_and_not_forwarded() {
     let node = TestNode::start();
     node.stall();
     let mut client = node.client();
-    client.send(&report("half", 5_000));
+    client.send(&report_request("half", 5_000));
     client.half_close();
     node.resume();
     assert!(client.expect_close().starts_with("HTTP/1.1 503 "));
-    assert!(node.backend.is_quiet());
+    assert!(node.backend.has_no_pending_connection());
 }
 
 #[test]
-fn a_client_that_half_closes_while_its_request_is_queued_is_rejected() {
-    let node =
-        TestNode::with(|config| config.replace(r#""state":"Ready""#, r#""state":"Terminating""#));
+fn half_close_while_the_request_is_queued_rejects_it() {
+    let node = TestNode::with_config(|config| {
+        config.replace(r#""state":"Ready""#, r#""state":"Terminating""#)
+    });
     let mut client = node.client();
-    client.send(&report("held", 5_000));
+    client.send(&report_request("held", 5_000));
     node.wait_for_iteration();
     client.half_close();
     assert!(client.expect_close().starts_with("HTTP/1.1 503 "));
 }
 
 #[test]
-fn a_client_that_half_closes_while_its_attempt_is_in_flight_gets_an_error() {
+fn half_close_during_an_attempt_gets_502_and_cancels_it() {
     let node = TestNode::start();
     let mut client = node.client();
-    client.send(&report("out", 5_000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("out", 5_000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     client.half_close();
     // It may have run, so it is no refusal; and its attempt is called off.
@@ -40,11 +41,11 @@
 }
 
 #[test]
-fn a_client_that_half_closes_behind_half_a_request_is_answered_that_it_is_incomplete() {
+fn half_close_after_an_incomplete_request_gets_400_or_a_close() {
     let node = TestNode::start();
     let mut client = node.client();
-    let whole = report("part", 5_000);
-    client.send(&whole[..whole.len() - 2]);
+    let complete = report_request("part", 5_000);
+    client.send(&complete[..complete.len() - 2]);
     node.wait_for_iteration();
     client.half_close();
     let answer = client.expect_close();
@@ -52,6 +53,6 @@
         answer.is_empty() || answer.starts_with("HTTP/1.1 400 "),
         "{answer}"
     );
-    pass(20);
-    assert!(node.backend.is_quiet());
+    sleep_ms(20);
+    assert!(node.backend.has_no_pending_connection());
 }
--- a/crates/node/tests/protocol_rules/log.rs
+++ b/crates/node/tests/protocol_rules/log.rs
@@ -4,7 +4,7 @@
 use crate::common::TestNode;
 
 #[test]
-fn a_log_that_nobody_reads_blocks_no_request_and_says_later_what_it_dropped() {
+fn unread_log_blocks_no_request_and_reports_dropped_lines() {
     let (mut node, backend) = node_with_echo_backend(|config| {
         TestNode::with_environment(config, &[("BALANCER_TRACE", "1")])
     });
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn a_log_whose_reader_has_closed_blocks_no_request() {
+fn closed_log_blocks_no_request() {
     let (mut node, _backend): (TestNode, EchoBackend) = node_with_echo_backend(|config| {
         TestNode::with_environment(config, &[("BALANCER_TRACE", "1")])
     });
-    node.drop_log();
+    node.close_log();
     assert_eq!(send_requests(&node, 100), 100);
 }
--- a/crates/node/tests/protocol_rules/mod.rs
+++ b/crates/node/tests/protocol_rules/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use crate::common::{Connection, StandIn, TestNode, endpoint_json, report};
+use crate::common::{Connection, StandIn, TestNode, endpoint_json, report_request};
 
 /// The time left that a backend is notified of may exceed the client's by this.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
@@ -26,9 +26,9 @@
         let served = Arc::new(AtomicUsize::new(0));
         let count = served.clone();
         std::thread::spawn(move || {
-            while let Some(connection) = stand_in.wait_or_timeout() {
+            while let Some(connection) = stand_in.accept_or_timeout() {
                 let count = count.clone();
-                std::thread::spawn(move || answer_each(connection, &count));
+                std::thread::spawn(move || answer_requests(connection, &count));
             }
         });
         EchoBackend { served }
@@ -39,7 +39,7 @@
     }
 }
 
-fn answer_each(mut connection: Connection, count: &AtomicUsize) {
+fn answer_requests(mut connection: Connection, count: &AtomicUsize) {
     while let Some(head) = connection.expect_or_close("body") {
         let txn = crate::common::header(&head, "x-txn").to_string();
         count.fetch_add(1, Ordering::SeqCst);
@@ -78,7 +78,7 @@
     for number in 0..count {
         let mut connection = client.take().unwrap_or_else(|| node.client());
         let name = format!("r{number}");
-        connection.send(&report(&name, 3_000));
+        connection.send(&report_request(&name, 3_000));
         let head = connection
             .expect_or_close("\r\n\r\n")
             .unwrap_or_else(|| panic!("{name} got no answer"));
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -1,52 +1,53 @@
 //! Races on connections to backends and of clients.
 
-use super::{MAX_CLIENT_CONNECTIONS, few_sockets, with_idle_connection};
+use super::{MAX_CLIENT_CONNECTIONS, with_few_descriptors, with_idle_connection};
 use crate::common::{
-    Connection, HEALTH, StandIn, TestNode, WATCH, endpoint_json, more_changes, pass, report,
-    slow_to_connect, until,
+    Connection, HEALTH_CHECK, StandIn, TestNode, WATCH_RESPONSE_HEAD, endpoint_json,
+    report_request, sleep_ms, wait_for, watch_update, with_long_connect_timeout,
 };
 
 #[test]
-fn a_drain_in_the_iteration_of_a_request_keeps_it_away_from_the_idle_connection() {
+fn request_read_together_with_a_drain_avoids_the_idle_connection() {
     let other = StandIn::new();
     let node = TestNode::start();
-    let mut watch = node.discovery.wait();
-    watch.send(WATCH);
+    let mut watch = node.discovery.accept();
+    watch.send(WATCH_RESPONSE_HEAD);
     let (mut client, mut backend) = with_idle_connection(&node, "w");
     node.stall();
-    client.send(&report("after", 5000));
-    let leaving = endpoint_json("s-1", node.backend.address(), "Terminating");
-    watch.send(&more_changes(
+    client.send(&report_request("after", 5000));
+    let draining = endpoint_json("s-1", node.backend.address(), "Terminating");
+    watch.send(&watch_update(
         8,
-        &[leaving, endpoint_json("s-2", other.address(), "Ready")],
+        &[draining, endpoint_json("s-2", other.address(), "Ready")],
     ));
     node.resume();
     assert_eq!(backend.expect_close(), "");
-    let mut elsewhere = other.wait();
+    let mut elsewhere = other.accept();
     elsewhere.expect("x-txn: after\r\n");
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_deadline_of_its_request_carries_nothing() {
-    let (full, queued) = StandIn::full();
-    let node = TestNode::with(|config| slow_to_connect(config, full.address()));
+fn connection_established_after_the_deadline_sends_nothing() {
+    let (full_backend, queued) = StandIn::with_full_backlog();
+    let node =
+        TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut client = node.client();
-    client.send(&report("late", 1500));
+    client.send(&report_request("late", 1500));
     node.wait_for_iteration();
     node.stall();
-    full.wait();
+    full_backend.accept();
     drop(queued);
     // The kernel sends its SYN again a second after the first one.
-    let mut backend = full.wait();
-    pass(1600);
+    let mut backend = full_backend.accept();
+    sleep_ms(1600);
     node.resume();
     assert_eq!(backend.expect_close(), "");
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 50"));
 }
 
 #[test]
-fn a_connection_that_has_stood_idle_through_a_stall_is_not_used_again() {
-    let node = TestNode::with(|config| {
+fn connection_whose_idle_timeout_passes_in_a_stall_is_not_reused() {
+    let node = TestNode::with_config(|config| {
         config.replace(
             r#""maxAttempts":5"#,
             r#""maxAttempts":5,"connIdleNs":400000000"#,
@@ -54,49 +55,52 @@
     });
     let (mut client, _backend) = with_idle_connection(&node, "w");
     node.stall();
-    pass(310);
-    client.send(&report("again", 5000));
+    sleep_ms(310);
+    client.send(&report_request("again", 5000));
     node.resume();
-    node.backend.wait().expect("x-txn: again\r\n");
+    node.backend.accept().expect("x-txn: again\r\n");
 }
 
 #[test]
-fn an_answer_that_is_there_wins_over_its_time_out_behind_any_number_of_other_events() {
-    let node = TestNode::with(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
+fn received_answer_takes_precedence_over_its_timeout() {
+    let node =
+        TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     let mut client = node.client();
     let mut others: Vec<Connection> = (0..300).map(|_| node.client()).collect();
     for other in &mut others {
-        other.send(HEALTH).expect("ok\n");
+        other.send(HEALTH_CHECK).expect("ok\n");
     }
-    client.send(&report("slow", 400));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("slow", 400));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     node.stall();
     for other in &mut others {
-        other.send(HEALTH);
+        other.send(HEALTH_CHECK);
     }
     backend.serve("200 OK", "there");
-    pass(450);
+    sleep_ms(450);
     node.resume();
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 200 "));
 }
 
 #[test]
-fn a_connection_on_which_a_request_has_come_is_not_evicted_for_a_new_client() {
-    let node = TestNode::with(few_sockets);
-    let before = node.descriptors();
+fn connection_with_an_unread_request_is_not_evicted() {
+    let node = TestNode::with_config(with_few_descriptors);
+    let descriptors_before = node.open_descriptors();
     let mut clients: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
-    until(|| (node.descriptors() >= before + MAX_CLIENT_CONNECTIONS).then_some(()));
+    wait_for(|| {
+        (node.open_descriptors() >= descriptors_before + MAX_CLIENT_CONNECTIONS).then_some(())
+    });
     node.stall();
-    let mut new = node.client();
-    clients[0].send(&report("asks", 5000));
+    let mut new_client = node.client();
+    clients[0].send(&report_request("asks", 5000));
     node.resume();
-    let mut backend = node.backend.wait();
+    let mut backend = node.backend.accept();
     backend.expect("x-txn: asks\r\n");
     backend.expect("body");
     backend.serve("200 OK", "served");
     clients[0].expect("served");
-    new.send(HEALTH).expect("ok\n");
+    new_client.send(HEALTH_CHECK).expect("ok\n");
     // None of the others is closed but the one that was evicted.
     let closed = clients[1..]
         .iter_mut()
@@ -107,27 +111,27 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_not_taken_for_the_next_one_once_one_has_been_seen() {
+fn late_second_answer_is_not_used_for_the_next_request() {
     let node = TestNode::start();
     let mut client = node.client();
-    client.send(&report("first", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("first", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     // The sign: two answers in one write.
-    let twice = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
-    backend.send(&twice);
+    let two_answers = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
+    backend.send(&two_answers);
     client.expect("one");
     assert_eq!(backend.expect_close(), "");
     // Two messages in one write: the second goes on a tick after the first is answered.
-    client.send(&(report("second", 5000) + &report("third", 5000)));
-    let mut backend = node.backend.wait();
+    client.send(&(report_request("second", 5000) + &report_request("third", 5000)));
+    let mut backend = node.backend.accept();
     backend.expect("x-txn: second\r\n");
     backend.serve("200 OK", "two");
     client.expect("\r\n\r\ntwo");
-    let mut next = node.backend.wait();
-    next.expect("x-txn: third\r\n");
+    let mut next_connection = node.backend.accept();
+    next_connection.expect("x-txn: third\r\n");
     backend.serve("200 OK", "two");
     assert_eq!(backend.expect_close().matches("x-txn").count(), 0);
-    next.serve("200 OK", "three");
+    next_connection.serve("200 OK", "three");
     client.expect("\r\n\r\nthree");
 }
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -2,21 +2,21 @@
 
 use std::time::{Duration, Instant};
 
-use super::{all_busy, few_sockets, short};
-use crate::common::{HEALTH, TestNode, header, pass, report};
+use super::{occupy_all_connections, with_client_timeout, with_few_descriptors};
+use crate::common::{HEALTH_CHECK, TestNode, header, report_request, sleep_ms};
 
 #[test]
-fn where_deadlines_are_short_the_last_answers_come_before_sigkill_may() {
-    let node = TestNode::with(|config| short(config, "150000000"));
+fn short_client_timeouts_get_their_last_answers_before_sigkill() {
+    let node = TestNode::with_config(|config| with_client_timeout(config, "150000000"));
     let (mut client, mut queued) = (node.client(), node.client());
-    client.send(&report("silent", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("silent", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     // One that waits: the backend takes one attempt.
-    queued.send(&report("queued", 5000));
+    queued.send(&report_request("queued", 5000));
     node.wait_for_iteration();
     node.terminate();
-    let since = Instant::now();
+    let started_at = Instant::now();
     let answer = client.expect("\r\n\r\n");
     assert!(
         answer.starts_with("HTTP/1.1 50") && !answer.contains(" 503 "),
@@ -24,60 +24,60 @@
     );
     assert!(queued.expect("\r\n\r\n").starts_with("HTTP/1.1 503 "));
     assert!(
-        since.elapsed() < Duration::from_millis(150 + 700),
+        started_at.elapsed() < Duration::from_millis(150 + 700),
         "{:?}",
-        since.elapsed()
+        started_at.elapsed()
     );
     drop((client, queued));
     assert_eq!(node.wait_exit().code(), Some(0));
     assert!(
-        since.elapsed() < Duration::from_millis(150 + 700),
+        started_at.elapsed() < Duration::from_millis(150 + 700),
         "{:?}",
-        since.elapsed()
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn a_request_that_lies_unread_at_the_last_moment_is_rejected_and_reaches_no_backend() {
-    let mut node = TestNode::with(|config| short(config, "100000000"));
-    let (mut known, mut busy) = (node.client(), node.client());
-    known.send(HEALTH).expect("ok\n");
-    busy.send(HEALTH).expect("ok\n");
+fn unread_request_at_the_last_answers_is_rejected_and_not_forwarded() {
+    let mut node = TestNode::with_config(|config| with_client_timeout(config, "100000000"));
+    let (mut accepted, mut busy) = (node.client(), node.client());
+    accepted.send(HEALTH_CHECK).expect("ok\n");
+    busy.send(HEALTH_CHECK).expect("ok\n");
     node.terminate();
     node.expect_log("sigterm");
     node.stall();
-    known.send(&report("late", 5000));
+    accepted.send(&report_request("late", 5000));
     // The time for answers runs out 0.6 s after SIGTERM.
-    pass(650);
+    sleep_ms(650);
     node.resume();
-    let answer = known.expect_close();
+    let answer = accepted.expect_close();
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-    assert!(node.backend.is_quiet());
+    assert!(node.backend.has_no_pending_connection());
     assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 #[test]
-fn no_attempt_outlives_the_node() {
-    let mut node = TestNode::with(|config| short(config, "400000000"));
+fn deadline_of_an_attempt_is_before_sigkill() {
+    let mut node = TestNode::with_config(|config| with_client_timeout(config, "400000000"));
     let mut client = node.client();
-    client.send(HEALTH).expect("ok\n");
+    client.send(HEALTH_CHECK).expect("ok\n");
     node.terminate();
     node.expect_log("sigterm");
-    client.send(&report("capped", 5000));
-    let head = node.backend.wait().expect("\r\n\r\n");
-    let left: u32 = header(&head, "x-remaining-ms").parse().unwrap();
+    client.send(&report_request("capped", 5000));
+    let head = node.backend.accept().expect("\r\n\r\n");
+    let remaining_ms: u32 = header(&head, "x-remaining-ms").parse().unwrap();
     assert!(
-        left <= 900,
-        "{left} ms, though SIGKILL may come 1.1 s after SIGTERM"
+        remaining_ms <= 900,
+        "{remaining_ms} ms, though SIGKILL may come 1.1 s after SIGTERM"
     );
 }
 
 #[test]
-fn clients_that_wait_for_a_descriptor_when_the_listener_is_to_close_are_still_taken() {
-    let mut node = TestNode::with(few_sockets);
-    let mut busy = all_busy(&node);
+fn client_waiting_for_a_descriptor_at_shutdown_is_still_accepted() {
+    let mut node = TestNode::with_config(with_few_descriptors);
+    let mut busy = occupy_all_connections(&node);
     let mut late = node.client();
-    late.send(&report("late", 4000));
+    late.send(&report_request("late", 4000));
     node.expect_log("client-connections-full");
     node.terminate();
     node.expect_log("late-clients");
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn a_log_whose_reader_has_gone_ends_no_node() {
+fn closed_log_does_not_end_the_node() {
     let mut node = TestNode::start();
-    node.drop_log();
+    node.close_log();
     let mut client = node.client();
     // Each of these is logged.
     for _ in 0..3 {
         client
-            .send(&report("x", 99).replace("X-Org: acme", "X-Org: nobody"))
+            .send(&report_request("x", 99).replace("X-Org: acme", "X-Org: nobody"))
             .expect("400 Bad Request");
     }
-    client.send(&report("served", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("served", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "served");
     client.expect("\r\n\r\nserved");
--- a/crates/node/tests/races/mod.rs
+++ b/crates/node/tests/races/mod.rs
@@ -9,13 +9,13 @@
 mod shutdown;
 mod watch;
 
-use crate::common::{Connection, TestNode, report};
+use crate::common::{Connection, TestNode, report_request};
 
 /// A client has one request answered, so that the node has an idle connection to the backend.
 fn with_idle_connection(node: &TestNode, id: &str) -> (Connection, Connection) {
     let mut client = node.client();
-    client.send(&report(id, 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request(id, 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "warm");
     client.expect("warm");
@@ -24,17 +24,17 @@
 
 /// The next request that reaches the backend on a new connection is this one, and nothing came
 /// before it.
-fn serve_next(node: &TestNode, id: &str) {
+fn serve_next_request(node: &TestNode, id: &str) {
     let mut client = node.client();
-    client.send(&report(id, 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request(id, 5000));
+    let mut backend = node.backend.accept();
     let head = backend.expect("body");
     assert!(head.contains(&format!("x-txn: {id}\r\n")), "{head}");
     backend.serve("200 OK", id);
     client.expect(&format!("\r\n\r\n{id}"));
 }
 
-fn few_sockets(config: String) -> String {
+fn with_few_descriptors(config: String) -> String {
     config.replace(r#""sockets":128"#, r#""sockets":64"#)
 }
 
@@ -43,21 +43,21 @@
 const MAX_CLIENT_CONNECTIONS: usize = 33;
 
 /// As many clients as it holds, each with a request out or waiting.
-fn all_busy(node: &TestNode) -> Vec<Connection> {
-    let send_requests = |n| {
+fn occupy_all_connections(node: &TestNode) -> Vec<Connection> {
+    let send_request = |n| {
         let mut client = node.client();
-        client.send(&report(&format!("busy{n}"), 60_000));
+        client.send(&report_request(&format!("busy{n}"), 60_000));
         client
     };
-    (0..MAX_CLIENT_CONNECTIONS).map(send_requests).collect()
+    (0..MAX_CLIENT_CONNECTIONS).map(send_request).collect()
 }
 
-fn short(config: String, deadline: &str) -> String {
+fn with_client_timeout(config: String, timeout_ns: &str) -> String {
     config
-        .replace("5000000000", deadline)
+        .replace("5000000000", timeout_ns)
         .replace("\"goalTimeNs\":300000000", "\"goalTimeNs\":100000000")
 }
 
-fn pushed(config: String) -> String {
+fn with_pushed_lists(config: String) -> String {
     config.replace(r#""subscribe""#, r#""automatic""#)
 }
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -1,38 +1,41 @@
 //! Which connections to backends are used again, and which are not.
 
 use crate::common::{
-    StandIn, TestNode, WATCH, changes, endpoint_json, more_changes, report, slow_to_connect,
-    with_backend,
+    StandIn, TestNode, WATCH_RESPONSE_HEAD, endpoint_json, report_request, watch_response,
+    watch_update, with_backend, with_long_connect_timeout,
 };
 
 #[test]
-fn a_connection_that_the_backend_gives_up_is_not_used_again() {
+fn connection_with_connection_close_is_not_reused() {
     let node = TestNode::start();
     let mut client = node.client();
     // They stay open here, so that only the node's own choice leads to the second one.
-    let mut given_up = Vec::new();
+    let mut closing = Vec::new();
     for body in ["one", "two"] {
-        client.send(&report(body, 5000));
-        let mut backend = node.backend.wait();
+        client.send(&report_request(body, 5000));
+        let mut backend = node.backend.accept();
         backend.expect("body");
         backend.serve("200 OK\r\nConnection: close", body);
         client.expect(body);
-        given_up.push(backend);
+        closing.push(backend);
     }
 }
 
 #[test]
-fn what_never_reached_a_dead_backend_goes_elsewhere() {
-    let dead = StandIn::new().address();
-    let node = TestNode::with(|config| with_backend(config, "s-0", dead));
+fn request_to_an_unreachable_backend_is_sent_to_another() {
+    let unreachable = StandIn::new().address();
+    let node = TestNode::with_config(|config| with_backend(config, "s-0", unreachable));
     let mut client = node.client();
-    client.send(&report("m", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("m", 5000));
+    let mut backend = node.backend.accept();
     for id in ["m", "n", "o", "p"] {
         assert!(backend.expect("body").contains(&format!("x-txn: {id}\r\n")));
         backend.serve("200 OK", id);
         client.expect(&format!("\r\n\r\n{id}"));
-        client.send(&report(&((id.as_bytes()[0] + 1) as char).to_string(), 5000));
+        client.send(&report_request(
+            &((id.as_bytes()[0] + 1) as char).to_string(),
+            5000,
+        ));
     }
 }
 
@@ -40,67 +43,70 @@
 fn idle_connections_close_when_their_backend_drains() {
     let node = TestNode::start();
     let mut client = node.client();
-    client.send(&report("q", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("q", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "played");
     client.expect("played");
-    let leaving = endpoint_json("s-1", node.backend.address(), "Terminating");
-    node.discovery.wait().send(&changes(8, &[leaving]));
+    let draining = endpoint_json("s-1", node.backend.address(), "Terminating");
+    node.discovery
+        .accept()
+        .send(&watch_response(8, &[draining]));
     assert_eq!(backend.expect_close(), "");
 }
 
 #[test]
-fn an_attempt_that_is_not_connected_when_its_backend_drains_goes_elsewhere() {
+fn connecting_attempt_moves_elsewhere_when_its_backend_drains() {
     // Its first byte could come after the grace. The connection's own time limit is far off here.
-    let (full, _queued) = StandIn::full();
-    let node = TestNode::with(|config| slow_to_connect(config, full.address()));
-    let mut watch = node.discovery.wait();
+    let (full_backend, _queued) = StandIn::with_full_backlog();
+    let node =
+        TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
+    let mut watch = node.discovery.accept();
     let mut client = node.client();
-    client.send(&report("r", 5000));
+    client.send(&report_request("r", 5000));
     // Once this later message is answered, the request has been forwarded.
     node.wait_for_iteration();
-    let leaving = endpoint_json("s-0", full.address(), "Terminating");
-    watch.send(&changes(
+    let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
+    watch.send(&watch_response(
         8,
         &[
-            leaving,
+            draining,
             endpoint_json("s-1", node.backend.address(), "Ready"),
         ],
     ));
-    let mut backend = node.backend.wait();
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "elsewhere");
     client.expect("elsewhere");
 }
 
 #[test]
-fn a_backend_that_is_silent_costs_a_504_in_time_and_its_connection() {
+fn unresponsive_backend_leads_to_a_504_and_a_closed_connection() {
     let node = TestNode::start();
     let mut client = node.client();
-    let since = std::time::Instant::now();
-    client.send(&report("f", 300));
-    let mut backend = node.backend.wait();
+    let started_at = std::time::Instant::now();
+    client.send(&report_request("f", 300));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 504 "));
-    assert!(since.elapsed().as_millis() >= 290, "never early");
+    assert!(started_at.elapsed().as_millis() >= 290, "never early");
     backend.expect_close();
 }
 
 #[test]
-fn a_backend_that_comes_back_at_its_address_under_a_new_uid_gets_a_new_connection() {
+fn backend_with_a_new_uid_at_its_address_gets_a_new_connection() {
     let node = TestNode::start();
-    let mut watch = node.discovery.wait();
-    watch.send(WATCH);
+    let mut watch = node.discovery.accept();
+    watch.send(WATCH_RESPONSE_HEAD);
     let mut client = node.client();
     for (revision, old, new) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
-        client.send(&report(new, 5000));
-        let mut backend = node.backend.wait();
+        client.send(&report_request(new, 5000));
+        let mut backend = node.backend.accept();
         backend.expect("body");
         backend.serve("200 OK", new);
         client.expect(new);
         let address = node.backend.address();
-        watch.send(&more_changes(
+        watch.send(&watch_update(
             revision,
             &[
                 endpoint_json(old, address, "Gone"),
@@ -109,6 +115,6 @@
         ));
         backend.expect_close();
     }
-    client.send(&report("last", 5000));
-    node.backend.wait().expect("x-txn: last\r\n");
+    client.send(&report_request("last", 5000));
+    node.backend.accept().expect("x-txn: last\r\n");
 }
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -1,20 +1,23 @@
 //! The endpoint list: watches, resumed watches, and a discovery that does not answer.
 
-use crate::common::{HEALTH, StandIn, TestNode, WATCH, changes, chunk, endpoint_json, report};
+use crate::common::{
+    HEALTH_CHECK, StandIn, TestNode, WATCH_RESPONSE_HEAD, chunk, endpoint_json, report_request,
+    watch_response,
+};
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew() {
+fn idle_watch_is_reopened() {
     let mut node = TestNode::start();
-    let mut watch = node.discovery.wait();
-    watch.send(WATCH).send("1\r\n\n\r\n");
+    let mut watch = node.discovery.accept();
+    watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     node.expect_log("discovery-failed silent");
-    node.discovery.wait().expect("after=7 ");
+    node.discovery.accept().expect("after=7 ");
 }
 
 #[test]
-fn the_watch_is_resumed_after_a_bad_line_and_moves_requests_to_new_backends() {
+fn watch_resumes_after_an_invalid_line_and_keeps_the_valid_update() {
     let mut node = TestNode::start();
-    let mut watch = node.discovery.wait();
+    let mut watch = node.discovery.accept();
     assert!(
         watch
             .expect("\r\n\r\n")
@@ -29,55 +32,54 @@
         change.replace('\n', "")
     );
     // Cut in the middle: a line is read when its end has come.
-    let (one, two) = line.split_at(60);
+    let (first_part, second_part) = line.split_at(60);
     watch
-        .send(WATCH)
+        .send(WATCH_RESPONSE_HEAD)
         .send(&chunk("\n"))
-        .send(&chunk(one))
-        .send(&chunk(two))
+        .send(&chunk(first_part))
+        .send(&chunk(second_part))
         .send(&chunk("{\"rev\":}\n"));
     node.expect_log("discovery-failed not JSON");
     watch.expect_close();
-    let mut again = node.discovery.wait();
-    assert!(again.expect("\r\n\r\n").contains("after=9 "));
+    let mut second_watch = node.discovery.accept();
+    assert!(second_watch.expect("\r\n\r\n").contains("after=9 "));
     let mut client = node.client();
-    client.send(&report("i", 5000));
-    let mut backend = other.wait();
+    client.send(&report_request("i", 5000));
+    let mut backend = other.accept();
     backend.expect("body");
     backend.serve("200 OK", "elsewhere");
     client.expect("elsewhere");
 }
 
 #[test]
-fn a_node_whose_discovery_is_down_overloaded_or_silent_at_start_serves_from_the_list_it_was_given()
-{
+fn node_serves_from_the_cached_list_while_discovery_is_unavailable() {
     for answer in [
         None,
         Some("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
         Some(""),
     ] {
         let node = TestNode::start();
-        let mut call = node.discovery.wait();
+        let mut call = node.discovery.accept();
         call.expect("after=7 ");
         match answer {
             Some(answer) => drop(call.send(answer)),
             None => call.close(),
         }
         let mut client = node.client();
-        client.send(HEALTH).expect("ok\n");
-        client.send(&report("u", 5000));
-        let mut backend = node.backend.wait();
+        client.send(HEALTH_CHECK).expect("ok\n");
+        client.send(&report_request("u", 5000));
+        let mut backend = node.backend.accept();
         backend.expect("body");
         backend.serve("200 OK", "served");
         client.expect("served");
         if answer != Some("") {
-            node.discovery.wait().expect("after=7 ");
+            node.discovery.accept().expect("after=7 ");
         }
     }
 }
 
 #[test]
-fn a_change_of_many_backends_that_breaks_off_leaves_the_old_list_until_it_comes_whole() {
+fn truncated_update_changes_nothing_until_it_is_received_completely() {
     let mut node = TestNode::start();
     let elsewhere = StandIn::new();
     // Thousands that come and go beside the one that counts.
@@ -86,25 +88,25 @@
         .collect();
     entries.push(endpoint_json("s-1", node.backend.address(), "Terminating"));
     entries.push(endpoint_json("s-2", elsewhere.address(), "Ready"));
-    let whole = changes(9, &entries);
-    let mut watch = node.discovery.wait();
-    watch.send(&whole[..whole.len() / 2]);
+    let full_update = watch_response(9, &entries);
+    let mut watch = node.discovery.accept();
+    watch.send(&full_update[..full_update.len() / 2]);
     watch.close();
     let log = node.expect_log("discovery-failed");
     assert_eq!(log.matches("discovery-failed").count(), 1, "{log}");
     let mut client = node.client();
-    client.send(&report("v1", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("v1", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "old");
     client.expect("old");
-    let mut again = node.discovery.wait();
-    again.expect("after=7 ");
-    again.send(&whole);
+    let mut second_watch = node.discovery.accept();
+    second_watch.expect("after=7 ");
+    second_watch.send(&full_update);
     // Its idle connection ends once the change is taken.
     backend.expect_close();
-    client.send(&report("v2", 5000));
-    let mut backend = elsewhere.wait();
+    client.send(&report_request("v2", 5000));
+    let mut backend = elsewhere.accept();
     backend.expect("body");
     backend.serve("200 OK", "new");
     client.expect("new");
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -1,22 +1,24 @@
 //! What operators do to a node: signals, the trace, configurations.
 
-use crate::common::{HEALTH, StandIn, TestNode, WATCH, report, run};
+use crate::common::{
+    HEALTH_CHECK, StandIn, TestNode, WATCH_RESPONSE_HEAD, report_request, spawn_with_config,
+};
 
 #[test]
-fn sigterm_is_followed_to_the_end_of_every_request() {
+fn sigterm_completes_all_requests_before_the_exit() {
     let mut node = TestNode::start();
     let (mut busy, mut idle) = (node.client(), node.client());
-    busy.send(&report("j", 3300));
-    let mut backend = node.backend.wait();
+    busy.send(&report_request("j", 3300));
+    let mut backend = node.backend.accept();
     backend.expect("body");
-    idle.send(HEALTH).expect("ok\n");
+    idle.send(HEALTH_CHECK).expect("ok\n");
     node.terminate();
     node.expect_log("sigterm");
     // New clients and old ones are served for a while, with `Connection: close`.
-    let mut late = node.client();
-    late.send(&report("k", 3300));
+    let mut late_client = node.client();
+    late_client.send(&report_request("k", 3300));
     assert_eq!(idle.expect_close(), "");
-    for (client, body) in [(&mut busy, "done"), (&mut late, "late")] {
+    for (client, body) in [(&mut busy, "done"), (&mut late_client, "late")] {
         backend.serve("200 OK", body);
         assert!(client.expect(body).contains("connection: close\r\n"));
         client.expect_close();
@@ -28,21 +30,21 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_at_once_and_leaves_list_requests_and_connections_alone() {
+fn sighup_moves_the_watch_and_keeps_list_requests_and_connections() {
     let mut node = TestNode::start();
     let mut client = node.client();
-    client.send(&report("s", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("s", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
-    let mut watch = node.discovery.wait();
-    let old = node.discovery.address().to_string();
+    let mut watch = node.discovery.accept();
+    let old_address = node.discovery.address().to_string();
     // Twice, and each time to a place of its own. The environment still has the first.
-    for next in [StandIn::new(), StandIn::new()] {
-        node.reload(|config| config.replace(&old, &next.address().to_string()));
-        let mut new = next.wait();
-        new.expect("after=7 ");
+    for new_discovery in [StandIn::new(), StandIn::new()] {
+        node.reload(|config| config.replace(&old_address, &new_discovery.address().to_string()));
+        let mut new_watch = new_discovery.accept();
+        new_watch.expect("after=7 ");
         watch.expect_close();
-        watch = new;
+        watch = new_watch;
     }
     node.reload(|config| config.replace("\"discovery\"", "\"dicovery\""));
     let log = node.expect_log("reload-failed configuration: missing field `discovery`");
@@ -52,47 +54,47 @@
     );
     backend.serve("200 OK", "played");
     client.expect("played");
-    client.send(HEALTH).expect("ok\n");
+    client.send(HEALTH_CHECK).expect("ok\n");
     // A reload and an end that come together are both followed.
-    let last = StandIn::new();
-    node.reload(|config| config.replace(&old, &last.address().to_string()));
+    let last_discovery = StandIn::new();
+    node.reload(|config| config.replace(&old_address, &last_discovery.address().to_string()));
     node.terminate();
-    last.wait().expect("after=7 ");
+    last_discovery.accept().expect("after=7 ");
     assert_eq!(node.wait_exit().code(), Some(0));
 }
 
 #[test]
-fn sighup_does_not_wait_for_a_backoff_and_the_backoff_opens_no_second_watch() {
-    let mut node = TestNode::with(|config| {
+fn sighup_during_a_backoff_opens_exactly_one_watch() {
+    let mut node = TestNode::with_config(|config| {
         config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#)
     });
     // The decisions wait half a second or more before they ask again.
-    let old = node.discovery.address().to_string();
-    node.discovery.wait().close();
+    let old_address = node.discovery.address().to_string();
+    node.discovery.accept().close();
     node.expect_log("list out of reach");
-    let next = StandIn::new();
-    node.reload(|config| config.replace(&old, &next.address().to_string()));
-    let mut watch = next.wait();
+    let new_discovery = StandIn::new();
+    node.reload(|config| config.replace(&old_address, &new_discovery.address().to_string()));
+    let mut watch = new_discovery.accept();
     watch.expect("after=7 ");
     node.expect_log("reload discovery=");
     // The backoff has passed when this silence has, and the next one has not.
-    watch.send(WATCH).send("1\r\n\n\r\n");
+    watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     node.expect_log("discovery-failed silent");
     watch.expect_close();
-    assert!(next.is_quiet());
+    assert!(new_discovery.has_no_pending_connection());
 }
 
 #[test]
-fn the_trace_logs_each_event_and_decision_where_it_is_on_and_else_nothing() {
+fn trace_logs_events_and_decisions_only_if_enabled() {
     for (value, traced) in [("1", true), ("0", false)] {
         let node = TestNode::with_environment(|config| config, &[("BALANCER_TRACE", value)]);
         let mut client = node.client();
-        client.send(&report("t1", 5000));
-        let mut backend = node.backend.wait();
+        client.send(&report_request("t1", 5000));
+        let mut backend = node.backend.accept();
         backend.expect("body");
         backend.serve("200 OK", "served");
         client.expect("served");
-        let log = node.last_log();
+        let log = node.stop_and_read_log();
         for part in [
             "endpoint b=0 uid=s-1 at=127.0.0.1:",
             "request id=1 txn=t1 client_timeout_us=5000000\n",
@@ -107,8 +109,8 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_no_start() {
-    let mut process = run(r#"{"seed":"1"}"#, &[]);
+fn invalid_configuration_logs_one_line_and_exits_with_code_2() {
+    let mut process = spawn_with_config(r#"{"seed":"1"}"#, &[]);
     let mut line = String::new();
     std::io::Read::read_to_string(&mut process.stderr.take().unwrap(), &mut line).unwrap();
     assert_eq!(
--- a/crates/node/tests/service/payouts.rs
+++ b/crates/node/tests/service/payouts.rs
@@ -1,16 +1,16 @@
 //! Requests of a class that must never be executed twice, and of one that may be.
 
-use crate::common::{endpoint_json, report};
+use crate::common::{endpoint_json, report_request};
 
 /// More backends beside the usual one, and a class that must never be executed twice, whose
 /// requests carry no key.
-pub fn with_payouts(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
-    let more: Vec<String> = backends
+pub fn with_payout_and_check(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
+    let endpoints: Vec<String> = backends
         .iter()
-        .map(|(uid, at)| endpoint_json(uid, *at, "Ready") + ",")
+        .map(|(uid, address)| endpoint_json(uid, *address, "Ready") + ",")
         .collect();
     config
-        .replace(r#""targets":["#, &format!(r#""targets":[{}"#, more.concat()))
+        .replace(r#""targets":["#, &format!(r#""targets":[{}"#, endpoints.concat()))
         .replace(
             r#""grades":["#,
             r#""grades":[{"name":"payout","effect":"once","goalTimeNs":400000000,"giveUpNs":800000000,
@@ -20,13 +20,13 @@
         .replace(r#""cancel":true"#, r#""cancel":true,"connectTimeoutNs":50000000"#)
 }
 
-pub fn payout(id: &str) -> String {
-    report(id, 800)
+pub fn payout_request(id: &str) -> String {
+    report_request(id, 800)
         .replace("X-Lane: report", "X-Lane: payout")
         .replace(&format!("Idempotency-Key: k{id}\r\n"), "")
 }
 
-pub fn check(id: &str) -> String {
+pub fn check_request(id: &str) -> String {
     format!(
         "GET /api?n={id} HTTP/1.1\r\nHost: api.internal\r\nX-Txn: {id}\r\nX-Lane: check\r\nX-Org: acme\r\n\
          X-Remaining-Ms: 4000\r\n\r\n"
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -1,14 +1,14 @@
 //! Whatever the settings allow, the node starts, serves and ends.
 
-use crate::common::{TestNode, report};
+use crate::common::{TestNode, report_request};
 
 /// A configuration that differs from the default one in one place.
-struct Variant {
+struct ConfigVariant {
     name: &'static str,
     /// Part of the default configuration ...
-    old: &'static str,
+    default_text: &'static str,
     /// ... and what takes its place.
-    new: String,
+    replacement: String,
 }
 
 #[rustfmt::skip]
@@ -32,14 +32,18 @@
 ];
 
 /// The variants whose text is computed.
-fn computed_variants() -> Vec<Variant> {
-    let names: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
-    let variant = |name, old, new| Variant { name, old, new };
+fn computed_variants() -> Vec<ConfigVariant> {
+    let tenants: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
+    let variant = |name, default_text, replacement| ConfigVariant {
+        name,
+        default_text,
+        replacement,
+    };
     vec![
         variant(
             "forty tenants",
             r#"{"name":"acme","quotaPerS":9.0}"#,
-            format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, names.join(",")),
+            format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, tenants.join(",")),
         ),
         variant("the longest deadlines", "5000000000", u64::MAX.to_string()),
         variant(
@@ -55,19 +59,25 @@
     ]
 }
 
-fn play(variant: &Variant, mode: &str) {
-    let Variant { name, old, new } = variant;
-    let mut node = TestNode::with(|config| {
-        assert!(config.contains(old), "{name}");
-        config.replace(old, new).replace("subscribe", mode)
+fn check_variant(variant: &ConfigVariant, mode: &str) {
+    let ConfigVariant {
+        name,
+        default_text,
+        replacement,
+    } = variant;
+    let mut node = TestNode::with_config(|config| {
+        assert!(config.contains(default_text), "{name}");
+        config
+            .replace(default_text, replacement)
+            .replace("subscribe", mode)
     });
     // Discovery rejects its first call.
     node.discovery
-        .wait()
+        .accept()
         .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     let mut client = node.client();
-    client.send(&report("any", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("any", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "served");
     assert!(
@@ -81,17 +91,20 @@
 }
 
 #[test]
-fn whatever_the_settings_allow_starts_serves_and_ends() {
-    let fixed = VARIANTS.map(|(name, old, new)| Variant {
+fn node_starts_serves_and_exits_with_every_allowed_setting() {
+    let fixed_variants = VARIANTS.map(|(name, default_text, replacement)| ConfigVariant {
         name,
-        old,
-        new: new.to_string(),
+        default_text,
+        replacement: replacement.to_string(),
     });
-    let variants: Vec<Variant> = fixed.into_iter().chain(computed_variants()).collect();
+    let variants: Vec<ConfigVariant> = fixed_variants
+        .into_iter()
+        .chain(computed_variants())
+        .collect();
     // Side by side: each takes the time in which a node that ends still takes clients.
     std::thread::scope(|scope| {
         for variant in &variants {
-            scope.spawn(|| ["subscribe", "automatic"].map(|mode| play(variant, mode)));
+            scope.spawn(|| ["subscribe", "automatic"].map(|mode| check_variant(variant, mode)));
         }
     });
 }
