--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a test.
+//! The test's side of one connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -8,14 +8,14 @@
 
 use super::{TEST_TIMEOUT, header};
 
-/// One connection, and what has been received on it and not been taken yet.
+/// The test's side of one connection, with the bytes that were received but not yet consumed.
 pub struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl Connection {
-    /// Sets a limit to each read, so that a test that waits in vain fails.
+    /// Sets a timeout for each read, so that a test whose data never arrives fails.
     pub(super) fn new(stream: TcpStream) -> Connection {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -25,24 +25,26 @@
         }
     }
 
-    /// Sends all of a text.
+    /// Sends the whole text; panics if the connection is broken.
     pub fn send(&mut self, text: &str) -> &mut Connection {
         self.stream.write_all(text.as_bytes()).unwrap();
         self
     }
 
-    /// Reads until `part` has come; gives all up to its end.
+    /// Reads until `pattern` is received; returns all text up to its end. Panics if the connection
+    /// closes before.
     pub fn expect(&mut self, pattern: &str) -> String {
         let has_byte = self.expect_or_close(pattern);
         has_byte.unwrap_or_else(|| {
             panic!(
-                "an end before {pattern:?}; got {:?}",
+                "connection closed before {pattern:?}; received {:?}",
                 String::from_utf8_lossy(&self.received)
             )
         })
     }
 
-    /// Reads until `part` has come, or `None` where the connection ends before.
+    /// Reads until `pattern` is received; returns all text up to its end, or `None` if the
+    /// connection closes before.
     pub fn expect_or_close(&mut self, pattern: &str) -> Option<String> {
         loop {
             let start = self
@@ -62,22 +64,22 @@
         }
     }
 
-    /// Waits for the other side to close the connection; gives what came before.
+    /// Waits for the peer to close the connection; returns the unconsumed text received before.
     pub fn expect_close(&mut self) -> String {
         match self.stream.read_to_end(&mut self.received) {
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
-            Err(error) => panic!("{error} instead of an end"),
+            Err(error) => panic!("{error} while waiting for the peer to close"),
         }
         String::from_utf8(std::mem::take(&mut self.received)).unwrap()
     }
 
-    /// Closes the connection.
+    /// Closes the connection. Unread input turns the close into a reset.
     pub fn close(self) {
         drop(self);
     }
 
-    /// The other side has closed the connection.
+    /// Whether the peer has closed the connection; may consume one received byte.
     pub fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.read(&mut [0]);
@@ -86,7 +88,7 @@
         ended
     }
 
-    /// Bytes have come that nobody has read.
+    /// Whether received bytes are waiting to be read from the socket.
     pub fn has_unread_bytes(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let has_byte = matches!(self.stream.peek(&mut [0]), Ok(1));
@@ -94,7 +96,8 @@
         has_byte
     }
 
-    /// Sends a request again and again until the body of its answer is this one.
+    /// Repeats a request until the body of its answer is `expected_body`; panics after
+    /// [`TEST_TIMEOUT`].
     pub fn request_until(&mut self, request: &str, expected_body: &str) {
         let started_at = std::time::Instant::now();
         while !self.send(request).expect("\n").is_empty() {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Takes so many bytes.
+    /// Reads and returns the next `count` bytes.
     pub fn take(&mut self, count: usize) -> String {
         while self.received.len() < count {
             let mut buffer = [0; 4096];
@@ -118,22 +121,22 @@
         String::from_utf8(self.received.drain(..count).collect()).unwrap()
     }
 
-    /// Sends; gives whether the other side is still there.
+    /// Sends the text; returns `false` if the connection is broken.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).is_ok()
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         set_socket_linger(&self.stream, Some(Duration::ZERO)).unwrap();
     }
 
-    /// Ends the sending alone.
+    /// Shuts down the sending side only.
     pub fn half_close(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// A backend's whole answer.
+    /// Sends a complete answer, as a backend; `status` may have further header lines.
     pub fn serve(&mut self, status: &str, body: &str) {
         self.send(&format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/node/tests/common/messages.rs
+++ b/crates/node/tests/common/messages.rs
@@ -1,10 +1,10 @@
-//! Messages and configurations, in the platform's words.
+//! HTTP messages and configurations in the platform's format.
 
 use std::net::SocketAddr;
 
 use super::StandIn;
 
-/// An endpoint as discovery writes it; `state` is the platform's word.
+/// An endpoint in discovery's JSON format; `state` is written as the platform names it.
 pub fn endpoint_json(uid: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":1,
@@ -12,15 +12,15 @@
     )
 }
 
-/// The head of discovery's answer to a watch.
+/// Head of discovery's response to a watch.
 pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery's answer to a watch, up to one object with these changes.
+/// Head of discovery's response to a watch, and its first object, which updates `endpoints`.
 pub fn watch_response(revision: u32, endpoints: &[String]) -> String {
     WATCH_RESPONSE_HEAD.to_string() + &watch_update(revision, endpoints)
 }
 
-/// One more object of a watch that has begun.
+/// A further object, as one chunk, of a watch whose response head has been sent.
 pub fn watch_update(revision: u32, endpoints: &[String]) -> String {
     let line = format!(
         r#"{{"rev":{revision},"all":false,"targets":[{}]}}"#,
@@ -30,12 +30,12 @@
     chunk(&(line + "\n"))
 }
 
-/// One piece of an answer in chunks.
+/// One chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The configuration of a node with one backend in its list.
+/// Configuration of a node whose cached list has one backend, `s-1`.
 pub fn default_config(discovery: &StandIn, backend: &StandIn) -> String {
     format!(
         r#"{{"name":"t1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f","limits":{{"sockets":128}},
@@ -52,7 +52,7 @@
     )
 }
 
-/// A configuration with one more backend, at the head of its list.
+/// Adds a ready backend at the head of the cached list of `config`.
 pub fn with_backend(config: String, uid: &str, address: SocketAddr) -> String {
     config.replace(
         r#""targets":["#,
@@ -60,7 +60,8 @@
     )
 }
 
-/// A configuration whose one ready backend is here, and whose connections have time to come up.
+/// Sets the ready backends of `config` to draining, adds a ready one, `s-0`, at `address`, and sets
+/// the connect timeout to 20 s.
 pub fn with_long_connect_timeout(config: String, address: SocketAddr) -> String {
     let config = config.replace("Ready", "Terminating");
     with_backend(config, "s-0", address).replace(
@@ -69,10 +70,10 @@
     )
 }
 
-/// A health check of the node.
+/// Health check request for the node itself.
 pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// The value of a header that must be there.
+/// Value of a header; panics if the header is missing.
 pub fn header<'a>(head: &'a str, name: &str) -> &'a str {
     let rest = head
         .split(&format!("{name}: "))
@@ -81,7 +82,8 @@
     rest.split('\r').next().unwrap_or(rest)
 }
 
-/// A request as clients send it, with the time that the client still waits in milliseconds.
+/// Request of the class `report` with a four-byte body; its client waits `client_timeout_ms` more
+/// milliseconds.
 pub fn report_request(id: &str, client_timeout_ms: u32) -> String {
     format!(
         "POST /api?n={id} HTTP/1.1\r\nHost: api.internal\r\nX-Txn: {id}\r\nX-Lane: report\r\nX-Org: acme\r\n\
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,7 +1,6 @@
-//! What the tests share: a [`TestNode`] runs the real program between a stand-in discovery and a
-//! stand-in backend, and a [`Connection`] is one connection, of a client, a backend or discovery,
-//! on which a test sends, expects, closes and waits. Waiting is always for an event; the one time
-//! limit only ends a test that has failed.
+//! Shared helpers: a [`TestNode`] runs the built program with a stand-in for discovery and one for
+//! a backend. A [`Connection`] is the test's side of a connection of a client, a backend or
+//! discovery. Tests wait for events; [`TEST_TIMEOUT`] only ends a test that has failed.
 
 mod connection;
 mod messages;
--- a/crates/node/tests/common/stand_in.rs
+++ b/crates/node/tests/common/stand_in.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery or a backend.
+//! The stand-in for discovery or a backend.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -6,21 +6,22 @@
 
 use super::{Connection, TEST_TIMEOUT};
 
-/// A listener of the test's own, which stands in for discovery or a backend.
+/// A listener that replaces discovery or a backend; the test itself sends the answers.
 pub struct StandIn(TcpListener);
 
 impl StandIn {
-    /// Listens on a port of its own.
+    /// Listens on an unused port.
     pub fn new() -> StandIn {
         StandIn(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap()
     }
 
-    /// A listener whose queue is full: connections to it don't come up. The stream keeps it so.
+    /// A listener whose accept queue is full, so that further connections are not established until
+    /// the returned stream is accepted.
     pub fn with_full_backlog() -> (StandIn, TcpStream) {
         let stand_in = StandIn::new();
         rustix::net::listen(&stand_in.0, 0).unwrap();
@@ -28,12 +29,12 @@
         (stand_in, stream)
     }
 
-    /// No connection of the node's waits here.
+    /// Whether no connection from the node is queued. Accepts and closes one if there is.
     pub fn has_no_pending_connection(&self) -> bool {
         self.try_accept().is_none()
     }
 
-    /// The node's next connection, if one waits here.
+    /// Accepts the next connection from the node, if one is queued.
     pub fn try_accept(&self) -> Option<Connection> {
         self.0.set_nonblocking(true).unwrap();
         let found = self.0.accept().ok();
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Waits for the node's next connection, as long as a test may last.
+    /// Waits for the next connection from the node; `None` after [`TEST_TIMEOUT`].
     pub fn accept_or_timeout(&self) -> Option<Connection> {
         set_socket_timeout(&self.0, Timeout::Recv, Some(TEST_TIMEOUT)).unwrap();
         self.0
@@ -53,9 +54,9 @@
             .map(|(stream, _)| Connection::new(stream))
     }
 
-    /// Waits for the node's next connection.
+    /// Waits for the next connection from the node; panics after [`TEST_TIMEOUT`].
     pub fn accept(&self) -> Connection {
         set_socket_timeout(&self.0, Timeout::Recv, Some(TEST_TIMEOUT)).unwrap();
-        Connection::new(self.0.accept().expect("a connection of the node's").0)
+        Connection::new(self.0.accept().expect("a connection from the node").0)
     }
 }
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -1,4 +1,4 @@
-//! The program under test, as it is shipped.
+//! The program under test, run as a child process.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +10,7 @@
 
 use super::{Connection, HEALTH_CHECK, StandIn, TEST_TIMEOUT, default_config};
 
-/// The program, with one backend in its list, between stand-ins.
+/// A running node, with stand-ins for its discovery and its one backend.
 pub struct TestNode {
     /// The stand-in discovery.
     pub discovery: StandIn,
@@ -23,17 +23,17 @@
 }
 
 impl TestNode {
-    /// Starts the program with one backend in its list.
+    /// Starts a node with the default configuration.
     pub fn start() -> TestNode {
         TestNode::with_config(|config| config)
     }
 
-    /// Starts it on a changed configuration.
+    /// Starts a node with the default configuration as changed by `change`.
     pub fn with_config(change: impl Fn(String) -> String) -> TestNode {
         TestNode::with_environment(change, &[])
     }
 
-    /// Starts it with these variables in its environment too.
+    /// Starts a node with a changed configuration and further environment variables.
     pub fn with_environment(
         change: impl Fn(String) -> String,
         variables: &[(&str, &str)],
@@ -50,7 +50,7 @@
             .and_then(|rest| rest.split(' ').next());
         let address = address
             .and_then(|text| text.parse().ok())
-            .unwrap_or_else(|| panic!("no start in {line:?}"));
+            .unwrap_or_else(|| panic!("no start line with an address: {line:?}"));
         TestNode {
             discovery,
             backend,
@@ -66,9 +66,9 @@
         Connection::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// Waits until the node has done what it had read before this. The second of two messages is
-    /// read in a later loop iteration than the first; the first may be answered in the middle of
-    /// one.
+    /// Waits until the node has handled everything that it read before this call. It sends two
+    /// messages: the first may be answered in the middle of a loop iteration, the second is read in
+    /// a later one.
     pub fn wait_for_iteration(&self) {
         let mut client = self.client();
         for _ in 0..2 {
@@ -77,12 +77,13 @@
         }
     }
 
-    /// Starts it with the fault shim preloaded; `plan` is what the shim's `plan` module reads.
+    /// Starts a node with the fault shim preloaded; the shim's `plan` module documents the format
+    /// of `plan`.
     pub fn with_faults(plan: &str, change: impl Fn(String) -> String) -> TestNode {
         TestNode::with_faults_and_environment(plan, &[], change)
     }
 
-    /// The same with more variables in its environment.
+    /// Starts a node with the fault shim preloaded and further environment variables.
     pub fn with_faults_and_environment(
         plan: &str,
         variables: &[(&str, &str)],
@@ -93,12 +94,12 @@
         TestNode::with_environment(change, &[&faults, variables].concat())
     }
 
-    /// A client, while the node takes any.
+    /// Connects a client; `None` if the connection fails, as it does once the listener is closed.
     pub fn try_client(&self) -> Option<Connection> {
         TcpStream::connect(self.address).ok().map(Connection::new)
     }
 
-    /// Waits for a line of the log that holds `part`; gives the lines up to it.
+    /// Reads the log up to the line that contains `pattern`; returns all lines read.
     pub fn expect_log(&mut self, pattern: &str) -> String {
         let mut lines = String::new();
         while !lines.contains(pattern) {
@@ -107,12 +108,12 @@
         lines
     }
 
-    /// Nobody reads the log from here on.
+    /// Closes the reading end of the log's pipe.
     pub fn close_log(&mut self) {
         self.log = None;
     }
 
-    /// Processor time that the program has used.
+    /// CPU time that the process has used.
     pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap();
         let fields: Vec<&str> = stat
@@ -121,7 +122,7 @@
             .unwrap()
             .split_whitespace()
             .collect();
-        // User and system time, in hundredths of a second on Linux.
+        // utime and stime, in hundredths of a second on Linux.
         let hundredths: u64 = fields[11..=12]
             .iter()
             .map(|field| field.parse::<u64>().unwrap())
@@ -129,7 +130,7 @@
         Duration::from_millis(hundredths * 10)
     }
 
-    /// The program has not ended.
+    /// Whether the process has not exited.
     pub fn is_running(&self) -> bool {
         std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).is_ok_and(|stat| {
             !stat
@@ -141,14 +142,14 @@
         })
     }
 
-    /// How many descriptors the program holds.
+    /// Number of open file descriptors of the process.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
             .unwrap()
             .count()
     }
 
-    /// Ends the node; gives what the log still held.
+    /// Shuts the node down with SIGTERM; returns the rest of its log.
     pub fn stop_and_read_log(mut self) -> String {
         self.terminate();
         let mut lines = String::new();
@@ -160,8 +161,9 @@
         lines
     }
 
-    /// Starts the program on a configuration that it has to wait for; gives what writes it once the
-    /// program reads. Its signals have their handlers by then, and it is not ready.
+    /// Starts the program with a FIFO as its configuration file; returns the writing end once the
+    /// program has opened the other. By then its signal handlers are installed, but it is not
+    /// ready.
     pub fn spawn_without_configuration(variables: &[(&str, &str)]) -> (Child, std::fs::File) {
         let path = config_path().with_extension("fifo");
         let _ = std::fs::remove_file(&path);
@@ -172,17 +174,17 @@
         )
         .unwrap();
         let process = spawn(&path, variables);
-        // Opening waits for the reader.
+        // Blocks until the program opens the FIFO for reading.
         let file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
         (process, file)
     }
 
-    /// Sends it SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Stops the node where it is: what comes from now on races with what it was about to do.
+    /// Stops the process with SIGSTOP, so that later events race with what it was about to do.
     pub fn stall(&self) {
         self.signal(Signal::STOP);
         let pid = Some(Pid::from_child(&self.process));
@@ -190,31 +192,32 @@
         assert!(status.stopped());
     }
 
-    /// Lets it go on after [`TestNode::stall`].
+    /// Resumes the process with SIGCONT after [`TestNode::stall`].
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Replaces the configuration by what `change` makes of the first one, and notifies the node.
+    /// Replaces the configuration file by the first configuration as changed by `change`, and sends
+    /// SIGHUP.
     pub fn reload(&self, change: impl Fn(&str) -> String) {
         std::fs::write(config_path(), change(&self.config)).unwrap();
         self.signal(Signal::HUP);
     }
 
-    /// Puts a file in place of the configuration whose reading gives EIO, and notifies the node.
+    /// Replaces the configuration file by one whose reading fails with EIO, and sends SIGHUP.
     pub fn reload_unreadable(&self) {
-        // The memory of the reading process at its address 0, which is never mapped.
+        // Reads the memory of the reading process at address 0, which is never mapped.
         self.reload_from("/proc/self/mem");
     }
 
-    /// Puts another file in place of the configuration, and notifies the node.
+    /// Replaces the configuration file by a symbolic link to `file`, and sends SIGHUP.
     pub fn reload_from(&self, file: &str) {
         std::fs::remove_file(config_path()).unwrap();
         std::os::unix::fs::symlink(file, config_path()).unwrap();
         self.signal(Signal::HUP);
     }
 
-    /// Puts a pipe to which nobody writes in place of the configuration, and notifies the node.
+    /// Replaces the configuration file by a FIFO that has no writer, and sends SIGHUP.
     pub fn reload_from_pipe(&self) {
         std::fs::remove_file(config_path()).unwrap();
         let mode = rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR;
@@ -222,7 +225,7 @@
         self.signal(Signal::HUP);
     }
 
-    /// Puts a valid configuration in place of whatever is there, and notifies the node.
+    /// Restores the first configuration in a new file, and sends SIGHUP.
     pub fn reload_valid(&self) {
         std::fs::remove_file(config_path()).unwrap();
         self.reload(str::to_string);
@@ -232,7 +235,7 @@
         kill_process(Pid::from_child(&self.process), signal).unwrap();
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     pub fn wait_exit(mut self) -> ExitStatus {
         self.process.wait().unwrap()
     }
@@ -245,7 +248,7 @@
     }
 }
 
-/// The next line of a log, as soon as it is there.
+/// Waits for the next line of a log; panics after [`TEST_TIMEOUT`], or if the log has ended.
 fn next_line(log: &mut BufReader<ChildStderr>) -> String {
     let mut line = String::new();
     if log.buffer().is_empty() {
@@ -256,14 +259,14 @@
         };
         assert!(
             poll(&mut polled, Some(&timeout)).unwrap() > 0,
-            "the log says nothing more"
+            "no further log line in time"
         );
     }
     assert!(log.read_line(&mut line).unwrap() > 0, "the log has ended");
     line
 }
 
-/// Where cargo puts the fault shim, on which the tests depend: beside their own program.
+/// Path of the fault shim. It is a dev-dependency, so cargo builds it next to the test program.
 fn fault_shim_path() -> String {
     let program = std::env::current_exe().unwrap();
     let shim = program.with_file_name("libkitefork_fault_shim.so");
@@ -271,7 +274,7 @@
     shim.to_str().unwrap().to_string()
 }
 
-/// Each test has a thread and so a file of its own.
+/// Path of the test's configuration file; unique, as each test runs in its own thread.
 fn config_path() -> std::path::PathBuf {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let unique = format!(
@@ -282,13 +285,14 @@
     folder.join(unique.replace(['(', ')'], ""))
 }
 
-/// Runs the program with this configuration, and variables in its environment.
+/// Writes the configuration file and runs the program with it; `variables` are added to its
+/// otherwise empty environment.
 pub fn spawn_with_config(config: &str, variables: &[(&str, &str)]) -> Child {
     std::fs::write(config_path(), config).unwrap();
     spawn(&config_path(), variables)
 }
 
-/// Runs the program with a configuration that is at a path.
+/// Runs the program with the configuration file at a path.
 fn spawn(config: &std::path::Path, variables: &[(&str, &str)]) -> Child {
     Command::new(env!("CARGO_BIN_EXE_kitefork"))
         .env_clear()
--- a/crates/node/tests/common/waiting.rs
+++ b/crates/node/tests/common/waiting.rs
@@ -1,23 +1,26 @@
-//! Waiting for an event, and letting time pass.
+//! Waiting for conditions, and sleeping.
 
 use std::time::Duration;
 
-/// A test that waits longer for anything has failed.
+/// A test that waits longer than this for a single event fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls for a value until it is there.
+/// Calls `find` every millisecond until it returns a value; panics after [`TEST_TIMEOUT`].
 pub fn wait_for<T>(find: impl Fn() -> Option<T>) -> T {
     let started_at = std::time::Instant::now();
     loop {
         if let Some(found) = find() {
             return found;
         }
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "it never came");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the condition was not met in time"
+        );
         sleep_ms(1);
     }
 }
 
-/// Lets a time limit run out that is part of what is played.
+/// Sleeps, so that a time limit passes that is part of the test scenario.
 pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock may be stepped; how old a backend is follows from what the node heard, and when.
+//! The wall clock may be stepped, so the node derives the age of a backend from what it has
+//! received from discovery, and when.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -11,13 +12,13 @@
         .as_millis() as i64
 }
 
-/// An endpoint with the moment of its start.
+/// A ready endpoint with its start time, in Unix milliseconds.
 fn endpoint_started_at(node: &TestNode, uid: &str, boot_ms: i64) -> String {
     endpoint_json(uid, node.backend.address(), "Ready")
         .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
 }
 
-/// A node whose wall clock follows a plan, and its watch, on which its list has come.
+/// A node whose wall clock follows `plan`, and its watch, on which the first list was sent.
 fn node_with_watch(plan: &str) -> (TestNode, Connection) {
     let node =
         TestNode::with_faults_and_environment(plan, &[("BALANCER_TRACE", "1")], |config| config);
@@ -30,8 +31,8 @@
     (node, watch)
 }
 
-/// A node whose wall clock follows a plan, and that starts with a list on which `s-2` has just
-/// started.
+/// A node whose wall clock follows `plan`, and whose cached list has `s-2` with this start time, in
+/// Unix milliseconds.
 fn node_with_new_backend(plan: &str, boot_ms: i64) -> TestNode {
     TestNode::with_faults_and_environment(plan, &[("BALANCER_TRACE", "1")], |config| {
         let with_new_uid = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
@@ -39,7 +40,8 @@
     })
 }
 
-/// The age in milliseconds that the node takes a backend to have when its list says this.
+/// Age of a backend, in milliseconds, as the node traces it for its next list entry; -1 if it
+/// started long ago.
 fn age_ms(node: &mut TestNode, uid: &str) -> i64 {
     let lines = node.expect_log(&format!("uid={uid} "));
     let line = lines
@@ -60,7 +62,8 @@
 
 #[test]
 fn start_on_an_open_watch_is_recent_despite_wrong_clocks() {
-    // The node's clock is ahead from its start on; the machines' clocks are set back while it runs.
+    // First the node's clock is an hour ahead from its start; then the machines' clocks are set
+    // back by an hour while the node runs.
     for (plan, machine_offset_ms) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
         let (mut node, mut watch) = node_with_watch(plan);
         let boot = unix_ms() + machine_offset_ms - 500;
@@ -98,7 +101,7 @@
     for step in [3, -3, 3_600, -3_600] {
         let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step},from:200"));
         sleep_ms(400);
-        // All machines read one clock.
+        // The clock of the backend's machine is stepped too.
         let boot = unix_ms() + step * 1_000 - 1_000;
         watch.send(&watch_update(9, &[endpoint_started_at(&node, "s-2", boot)]));
         let age = age_ms(&mut node, "s-2");
@@ -118,7 +121,7 @@
             let age = age_ms(&mut node, uid);
             assert!(
                 (0..=delay_ms + 100).contains(&age),
-                "{step} s ahead, notified after {delay_ms} ms: {age} ms"
+                "clock {step} s ahead, notified after {delay_ms} ms: {age} ms"
             );
         }
     }
@@ -136,7 +139,7 @@
         let age = age_ms(&mut node, "s-2");
         assert!((0..=100).contains(&age), "{plan} {start_age_ms}: {age} ms");
     }
-    // A clock that is an hour off can't explain this.
+    // Three hours can't be explained by a clock that is off by an hour.
     let mut node = node_with_new_backend("clock=step:3600", unix_ms() - 3 * HOUR_MS);
     assert_eq!(age_ms(&mut node, "s-2"), -1);
 }
@@ -144,7 +147,7 @@
 #[test]
 fn correct_clock_determines_the_age_of_a_backend() {
     let (mut node, mut watch) = node_with_watch("");
-    // The first start that is notified soon shows that the clock is not ahead.
+    // The first start that is notified without delay shows that the clock is not ahead.
     watch.send(&watch_update(
         9,
         &[endpoint_started_at(&node, "s-4", unix_ms())],
@@ -155,8 +158,12 @@
     ));
     let age = age_ms(&mut node, "s-2");
     assert!((2_900..=3_500).contains(&age), "{age} ms");
-    // Notified again, it is as old as it was: nothing has started anew.
+    // A start time of 0 means that the backend started long ago.
     sleep_ms(Duration::from_millis(100).as_millis() as u64);
     watch.send(&watch_update(11, &[endpoint_started_at(&node, "s-3", 0)]));
-    assert_eq!(age_ms(&mut node, "s-3"), -1, "long ago has no age");
+    assert_eq!(
+        age_ms(&mut node, "s-3"),
+        -1,
+        "a backend that started long ago has no age"
+    );
 }
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -1,4 +1,4 @@
-//! The deadline passed to a backend is at most what the client has left, with 0.15 s of slack.
+//! The remaining time forwarded to a backend exceeds that of its client by at most 0.15 s.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,15 @@
 const CLIENT_TIMEOUT_MS: u32 = 4_000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS as u64);
 
-/// The request that has come on a backend's connection has no more time left than its client.
+/// Reads a request from a backend's connection and checks that the remaining time in it is not
+/// longer than that of its client, which sent it at `sent`.
 fn check_remaining_time(backend: &mut Connection, sent: Instant) {
     let head = backend.expect("body");
     let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent.elapsed());
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining <= client_remaining + REMAINING_TIME_SLACK,
-        "passed on {remaining:?}, left {client_remaining:?}"
+        "forwarded {remaining:?}, remaining {client_remaining:?}"
     );
 }
 
@@ -31,7 +32,8 @@
     let sent = Instant::now();
     client.send(&report_request("late", CLIENT_TIMEOUT_MS));
     sleep_ms(300);
-    // The kernel of the backend's machine accepts the connection once its backlog has a place.
+    // The kernel of the backend's machine accepts the connection once its backlog is no longer
+    // full.
     drop(queued);
     full_backend.accept();
     check_remaining_time(&mut full_backend.accept(), sent);
@@ -82,7 +84,7 @@
 
 #[test]
 fn first_attempt_is_deducted_from_the_remaining_time_of_a_retry() {
-    // An attempt is not called off as overdue within the pause.
+    // With a long latency objective, the attempt is not cancelled as overdue during the pause.
     let with_long_objective =
         |config: String| config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":3000000000"#);
     let node = TestNode::with_config(with_long_objective);
@@ -90,7 +92,7 @@
     client.send(&report_request("w0", 5_000));
     let mut backend = node.backend.accept();
     for number in 1..=5 {
-        // Served first attempts pay for a retry.
+        // Served first attempts fill the retry budget.
         backend.expect("body");
         backend.serve("200 OK", "warm");
         client.expect("warm");
@@ -119,6 +121,6 @@
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining + REMAINING_TIME_SLACK >= CLIENT_TIMEOUT.saturating_sub(sent.elapsed()),
-        "passed on only {remaining:?}"
+        "forwarded only {remaining:?}"
     );
 }
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment cost no client its answer and stop no other work.
+//! Temporary failures of system calls lose no answer and block no other work.
 
 use std::time::{Duration, Instant};
 
@@ -139,7 +139,7 @@
         let used_cpu_time = node.cpu_time().checked_sub(cpu_time_before).unwrap();
         assert!(
             used_cpu_time < Duration::from_millis(200),
-            "{fault}: {used_cpu_time:?} of a core in 0.7 s"
+            "{fault}: {used_cpu_time:?} of CPU time in 0.7 s"
         );
         for (number, mut client) in clients.into_iter().enumerate() {
             client.expect(&format!("\r\n\r\ns{number}"));
@@ -178,7 +178,8 @@
 
 #[test]
 fn signal_with_a_lost_wake_up_byte_is_handled() {
-    // The handler wakes the loop by a byte on a socket; the machine has no memory for it.
+    // The signal handler wakes the event loop by a byte on a socket, and sending it fails for lack
+    // of memory.
     let mut node = TestNode::with_faults("send=ENOBUFS", |config| config);
     node.reload(|config| config.replace(r#""seed":"8c1f""#, r#""seed":"zz""#));
     node.expect_log("reload-failed");
@@ -196,7 +197,8 @@
 
 #[test]
 fn emfile_closes_no_client_while_no_other_client_waits() {
-    // An accept fails without descriptors also where no client waits: the one behind each client.
+    // Without descriptors, accept fails even if no client is queued; here it fails after each
+    // client.
     let (node, _backend) = node_with_faults("accept=EMFILE,every:2");
     for number in 0..10 {
         let mut client = node.client();
@@ -237,7 +239,7 @@
 
 #[test]
 fn temporarily_unreadable_request_at_shutdown_is_answered() {
-    // The node stops accepting 0.6 s after SIGTERM, in the span in which nothing can be read.
+    // The node stops accepting 0.6 s after SIGTERM, during the period in which all reads fail.
     let started = Instant::now();
     let (node, _backend) = node_with_faults("recv=ENOMEM,from:1500,to:1900");
     let mut client = node.client();
@@ -252,10 +254,10 @@
     client.send(&report_request("second", 3_000));
     let head = client
         .expect_or_close("\r\n\r\n")
-        .expect("an answer, not a close");
+        .expect("an answer before the connection closes");
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     client.expect("second");
-    // A client that has sent nothing is not waited for.
+    // The node does not wait for an idle client.
     idle.expect_close();
     client.expect_close();
     assert!(
--- a/crates/node/tests/protocol_rules/half_close.rs
+++ b/crates/node/tests/protocol_rules/half_close.rs
@@ -1,5 +1,5 @@
-//! A request that was read gets an answer, also where its client has ended its sending behind it.
-//! Nothing is forwarded for such a client: a half-close can't be distinguished from a close.
+//! A request that was read gets an answer even if its client has shut down its sending side.
+//! Nothing is forwarded for such a client, as a half-close can't be distinguished from a close.
 
 use crate::common::{TestNode, report_request, sleep_ms};
 
@@ -35,7 +35,8 @@
     let mut backend = node.backend.accept();
     backend.expect("body");
     client.half_close();
-    // It may have run, so it is no refusal; and its attempt is called off.
+    // The request may have been executed, so it fails instead of being rejected, and its attempt is
+    // cancelled.
     assert!(client.expect_close().starts_with("HTTP/1.1 502 "));
     assert_eq!(backend.expect_close(), "");
 }
--- a/crates/node/tests/protocol_rules/mod.rs
+++ b/crates/node/tests/protocol_rules/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol rules of `docs/design/protocol-rules.md`, each forced on real sockets.
+//! The protocol rules of `docs/design/protocol-rules.md`, tested over real sockets.
 
 mod clock;
 mod deadline;
@@ -13,10 +13,10 @@
 
 use crate::common::{Connection, StandIn, TestNode, endpoint_json, report_request};
 
-/// The time left that a backend is notified of may exceed the client's by this.
+/// Maximum by which the remaining time forwarded to a backend may exceed the client's.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 
-/// A backend that answers each request on each connection with its `X-Txn`, and counts them.
+/// A backend that answers each request with the request's `X-Txn` and counts the requests.
 struct EchoBackend {
     served: Arc<AtomicUsize>,
 }
@@ -53,15 +53,18 @@
     }
 }
 
-/// A node that is started by `start`, and whose one backend answers everything.
+/// Starts a node by `start`, with an [`EchoBackend`] as its one backend.
 fn node_with_echo_backend(
     start: impl Fn(&dyn Fn(String) -> String) -> TestNode,
 ) -> (TestNode, EchoBackend) {
     let stand_in = StandIn::new();
     let address = stand_in.address();
     let node = start(&|config: String| {
-        let from = config.find(r#""targets":["#).expect("a list");
-        let to = from + config[from..].find("]}").expect("its end");
+        let from = config.find(r#""targets":["#).expect("a cached list");
+        let to = from
+            + config[from..]
+                .find("]}")
+                .expect("the end of the cached list");
         config[..from].to_string()
             + r#""targets":["#
             + &endpoint_json("s-1", address, "Ready")
@@ -70,8 +73,8 @@
     (node, EchoBackend::serve(stand_in))
 }
 
-/// So many requests on connections that are kept, a new one after each tenth; gives how many were
-/// served. Each gets a complete answer.
+/// Sends `count` requests, on a new connection after every tenth, and checks that each gets a
+/// complete answer; returns how many were served.
 fn send_requests(node: &TestNode, count: usize) -> usize {
     let mut client: Option<Connection> = None;
     let mut served = 0;
--- a/crates/node/tests/protocol_rules/unframed.rs
+++ b/crates/node/tests/protocol_rules/unframed.rs
@@ -1,9 +1,9 @@
-//! An answer with neither length nor chunks ends with its connection. An orderly end makes it
-//! whole; a reset is no end.
+//! An answer with neither a length nor chunks ends with its connection: it is complete if the
+//! connection ends with a FIN, and truncated if it is reset.
 
 use crate::common::{Connection, TestNode, report_request};
 
-/// A request whose class must not be repeated, out at the backend.
+/// The client's and the backend's connection with a request in flight, without an idempotency key.
 fn with_attempt_in_flight(node: &TestNode) -> (Connection, Connection) {
     let mut client = node.client();
     client.send(&report_request("r1", 5_000).replace("Idempotency-Key: kr1\r\n", ""));
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -1,4 +1,4 @@
-//! Races on connections to backends and of clients.
+//! Races on upstream and client connections.
 
 use super::{MAX_CLIENT_CONNECTIONS, with_few_descriptors, with_idle_connection};
 use crate::common::{
@@ -37,7 +37,7 @@
     node.stall();
     full_backend.accept();
     drop(queued);
-    // The kernel sends its SYN again a second after the first one.
+    // The kernel retransmits the SYN a second after the first one.
     let mut backend = full_backend.accept();
     sleep_ms(1600);
     node.resume();
@@ -101,7 +101,7 @@
     backend.serve("200 OK", "served");
     clients[0].expect("served");
     new_client.send(HEALTH_CHECK).expect("ok\n");
-    // None of the others is closed but the one that was evicted.
+    // Exactly one of the other connections was closed: the evicted one.
     let closed = clients[1..]
         .iter_mut()
         .map(Connection::is_closed)
@@ -117,12 +117,12 @@
     client.send(&report_request("first", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // The sign: two answers in one write.
+    // Two answers in one write: from now on the node expects that a second answer may come late.
     let two_answers = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     backend.send(&two_answers);
     client.expect("one");
     assert_eq!(backend.expect_close(), "");
-    // Two messages in one write: the second goes on a tick after the first is answered.
+    // Two requests in one write: the second is forwarded a tick after the first is answered.
     client.send(&(report_request("second", 5000) + &report_request("third", 5000)));
     let mut backend = node.backend.accept();
     backend.expect("x-txn: second\r\n");
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -1,6 +1,5 @@
-//! A process that is delayed between two of its calls: what it has read before is old when it acts
-//! on it. The fault shim delays it for 0.4 s in a span in which the test plays the event that
-//! races.
+//! Races in a process that is delayed between two system calls, so that it acts on stale data. The
+//! fault shim delays a call by 0.4 s; meanwhile the test sends the event that races with it.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +8,18 @@
     watch_response, with_backend,
 };
 
-/// The span in which calls are delayed: it begins long after the node is up.
+/// Period in which calls are delayed, in milliseconds after the start of the process; it begins
+/// long after the node is ready.
 const FAULT_WINDOW: &str = "from:1500,to:2600";
-/// So many requests allow more than one retry.
+/// Number of served requests after which the retry budget allows more than one retry.
 const WARM_UP_REQUESTS: usize = 20;
+/// A time within the fault window, since the start of the node.
 const IN_FAULT_WINDOW: Duration = Duration::from_millis(1_700);
-/// Before the span, and so close to it that a silent attempt is not called off until then.
+/// A time before the fault window, but close enough to it that an unanswered attempt is not
+/// cancelled before the window begins.
 const BEFORE_FAULT_WINDOW: Duration = Duration::from_millis(1_200);
 
-/// A node with two backends, to each of which it has an idle connection.
+/// A node with two backends and an idle connection to each.
 struct TwoBackends {
     node: TestNode,
     connections: Vec<Connection>,
@@ -29,7 +31,7 @@
     fn start(plan: &str, change: impl Fn(String) -> String) -> TwoBackends {
         let other_backend = StandIn::new();
         let node = TestNode::with_faults(plan, |config| {
-            // A request that has waited for the span still has time for a second attempt.
+            // After waiting for the fault window, a request still has time for a second attempt.
             let config = config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":4000000000"#);
             change(with_backend(config, "s-0", other_backend.address()))
         });
@@ -44,7 +46,7 @@
         };
         first_client.send(&report_request("warm1", 5000));
         let mut first = accept_at_either();
-        // The first one is busy, so this goes to the second.
+        // The first backend is busy, so this request goes to the second.
         second_client.send(&report_request("warm2", 5000));
         let mut second = accept_at_either();
         for (connection, client) in [
@@ -61,7 +63,7 @@
             other_backend,
             started_at,
         };
-        // A share of what has come may be tried again.
+        // The retry budget is a share of the served requests.
         for number in 0..WARM_UP_REQUESTS {
             let (mut busy, idle) = two_backends.send(&mut first_client, &format!("warm{number}"));
             busy.serve("200 OK", "warm");
@@ -71,8 +73,8 @@
         two_backends
     }
 
-    /// Sends a request on a connection that is there, and takes the lines apart: the one that it
-    /// came to, complete, and the other one.
+    /// Sends a request, which is forwarded on one of the two connections. Returns that connection,
+    /// from which the request is read, and the idle one; both are removed from `connections`.
     fn send(&mut self, client: &mut Connection, id: &str) -> (Connection, Connection) {
         client.send(&report_request(id, 5000));
         let index = wait_for(|| {
@@ -85,7 +87,7 @@
         (busy, self.connections.remove(0))
     }
 
-    /// Until this time after the start.
+    /// Sleeps until this time after the start of the node.
     fn sleep_until(&self, time: Duration) {
         sleep_ms(time.saturating_sub(self.started_at.elapsed()).as_millis() as u64);
     }
@@ -102,11 +104,14 @@
     let (mut busy, mut idle) = backends.send(&mut client, "left");
     backends.sleep_until(IN_FAULT_WINDOW);
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
-    // The node's wait has the answer, and only it.
+    // The delayed epoll_wait has returned the answer only, not the disconnect.
     sleep_ms(50);
     client.close();
     backends.node.wait_for_iteration();
-    assert!(!idle.is_closed(), "the client had left over 0.3 s before");
+    assert!(
+        !idle.is_closed(),
+        "the client had disconnected more than 0.3 s before"
+    );
     assert!(
         backends.other_backend.has_no_pending_connection()
             && backends.node.backend.has_no_pending_connection()
@@ -136,11 +141,11 @@
     assert_eq!(
         idle.expect_close(),
         "",
-        "its backend drained over 0.3 s before"
+        "the drain was sent more than 0.3 s before"
     );
     let head = client.expect("\r\n\r\n");
     assert!(
         head.starts_with("HTTP/1.1 50"),
-        "no backend is left, but an answer is owed: {head}"
+        "no backend is ready, so the answer must be an error: {head}"
     );
 }
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -1,4 +1,4 @@
-//! Races with clients that disconnect: nothing is forwarded for them.
+//! Races with disconnecting clients: their requests are not forwarded.
 
 use super::serve_next_request;
 use crate::common::{
@@ -19,7 +19,7 @@
         ("half", half_close),
     ] {
         let node = TestNode::start();
-        // One connection stands before the stall, the other waits in the accept queue.
+        // One connection is accepted before the stall, the other waits in the accept queue.
         let mut accepted = node.client();
         accepted.send(HEALTH_CHECK).expect("ok\n");
         node.stall();
@@ -60,8 +60,8 @@
     node.resume();
     let mut other = node.client();
     other.send(&report_request("other", 5000));
-    // The connection is closed with the client; or, where the answer is seen before the leave, it
-    // carries the other one's.
+    // The upstream connection is closed with the client's; if the node reads the answer before the
+    // disconnect, the connection is reused for the other client's request.
     let head = backend
         .expect_or_close("body")
         .unwrap_or_else(|| node.backend.accept().expect("body"));
@@ -75,7 +75,7 @@
     let node = TestNode::with_config(|config| with_backend(config, "s-0", other.address()));
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // Whichever it is sent to rejects it.
+    // The backend that receives the request rejects it.
     let (mut first, second) = wait_for(|| {
         let one = node
             .backend
@@ -125,12 +125,12 @@
     });
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // Once this later message is answered, the attempt has begun.
+    // The attempt has begun once these later messages are answered.
     node.wait_for_iteration();
     node.stall();
     full_backend.accept();
     drop(queued);
-    // The connection is up, and only then does the client leave.
+    // The client disconnects only after the connection is established.
     let mut backend = full_backend.accept();
     client.close();
     node.resume();
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -1,4 +1,4 @@
-//! The last moments of a node: deadlines, unread requests, waiting clients.
+//! The end of a shutdown: deadlines, unread requests and clients in the accept queue.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     client.send(&report_request("silent", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // One that waits: the backend takes one attempt.
+    // This request is queued: the backend gets one attempt at a time.
     queued.send(&report_request("queued", 5000));
     node.wait_for_iteration();
     node.terminate();
@@ -47,7 +47,7 @@
     node.expect_log("sigterm");
     node.stall();
     accepted.send(&report_request("late", 5000));
-    // The time for answers runs out 0.6 s after SIGTERM.
+    // The last answers are due 0.6 s after SIGTERM.
     sleep_ms(650);
     node.resume();
     let answer = accepted.expect_close();
@@ -68,7 +68,7 @@
     let remaining_ms: u32 = header(&head, "x-remaining-ms").parse().unwrap();
     assert!(
         remaining_ms <= 900,
-        "{remaining_ms} ms, though SIGKILL may come 1.1 s after SIGTERM"
+        "{remaining_ms} ms, although SIGKILL may follow 1.1 s after SIGTERM"
     );
 }
 
@@ -81,7 +81,7 @@
     node.expect_log("client-connections-full");
     node.terminate();
     node.expect_log("late-clients");
-    // One of those that are served is evicted.
+    // One of the served clients disconnects, which frees a descriptor.
     drop(busy.pop());
     assert!(late.expect("\r\n\r\n").starts_with("HTTP/1.1 "));
     drop((busy, late));
@@ -93,7 +93,7 @@
     let mut node = TestNode::start();
     node.close_log();
     let mut client = node.client();
-    // Each of these is logged.
+    // Each of these invalid requests is logged.
     for _ in 0..3 {
         client
             .send(&report_request("x", 99).replace("X-Org: acme", "X-Org: nobody"))
--- a/crates/node/tests/races/mod.rs
+++ b/crates/node/tests/races/mod.rs
@@ -1,6 +1,6 @@
-//! Races: two events that meet in one iteration of the node's loop. Each is forced: the node is
-//! stopped, the events are put on the sockets in the order that hurts, and the node goes on. The
-//! list of all races is in `docs/design/`.
+//! Races: two events that the node reads in one loop iteration. A test forces a race: it stops the
+//! node, sends the events in the problematic order, and resumes the node. All races are listed in
+//! `docs/design/`.
 
 mod connections;
 mod delays;
@@ -11,7 +11,8 @@
 
 use crate::common::{Connection, TestNode, report_request};
 
-/// A client has one request answered, so that the node has an idle connection to the backend.
+/// A client and a backend connection after one answered request, so that the node has an idle
+/// upstream connection.
 fn with_idle_connection(node: &TestNode, id: &str) -> (Connection, Connection) {
     let mut client = node.client();
     client.send(&report_request(id, 5000));
@@ -22,8 +23,8 @@
     (client, backend)
 }
 
-/// The next request that reaches the backend on a new connection is this one, and nothing came
-/// before it.
+/// Sends a request, checks that it is the first one on the backend's next connection, and answers
+/// it.
 fn serve_next_request(node: &TestNode, id: &str) {
     let mut client = node.client();
     client.send(&report_request(id, 5000));
@@ -38,11 +39,11 @@
     config.replace(r#""sockets":128"#, r#""sockets":64"#)
 }
 
-/// Clients that a node of few sockets holds: 64 descriptors less 20, of which a quarter is kept for
-/// backends.
+/// Maximum number of clients with [`with_few_descriptors`]: 64 descriptors less 20 for other uses,
+/// of which a quarter is reserved for backends.
 const MAX_CLIENT_CONNECTIONS: usize = 33;
 
-/// As many clients as it holds, each with a request out or waiting.
+/// The maximum number of clients, each with a request that is in flight or queued.
 fn occupy_all_connections(node: &TestNode) -> Vec<Connection> {
     let send_request = |n| {
         let mut client = node.client();
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -1,4 +1,4 @@
-//! Races with the node's shutdown, and with what its queues and pools have.
+//! Races with the shutdown of the node, its accept queue, its idle connections and its watch.
 
 use std::io::Write;
 
@@ -12,7 +12,8 @@
 };
 use crate::service::payouts::{payout_request, with_payout_and_check};
 
-/// The name of the request that comes on this connection, unless it ends without one.
+/// Reads a request from this connection and returns its `X-Txn`; `None` if the connection closes
+/// before.
 fn request_name(connection: &mut Connection) -> Option<String> {
     connection
         .expect_or_close("body")
@@ -54,7 +55,7 @@
     node.terminate();
     node.resume();
     node.expect_log("sigterm connections=2");
-    // The rest of the half one comes long after SIGTERM.
+    // The rest of the incomplete request is sent after SIGTERM is handled.
     incomplete.send(rest);
     for (client, body) in [(&mut in_flight, "first"), (&mut incomplete, "second")] {
         backend.serve("200 OK\r\nConnection: close", body);
@@ -79,7 +80,7 @@
     client.send(&report_request("long", 2000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // More than the sockets hold.
+    // More than the socket buffers hold.
     let long_body = "z".repeat(1_900_000) + "whole";
     backend.serve("200 OK", &long_body);
     node.terminate();
@@ -100,7 +101,7 @@
     node.terminate();
     node.expect_log("sigterm");
     let mut answered = 0;
-    // Each connection takes one more, which is answered, and ends.
+    // Each connection serves one more request and closes after its answer.
     for id in 0..10_000 {
         client.send(&report_request(&format!("on{id}"), 250));
         if let Some(mut connection) = node.backend.try_accept() {
@@ -127,13 +128,14 @@
 fn request_of_a_client_that_left_the_accept_queue_is_not_forwarded() {
     let mut node = TestNode::with_config(with_few_descriptors);
     let busy = occupy_all_connections(&node);
+    // All client connections are in use, so these clients wait in the accept queue.
     let mut waiting: Vec<Connection> = (0..6).map(|_| node.client()).collect();
     for (n, client) in waiting.iter_mut().enumerate() {
         client.send(&report_request(&format!("late{n}"), 60_000));
     }
     node.expect_log("client-connections-full");
-    // Every second one of those that wait disconnects, by a close or by a reset; then all the
-    // others are evicted.
+    // Every second waiting client disconnects, with a close or a reset; then all clients with a
+    // connection disconnect.
     for n in [4, 2, 0] {
         let client = waiting.remove(n);
         if n == 2 {
@@ -143,7 +145,8 @@
         }
     }
     drop(busy);
-    // What the backend gets from now on; those out have ended with their clients.
+    // Requests that reach the backend from now on. Attempts of the disconnected clients have ended,
+    // so their connections close.
     let mut remaining: Vec<&str> = vec!["late1", "late3", "late5"];
     while !remaining.is_empty() {
         let mut connection = node.backend.accept();
@@ -152,7 +155,7 @@
         };
         assert!(
             !["late0", "late2", "late4"].contains(&name.as_str()),
-            "{name} was sent on"
+            "{name} was forwarded"
         );
         remaining.retain(|expected| *expected != name);
         connection.serve("200 OK\r\nConnection: close", &name);
@@ -184,7 +187,7 @@
     for _ in &connected {
         let mut connection = node.backend.accept();
         let name = request_name(&mut connection).expect("a request");
-        assert!(name.starts_with("stay"), "{name} was sent on");
+        assert!(name.starts_with("stay"), "{name} was forwarded");
         connection.serve("200 OK\r\nConnection: close", "served");
     }
     for mut client in connected {
@@ -222,7 +225,7 @@
     let mut new_watch = new_discovery.accept();
     new_watch.expect("after=7 ");
     watch.expect_close();
-    // The end of the old object here would be none of this one's.
+    // The incomplete object of the old watch must not be joined with this one.
     new_watch.send(&watch_response(
         9,
         &[endpoint_json("s-2", other.address(), "Ready")],
@@ -247,11 +250,11 @@
     for _ in 0..10 {
         node.reload(str::to_string);
         node.discovery.accept().close();
-        // Rows that keep step would look like one.
+        // Without this pause, simultaneous series of calls would look like one.
         sleep_ms(30);
     }
     node.expect_log("reload discovery=");
-    // The row of calls is at its longest pause by now, a quarter of the grace.
+    // By now the backoff has reached its maximum, a quarter of the drain grace.
     let started_at = std::time::Instant::now();
     for _ in 0..6 {
         node.discovery.accept().close();
@@ -280,7 +283,7 @@
     );
 }
 
-// ---- A connection that closes at any byte ----
+// ---- Connections that end after any byte ----
 
 #[test]
 fn answer_truncated_at_any_byte_gets_502_and_no_retry() {
@@ -306,7 +309,7 @@
             client.send(HEALTH_CHECK).expect("\n");
             assert!(
                 node.backend.has_no_pending_connection(),
-                "it went out again, cut at {cut}"
+                "retried after a truncation at byte {cut}"
             );
         }
     }
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -1,4 +1,4 @@
-//! Races on the watch, and watches that trickle, fall silent or never end.
+//! Races on the watch, and watches that are slow, idle or endless.
 
 use std::time::{Duration, Instant};
 
@@ -65,6 +65,7 @@
     let mut watch = node.discovery.accept();
     watch.expect("\r\n\r\n");
     let started_at = Instant::now();
+    // The updates that the watch withholds count as notified 6 s after they are due.
     watch.send(WATCH_RESPONSE_HEAD).send("1000\r\n");
     let trickle = std::thread::spawn(move || {
         while watch.try_send(" ") {
@@ -98,7 +99,7 @@
     );
 }
 
-/// One object of a watch as a printer would lay it out, with braces and line ends in its strings.
+/// An indented object of a watch, with brackets and escapes in a string.
 fn indented_update(revision: u32, endpoints: &[String]) -> String {
     let note = r#""note":"}]\"\\n{","#;
     let text =
@@ -117,7 +118,7 @@
     );
     let second_update = indented_update(9, &[endpoint_json("s-2", second.address(), "Ready")]);
     watch.send(WATCH_RESPONSE_HEAD).send(&chunk("\n"));
-    // A byte a chunk, and the end of one object together with the start of the next.
+    // One byte per chunk; then one chunk with an object and the start of the next.
     for byte in first_update.chars() {
         watch.send(&chunk(&byte.to_string()));
     }
@@ -125,7 +126,8 @@
     let mut client = node.client();
     client.send(&report_request("moved", 5000));
     second.accept().expect("x-txn: moved\r\n");
-    // Half an object and then a reset: what was complete stays, and the rest is polled again.
+    // A reset in the middle of an object: the complete objects stay applied, and the new watch
+    // resumes after them.
     watch.reset();
     node.expect_log("discovery-failed the connection ended");
     let mut second_watch = node.discovery.accept();
@@ -176,7 +178,8 @@
     serve_next_request(&node, "next");
 }
 
-/// Eight requests of a client, all of which come to this backend on one connection; gives that.
+/// Sends eight requests and answers them at `backend`, all on one connection; returns that
+/// connection.
 fn serve_eight(client: &mut Connection, backend: &StandIn) -> Connection {
     let mut connection = None;
     for id in ["o1", "o2", "o3", "o4", "o5", "o6", "o7", "o8"] {
@@ -202,7 +205,7 @@
         &[first_endpoint("Terminating"), second_endpoint("Ready")],
     ));
     watch.close();
-    // Another replica, which is behind.
+    // Another replica of discovery, whose list is older.
     let mut stale_watch = node.discovery.accept();
     stale_watch.expect("after=9 ");
     let older_list = watch_response(8, &[first_endpoint("Ready"), second_endpoint("Ready")])
@@ -212,7 +215,8 @@
     let mut client = node.client();
     let mut backend = serve_eight(&mut client, &other);
     assert!(node.backend.has_no_pending_connection());
-    // It goes on from its own count. Idle connections end once a drain is taken.
+    // This replica's next update counts, with its own next revision. Idle connections close once a
+    // drain is applied.
     stale_watch.send(&watch_update(
         9,
         &[first_endpoint("Ready"), second_endpoint("Terminating")],
@@ -223,7 +227,7 @@
     backend.expect("body");
     backend.serve("200 OK", "served");
     client.expect("served");
-    // One that has started anew is back whatever the count says.
+    // A backend that has restarted is used again, whatever the revision.
     let restarted = second_endpoint("Ready").replace("\"boot_ms\":0", "\"boot_ms\":9");
     stale_watch.send(&watch_update(
         7,
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -1,4 +1,4 @@
-//! Which connections to backends are used again, and which are not.
+//! Which upstream connections are reused, and which are closed.
 
 use crate::common::{
     StandIn, TestNode, WATCH_RESPONSE_HEAD, endpoint_json, report_request, watch_response,
@@ -9,7 +9,7 @@
 fn connection_with_connection_close_is_not_reused() {
     let node = TestNode::start();
     let mut client = node.client();
-    // They stay open here, so that only the node's own choice leads to the second one.
+    // The test keeps them open, so that only the node's own decision leads to a new connection.
     let mut closing = Vec::new();
     for body in ["one", "two"] {
         client.send(&report_request(body, 5000));
@@ -57,14 +57,15 @@
 
 #[test]
 fn connecting_attempt_moves_elsewhere_when_its_backend_drains() {
-    // Its first byte could come after the grace. The connection's own time limit is far off here.
+    // The first byte of its request could arrive after the drain grace. The connect timeout is far
+    // longer than the test.
     let (full_backend, _queued) = StandIn::with_full_backlog();
     let node =
         TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut watch = node.discovery.accept();
     let mut client = node.client();
     client.send(&report_request("r", 5000));
-    // Once this later message is answered, the request has been forwarded.
+    // The request has been forwarded once these later messages are answered.
     node.wait_for_iteration();
     let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
     watch.send(&watch_response(
@@ -89,7 +90,10 @@
     let mut backend = node.backend.accept();
     backend.expect("body");
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 504 "));
-    assert!(started_at.elapsed().as_millis() >= 290, "never early");
+    assert!(
+        started_at.elapsed().as_millis() >= 290,
+        "the 504 came before the client timeout"
+    );
     backend.expect_close();
 }
 
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -1,4 +1,4 @@
-//! How many connections clients may have, and what becomes of those that disconnect or say nothing.
+//! Limits on client connections, disconnects of clients, and clients that are idle.
 
 use crate::common::{HEALTH_CHECK, TestNode, report_request};
 
@@ -15,7 +15,8 @@
 
 #[test]
 fn client_disconnect_behind_a_full_inbox_cancels_its_attempt() {
-    // Its end can't be read while the inbox is full; the loop must neither miss it nor spin on it.
+    // The end of the stream can't be read while the inbox is full: the event loop must neither miss
+    // it nor handle it in a busy loop.
     let node = TestNode::start();
     let mut client = node.client();
     client.send(&report_request("ee", 60_000));
@@ -37,8 +38,9 @@
     incomplete_head.send(&head[..40]);
     missing_body.send(head);
     slow_body.send(head);
-    // A byte at a time, each well before the pause that counts as an end; all in all it takes
-    // longer.
+    // Connections without a complete request are closed within 3 s; the check below allows 1 s
+    // more. The slow client sends one byte at a time: each pause is well below the limit for a
+    // pause within a body, while the whole body takes longer than that limit.
     for byte in body[..3].bytes() {
         std::thread::sleep(std::time::Duration::from_millis(900));
         slow_body.send(&char::from(byte).to_string());
@@ -58,7 +60,8 @@
 #[test]
 fn longest_idle_client_is_evicted_at_the_connection_limit() {
     let node = TestNode::start();
-    // 128 descriptors less 20 for the rest, and a quarter of those are kept for backends.
+    // 81 clients fit: 128 descriptors less 20 for other uses, of which a quarter is reserved for
+    // backends.
     let mut clients: Vec<_> = (0..82).map(|_| node.client()).collect();
     let mut newest = clients.pop().unwrap();
     newest.send(HEALTH_CHECK).expect("ok\n");
@@ -80,7 +83,8 @@
 
 #[test]
 fn idle_clients_after_one_request_are_closed_down_to_a_quarter() {
-    // A third of the 128 descriptors is all that clients may hold; then others can't come.
+    // The platform lets clients that have sent a request hold a third of the 128 descriptors;
+    // beyond that, no other client can connect.
     let node = TestNode::start();
     let started_at = std::time::Instant::now();
     let mut client = node.client();
@@ -90,7 +94,7 @@
         idle_client.send(HEALTH_CHECK).expect("ok\n");
     }
     client.send(HEALTH_CHECK).expect("ok\n");
-    // The oldest are closed until a quarter is left, which all stay.
+    // The oldest are closed until a quarter of the descriptors is in use; the others stay open.
     for closed in &mut one_request_clients[..11] {
         assert_eq!(closed.expect_close(), "");
     }
@@ -112,7 +116,7 @@
     first.send(&report_request("x0", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // Silent ones take all that clients may have; one with a request is none of those closed.
+    // Clients that send nothing use all client connections; none with a request is evicted.
     let mut flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     flood[99].send(HEALTH_CHECK).expect("ok\n");
     assert!(
@@ -122,7 +126,7 @@
     );
     backend.serve("200 OK\r\nConnection: close", "one");
     first.expect("one");
-    // A new connection to a backend still finds a descriptor.
+    // A descriptor is still available for a new upstream connection.
     first.send(&report_request("x1", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: watches, resumed watches, and a discovery that does not answer.
+//! The endpoint list: watches, resumed watches, and unavailable discovery.
 
 use crate::common::{
     HEALTH_CHECK, StandIn, TestNode, WATCH_RESPONSE_HEAD, chunk, endpoint_json, report_request,
@@ -31,7 +31,7 @@
         "{{\"rev\":9,\"all\":false,\"targets\":[{}]}}\n",
         change.replace('\n', "")
     );
-    // Cut in the middle: a line is read when its end has come.
+    // Split in the middle: a line is parsed when it is complete.
     let (first_part, second_part) = line.split_at(60);
     watch
         .send(WATCH_RESPONSE_HEAD)
@@ -82,7 +82,7 @@
 fn truncated_update_changes_nothing_until_it_is_received_completely() {
     let mut node = TestNode::start();
     let elsewhere = StandIn::new();
-    // Thousands that come and go beside the one that counts.
+    // Thousands of removed endpoints beside the two that matter here, so that the update is long.
     let mut entries: Vec<String> = (0..5000)
         .map(|n| endpoint_json(&format!("x-{n}"), elsewhere.address(), "Gone"))
         .collect();
@@ -103,7 +103,7 @@
     let mut second_watch = node.discovery.accept();
     second_watch.expect("after=7 ");
     second_watch.send(&full_update);
-    // Its idle connection ends once the change is taken.
+    // The idle connection closes once the update is applied.
     backend.expect_close();
     client.send(&report_request("v2", 5000));
     let mut backend = elsewhere.accept();
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests and answers pass unchanged; what can't be forwarded is answered by the node.
+//! Requests and answers are forwarded unchanged; the node answers what it can't forward.
 
 use crate::common::{
     Connection, HEALTH_CHECK, StandIn, TestNode, endpoint_json, report_request, watch_response,
@@ -26,7 +26,7 @@
         answer.starts_with("HTTP/1.1 200 OK\r\n") && !answer.contains("close"),
         "{answer}"
     );
-    // In pieces, and over the same two connections.
+    // Sent in pieces, over the same two connections.
     let second = report_request("a2", 5000);
     for piece in [&second[..9], &second[9..150], &second[150..]] {
         client.send(piece);
@@ -49,8 +49,8 @@
     }
 }
 
-/// What the node can't forward: the request, the status of its answer, and whether the connection
-/// ends with that.
+/// Requests that the node can't forward: the request, the status of its answer, and whether the
+/// connection closes after it.
 #[rustfmt::skip]
 fn invalid_requests() -> [(String, u16, bool); 9] {
     let valid = report_request("c", 99);
@@ -115,7 +115,8 @@
     backend.expect("body");
     duplicate.send(&report_request("t", 5000));
     assert!(duplicate.expect("is open\n").starts_with("HTTP/1.1 409 "));
-    // Ten faulty requests: were the backend blamed, it would be ejected, and each would be retried.
+    // Ten invalid requests: if they counted as failures of the backend, it would be ejected and
+    // each request retried.
     for id in 0..10 {
         backend.serve("400 Bad Request", "unknown");
         assert!(client.expect("unknown").starts_with("HTTP/1.1 400 "));
@@ -130,14 +131,15 @@
     client.expect("played");
 }
 
-/// A configuration without the backend that is in each by default.
+/// Removes the default backend, `s-1`, from the cached list of `config`.
 fn without_default_backend(config: String) -> String {
     let from = config.find(r#"{"uid":"s-1""#).unwrap();
     let end = from + config[from..].find('}').unwrap();
     config[..from].trim_end_matches(',').to_string() + &config[end + 1..]
 }
 
-/// A backend serves five checks, the first of which has been sent; then the client sends `last`.
+/// Answers five check requests on `backend`, of which `client` has sent the first; then `client`
+/// sends `last_request`.
 fn serve_five_checks(client: &mut Connection, backend: &mut Connection, last_request: &str) {
     for (id, next_request) in [
         ("c0", check_request("c1")),
@@ -157,7 +159,7 @@
 #[test]
 fn unresponsive_backend_fails_a_payout_but_a_check_is_retried_elsewhere() {
     let unresponsive = StandIn::new();
-    // Only the silent one is known at first, so that it is what both classes meet.
+    // Only the unresponsive backend is listed at first, so that requests of both classes go to it.
     let node = TestNode::with_config(|config| {
         without_default_backend(with_payout_and_check(
             config,
@@ -167,7 +169,7 @@
     let mut discovery = node.discovery.accept();
     discovery.expect("\r\n\r\n");
     let mut client = node.client();
-    // It works at first: five requests pay for one retry.
+    // It answers at first: five served requests add one retry to the retry budget.
     client.send(&check_request("c0"));
     let mut unresponsive_connection = unresponsive.accept();
     serve_five_checks(
@@ -180,7 +182,8 @@
             .expect("body")
             .contains("x-txn: p1\r\n")
     );
-    // What may have been executed fails and is never rejected, and its connection is closed.
+    // A request that may have been executed fails instead of being rejected, and its connection is
+    // closed.
     assert!(client.expect("\r\n\r\n").starts_with("HTTP/1.1 504 "));
     unresponsive_connection.expect_close();
     client.send(&check_request("c5"));
@@ -188,7 +191,8 @@
     unresponsive_connection.expect("\r\n\r\n");
     let default_endpoint = endpoint_json("s-1", node.backend.address(), "Ready");
     discovery.send(&watch_response(8, &[default_endpoint]));
-    // Its attempt is cancelled: the connection closes, and only then does it go elsewhere.
+    // The attempt is cancelled: its connection closes, and only then is the request retried on the
+    // other backend.
     unresponsive_connection.expect_close();
     let mut backend = node.backend.accept();
     assert!(backend.expect("\r\n\r\n").contains("x-txn: c5\r\n"));
@@ -246,7 +250,10 @@
     backend.close();
     let answer = client.expect("\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 50"), "{answer}");
-    assert!(!answer.contains("503"), "it may have run: no refusal");
+    assert!(
+        !answer.contains("503"),
+        "rejected, although it may have been executed"
+    );
 }
 
 #[test]
--- a/crates/node/tests/service/mod.rs
+++ b/crates/node/tests/service/mod.rs
@@ -1,4 +1,4 @@
-//! What the node does event by event, without races and faults.
+//! Behaviour of the node without races and injected faults.
 
 mod backend_connections;
 mod client_connections;
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -1,4 +1,4 @@
-//! What operators do to a node: signals, the trace, configurations.
+//! Operation of a node: signals, the trace and invalid configurations.
 
 use crate::common::{
     HEALTH_CHECK, StandIn, TestNode, WATCH_RESPONSE_HEAD, report_request, spawn_with_config,
@@ -14,7 +14,7 @@
     idle.send(HEALTH_CHECK).expect("ok\n");
     node.terminate();
     node.expect_log("sigterm");
-    // New clients and old ones are served for a while, with `Connection: close`.
+    // For 0.6 s new clients are still accepted; all answers have `Connection: close`.
     let mut late_client = node.client();
     late_client.send(&report_request("k", 3300));
     assert_eq!(idle.expect_close(), "");
@@ -38,7 +38,8 @@
     backend.expect("body");
     let mut watch = node.discovery.accept();
     let old_address = node.discovery.address().to_string();
-    // Twice, and each time to a place of its own. The environment still has the first.
+    // Two reloads, each with another address. The environment still has the first address, which a
+    // reload ignores.
     for new_discovery in [StandIn::new(), StandIn::new()] {
         node.reload(|config| config.replace(&old_address, &new_discovery.address().to_string()));
         let mut new_watch = new_discovery.accept();
@@ -55,7 +56,7 @@
     backend.serve("200 OK", "played");
     client.expect("played");
     client.send(HEALTH_CHECK).expect("ok\n");
-    // A reload and an end that come together are both followed.
+    // A SIGHUP and a SIGTERM that arrive together are both handled.
     let last_discovery = StandIn::new();
     node.reload(|config| config.replace(&old_address, &last_discovery.address().to_string()));
     node.terminate();
@@ -68,7 +69,7 @@
     let mut node = TestNode::with_config(|config| {
         config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#)
     });
-    // The decisions wait half a second or more before they ask again.
+    // The decision module waits at least half a second before it calls discovery again.
     let old_address = node.discovery.address().to_string();
     node.discovery.accept().close();
     node.expect_log("list out of reach");
@@ -77,7 +78,7 @@
     let mut watch = new_discovery.accept();
     watch.expect("after=7 ");
     node.expect_log("reload discovery=");
-    // The backoff has passed when this silence has, and the next one has not.
+    // When the idle timeout ends this watch, the first backoff has ended and the next one has not.
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     node.expect_log("discovery-failed silent");
     watch.expect_close();
--- a/crates/node/tests/service/payouts.rs
+++ b/crates/node/tests/service/payouts.rs
@@ -1,9 +1,9 @@
-//! Requests of a class that must never be executed twice, and of one that may be.
+//! Two further classes of requests: a `payout` must never be executed twice, a `check` may be.
 
 use crate::common::{endpoint_json, report_request};
 
-/// More backends beside the usual one, and a class that must never be executed twice, whose
-/// requests carry no key.
+/// Adds the classes `payout` and `check`, whose requests have no idempotency key, a connect timeout
+/// of 50 ms, and ready `backends` at the head of the cached list.
 pub fn with_payout_and_check(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
     let endpoints: Vec<String> = backends
         .iter()
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -1,37 +1,37 @@
-//! Whatever the settings allow, the node starts, serves and ends.
+//! The node starts, serves and exits with every allowed setting.
 
 use crate::common::{TestNode, report_request};
 
-/// A configuration that differs from the default one in one place.
+/// A change of the default configuration in one place.
 struct ConfigVariant {
     name: &'static str,
-    /// Part of the default configuration ...
+    /// Text of the default configuration that is replaced.
     default_text: &'static str,
-    /// ... and what takes its place.
+    /// The text that replaces it.
     replacement: String,
 }
 
 #[rustfmt::skip]
 const VARIANTS: [(&str, &str, &str); 16] = [
-    ("deadlines of 150 ms", "5000000000", "150000000"),
-    ("deadlines of 30 s", "5000000000", "30000000000"),
+    ("client timeouts of 150 ms", "5000000000", "150000000"),
+    ("client timeouts of 30 s", "5000000000", "30000000000"),
     ("eight zones", r#""azs":["a"]"#, r#""azs":["b","c","d","e","f","g","h","a"],"zone":7"#),
     ("one attempt", r#""maxAttempts":5"#, r#""maxAttempts":1"#),
-    ("nothing cancelled", r#""cancel":true"#, r#""cancel":false"#),
+    ("cancelling off", r#""cancel":true"#, r#""cancel":false"#),
     ("no Retry-After", r#","maxRetryAfterNs":2000000000"#, ""),
     ("ticks of 1 us", r#""tickNs":5000000"#, r#""tickNs":1000"#),
     ("ticks of 1 s", r#""tickNs":5000000"#, r#""tickNs":1000000000"#),
-    ("idle for 4 ms", r#""cancel":true"#, r#""cancel":true,"connIdleNs":4000000"#),
-    ("one queued", r#""cancel":true"#, r#""cancel":true,"mostHeld":1"#),
-    ("no time for repeats", r#""windowNs":3000000000"#, r#""windowNs":0"#),
-    ("no grace", r#""drainGraceNs":1500000000"#, r#""drainGraceNs":0"#),
+    ("idle timeout of 4 ms", r#""cancel":true"#, r#""cancel":true,"connIdleNs":4000000"#),
+    ("queue of one request", r#""cancel":true"#, r#""cancel":true,"mostHeld":1"#),
+    ("idempotency window of 0", r#""windowNs":3000000000"#, r#""windowNs":0"#),
+    ("no drain grace", r#""drainGraceNs":1500000000"#, r#""drainGraceNs":0"#),
     ("no slow start", r#""coldNs":8800000000"#, r#""coldNs":0"#),
     ("no priority weight", r#""importance":1.0"#, r#""importance":0"#),
     ("300 nodes", r#""azs":["a"]"#, r#""azs":["a"],"siblings":300,"me":299"#),
-    ("the least descriptors", r#""sockets":128"#, r#""sockets":32"#),
+    ("minimum descriptor limit", r#""sockets":128"#, r#""sockets":32"#),
 ];
 
-/// The variants whose text is computed.
+/// The variants whose replacement is computed.
 fn computed_variants() -> Vec<ConfigVariant> {
     let tenants: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
     let variant = |name, default_text, replacement| ConfigVariant {
@@ -45,14 +45,18 @@
             r#"{"name":"acme","quotaPerS":9.0}"#,
             format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, tenants.join(",")),
         ),
-        variant("the longest deadlines", "5000000000", u64::MAX.to_string()),
         variant(
-            "the longest time between polls",
+            "maximum client timeouts",
+            "5000000000",
+            u64::MAX.to_string(),
+        ),
+        variant(
+            "maximum poll interval",
             r#""coldFrom""#,
             format!(r#""askWithinNs":{},"coldFrom""#, u64::MAX),
         ),
         variant(
-            "the most memory",
+            "maximum memory",
             r#""sockets":128"#,
             format!(r#""sockets":128,"memory_mb":{}"#, u64::MAX >> 1),
         ),
@@ -101,7 +105,7 @@
         .into_iter()
         .chain(computed_variants())
         .collect();
-    // Side by side: each takes the time in which a node that ends still takes clients.
+    // In parallel, as each node keeps accepting clients for a while after SIGTERM before it exits.
     std::thread::scope(|scope| {
         for variant in &variants {
             scope.spawn(|| ["subscribe", "automatic"].map(|mode| check_variant(variant, mode)));
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Tests over sockets, against the program as it is shipped.
+//! Tests of the built program over sockets.
 
 mod common;
 mod protocol_rules;
