--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -22,8 +22,8 @@
     ));
     node.resume();
     assert_eq!(backend.expect_close(), "");
-    let mut elsewhere = other.accept();
-    elsewhere.expect("x-txn: after\r\n");
+    let mut other_connection = other.accept();
+    other_connection.expect("x-txn: after\r\n");
 }
 
 #[test]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn received_answer_takes_precedence_over_its_timeout() {
+fn received_answer_behind_many_events_precedes_its_timeout() {
     let node =
         TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     let mut client = node.client();
@@ -105,7 +105,7 @@
     let closed = clients[1..]
         .iter_mut()
         .map(Connection::is_closed)
-        .filter(|ended| *ended)
+        .filter(|is_peer_closed| *is_peer_closed)
         .count();
     assert_eq!(closed, 1);
 }
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -77,11 +77,11 @@
     client.send(&report_request("left", 5000));
     // The backend that receives the request rejects it.
     let (mut first, second) = wait_for(|| {
-        let one = node
+        let at_default_backend = node
             .backend
             .try_accept()
             .map(|connection| (connection, &other));
-        one.or_else(|| {
+        at_default_backend.or_else(|| {
             other
                 .try_accept()
                 .map(|connection| (connection, &node.backend))
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn request_truncated_at_any_byte_is_not_forwarded() {
+fn request_truncated_at_any_byte_is_not_forwarded_and_blocks_no_other() {
     let node = TestNode::start();
     let complete = report_request("cut", 5000);
     let endings: [fn(Connection); 2] = [Connection::close, Connection::reset];
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -67,7 +67,7 @@
     let started_at = Instant::now();
     // The updates that the watch withholds count as notified 6 s after they are due.
     watch.send(WATCH_RESPONSE_HEAD).send("1000\r\n");
-    let trickle = std::thread::spawn(move || {
+    let sender = std::thread::spawn(move || {
         while watch.try_send(" ") {
             sleep_ms(300);
         }
@@ -79,7 +79,7 @@
         started_at.elapsed()
     );
     node.discovery.accept().expect("after=7 ");
-    trickle.join().unwrap();
+    sender.join().unwrap();
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD);
     let empty_lines = chunk("\n").repeat(20_000);
-    let flood = std::thread::spawn(move || while watch.try_send(&empty_lines) {});
+    let sender = std::thread::spawn(move || while watch.try_send(&empty_lines) {});
     let mut client = node.client();
     for id in ["f1", "f2", "f3"] {
         client.send(&report_request(id, 15_000));
@@ -160,7 +160,7 @@
         client.expect(&format!("\r\n\r\n{id}"));
     }
     drop(node);
-    flood.join().unwrap();
+    sender.join().unwrap();
 }
 
 #[test]
@@ -170,11 +170,11 @@
     watch
         .send(WATCH_RESPONSE_HEAD)
         .send(&chunk("{\"rev\":8,\"targets\":["));
-    let piece = chunk(&"1,".repeat(32 * 1024));
-    let flood = std::thread::spawn(move || while watch.try_send(&piece) {});
+    let long_chunk = chunk(&"1,".repeat(32 * 1024));
+    let sender = std::thread::spawn(move || while watch.try_send(&long_chunk) {});
     node.expect_log("discovery-failed BodyTooLarge");
     node.discovery.accept().expect("after=7 ");
-    flood.join().unwrap();
+    sender.join().unwrap();
     serve_next_request(&node, "next");
 }
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn drained_backend_returns_with_a_newer_list_or_start_only() {
+fn drained_backend_returns_only_with_a_newer_list_or_start() {
     let mut node = TestNode::start();
     let other = StandIn::new();
     let address = node.backend.address();
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -6,18 +6,18 @@
 };
 
 #[test]
-fn connection_with_connection_close_is_not_reused() {
+fn upstream_connection_with_connection_close_is_not_reused() {
     let node = TestNode::start();
     let mut client = node.client();
     // The test keeps them open, so that only the node's own decision leads to a new connection.
-    let mut closing = Vec::new();
+    let mut closing_connections = Vec::new();
     for body in ["one", "two"] {
         client.send(&report_request(body, 5000));
         let mut backend = node.backend.accept();
         backend.expect("body");
         backend.serve("200 OK\r\nConnection: close", body);
         client.expect(body);
-        closing.push(backend);
+        closing_connections.push(backend);
     }
 }
 
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -81,14 +81,14 @@
 #[test]
 fn truncated_update_changes_nothing_until_it_is_received_completely() {
     let mut node = TestNode::start();
-    let elsewhere = StandIn::new();
+    let new_backend = StandIn::new();
     // Thousands of removed endpoints beside the two that matter here, so that the update is long.
-    let mut entries: Vec<String> = (0..5000)
-        .map(|n| endpoint_json(&format!("x-{n}"), elsewhere.address(), "Gone"))
+    let mut endpoints: Vec<String> = (0..5000)
+        .map(|n| endpoint_json(&format!("x-{n}"), new_backend.address(), "Gone"))
         .collect();
-    entries.push(endpoint_json("s-1", node.backend.address(), "Terminating"));
-    entries.push(endpoint_json("s-2", elsewhere.address(), "Ready"));
-    let full_update = watch_response(9, &entries);
+    endpoints.push(endpoint_json("s-1", node.backend.address(), "Terminating"));
+    endpoints.push(endpoint_json("s-2", new_backend.address(), "Ready"));
+    let full_update = watch_response(9, &endpoints);
     let mut watch = node.discovery.accept();
     watch.send(&full_update[..full_update.len() / 2]);
     watch.close();
@@ -106,7 +106,7 @@
     // The idle connection closes once the update is applied.
     backend.expect_close();
     client.send(&report_request("v2", 5000));
-    let mut backend = elsewhere.accept();
+    let mut backend = new_backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "new");
     client.expect("new");
