--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -115,10 +115,10 @@
         );
         answered += 1;
         client.expect_close();
-        let Some(new_discovery) = node.try_client() else {
+        let Some(new_client) = node.try_client() else {
             break;
         };
-        client = new_discovery;
+        client = new_client;
     }
     assert!(answered > 0);
     assert_eq!(node.wait_exit().code(), Some(0));
