--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -1,73 +1,87 @@
-//! Whatever the settings allow, the node starts, serves and ends.
+//! The node starts, serves and exits with every allowed setting.
 
-use crate::common::{TestNode, report};
+use crate::common::{TestNode, report_request};
 
-/// A configuration that differs from the default one in one place.
-struct Variant {
+/// A change of the default configuration in one place.
+struct ConfigVariant {
     name: &'static str,
-    /// Part of the default configuration ...
-    old: &'static str,
-    /// ... and what takes its place.
-    new: String,
+    /// Text of the default configuration that is replaced.
+    default_text: &'static str,
+    /// The text that replaces it.
+    replacement: String,
 }
 
 #[rustfmt::skip]
 const VARIANTS: [(&str, &str, &str); 16] = [
-    ("deadlines of 150 ms", "5000000000", "150000000"),
-    ("deadlines of 30 s", "5000000000", "30000000000"),
+    ("client timeouts of 150 ms", "5000000000", "150000000"),
+    ("client timeouts of 30 s", "5000000000", "30000000000"),
     ("eight zones", r#""azs":["a"]"#, r#""azs":["b","c","d","e","f","g","h","a"],"zone":7"#),
     ("one attempt", r#""maxAttempts":5"#, r#""maxAttempts":1"#),
-    ("nothing cancelled", r#""cancel":true"#, r#""cancel":false"#),
+    ("cancelling off", r#""cancel":true"#, r#""cancel":false"#),
     ("no Retry-After", r#","maxRetryAfterNs":2000000000"#, ""),
     ("ticks of 1 us", r#""tickNs":5000000"#, r#""tickNs":1000"#),
     ("ticks of 1 s", r#""tickNs":5000000"#, r#""tickNs":1000000000"#),
-    ("idle for 4 ms", r#""cancel":true"#, r#""cancel":true,"connIdleNs":4000000"#),
-    ("one queued", r#""cancel":true"#, r#""cancel":true,"mostHeld":1"#),
-    ("no time for repeats", r#""windowNs":3000000000"#, r#""windowNs":0"#),
-    ("no grace", r#""drainGraceNs":1500000000"#, r#""drainGraceNs":0"#),
+    ("idle timeout of 4 ms", r#""cancel":true"#, r#""cancel":true,"connIdleNs":4000000"#),
+    ("queue of one request", r#""cancel":true"#, r#""cancel":true,"mostHeld":1"#),
+    ("idempotency window of 0", r#""windowNs":3000000000"#, r#""windowNs":0"#),
+    ("no drain grace", r#""drainGraceNs":1500000000"#, r#""drainGraceNs":0"#),
     ("no slow start", r#""coldNs":8800000000"#, r#""coldNs":0"#),
     ("no priority weight", r#""importance":1.0"#, r#""importance":0"#),
     ("300 nodes", r#""azs":["a"]"#, r#""azs":["a"],"siblings":300,"me":299"#),
-    ("the least descriptors", r#""sockets":128"#, r#""sockets":32"#),
+    ("minimum descriptor limit", r#""sockets":128"#, r#""sockets":32"#),
 ];
 
-/// The variants whose text is computed.
-fn computed_variants() -> Vec<Variant> {
-    let names: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
-    let variant = |name, old, new| Variant { name, old, new };
+/// The variants whose replacement is computed.
+fn computed_variants() -> Vec<ConfigVariant> {
+    let tenants: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
+    let variant = |name, default_text, replacement| ConfigVariant {
+        name,
+        default_text,
+        replacement,
+    };
     vec![
         variant(
             "forty tenants",
             r#"{"name":"acme","quotaPerS":9.0}"#,
-            format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, names.join(",")),
+            format!(r#"{{"name":"acme","quotaPerS":9.0}},{}"#, tenants.join(",")),
+        ),
+        variant(
+            "maximum client timeouts",
+            "5000000000",
+            u64::MAX.to_string(),
         ),
-        variant("the longest deadlines", "5000000000", u64::MAX.to_string()),
         variant(
-            "the longest time between polls",
+            "maximum poll interval",
             r#""coldFrom""#,
             format!(r#""askWithinNs":{},"coldFrom""#, u64::MAX),
         ),
         variant(
-            "the most memory",
+            "maximum memory",
             r#""sockets":128"#,
             format!(r#""sockets":128,"memory_mb":{}"#, u64::MAX >> 1),
         ),
     ]
 }
 
-fn play(variant: &Variant, mode: &str) {
-    let Variant { name, old, new } = variant;
-    let mut node = TestNode::with(|config| {
-        assert!(config.contains(old), "{name}");
-        config.replace(old, new).replace("subscribe", mode)
+fn check_variant(variant: &ConfigVariant, mode: &str) {
+    let ConfigVariant {
+        name,
+        default_text,
+        replacement,
+    } = variant;
+    let mut node = TestNode::with_config(|config| {
+        assert!(config.contains(default_text), "{name}");
+        config
+            .replace(default_text, replacement)
+            .replace("subscribe", mode)
     });
     // Discovery rejects its first call.
     node.discovery
-        .wait()
+        .accept()
         .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     let mut client = node.client();
-    client.send(&report("any", 5000));
-    let mut backend = node.backend.wait();
+    client.send(&report_request("any", 5000));
+    let mut backend = node.backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "served");
     assert!(
@@ -81,17 +95,20 @@
 }
 
 #[test]
-fn whatever_the_settings_allow_starts_serves_and_ends() {
-    let fixed = VARIANTS.map(|(name, old, new)| Variant {
+fn node_starts_serves_and_exits_with_every_allowed_setting() {
+    let fixed_variants = VARIANTS.map(|(name, default_text, replacement)| ConfigVariant {
         name,
-        old,
-        new: new.to_string(),
+        default_text,
+        replacement: replacement.to_string(),
     });
-    let variants: Vec<Variant> = fixed.into_iter().chain(computed_variants()).collect();
-    // Side by side: each takes the time in which a node that ends still takes clients.
+    let variants: Vec<ConfigVariant> = fixed_variants
+        .into_iter()
+        .chain(computed_variants())
+        .collect();
+    // In parallel, as each node keeps accepting clients for a while after SIGTERM before it exits.
     std::thread::scope(|scope| {
         for variant in &variants {
-            scope.spawn(|| ["subscribe", "automatic"].map(|mode| play(variant, mode)));
+            scope.spawn(|| ["subscribe", "automatic"].map(|mode| check_variant(variant, mode)));
         }
     });
 }
