--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -8,24 +8,25 @@
 
 /// One proxy of three hundred, with a class that can wait and one of more weight that can't, on
 /// twenty backends.
-fn paced() -> Harness {
-    let loose = Class {
+fn harness_of_one_in_300_proxies() -> Harness {
+    let long_objective = Class {
         latency_objective: 300 * MS,
         client_timeout: 1000 * MS,
         priority_weight: 3.0,
         ..Class::default()
     };
-    let (objective, deadline, effect) = (75 * MS, 150 * MS, Idempotency::NotIdempotent);
-    let tight = Class {
-        latency_objective: objective,
-        client_timeout: deadline,
+    let (latency_objective, client_timeout, idempotency) =
+        (75 * MS, 150 * MS, Idempotency::NotIdempotent);
+    let short_objective = Class {
+        latency_objective,
+        client_timeout,
         priority_weight: 8.0,
-        idempotency: effect,
+        idempotency,
         ..Class::default()
     };
     Harness::new(
         Settings {
-            classes: vec![loose, tight],
+            classes: vec![long_objective, short_objective],
             proxy_count: 300,
             ..settings()
         },
@@ -36,38 +37,45 @@
 /// Asks at the times given, by class, and answers each attempt after what `takes` says of class,
 /// backend and time since the start; gives the wait of each request before its first attempt, if it
 /// had one.
-fn day(
+fn run_submissions(
     harness: &mut Harness,
     submissions: &BTreeMap<Nanos, u16>,
-    takes: impl Fn(u16, BackendId, Nanos) -> Nanos,
+    service_time: impl Fn(u16, BackendId, Nanos) -> Nanos,
 ) -> Vec<(u16, Option<Nanos>, BackendId)> {
-    let (mut due, mut submitted, mut notified) =
+    let (mut attempt_ends, mut submitted, mut scheduled) =
         (BTreeSet::new(), BTreeMap::new(), BTreeSet::new());
-    for now in 0..2_000 {
+    for step in 0..2_000 {
         harness.wait(5 * MS);
-        for (_, class) in submissions.range(now * 5 * MS..(now + 1) * 5 * MS) {
+        for (_, class) in submissions.range(step * 5 * MS..(step + 1) * 5 * MS) {
             let (id, _) = harness.submit(*class);
             submitted.insert(id, (*class, harness.now));
         }
         loop {
             for (id, sent) in &harness.sent {
-                if notified.insert(*id) {
-                    let (to, at, _) = sent[0];
-                    due.insert((at + takes(submitted[id].0, to, at - START), *id));
+                if scheduled.insert(*id) {
+                    let (backend_id, sent_at, _) = sent[0];
+                    attempt_ends.insert((
+                        sent_at + service_time(submitted[id].0, backend_id, sent_at - START),
+                        *id,
+                    ));
                 }
             }
-            let Some((_, id)) = due.first().copied().filter(|(at, _)| *at <= harness.now) else {
+            let Some((_, id)) = attempt_ends
+                .first()
+                .copied()
+                .filter(|(end_at, _)| *end_at <= harness.now)
+            else {
                 break;
             };
-            due.pop_first();
-            harness.end(id, 0, Outcome::Success);
+            attempt_ends.pop_first();
+            harness.end_attempt(id, 0, Outcome::Success);
         }
     }
-    let record = |(id, (class, at)): (RequestId, (u16, Nanos))| {
+    let record = |(id, (class, submitted_at)): (RequestId, (u16, Nanos))| {
         let first = harness.sent.get(&id).map(|sent| sent[0]);
         (
             class,
-            first.map(|first| first.1 - at),
+            first.map(|first| first.1 - submitted_at),
             first.map_or(BackendId(0), |first| first.0),
         )
     };
@@ -75,24 +83,24 @@
 }
 
 #[test]
-fn a_request_that_can_wait_leaves_an_admission_token_for_one_of_higher_weight_that_cannot() {
+fn low_weight_requests_leave_the_reserved_tokens_to_high_weight_ones() {
     // Forty a second that can wait, more than the answers let through, and five that can't.
-    let loose = (0..400).map(|n| (n * 25 * MS, 0));
-    let tight = (0..50).map(|n| (n * 197 * MS + MS, 1));
-    let records = day(
-        &mut paced(),
-        &loose.chain(tight).collect(),
+    let low_weight = (0..400).map(|n| (n * 25 * MS, 0));
+    let high_weight = (0..50).map(|n| (n * 197 * MS + MS, 1));
+    let records = run_submissions(
+        &mut harness_of_one_in_300_proxies(),
+        &low_weight.chain(high_weight).collect(),
         |class, _, _| [220, 60][usize::from(class)] * MS,
     );
     let started = |class| {
         records
             .iter()
-            .filter(move |f| f.0 == class && f.1.is_some())
+            .filter(move |record| record.0 == class && record.1.is_some())
             .count()
     };
-    let at_once = records
+    let started_at_once = records
         .iter()
-        .filter(|f| f.0 == 1 && f.1 == Some(0))
+        .filter(|record| record.0 == 1 && record.1 == Some(0))
         .count();
     assert!(
         started(0) < 300,
@@ -100,46 +108,55 @@
         started(0)
     );
     assert!(
-        at_once >= 45,
-        "{at_once} of 50 that can't wait start at once, {} at all",
+        started_at_once >= 45,
+        "{started_at_once} of 50 that can't wait start at once, {} at all",
         started(1)
     );
 }
 
 #[test]
-fn a_request_that_cannot_wait_goes_where_an_answer_has_just_been_fast() {
+fn high_weight_requests_go_to_idle_backends_that_were_just_fast() {
     // Each backend is held up for a second in two, by others, each at a time of its own.
-    let waited = |to: BackendId, at: Nanos| (at / (500 * MS) + u64::from(to.0) * 3) % 4 < 2;
+    let is_slow =
+        |backend_id: BackendId, at: Nanos| (at / (500 * MS) + u64::from(backend_id.0) * 3) % 4 < 2;
     let submissions = (0..200).map(|n| (n * 49 * MS, 1)).collect();
-    let records = day(&mut paced(), &submissions, |_, to, at| {
-        if waited(to, at) { 60 * MS } else { 20 * MS }
-    });
-    let lost = records
+    let records = run_submissions(
+        &mut harness_of_one_in_300_proxies(),
+        &submissions,
+        |_, backend_id, at| {
+            if is_slow(backend_id, at) {
+                60 * MS
+            } else {
+                20 * MS
+            }
+        },
+    );
+    let missed = records
         .iter()
         .zip(submissions.keys())
-        .filter(|(f, at)| f.1.is_none_or(|w| waited(f.2, *at + w)))
+        .filter(|(record, at)| record.1.is_none_or(|wait| is_slow(record.2, *at + wait)))
         .count();
     assert!(
-        lost < 70,
-        "{lost} of 200 went to backends that were held up"
+        missed < 70,
+        "{missed} of 200 went to backends that were held up"
     );
 }
 
 #[test]
-fn in_an_overload_requests_wait_at_the_proxy_and_the_weightiest_go_first() {
+fn queued_requests_of_the_highest_weight_are_admitted_first() {
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     let (first, _) = harness.submit(0);
-    let cheap: Vec<RequestId> = (0..5).map(|_| harness.submit(0).0).collect();
-    let (dear, actions) = harness.submit(4);
-    assert!(sends(&actions).is_empty());
+    let low_weight: Vec<RequestId> = (0..5).map(|_| harness.submit(0).0).collect();
+    let (high_weight, actions) = harness.submit(4);
+    assert!(attempted_backends(&actions).is_empty());
     harness.wait(10 * MS);
-    harness.end(first, 0, Outcome::Success);
-    assert!(harness.sent.contains_key(&dear));
-    assert!(cheap.iter().any(|id| !harness.sent.contains_key(id)));
+    harness.end_attempt(first, 0, Outcome::Success);
+    assert!(harness.sent.contains_key(&high_weight));
+    assert!(low_weight.iter().any(|id| !harness.sent.contains_key(id)));
 }
 
 #[test]
-fn in_an_overload_the_newest_of_equals_goes_first_whatever_its_id() {
+fn newest_of_equal_queued_requests_is_admitted_first_whatever_its_id() {
     for ids in [[901, 902, 903], [903, 901, 902]] {
         let mut harness = Harness::new(settings(), vec![backend(1)]);
         let (first, _) = harness.submit(0);
@@ -147,7 +164,7 @@
             harness.handle(request(id, 0));
         }
         harness.wait(10 * MS);
-        harness.end(first, 0, Outcome::Success);
+        harness.end_attempt(first, 0, Outcome::Success);
         let served: Vec<u32> = ids
             .into_iter()
             .filter(|id| harness.sent.contains_key(&RequestId(*id)))
@@ -157,7 +174,7 @@
 }
 
 #[test]
-fn a_marked_client_retry_waits_behind_first_attempts() {
+fn marked_client_retry_is_admitted_after_a_first_try() {
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     let (first, _) = harness.submit(0);
     let Event::Request(marked) = request(900, 0) else {
@@ -167,21 +184,21 @@
         client_retry: true,
         ..marked
     }));
-    let (fresh, _) = harness.submit(0);
+    let (first_try, _) = harness.submit(0);
     harness.wait(10 * MS);
-    harness.end(first, 0, Outcome::Success);
-    assert!(harness.sent.contains_key(&fresh));
+    harness.end_attempt(first, 0, Outcome::Success);
+    assert!(harness.sent.contains_key(&first_try));
     assert!(!harness.sent.contains_key(&RequestId(900)));
 }
 
 #[test]
-fn a_client_retry_is_recognised_by_the_client_timeout_that_is_left() {
-    let repeat = |id, left| {
+fn client_retry_is_recognised_by_its_remaining_client_timeout() {
+    let retry = |id, remaining_ms| {
         let Event::Request(request) = request(id, 0) else {
             unreachable!()
         };
         Event::Request(Request {
-            client_timeout: left * MS,
+            client_timeout: remaining_ms * MS,
             ..request
         })
     };
@@ -189,23 +206,24 @@
     // the rest.
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     harness.serve(20, |_| 10 * MS);
-    let actions = harness.handle(repeat(900, 650));
-    let by = harness.now + 50 * MS;
+    let actions = harness.handle(retry(900, 650));
+    let expected_abandon_at = harness.now + 50 * MS;
     assert!(
-        actions
-            .iter()
-            .any(|a| matches!(a, Action::StartAttempt { abandon_at, .. } if *abandon_at == by)),
+        actions.iter().any(|action| matches!(
+            action,
+            Action::StartAttempt { abandon_at, .. } if *abandon_at == expected_abandon_at
+        )),
         "{actions:?}"
     );
     // Past its objective: the first attempt goes before it, though it came earlier.
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     let (first, _) = harness.submit(0);
-    let (fresh, _) = harness.submit(0);
-    harness.handle(repeat(901, 300));
+    let (first_try, _) = harness.submit(0);
+    harness.handle(retry(901, 300));
     harness.wait(10 * MS);
-    harness.end(first, 0, Outcome::Success);
-    assert!(harness.sent.contains_key(&fresh) && !harness.sent.contains_key(&RequestId(901)));
+    harness.end_attempt(first, 0, Outcome::Success);
+    assert!(harness.sent.contains_key(&first_try) && !harness.sent.contains_key(&RequestId(901)));
     // It is served all the same once nothing better waits.
-    harness.end(fresh, 0, Outcome::Success);
+    harness.end_attempt(first_try, 0, Outcome::Success);
     assert!(harness.sent.contains_key(&RequestId(901)));
 }
--- a/crates/balancer/tests/balancer/discovery.rs
+++ b/crates/balancer/tests/balancer/discovery.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn nothing_new_goes_to_a_draining_backend() {
+fn draining_backend_gets_no_new_attempts() {
     let mut harness = Harness::new(settings(), vec![backend(1), backend(2)]);
     let draining = Endpoint {
         state: EndpointState::Draining,
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn idle_connections_close_at_the_notice_of_a_drain_and_after_each_outcome() {
-    let close = |actions: &[Action]| {
+fn idle_connections_close_when_draining_starts_and_after_attempts() {
+    let closes_idle = |actions: &[Action]| {
         actions.contains(&Action::CloseIdleConnections {
             backend: BackendId(1),
         })
@@ -36,24 +36,24 @@
         state: EndpointState::Draining,
         ..backend(1)
     };
-    let notified = Event::EndpointUpdate {
+    let update = Event::EndpointUpdate {
         kind: UpdateKind::Delta,
         endpoints: vec![draining],
     };
-    assert!(close(&harness.handle(notified.clone())));
+    assert!(closes_idle(&harness.handle(update.clone())));
     assert!(
-        !close(&harness.handle(notified.clone())),
+        !closes_idle(&harness.handle(update.clone())),
         "notified again, with nothing new to close"
     );
     harness.wait(200 * MS);
-    assert!(close(&harness.end(id, 0, Outcome::Success)));
+    assert!(closes_idle(&harness.end_attempt(id, 0, Outcome::Success)));
     assert!(
-        close(&harness.wait(100 * MS)),
+        closes_idle(&harness.wait(100 * MS)),
         "once more, for a connection that was not idle yet"
     );
     settings.rules.drain_close_within = None;
     let mut harness = Harness::new(settings, vec![backend(1)]);
-    assert!(!close(&harness.handle(notified)));
+    assert!(!closes_idle(&harness.handle(update)));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     );
     harness.handle(Event::DiscoveryFailed);
     let (_, actions) = harness.submit(0);
-    assert_eq!(sends(&actions), [BackendId(1)]);
+    assert_eq!(attempted_backends(&actions), [BackendId(1)]);
     assert!(
         harness
             .wait(5_000 * MS)
@@ -76,28 +76,28 @@
 }
 
 #[test]
-fn however_often_polls_fail_the_next_one_is_answered_within_six_seconds_of_the_last() {
+fn each_poll_follows_within_four_seconds_of_a_failed_one() {
     // A change counts as notified 6 s after discovery had it and could be reached; of these, 2 s
     // are for the call itself.
     for poll_interval in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
         for seed in 0..40 {
-            let mut asking = Settings {
+            let mut settings = Settings {
                 poll_endpoints: true,
                 ..settings()
             };
-            asking.rules.poll_interval = poll_interval;
-            let mut harness = Harness::seeded(asking, vec![backend(1)], seed);
-            for failure in 0..8 {
+            settings.rules.poll_interval = poll_interval;
+            let mut harness = Harness::with_seed(settings, vec![backend(1)], seed);
+            for failure_index in 0..8 {
                 harness.handle(Event::DiscoveryFailed);
-                let before = harness.now;
+                let failed_at = harness.now;
                 while !harness
                     .wait(50 * MS)
                     .contains(&Action::WatchEndpoints(true))
                 {
-                    let waited = harness.now - before;
+                    let waited = harness.now - failed_at;
                     assert!(
                         waited <= 4 * SECOND,
-                        "{poll_interval}, seed {seed}, failure {failure}: {waited}"
+                        "{poll_interval}, seed {seed}, failure {failure_index}: {waited}"
                     );
                 }
             }
--- a/crates/balancer/tests/balancer/ejection.rs
+++ b/crates/balancer/tests/balancer/ejection.rs
@@ -5,44 +5,48 @@
 use crate::support::*;
 
 #[test]
-fn a_backend_that_fails_fast_is_ejected_and_comes_back() {
+fn fast_failing_backend_is_ejected_and_used_again_later() {
     let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
     harness.serve(200, |_| 10 * MS);
-    let mut bad = 0;
+    let mut failed_attempts = 0;
     for _ in 0..100 {
-        let (id, first) = harness.submit(0);
+        let (id, actions) = harness.submit(0);
         harness.wait(5 * MS);
-        if sends(&first) == [BackendId(1)] {
-            bad += 1;
-            let second = sends(&harness.end(id, 0, Outcome::Error));
-            if !second.is_empty() {
-                harness.end(id, 1, Outcome::Success);
+        if attempted_backends(&actions) == [BackendId(1)] {
+            failed_attempts += 1;
+            let retry_backends = attempted_backends(&harness.end_attempt(id, 0, Outcome::Error));
+            if !retry_backends.is_empty() {
+                harness.end_attempt(id, 1, Outcome::Success);
             }
         } else {
-            harness.end(id, 0, Outcome::Success);
+            harness.end_attempt(id, 0, Outcome::Success);
         }
     }
-    assert!(bad < 20, "{bad} sends to a backend that only fails");
+    assert!(
+        failed_attempts < 20,
+        "{failed_attempts} sends to a backend that only fails"
+    );
     harness.wait(10_000 * MS);
     assert!(harness.serve(400, |_| 10 * MS)[&BackendId(1)] > 40);
 }
 
 #[test]
-fn a_backend_that_fails_now_and_then_is_kept_and_one_that_is_dead_is_not() {
-    for (every, kept) in [(3, true), (1, false)] {
+fn occasionally_failing_backend_is_kept_and_a_dead_one_is_ejected() {
+    for (failure_interval, is_kept) in [(3, true), (1, false)] {
         let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
         harness.serve(40, |_| 10 * MS);
-        let (mut logs, mut of_one) = (0, 0);
+        let (mut log_events, mut attempts_at_faulty) = (0, 0);
         for _ in 0..3000 {
             let (id, _) = harness.submit(0);
             harness.wait(2 * MS);
             for attempt in 0.. {
-                let Some(to) = harness.sent[&id].get(attempt).map(|s| s.0) else {
+                let Some(backend_id) = harness.sent[&id].get(attempt).map(|sent| sent.0) else {
                     break;
                 };
-                of_one += usize::from(to == BackendId(1));
-                let fails = to == BackendId(1) && of_one % every == 0;
-                let actions = harness.end(
+                attempts_at_faulty += usize::from(backend_id == BackendId(1));
+                let fails =
+                    backend_id == BackendId(1) && attempts_at_faulty % failure_interval == 0;
+                let actions = harness.end_attempt(
                     id,
                     attempt,
                     if fails {
@@ -51,36 +55,40 @@
                         Outcome::Success
                     },
                 );
-                logs += actions
+                log_events += actions
                     .iter()
-                    .filter(|a| matches!(a, Action::Log(_)))
+                    .filter(|action| matches!(action, Action::Log(_)))
                     .count();
             }
         }
         assert!(
-            if kept {
-                logs == 0 && of_one > 50
+            if is_kept {
+                log_events == 0 && attempts_at_faulty > 50
             } else {
-                of_one < 40
+                attempts_at_faulty < 40
             },
-            "{logs} {of_one}: 1 in {every}"
+            "{log_events} {attempts_at_faulty}: 1 in {failure_interval}"
         );
     }
 }
 
 #[test]
-fn ejection_fails_open() {
+fn ejection_fails_open_when_all_backends_fail() {
     let mut harness = Harness::new(settings(), (1..=2).map(backend).collect());
     for _ in 0..50 {
         let (id, _) = harness.submit(0);
         for attempt in 0.. {
-            if harness.sent.get(&id).is_none_or(|s| s.len() <= attempt) {
+            if harness
+                .sent
+                .get(&id)
+                .is_none_or(|sent| sent.len() <= attempt)
+            {
                 break;
             }
-            harness.end(id, attempt, Outcome::Reset);
+            harness.end_attempt(id, attempt, Outcome::Reset);
         }
         harness.wait(10 * MS);
     }
     let (_, actions) = harness.submit(0);
-    assert_eq!(sends(&actions).len(), 1);
+    assert_eq!(attempted_backends(&actions).len(), 1);
 }
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -12,14 +12,14 @@
 enum Step {
     Submit(u16),
     End(usize, Outcome),
-    Leave(usize),
-    Stray(u32, u8),
+    DisconnectClient(usize),
+    EndUnknown(u32, u8),
     Wait(Nanos),
-    List(UpdateKind, Vec<(u32, u8, u16)>),
-    ListFailed,
+    UpdateEndpoints(UpdateKind, Vec<(u32, u8, u16)>),
+    DiscoveryFailed,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
         4 => Just(Outcome::Success),
         1 => Just(Outcome::Error),
@@ -32,58 +32,63 @@
     let kind = prop_oneof![Just(UpdateKind::Delta), Just(UpdateKind::Full)];
     prop_oneof![
         8 => (0u16..6).prop_map(Step::Submit),
-        8 => (any::<usize>(), outcome).prop_map(|(i, o)| Step::End(i, o)),
-        1 => any::<usize>().prop_map(Step::Leave),
-        1 => (any::<u32>(), any::<u8>()).prop_map(|(i, a)| Step::Stray(i, a)),
+        8 => (any::<usize>(), outcome).prop_map(|(index, outcome)| Step::End(index, outcome)),
+        1 => any::<usize>().prop_map(Step::DisconnectClient),
+        1 => (any::<u32>(), any::<u8>()).prop_map(|(id, attempt)| Step::EndUnknown(id, attempt)),
         6 => (1u64..60).prop_map(|ms| Step::Wait(ms * MS)),
         1 => (kind, prop::collection::vec((1u32..7, 0u8..3, 0u16..3), 0..5))
-            .prop_map(|(k, b)| Step::List(k, b)),
-        1 => Just(Step::ListFailed),
+            .prop_map(|(kind, entries)| Step::UpdateEndpoints(kind, entries)),
+        1 => Just(Step::DiscoveryFailed),
     ]
 }
 
 /// The rules, seen from outside.
 #[derive(Default)]
-struct Watch {
-    open: BTreeMap<RequestId, (u16, Nanos, Vec<Seen>)>,
-    states: BTreeMap<BackendId, EndpointState>,
+struct RuleChecker {
+    open_requests: BTreeMap<RequestId, (u16, Nanos, Vec<ObservedAttempt>)>,
+    endpoint_states: BTreeMap<BackendId, EndpointState>,
     /// Backends that drain, and since when their idle connections may be open.
-    unclosed: BTreeMap<BackendId, Nanos>,
+    close_since: BTreeMap<BackendId, Nanos>,
 }
 
-struct Seen {
+struct ObservedAttempt {
     backend: BackendId,
-    sent: Nanos,
+    sent_at: Nanos,
     outcome: Option<Outcome>,
 }
 
-impl Watch {
+impl RuleChecker {
     /// A backend was notified as draining or had an outcome: from now on its connections must
     /// close.
-    fn used(&mut self, now: Nanos, backend: BackendId) {
-        if self.states.get(&backend) == Some(&EndpointState::Draining) {
-            self.unclosed.insert(backend, now);
+    fn require_close_if_draining(&mut self, now: Nanos, backend: BackendId) {
+        if self.endpoint_states.get(&backend) == Some(&EndpointState::Draining) {
+            self.close_since.insert(backend, now);
         }
     }
 
     fn check(&mut self, now: Nanos, settings: &Settings, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::CloseIdleConnections { backend } => drop(self.unclosed.remove(backend)),
+                Action::CloseIdleConnections { backend } => drop(self.close_since.remove(backend)),
                 Action::StartAttempt {
                     request, backend, ..
                 } => self.check_attempt(now, settings, *request, *backend),
                 Action::Reject { request, .. } => self.check_rejection(now, settings, *request),
                 Action::Fail { request } => {
-                    let (_, deadline, _) = self.open.remove(request).expect("rule 1: one answer");
+                    let (_, deadline, _) = self
+                        .open_requests
+                        .remove(request)
+                        .expect("rule 1: one answer");
                     assert!(now <= deadline);
                 }
                 _ => {}
             }
         }
-        let within = settings.rules.drain_close_within.expect("set");
+        let close_within = settings.rules.drain_close_within.expect("set");
         assert!(
-            self.unclosed.values().all(|since| now <= since + within),
+            self.close_since
+                .values()
+                .all(|since| now <= since + close_within),
             "rule 5"
         );
     }
@@ -95,38 +100,47 @@
         request: RequestId,
         backend: BackendId,
     ) {
-        let open = self.open.get_mut(&request);
-        let (class, deadline, seen) = open.expect("rule 1: send after the end");
+        let open = self.open_requests.get_mut(&request);
+        let (class, deadline, attempts) = open.expect("rule 1: send after the end");
         assert!(now < *deadline);
-        assert_eq!(self.states[&backend], EndpointState::Ready, "rule 3");
-        let risky: Vec<&Seen> = seen.iter().filter(|s| s.may_have_executed()).collect();
+        assert_eq!(
+            self.endpoint_states[&backend],
+            EndpointState::Ready,
+            "rule 3"
+        );
+        let possibly_executed: Vec<&ObservedAttempt> = attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_executed())
+            .collect();
         match settings.classes[usize::from(*class)].idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NotIdempotent => assert!(risky.is_empty(), "rule 2"),
+            Idempotency::NotIdempotent => assert!(possibly_executed.is_empty(), "rule 2"),
             Idempotency::IdempotencyKey { scope, window } => {
-                let in_window = risky.iter().all(|s| now <= s.sent + window);
+                let in_window = possibly_executed
+                    .iter()
+                    .all(|attempt| now <= attempt.sent_at + window);
                 assert!(in_window, "rule 2: window");
-                let shares_keys = |s: &&Seen| {
-                    scope == DeduplicationScope::Global || s.backend.0 % 2 == backend.0 % 2
+                let shares_keys = |attempt: &&ObservedAttempt| {
+                    scope == DeduplicationScope::Global || attempt.backend.0 % 2 == backend.0 % 2
                 };
-                assert!(risky.iter().all(shares_keys), "rule 2: scope");
+                assert!(possibly_executed.iter().all(shares_keys), "rule 2: scope");
             }
         }
-        seen.push(Seen {
+        attempts.push(ObservedAttempt {
             backend,
-            sent: now,
+            sent_at: now,
             outcome: None,
         });
     }
 
     fn check_rejection(&mut self, now: Nanos, settings: &Settings, request: RequestId) {
-        let open = self.open.remove(&request);
-        let (class, deadline, seen) = open.expect("rule 1: one answer");
+        let open = self.open_requests.remove(&request);
+        let (class, deadline, attempts) = open.expect("rule 1: one answer");
         assert!(now <= deadline);
-        let is_risky = seen.iter().any(Seen::may_have_executed);
+        let was_possibly_executed = attempts.iter().any(ObservedAttempt::may_have_executed);
         let class = settings.classes.get(usize::from(class));
         let idempotency = class.map_or(Idempotency::Idempotent, |class| class.idempotency);
-        let is_free = matches!(
+        let is_safe_to_repeat = matches!(
             idempotency,
             Idempotency::Idempotent
                 | Idempotency::IdempotencyKey {
@@ -134,54 +148,57 @@
                     ..
                 }
         );
-        assert!(is_free || !is_risky, "rule 2: rejection");
+        assert!(
+            is_safe_to_repeat || !was_possibly_executed,
+            "rule 2: rejection"
+        );
     }
 }
 
-impl Seen {
+impl ObservedAttempt {
     fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.not_executed())
     }
 }
 
 /// A balancer that plays steps, each judged by the rules.
-struct Player {
+struct StepRunner {
     settings: Settings,
-    watch: Watch,
+    checker: RuleChecker,
     harness: Harness,
-    log: Vec<Action>,
+    all_actions: Vec<Action>,
 }
 
-impl Player {
-    fn new() -> Player {
+impl StepRunner {
+    fn new() -> StepRunner {
         let mut settings = Settings {
             poll_endpoints: true,
             ..settings()
         };
         settings.rules.drain_close_within = Some(20 * MS);
         let backends: Vec<Endpoint> = (1..=4).map(backend).collect();
-        let mut watch = Watch::default();
-        watch
-            .states
-            .extend(backends.iter().map(|b| (b.id, b.state)));
+        let mut checker = RuleChecker::default();
+        checker
+            .endpoint_states
+            .extend(backends.iter().map(|backend| (backend.id, backend.state)));
         let harness = Harness::new(settings.clone(), backends);
-        Player {
+        StepRunner {
             settings,
-            watch,
+            checker,
             harness,
-            log: Vec::new(),
+            all_actions: Vec::new(),
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
             Step::Submit(class) => self.submit(*class),
-            Step::End(place, outcome) => self.end_one(*place, *outcome),
-            Step::Leave(place) => self.leave(*place),
-            Step::Stray(id, attempt) => self.end_unknown(RequestId(id | 1 << 31), *attempt),
-            Step::Wait(span) => self.wait(*span),
-            Step::List(kind, entries) => self.update_endpoints(*kind, entries),
-            Step::ListFailed => {
+            Step::End(index, outcome) => self.end_in_flight(*index, *outcome),
+            Step::DisconnectClient(index) => self.disconnect_client(*index),
+            Step::EndUnknown(id, attempt) => self.end_unknown(RequestId(id | 1 << 31), *attempt),
+            Step::Wait(duration) => self.wait(*duration),
+            Step::UpdateEndpoints(kind, entries) => self.update_endpoints(*kind, entries),
+            Step::DiscoveryFailed => {
                 let actions = self.harness.handle(Event::DiscoveryFailed);
                 self.check(actions);
             }
@@ -189,52 +206,59 @@
     }
 
     fn check(&mut self, actions: Vec<Action>) {
-        self.watch.check(self.harness.now, &self.settings, &actions);
-        self.log.extend(actions);
+        self.checker
+            .check(self.harness.now, &self.settings, &actions);
+        self.all_actions.extend(actions);
     }
 
     fn submit(&mut self, class: u16) {
-        let id = RequestId(self.harness.next + 1);
+        let id = RequestId(self.harness.last_request_id + 1);
         let deadline = self.harness.now + 800 * MS;
-        self.watch.open.insert(id, (class, deadline, Vec::new()));
+        self.checker
+            .open_requests
+            .insert(id, (class, deadline, Vec::new()));
         let (_, actions) = self.harness.submit(class);
         self.check(actions);
     }
 
     /// Ends one of the attempts in flight, if there is any.
-    fn end_one(&mut self, place: usize, outcome: Outcome) {
+    fn end_in_flight(&mut self, index: usize, outcome: Outcome) {
         let in_flight: Vec<(RequestId, usize)> = self
             .harness
             .sent
             .iter()
-            .flat_map(|(id, all)| (0..all.len()).filter(|i| all[*i].2).map(|i| (*id, i)))
+            .flat_map(|(id, attempts)| {
+                (0..attempts.len())
+                    .filter(|attempt| attempts[*attempt].2)
+                    .map(|attempt| (*id, attempt))
+            })
             .collect();
-        let Some((id, attempt)) = in_flight.get(place % in_flight.len().max(1)).copied() else {
+        let Some((id, attempt)) = in_flight.get(index % in_flight.len().max(1)).copied() else {
             return;
         };
         if outcome == Outcome::Success {
-            self.watch.open.remove(&id);
+            self.checker.open_requests.remove(&id);
         }
-        self.end(id, attempt, outcome);
+        self.end_attempt(id, attempt, outcome);
     }
 
-    fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        if let Some((_, _, seen)) = self.watch.open.get_mut(&id) {
-            seen[attempt].outcome = Some(outcome);
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        if let Some((_, _, attempts)) = self.checker.open_requests.get_mut(&id) {
+            attempts[attempt].outcome = Some(outcome);
         }
-        self.watch
-            .used(self.harness.now, self.harness.sent[&id][attempt].0);
-        let actions = self.harness.end(id, attempt, outcome);
+        self.checker
+            .require_close_if_draining(self.harness.now, self.harness.sent[&id][attempt].0);
+        let actions = self.harness.end_attempt(id, attempt, outcome);
         self.check(actions);
     }
 
     /// A client disconnects, if any has an open request.
-    fn leave(&mut self, place: usize) {
-        let ids: Vec<RequestId> = self.watch.open.keys().copied().collect();
-        let Some(id) = ids.get(place % ids.len().max(1)).copied() else {
+    fn disconnect_client(&mut self, index: usize) {
+        let ids: Vec<RequestId> = self.checker.open_requests.keys().copied().collect();
+        let Some(id) = ids.get(index % ids.len().max(1)).copied() else {
             return;
         };
-        self.watch.open.remove(&id);
+        self.checker.open_requests.remove(&id);
         let actions = self
             .harness
             .handle(Event::ClientDisconnected { request: id });
@@ -255,16 +279,16 @@
 
     /// One timer at a time, so that each send is checked at its own time; attempts that are in
     /// flight at the deadline time out there.
-    fn wait(&mut self, span: Nanos) {
-        let end = self.harness.now + span;
+    fn wait(&mut self, duration: Nanos) {
+        let end = self.harness.now + duration;
         while self.harness.now < end {
             for (id, attempt) in self.attempts_at_their_deadline() {
-                self.end(id, attempt, Outcome::Timeout);
+                self.end_attempt(id, attempt, Outcome::Timeout);
             }
             let actions = self.harness.wait(MS);
             self.check(actions);
             let now = self.harness.now;
-            let mut open = self.watch.open.values();
+            let mut open = self.checker.open_requests.values();
             assert!(
                 open.all(|(_, deadline, _)| now < *deadline + MS),
                 "rule 1: no answer in time"
@@ -273,17 +297,19 @@
     }
 
     fn attempts_at_their_deadline(&self) -> Vec<(RequestId, usize)> {
-        let due = self.harness.now + MS;
-        let late = self
-            .watch
-            .open
+        let until = self.harness.now + MS;
+        let due_requests = self
+            .checker
+            .open_requests
             .iter()
-            .filter(|(_, (_, deadline, _))| *deadline <= due);
-        late.flat_map(|(id, (_, _, seen))| {
-            let in_flight = (0..seen.len()).filter(|i| seen[*i].outcome.is_none());
-            in_flight.map(|i| (*id, i))
-        })
-        .collect()
+            .filter(|(_, (_, deadline, _))| *deadline <= until);
+        due_requests
+            .flat_map(|(id, (_, _, attempts))| {
+                let in_flight =
+                    (0..attempts.len()).filter(|attempt| attempts[*attempt].outcome.is_none());
+                in_flight.map(|attempt| (*id, attempt))
+            })
+            .collect()
     }
 
     fn update_endpoints(&mut self, kind: UpdateKind, entries: &[(u32, u8, u16)]) {
@@ -294,27 +320,30 @@
         ];
         let endpoints: Vec<Endpoint> = entries
             .iter()
-            .map(|(id, state, age)| Endpoint {
+            .map(|(id, state, start_offset)| Endpoint {
                 state: states[usize::from(*state)],
-                started_at: (*age > 0).then(|| START + u64::from(*age)),
+                started_at: (*start_offset > 0).then(|| START + u64::from(*start_offset)),
                 ..backend(*id)
             })
             .collect();
-        let before = self.watch.states.clone();
+        let states_before = self.checker.endpoint_states.clone();
         if kind == UpdateKind::Full {
-            for state in self.watch.states.values_mut() {
+            for state in self.checker.endpoint_states.values_mut() {
                 *state = EndpointState::Removed;
             }
         }
-        self.watch
-            .states
-            .extend(endpoints.iter().map(|e| (e.id, e.state)));
-        let was_draining = |id| before.get(&id) == Some(&EndpointState::Draining);
-        let notified = endpoints
+        self.checker.endpoint_states.extend(
+            endpoints
+                .iter()
+                .map(|endpoint| (endpoint.id, endpoint.state)),
+        );
+        let was_draining = |id| states_before.get(&id) == Some(&EndpointState::Draining);
+        let draining = endpoints
             .iter()
-            .filter(|e| e.state == EndpointState::Draining);
-        for endpoint in notified.filter(|e| !was_draining(e.id)) {
-            self.watch.used(self.harness.now, endpoint.id);
+            .filter(|endpoint| endpoint.state == EndpointState::Draining);
+        for endpoint in draining.filter(|endpoint| !was_draining(endpoint.id)) {
+            self.checker
+                .require_close_if_draining(self.harness.now, endpoint.id);
         }
         let actions = self
             .harness
@@ -323,19 +352,19 @@
     }
 }
 
-fn play(steps: &[Step]) -> Vec<Action> {
-    let mut player = Player::new();
+fn run_steps(steps: &[Step]) -> Vec<Action> {
+    let mut runner = StepRunner::new();
     for step in steps {
-        player.play(step);
+        runner.run_step(step);
     }
-    player.log
+    runner.all_actions
 }
 
 #[test]
 fn random_events_break_no_rule_and_equal_events_give_equal_actions() {
     deterministic_runner(300)
-        .run(&prop::collection::vec(step(), 1..150), |steps| {
-            prop_assert_eq!(play(&steps), play(&steps));
+        .run(&prop::collection::vec(any_step(), 1..150), |steps| {
+            prop_assert_eq!(run_steps(&steps), run_steps(&steps));
             Ok(())
         })
         .unwrap();
@@ -351,7 +380,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn any_end() -> impl Strategy<Value = Outcome> {
+fn any_outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
         3 => Just(Outcome::ConnectFailed),
         2 => Just(Outcome::Overloaded),
@@ -365,44 +394,49 @@
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_has_no_second_attempt_once_one_may_have_executed() {
-    let ends = prop::collection::vec((any_end(), 0u64..40), 6);
-    let restarts = prop::collection::vec((ends, any::<bool>()), 1..12);
+fn possibly_executed_non_idempotent_request_gets_no_second_attempt() {
+    let attempt_ends = prop::collection::vec((any_outcome(), 0u64..40), 6);
+    let request_plans = prop::collection::vec((attempt_ends, any::<bool>()), 1..12);
     deterministic_runner(500)
-        .run(&restarts, |restarts| {
+        .run(&request_plans, |request_plans| {
             let mut harness = Harness::new(settings(), (1..=5).map(backend).collect());
             harness.serve(10, |_| 10 * MS);
-            let ids: Vec<RequestId> = restarts.iter().map(|_| harness.submit(3).0).collect();
-            let mut ran = BTreeMap::new();
+            let ids: Vec<RequestId> = request_plans.iter().map(|_| harness.submit(3).0).collect();
+            let mut executed = BTreeMap::new();
             // The requests advance alternately, so that what one of them shows moves the others.
             for step in 0..6 {
-                for (id, (ends, leaves)) in ids.iter().zip(&restarts) {
-                    let (outcome, wait) = ends[step];
+                for (id, (attempt_ends, client_disconnects)) in ids.iter().zip(&request_plans) {
+                    let (outcome, wait) = attempt_ends[step];
                     harness.wait(wait * MS);
-                    let Some(sent) = harness.sent.get(id).map(Vec::len) else {
+                    let Some(sent_count) = harness.sent.get(id).map(Vec::len) else {
                         continue;
                     };
-                    if harness.sent[id][sent - 1].2 {
-                        if *leaves && step == 2 {
+                    if harness.sent[id][sent_count - 1].2 {
+                        if *client_disconnects && step == 2 {
                             harness.handle(Event::ClientDisconnected { request: *id });
                         }
                         if !outcome.not_executed() {
-                            ran.insert(*id, sent);
+                            executed.insert(*id, sent_count);
                         }
-                        harness.end(*id, sent - 1, outcome);
+                        harness.end_attempt(*id, sent_count - 1, outcome);
                     }
                 }
             }
             harness.wait(2_000 * MS);
-            for (id, sent) in &ran {
+            for (id, sent_count) in &executed {
                 prop_assert_eq!(
                     harness.sent[id].len(),
-                    *sent,
+                    *sent_count,
                     "{:?} again after it may have run",
                     id
                 );
             }
-            prop_assert!(harness.sent.values().all(|sent| sent.len() <= 3));
+            prop_assert!(
+                harness
+                    .sent
+                    .values()
+                    .all(|sent_count| sent_count.len() <= 3)
+            );
             Ok(())
         })
         .unwrap();
--- a/crates/balancer/tests/balancer/retries.rs
+++ b/crates/balancer/tests/balancer/retries.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn a_request_that_is_not_idempotent_and_may_have_executed_is_neither_retried_nor_rejected() {
+fn possibly_executed_non_idempotent_request_fails_without_a_retry() {
     for outcome in [
         Outcome::Error,
         Outcome::Timeout,
@@ -15,21 +15,21 @@
         let mut harness = Harness::new(settings(), vec![backend(1), backend(2)]);
         harness.serve(40, |_| 10 * MS);
         let (id, _) = harness.submit(3);
-        let actions = harness.end(id, 0, outcome);
+        let actions = harness.end_attempt(id, 0, outcome);
         assert!(
-            failed(&actions) && sends(&actions).is_empty(),
+            has_failure(&actions) && attempted_backends(&actions).is_empty(),
             "{outcome:?}: {actions:?}"
         );
     }
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_and_was_not_executed_goes_elsewhere() {
+fn unexecuted_non_idempotent_request_is_retried_at_another_backend() {
     let mut harness = Harness::new(settings(), vec![backend(1), backend(2)]);
-    let (id, first) = harness.submit(3);
-    let second = sends(&harness.end(id, 0, Outcome::ConnectFailed));
-    assert_eq!(second.len(), 1);
-    assert_ne!(sends(&first), second);
+    let (id, first_actions) = harness.submit(3);
+    let retry_backends = attempted_backends(&harness.end_attempt(id, 0, Outcome::ConnectFailed));
+    assert_eq!(retry_backends.len(), 1);
+    assert_ne!(attempted_backends(&first_actions), retry_backends);
 }
 
 #[test]
@@ -37,84 +37,87 @@
     let mut harness = Harness::new(settings(), (1..=6).map(backend).collect());
     harness.serve(100, |_| 10 * MS);
     for _ in 0..20 {
-        let (id, first) = harness.submit(2);
-        let second = sends(&harness.end(id, 0, Outcome::Error));
-        for b in &second {
-            assert_eq!(b.0 % 2, sends(&first)[0].0 % 2);
+        let (id, first_actions) = harness.submit(2);
+        let retry_backends = attempted_backends(&harness.end_attempt(id, 0, Outcome::Error));
+        for backend_id in &retry_backends {
+            assert_eq!(
+                backend_id.0 % 2,
+                attempted_backends(&first_actions)[0].0 % 2
+            );
         }
-        for attempt in 1..=second.len() {
-            harness.end(id, attempt, Outcome::Success);
+        for attempt in 1..=retry_backends.len() {
+            harness.end_attempt(id, attempt, Outcome::Success);
         }
         harness.serve(10, |_| 10 * MS);
     }
 }
 
 #[test]
-fn an_overdue_attempt_is_cancelled_and_retried() {
-    for (class, again) in [(0, true), (2, true), (3, false)] {
+fn overdue_attempt_is_cancelled_only_if_its_request_may_be_retried() {
+    for (class, may_retry) in [(0, true), (2, true), (3, false)] {
         let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
         harness.serve(40, |_| 10 * MS);
         let (id, _) = harness.submit(class);
-        let early = harness.wait(90 * MS);
-        let late = harness.wait(20 * MS);
-        let off = Action::CancelAttempt {
+        let actions_until_90_ms = harness.wait(90 * MS);
+        let actions_until_110_ms = harness.wait(20 * MS);
+        let cancellation = Action::CancelAttempt {
             request: id,
             attempt: 0,
         };
-        assert!(!early.contains(&off));
-        assert_eq!(late.contains(&off), again);
+        assert!(!actions_until_90_ms.contains(&cancellation));
+        assert_eq!(actions_until_110_ms.contains(&cancellation), may_retry);
         assert_eq!(
-            sends(&harness.end(id, 0, Outcome::Cancelled)).len(),
-            usize::from(again)
+            attempted_backends(&harness.end_attempt(id, 0, Outcome::Cancelled)).len(),
+            usize::from(may_retry)
         );
     }
 }
 
 #[test]
-fn an_overdue_attempt_is_cancelled_though_others_take_longer_or_the_retry_budget_is_spent() {
-    for retries in [60, 0] {
+fn overdue_check_is_repeated_if_latency_rose_or_the_budget_is_spent() {
+    for failing_requests in [60, 0] {
         let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
         harness.serve(40, |_| 30 * MS);
-        for _ in 0..retries {
+        for _ in 0..failing_requests {
             let (id, _) = harness.submit(0);
             harness.wait(10 * MS);
             for attempt in 0..3 {
                 if harness.sent[&id].len() > attempt {
-                    harness.end(id, attempt, Outcome::Error);
+                    harness.end_attempt(id, attempt, Outcome::Error);
                 }
             }
         }
         let (id, _) = harness.submit(0);
         // The usual latency rises, so that it is not overdue at the moment which was set for it.
-        let off = Action::CancelAttempt {
+        let cancellation = Action::CancelAttempt {
             request: id,
             attempt: 0,
         };
-        let mut called_off = false;
+        let mut is_cancelled = false;
         for _ in 0..8 {
             let (other, _) = harness.submit(0);
-            called_off |= harness.wait(40 * MS).contains(&off);
+            is_cancelled |= harness.wait(40 * MS).contains(&cancellation);
             if harness.sent.contains_key(&other) {
-                harness.end(other, 0, Outcome::Success);
+                harness.end_attempt(other, 0, Outcome::Success);
             }
         }
-        assert!(called_off, "with {retries} retries before");
+        assert!(is_cancelled, "with {failing_requests} retries before");
     }
 }
 
 #[test]
-fn an_attempt_that_takes_six_times_as_long_as_others_is_not_overdue_yet() {
+fn attempt_is_not_yet_overdue_at_six_times_the_mean_latency() {
     // Where work and waits are exponential one in 150 takes five times the mean, one in 3,000 eight
     // times.
     let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
     harness.serve(40, |_| 30 * MS);
     let (id, _) = harness.submit(0);
-    let off = Action::CancelAttempt {
+    let cancellation = Action::CancelAttempt {
         request: id,
         attempt: 0,
     };
-    assert!(!harness.wait(200 * MS).contains(&off));
-    assert!(harness.wait(50 * MS).contains(&off));
+    assert!(!harness.wait(200 * MS).contains(&cancellation));
+    assert!(harness.wait(50 * MS).contains(&cancellation));
 }
 
 #[test]
@@ -123,7 +126,7 @@
     harness.serve(40, |_| 10 * MS);
     for _ in 0..200 {
         let (id, _) = harness.submit(2);
-        let actions = harness.end(id, 0, Outcome::BadRequest);
+        let actions = harness.end_attempt(id, 0, Outcome::BadRequest);
         assert!(
             actions.contains(&Action::Fail { request: id }),
             "{actions:?}"
@@ -131,7 +134,7 @@
         assert!(
             !actions
                 .iter()
-                .any(|a| matches!(a, Action::StartAttempt { .. } | Action::Log(_))),
+                .any(|action| matches!(action, Action::StartAttempt { .. } | Action::Log(_))),
             "{actions:?}"
         );
         harness.wait(10 * MS);
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -5,12 +5,12 @@
 use crate::support::*;
 
 #[test]
-fn many_proxies_together_send_a_backend_in_slow_start_a_part_of_its_share() {
-    let nodes = 200;
+fn many_proxies_together_send_less_to_a_backend_in_slow_start() {
+    let proxy_count = 200;
     let mut sent = 0;
-    for seed in 0..nodes {
+    for seed in 0..proxy_count {
         let settings = Settings {
-            proxy_count: nodes as u32,
+            proxy_count: proxy_count as u32,
             ..settings()
         };
         let starting = Endpoint {
@@ -20,9 +20,9 @@
         let backends = std::iter::once(starting)
             .chain((2..=20).map(backend))
             .collect();
-        let mut harness = Harness::seeded(settings, backends, seed);
+        let mut harness = Harness::with_seed(settings, backends, seed);
         sent += harness
-            .trickle(10, |_| 20 * MS)
+            .serve_at_low_rate(10, |_| 20 * MS)
             .get(&BackendId(1))
             .copied()
             .unwrap_or(0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_backend_in_slow_start_gets_a_part_and_a_warm_one_its_share() {
+fn backend_gets_fewer_requests_until_its_slow_start_is_over() {
     let mut harness = Harness::new(settings(), vec![backend(1), backend(2), backend(3)]);
     harness.serve(300, |_| 10 * MS);
     let restarted = Endpoint {
@@ -43,13 +43,18 @@
         kind: UpdateKind::Delta,
         endpoints: vec![restarted],
     });
-    let starting = harness.serve(200, |_| 10 * MS);
+    let counts_in_slow_start = harness.serve(200, |_| 10 * MS);
     assert!(
-        starting.get(&BackendId(1)).is_none_or(|n| *n < 40),
-        "{starting:?}"
+        counts_in_slow_start
+            .get(&BackendId(1))
+            .is_none_or(|count| *count < 40),
+        "{counts_in_slow_start:?}"
     );
     harness.wait(10_000 * MS);
     harness.serve(400, |_| 10 * MS);
-    let warm = harness.serve(600, |_| 10 * MS);
-    assert!(warm[&BackendId(1)] > 100, "{warm:?}");
+    let counts_afterwards = harness.serve(600, |_| 10 * MS);
+    assert!(
+        counts_afterwards[&BackendId(1)] > 100,
+        "{counts_afterwards:?}"
+    );
 }
--- a/crates/balancer/tests/balancer/split.rs
+++ b/crates/balancer/tests/balancer/split.rs
@@ -7,8 +7,8 @@
 use crate::support::*;
 
 #[test]
-fn a_kind_of_machine_that_is_slow_gets_less_from_a_proxy_that_hardly_knows_its_backends() {
-    let kind = |id: u32| Endpoint {
+fn slow_kind_of_machine_gets_less_from_a_proxy_with_little_traffic() {
+    let endpoint = |id: u32| Endpoint {
         kind: KindId((id % 2) as u16),
         ..backend(id)
     };
@@ -17,51 +17,58 @@
             proxy_count: 200,
             ..settings()
         },
-        (1..=60).map(kind).collect(),
+        (1..=60).map(endpoint).collect(),
     );
-    let takes = |b: BackendId| {
-        if b.0.is_multiple_of(2) {
+    let service_time = |backend_id: BackendId| {
+        if backend_id.0.is_multiple_of(2) {
             20 * MS
         } else {
             60 * MS
         }
     };
-    let counts = harness.trickle(300, takes);
-    let fast: usize = counts
+    let counts = harness.serve_at_low_rate(300, service_time);
+    let fast_count: usize = counts
         .iter()
-        .filter(|(b, _)| b.0.is_multiple_of(2))
-        .map(|(_, n)| n)
+        .filter(|(backend_id, _)| backend_id.0.is_multiple_of(2))
+        .map(|(_, count)| count)
         .sum();
-    let all: usize = counts.values().sum();
-    assert!(10 * fast > 6 * all, "{fast} of {all} to the fast kind");
+    let total: usize = counts.values().sum();
+    assert!(
+        10 * fast_count > 6 * total,
+        "{fast_count} of {total} to the fast kind"
+    );
 }
 
 #[test]
-fn proxies_start_with_stretches_that_share_no_backend_and_leave_none_out() {
-    for (nodes, fleet) in [(2, 12), (2, 7), (3, 19)] {
-        let mut met = BTreeSet::new();
-        let mut parts = 0;
-        for me in 0..nodes {
+fn preferred_backends_of_all_proxies_are_disjoint_and_cover_the_fleet() {
+    for (proxy_count, backend_count) in [(2, 12), (2, 7), (3, 19)] {
+        let mut covered = BTreeSet::new();
+        let mut preferred_total = 0;
+        for proxy_index in 0..proxy_count {
             // Each knows the backends in an order of its own; what they have in common is the mark.
-            let list = (1..=fleet).rev().map(backend).collect();
+            let list = (1..=backend_count).rev().map(backend).collect();
             let settings = Settings {
-                proxy_index: me,
-                proxy_count: nodes,
+                proxy_index,
+                proxy_count,
                 ..settings()
             };
-            let mut harness = Harness::seeded(settings, list, 7 + u64::from(me));
+            let mut harness = Harness::with_seed(settings, list, 7 + u64::from(proxy_index));
             harness.serve(4_000, |_| 10 * MS);
             let counts = harness.serve(2_000, |_| 10 * MS);
             // What explores goes anywhere; the rest to the proxy's own stretch, one idle backend
             // each.
-            let part: Vec<BackendId> = counts.iter().filter(|c| *c.1 > 40).map(|c| *c.0).collect();
-            parts += part.len();
-            met.extend(part);
+            let preferred: Vec<BackendId> = counts
+                .iter()
+                .filter(|entry| *entry.1 > 40)
+                .map(|entry| *entry.0)
+                .collect();
+            preferred_total += preferred.len();
+            covered.extend(preferred);
         }
         assert_eq!(
-            (parts, met.len()),
-            (fleet as usize, fleet as usize),
-            "{nodes} nodes"
+            (preferred_total, covered.len()),
+            (backend_count as usize, backend_count as usize),
+            "{proxy_count} nodes"
         );
     }
 }
--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -21,17 +21,17 @@
 }
 
 pub fn settings() -> Settings {
-    let keyed = |group| {
+    let with_key = |scope| {
         class(Idempotency::IdempotencyKey {
-            scope: group,
+            scope,
             window: 500 * MS,
         })
     };
     let mut settings = Settings {
         classes: vec![
             class(Idempotency::Idempotent),
-            keyed(DeduplicationScope::Global),
-            keyed(DeduplicationScope::Cell),
+            with_key(DeduplicationScope::Global),
+            with_key(DeduplicationScope::Cell),
             class(Idempotency::NotIdempotent),
             Class {
                 priority_weight: 10.0,
@@ -77,22 +77,22 @@
     pub timers: BTreeSet<(Nanos, TimerId)>,
     /// Attempts sent for each request: backend, time, and whether it is still out.
     pub sent: BTreeMap<RequestId, Vec<(BackendId, Nanos, bool)>>,
-    pub next: u32,
+    pub last_request_id: u32,
 }
 
 impl Harness {
     pub fn new(settings: Settings, backends: Vec<Endpoint>) -> Harness {
-        Harness::seeded(settings, backends, 7)
+        Harness::with_seed(settings, backends, 7)
     }
 
-    pub fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
+    pub fn with_seed(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
         let balancer = Balancer::new(settings, seed, START).expect("sound settings");
         let mut harness = Harness {
             balancer,
             now: START,
             timers: BTreeSet::new(),
             sent: BTreeMap::new(),
-            next: 0,
+            last_request_id: 0,
         };
         harness.handle(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
@@ -124,8 +124,8 @@
     }
 
     /// Moves the clock, firing timers on the way.
-    pub fn wait(&mut self, span: Nanos) -> Vec<Action> {
-        let end = self.now + span;
+    pub fn wait(&mut self, duration: Nanos) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= end) {
             self.timers.remove(&(at, timer));
@@ -137,11 +137,14 @@
     }
 
     pub fn submit(&mut self, class: u16) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        (RequestId(self.next), self.handle(request(self.next, class)))
+        self.last_request_id += 1;
+        (
+            RequestId(self.last_request_id),
+            self.handle(request(self.last_request_id, class)),
+        )
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
         let sent = self
             .sent
             .get_mut(&id)
@@ -164,15 +167,15 @@
     pub fn serve(
         &mut self,
         count: usize,
-        takes: impl Fn(BackendId) -> Nanos,
+        service_time: impl Fn(BackendId) -> Nanos,
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.submit(0);
-            let to = self.sent[&id][0].0;
-            *counts.entry(to).or_default() += 1;
-            self.wait(takes(to));
-            self.end(id, 0, Outcome::Success);
+            let backend_id = self.sent[&id][0].0;
+            *counts.entry(backend_id).or_default() += 1;
+            self.wait(service_time(backend_id));
+            self.end_attempt(id, 0, Outcome::Success);
         }
         counts
     }
@@ -181,21 +184,21 @@
 impl Harness {
     /// Like `serve`, at a proxy with little traffic: a request may wait for capacity before it is
     /// sent.
-    pub fn trickle(
+    pub fn serve_at_low_rate(
         &mut self,
         count: usize,
-        takes: impl Fn(BackendId) -> Nanos,
+        service_time: impl Fn(BackendId) -> Nanos,
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.submit(0);
             self.wait(300 * MS);
             if let Some(attempt) = self.sent.get_mut(&id).and_then(|sent| sent.first_mut()) {
-                let (to, sent, out) = attempt;
-                *out = false;
-                *counts.entry(*to).or_default() += 1;
+                let (backend_id, sent_at, in_flight) = attempt;
+                *in_flight = false;
+                *counts.entry(*backend_id).or_default() += 1;
                 // It had ended by then; reported late, with the latency that it had.
-                let latency = takes(*to).min(self.now - *sent);
+                let latency = service_time(*backend_id).min(self.now - *sent_at);
                 self.handle(Event::AttemptEnded {
                     request: id,
                     attempt: 0,
@@ -211,20 +214,24 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<BackendId> {
+pub fn attempted_backends(actions: &[Action]) -> Vec<BackendId> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::StartAttempt { backend, .. } => Some(*backend),
             _ => None,
         })
         .collect()
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn has_rejection(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn has_failure(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -8,61 +8,67 @@
 use simulation::*;
 
 #[test]
-fn a_fleet_that_is_half_idle_admits_all_requests_at_once() {
-    for nodes in PROXY_COUNTS {
+fn half_loaded_fleet_admits_nearly_all_requests_at_once() {
+    for proxy_count in PROXY_COUNTS {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
-        let mut simulation = Simulation::new(nodes, &backends);
+        let mut simulation = Simulation::new(proxy_count, &backends);
         // 60 backends do 1,500 a second.
         simulation.run(12 * SECOND, 750.0);
-        let settled = START + 4 * SECOND;
-        let waiting = simulation
-            .received_since(settled)
-            .filter(|record| record.waited())
+        let settled_at = START + 4 * SECOND;
+        let queued_fraction = simulation
+            .received_since(settled_at)
+            .filter(|record| record.was_queued())
             .count() as f64
-            / simulation.received_since(settled).count() as f64;
-        let in_time = simulation.in_time(settled);
-        assert!(waiting < 0.05, "{nodes} nodes hold back {waiting:.3}");
-        assert!(in_time > 0.95, "{nodes} nodes serve {in_time:.3} in time");
+            / simulation.received_since(settled_at).count() as f64;
+        let fraction_in_time = simulation.fraction_in_time(settled_at);
+        assert!(
+            queued_fraction < 0.05,
+            "{proxy_count} nodes hold back {queued_fraction:.3}"
+        );
+        assert!(
+            fraction_in_time > 0.95,
+            "{proxy_count} nodes serve {fraction_in_time:.3} in time"
+        );
         assert!(
             simulation
                 .records
                 .values()
-                .all(|record| record.node < nodes)
+                .all(|record| record.proxy_index < proxy_count)
         );
     }
 }
 
 /// Backends 30 to 59 start five seconds in, and their capacity grows evenly in slow start.
-fn second_half_starts(id: BackendId, now: Nanos) -> Health {
-    let age = now.saturating_sub(START + 5 * SECOND) as f64 / (8_800 * MS) as f64;
+fn second_half_in_slow_start(id: BackendId, now: Nanos) -> Health {
+    let elapsed_fraction = now.saturating_sub(START + 5 * SECOND) as f64 / (8_800 * MS) as f64;
     Health::Works(if id.0 < 30 {
         1.0
     } else {
-        (0.31 + 0.69 * age).min(1.0)
+        (0.31 + 0.69 * elapsed_fraction).min(1.0)
     })
 }
 
 #[test]
 fn backends_in_slow_start_are_used_and_none_is_overloaded() {
-    for nodes in PROXY_COUNTS {
+    for proxy_count in PROXY_COUNTS {
         // With two proxies one run has 225 to 391 by chance, 319 in the mean of five.
-        let used: usize = [1, 11, 21]
+        let attempts: usize = [1, 11, 21]
             .into_iter()
-            .map(|seed| used_in_slow_start(nodes, seed))
+            .map(|seed| attempts_in_slow_start(proxy_count, seed))
             .sum();
         // A third of what thirty of this strength could do in the last two seconds.
         assert!(
-            used > 3 * 250,
-            "{nodes} nodes send {used} to thirty backends in slow start in three runs"
+            attempts > 3 * 250,
+            "{proxy_count} nodes send {attempts} to thirty backends in slow start in three runs"
         );
     }
 }
 
 /// Attempts at thirty backends in slow start in the last two seconds, none of which is sent more
 /// than rule 4 allows.
-fn used_in_slow_start(nodes: usize, seed: u64) -> usize {
+fn attempts_in_slow_start(proxy_count: usize, seed: u64) -> usize {
     let mut backends: Vec<Endpoint> = (0..30).map(backend).collect();
-    let mut simulation = Simulation::seeded(nodes, &backends, seed);
+    let mut simulation = Simulation::with_seed(proxy_count, &backends, seed);
     simulation.run(5 * SECOND, 500.0);
     backends = (30..60)
         .map(|id| Endpoint {
@@ -72,48 +78,58 @@
         .collect();
     simulation
         .free_at
-        .extend(backends.iter().map(|b| (b.id, START)));
-    simulation.health = second_half_starts;
+        .extend(backends.iter().map(|backend| (backend.id, START)));
+    simulation.health = second_half_in_slow_start;
     simulation.update_endpoints(UpdateKind::Delta, &backends);
     // More than the warm ones bear.
     simulation.run(4 * SECOND, 850.0);
-    let attempts: BTreeMap<BackendId, Vec<Nanos>> = simulation
+    let send_times: BTreeMap<BackendId, Vec<Nanos>> = simulation
         .records
         .values()
         .flat_map(|record| &record.attempts)
         .filter(|attempt| attempt.1.0 >= 30)
-        .fold(BTreeMap::new(), |mut all, (at, to, _)| {
-            all.entry(*to).or_insert_with(Vec::new).push(*at);
-            all
-        });
-    for (id, mut sends) in attempts.clone() {
-        sends.sort_unstable();
-        for (place, from) in sends.iter().enumerate() {
-            let Health::Works(strength) = second_half_starts(id, *from) else {
+        .fold(
+            BTreeMap::new(),
+            |mut send_times, (sent_at, backend_id, _)| {
+                send_times
+                    .entry(*backend_id)
+                    .or_insert_with(Vec::new)
+                    .push(*sent_at);
+                send_times
+            },
+        );
+    for (id, mut times) in send_times.clone() {
+        times.sort_unstable();
+        for (index, window_start) in times.iter().enumerate() {
+            let Health::Works(capacity) = second_half_in_slow_start(id, *window_start) else {
                 unreachable!()
             };
             // Rule 4: three times what it can do at that moment, for two seconds.
-            let budget = 3.0 * strength * (2 * SECOND / WORK) as f64;
-            let within = sends[place..]
+            let max_attempts = 3.0 * capacity * (2 * SECOND / WORK) as f64;
+            let sent = times[index..]
                 .iter()
-                .take_while(|at| **at <= from + 2 * SECOND)
+                .take_while(|sent_at| **sent_at <= window_start + 2 * SECOND)
                 .count();
             assert!(
-                (within as f64) < budget,
-                "{nodes} nodes send {within} of {budget} to {}",
+                (sent as f64) < max_attempts,
+                "{proxy_count} nodes send {sent} of {max_attempts} to {}",
                 id.0
             );
         }
     }
-    let late = |at: &&Nanos| **at >= START + 7 * SECOND;
-    attempts.values().flatten().filter(late).count()
+    let is_in_last_two_seconds = |sent_at: &&Nanos| **sent_at >= START + 7 * SECOND;
+    send_times
+        .values()
+        .flatten()
+        .filter(is_in_last_two_seconds)
+        .count()
 }
 
 #[test]
-fn an_overload_is_served_in_time_as_far_as_it_can_be() {
-    for nodes in PROXY_COUNTS {
+fn overloaded_fleet_serves_a_part_of_the_requests_in_time() {
+    for proxy_count in PROXY_COUNTS {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
-        let mut simulation = Simulation::new(nodes, &backends);
+        let mut simulation = Simulation::new(proxy_count, &backends);
         simulation.run(3 * SECOND, 750.0);
         // Six in ten vanish at once, and the rest meet nearly twice what they can do.
         let removed = (24..60)
@@ -124,15 +140,15 @@
             .collect::<Vec<_>>();
         simulation.update_endpoints(UpdateKind::Delta, &removed);
         simulation.run(8 * SECOND, 1_100.0);
-        let in_time = simulation.in_time(START + 4 * SECOND);
+        let fraction_in_time = simulation.fraction_in_time(START + 4 * SECOND);
         // With 300 nodes each has about two answers a window to go by.
-        let least = if nodes > 100 { 0.08 } else { 0.15 };
+        let minimum = if proxy_count > 100 { 0.08 } else { 0.15 };
         assert!(
-            in_time > least,
-            "{nodes} nodes serve {in_time:.3} in time of 0.55"
+            fraction_in_time > minimum,
+            "{proxy_count} nodes serve {fraction_in_time:.3} in time of 0.55"
         );
         // What nobody has tried by half of its time is turned away then.
-        let first = |record: &RequestRecord| {
+        let time_to_first_attempt = |record: &RequestRecord| {
             record
                 .attempts
                 .first()
@@ -142,113 +158,113 @@
             simulation
                 .records
                 .values()
-                .all(|record| first(record) <= 800 * MS)
+                .all(|record| time_to_first_attempt(record) <= 800 * MS)
         );
     }
 }
 
-fn ten_are_leaving(id: BackendId, _: Nanos) -> Health {
+fn first_ten_drain(id: BackendId, _: Nanos) -> Health {
     if id.0 < 10 {
-        Health::Leaving
+        Health::Draining
     } else {
         Health::Works(1.0)
     }
 }
 
 #[test]
-fn backends_that_drain_before_the_list_says_so_are_picked_seldom() {
-    for nodes in PROXY_COUNTS {
+fn backends_that_drain_before_the_list_update_get_few_attempts() {
+    for proxy_count in PROXY_COUNTS {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
-        let mut simulation = Simulation::new(nodes, &backends);
+        let mut simulation = Simulation::new(proxy_count, &backends);
         simulation.run(3 * SECOND, 600.0);
-        simulation.health = ten_are_leaving;
+        simulation.health = first_ten_drain;
         simulation.run(4 * SECOND, 600.0);
         let since = START + 4 * SECOND;
-        let late = |attempt: &&(Nanos, BackendId, bool)| attempt.0 >= since;
-        let sends = || {
+        let is_recent = |attempt: &&(Nanos, BackendId, bool)| attempt.0 >= since;
+        let recent_attempts = || {
             simulation
                 .records
                 .values()
                 .flat_map(|record| &record.attempts)
-                .filter(late)
+                .filter(is_recent)
         };
-        let lost =
-            sends().filter(|attempt| attempt.1.0 < 10).count() as f64 / sends().count() as f64;
+        let draining_fraction = recent_attempts().filter(|attempt| attempt.1.0 < 10).count() as f64
+            / recent_attempts().count() as f64;
         // Their share by number is a sixth.
-        let most = if nodes > 100 { 0.13 } else { 0.11 };
+        let maximum = if proxy_count > 100 { 0.13 } else { 0.11 };
         assert!(
-            lost < most,
-            "{nodes} nodes send {lost:.3} to backends that are leaving"
+            draining_fraction < maximum,
+            "{proxy_count} nodes send {draining_fraction:.3} to backends that are leaving"
         );
-        assert!(simulation.in_time(since) > if nodes > 100 { 0.88 } else { 0.9 });
+        assert!(simulation.fraction_in_time(since) > if proxy_count > 100 { 0.88 } else { 0.9 });
     }
 }
 
 #[test]
-fn a_proxy_at_five_times_the_mean_admits_all_requests_and_every_backend_is_reached() {
-    for nodes in [10, 100, 300] {
+fn busiest_proxy_queues_few_requests_and_all_backends_are_reached() {
+    for proxy_count in [10, 100, 300] {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
-        let (mut all, mut waiting) = (0, 0);
+        let (mut received, mut queued) = (0, 0);
         // One play in 25 falls behind for a second by chance, so a few count together.
         for seed in 1..=4 {
-            let mut simulation = Simulation::seeded(nodes, &backends, seed);
+            let mut simulation = Simulation::with_seed(proxy_count, &backends, seed);
             simulation.extra_load = 4;
             simulation.run(12 * SECOND, 900.0);
-            let settled = START + 4 * SECOND;
+            let settled_at = START + 4 * SECOND;
             let mut reached = BTreeSet::new();
-            for record in simulation.received_since(settled) {
+            for record in simulation.received_since(settled_at) {
                 reached.extend(record.attempts.iter().map(|attempt| attempt.1));
-                if record.node == 0 {
-                    all += 1;
-                    waiting += u32::from(record.waited());
+                if record.proxy_index == 0 {
+                    received += 1;
+                    queued += u32::from(record.was_queued());
                 }
             }
             assert_eq!(
                 reached.len(),
                 60,
-                "{nodes} nodes leave some backends without a request"
+                "{proxy_count} nodes leave some backends without a request"
             );
         }
         assert!(
-            all > 360 && 20 * waiting < all,
-            "of {nodes} nodes the busiest holds back {waiting} of {all}"
+            received > 360 && 20 * queued < received,
+            "of {proxy_count} nodes the busiest holds back {queued} of {received}"
         );
     }
 }
 
 /// Two classes on one-core backends: one that is idempotent and can wait, and one of more weight
 /// that must never run twice and can't wait.
-fn refunds(nodes: usize, scale: f64) -> Settings {
-    let span = |ms: u64| (scale * (ms * MS) as f64) as Nanos;
-    let check = Class {
-        latency_objective: span(300),
-        client_timeout: span(1_000),
+fn two_class_settings(proxy_count: usize, scale: f64) -> Settings {
+    let scaled = |ms: u64| (scale * (ms * MS) as f64) as Nanos;
+    let idempotent = Class {
+        latency_objective: scaled(300),
+        client_timeout: scaled(1_000),
         priority_weight: 3.0,
         ..Class::default()
     };
-    let effect = Idempotency::NotIdempotent;
-    let payout = Class {
-        latency_objective: span(75),
-        client_timeout: span(150),
+    let idempotency = Idempotency::NotIdempotent;
+    let not_idempotent = Class {
+        latency_objective: scaled(75),
+        client_timeout: scaled(150),
         priority_weight: 8.0,
-        idempotency: effect,
+        idempotency,
         ..Class::default()
     };
     let mut settings = Settings {
-        classes: vec![check, payout],
-        ..settings(nodes)
+        classes: vec![idempotent, not_idempotent],
+        ..settings(proxy_count)
     };
     settings.limits.max_attempts = 6;
     settings.rules.slow_start_duration = 8_700 * MS;
     settings.rules.overload_duration = 3_000 * MS;
-    settings.tick = span(1).max(1_000);
+    settings.tick = scaled(1).max(1_000);
     settings
 }
 
 /// Two nodes on so many backends of one zone, asked for `load` of what these can do, four in ten
 /// for payouts.
-fn two_nodes(backends: u32, seed: u64, scale: f64) -> (Simulation, Vec<Endpoint>) {
-    let backends: Vec<Endpoint> = (0..backends)
+fn two_proxies(backend_count: u32, seed: u64, scale: f64) -> (Simulation, Vec<Endpoint>) {
+    let backends: Vec<Endpoint> = (0..backend_count)
         .map(|id| Endpoint {
             zone: ZoneId(0),
             ..backend(id)
@@ -257,8 +273,9 @@
     let work = [24, 15]
         .map(|ms| (scale * (ms * MS) as f64) as Nanos)
         .to_vec();
-    let mut simulation = Simulation::of(refunds(2, scale), work, 2, &backends, seed);
-    simulation.last_share = 0.41;
+    let mut simulation =
+        Simulation::with_settings(two_class_settings(2, scale), work, 2, &backends, seed);
+    simulation.last_class_share = 0.41;
     (simulation, backends)
 }
 
@@ -267,87 +284,88 @@
     1.0 / (scale * (0.59 * 0.024 + 0.41 * 0.015))
 }
 
-fn first_swallows(id: BackendId, now: Nanos) -> Health {
+fn first_never_answers(id: BackendId, now: Nanos) -> Health {
     if id.0 == 0 && now > START + 3 * SECOND {
-        Health::Swallows
+        Health::NeverAnswers
     } else {
         Health::Works(1.0)
     }
 }
 
 #[test]
-fn a_backend_that_never_answers_costs_few_payouts() {
-    for count in [10, 12, 20] {
+fn backend_that_never_answers_gets_few_non_idempotent_requests() {
+    for backend_count in [10, 12, 20] {
         for seed in 1..4 {
-            let (mut simulation, _) = two_nodes(count, seed, 1.0);
-            simulation.health = first_swallows;
-            simulation.run(13 * SECOND, 0.6 * capacity(1.0) * f64::from(count));
-            let at_it = |record: &&RequestRecord| {
+            let (mut simulation, _) = two_proxies(backend_count, seed, 1.0);
+            simulation.health = first_never_answers;
+            simulation.run(13 * SECOND, 0.6 * capacity(1.0) * f64::from(backend_count));
+            let was_sent_there = |record: &&RequestRecord| {
                 record
                     .attempts
                     .iter()
-                    .any(|a| a.1.0 == 0 && a.0 > START + 3 * SECOND)
+                    .any(|attempt| attempt.1.0 == 0 && attempt.0 > START + 3 * SECOND)
             };
-            let lost = simulation
+            let sent_there = simulation
                 .records
                 .values()
                 .filter(|record| record.class == 1)
-                .filter(at_it)
+                .filter(was_sent_there)
                 .count();
             // Three for each node, in ten seconds; an even share would be a hundred.
             assert!(
-                lost <= 6,
-                "{lost} payouts went to the swallowing one of {count}, seed {seed}"
+                sent_there <= 6,
+                "{sent_there} payouts went to the swallowing one of {backend_count}, seed {seed}"
             );
         }
     }
 }
 
 #[test]
-fn an_overload_at_two_proxies_keeps_no_backend_choked() {
+fn overload_at_two_proxies_leaves_no_backend_with_a_lasting_backlog() {
     for seed in 1..4 {
-        let (mut simulation, backends) = two_nodes(12, seed, 1.0);
+        let (mut simulation, backends) = two_proxies(12, seed, 1.0);
         // The tightest kind turns slow when more than four wait for 1.5 s.
-        simulation.backlog_mark = 5 * 24 * MS;
+        simulation.backlog_threshold = 5 * 24 * MS;
         simulation.run(5 * SECOND, 1.4 * capacity(1.0) * 12.0);
         assert!(
-            simulation.longest_above_mark < 1_500 * MS,
+            simulation.longest_above_threshold < 1_500 * MS,
             "over the mark for {} ms",
-            simulation.longest_above_mark / MS
+            simulation.longest_above_threshold / MS
         );
         // One stops, its clients go over to the other, and it comes back with its last list.
         simulation.stopped = Some(1);
         simulation.run(2 * SECOND, 0.8 * capacity(1.0) * 12.0);
-        let alone = simulation.in_time(START + 6 * SECOND);
+        let in_time_with_one = simulation.fraction_in_time(START + 6 * SECOND);
         simulation.restart(1, &backends);
         simulation.stopped = None;
         simulation.run(4 * SECOND, 0.8 * capacity(1.0) * 12.0);
-        let again = simulation.in_time(START + 8 * SECOND);
+        let in_time_after_restart = simulation.fraction_in_time(START + 8 * SECOND);
         assert!(
-            simulation.longest_above_mark < 1_500 * MS,
+            simulation.longest_above_threshold < 1_500 * MS,
             "over the mark for {} ms",
-            simulation.longest_above_mark / MS
+            simulation.longest_above_threshold / MS
         );
         assert!(
-            alone > 0.85 && again > 0.85,
-            "seed {seed}: {alone:.3} by one, {again:.3} by both again"
+            in_time_with_one > 0.85 && in_time_after_restart > 0.85,
+            "seed {seed}: {in_time_with_one:.3} by one, {in_time_after_restart:.3} by both again"
         );
     }
 }
 
 #[test]
-fn no_request_waits_beside_an_idle_backend_whatever_its_work_takes() {
+fn under_one_percent_of_requests_wait_while_a_backend_is_idle() {
     // Work of 50 us, 5 ms and 1 s in the mean, with objectives and timeouts to match.
-    for mean in [50e-6, 5e-3, 1.0] {
-        let scale = mean / 0.0203;
-        for count in [2, 12, 50] {
-            let (mut simulation, _) = two_nodes(count, 1, scale);
-            let rate = 0.6 * capacity(scale) * f64::from(count);
+    for mean_work_seconds in [50e-6, 5e-3, 1.0] {
+        let scale = mean_work_seconds / 0.0203;
+        for backend_count in [2, 12, 50] {
+            let (mut simulation, _) = two_proxies(backend_count, 1, scale);
+            let rate = 0.6 * capacity(scale) * f64::from(backend_count);
             simulation.run((3_000.0 / rate * 1e9) as Nanos, rate);
-            let waiting = simulation.beside_idle as f64 / simulation.records.len() as f64;
+            let queued_fraction =
+                simulation.queued_despite_idle_backend as f64 / simulation.records.len() as f64;
             assert!(
-                waiting < 0.01,
-                "{waiting:.3} of {} wait, {count} backends, {mean} s",
+                queued_fraction < 0.01,
+                "{queued_fraction:.3} of {} wait, {backend_count} backends, {mean_work_seconds} s",
                 simulation.records.len()
             );
         }
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -13,14 +13,14 @@
 const SECOND: Nanos = 1_000 * MS;
 const START: Nanos = 3_600 * SECOND;
 /// Events of each stream; six streams are played.
-const EVENTS: usize = 36_000;
+const EVENTS_PER_STREAM: usize = 36_000;
 /// Requests a second for each backend, outside of surges.
 const RATE_PER_BACKEND: f64 = 3.0;
 /// In each `SURGE_PERIOD`, requests come so many times as often for the first second.
-const SURGE: f64 = 4.0;
+const SURGE_FACTOR: f64 = 4.0;
 const SURGE_PERIOD: Nanos = 7 * SECOND;
 /// Mean time of an attempt.
-const WORK: f64 = 40.0 * MS as f64;
+const MEAN_LATENCY: f64 = 40.0 * MS as f64;
 
 /// What a stream is played on.
 #[derive(Clone, Copy, Debug)]
@@ -30,17 +30,17 @@
     poll_endpoints: bool,
     /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that
     /// must close at drains.
-    wide: bool,
+    extended: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Scheduled {
     Arrival,
-    ListChange,
+    EndpointChange,
     PollAnswer,
     Timer(TimerId),
     AttemptEnds { request: RequestId, attempt: u8 },
-    ClientLeaves(RequestId),
+    ClientDisconnects(RequestId),
 }
 
 #[derive(Default)]
@@ -51,7 +51,7 @@
 }
 
 struct AttemptState {
-    sent: Nanos,
+    sent_at: Nanos,
     outcome: Outcome,
     in_flight: bool,
 }
@@ -79,27 +79,27 @@
     rng: Xoshiro256PlusPlus,
     now: Nanos,
     timeline: BinaryHeap<Reverse<(Nanos, u64, Scheduled)>>,
-    scheduled: u64,
+    sequence: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
     next_request: u32,
-    list: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     /// Backends that fail most of what they get.
-    failing: u32,
-    events: usize,
+    failing_backend: u32,
+    event_count: usize,
     /// Actions by their numbers.
-    counts: BTreeMap<u64, usize>,
+    action_counts: BTreeMap<u64, usize>,
     hash: Fnv1a,
 }
 
 fn settings(setup: Setup) -> Settings {
-    let keyed = Idempotency::IdempotencyKey {
+    let with_key = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: 2 * SECOND,
     };
-    let class = |objective: Nanos, weight: f64, idempotency| Class {
-        latency_objective: objective * MS,
+    let class = |objective_ms: Nanos, weight: f64, idempotency| Class {
+        latency_objective: objective_ms * MS,
         latency_objective_per_unit_of_work: 0.0,
-        client_timeout: 5 * objective * MS,
+        client_timeout: 5 * objective_ms * MS,
         priority_weight: weight,
         late_priority_weight: 0.3 * weight,
         idempotency,
@@ -108,7 +108,7 @@
     let mut settings = Settings {
         classes: vec![
             class(200, 1.0, Idempotency::Idempotent),
-            class(300, 2.0, keyed),
+            class(300, 2.0, with_key),
             class(150, 4.0, Idempotency::NotIdempotent),
         ],
         tenants: vec![Tenant {
@@ -128,13 +128,13 @@
     settings.rules.overload_multiple = 3.0;
     settings.rules.overload_duration = 2 * SECOND;
     settings.rules.answer_slack = 20 * MS;
-    if setup.wide {
-        widen(&mut settings, setup);
+    if setup.extended {
+        extend_settings(&mut settings, setup);
     }
     settings
 }
 
-fn widen(settings: &mut Settings, setup: Setup) {
+fn extend_settings(settings: &mut Settings, setup: Setup) {
     let quota_per_second =
         RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.proxy_count) / 4.0;
     settings.tenants.push(Tenant { quota_per_second });
@@ -151,7 +151,7 @@
 
 impl Recorder {
     fn new(setup: Setup, seed: u64) -> Recorder {
-        let list = (0..setup.backends)
+        let endpoints = (0..setup.backends)
             .map(|id| backend(setup, id, EndpointState::Ready, None))
             .collect();
         let mut recorder = Recorder {
@@ -160,111 +160,115 @@
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: START,
             timeline: BinaryHeap::new(),
-            scheduled: 0,
+            sequence: 0,
             requests: BTreeMap::new(),
             next_request: 0,
-            list,
-            failing: 0,
-            events: 0,
-            counts: BTreeMap::new(),
+            endpoints,
+            failing_backend: 0,
+            event_count: 0,
+            action_counts: BTreeMap::new(),
             hash: Fnv1a::default(),
         };
-        recorder.update_endpoints(UpdateKind::Full, recorder.list.clone());
+        recorder.update_endpoints(UpdateKind::Full, recorder.endpoints.clone());
         recorder.schedule(START, Scheduled::Arrival);
-        recorder.schedule(START + SECOND, Scheduled::ListChange);
+        recorder.schedule(START + SECOND, Scheduled::EndpointChange);
         recorder
     }
 
-    fn unit(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn exponential(&mut self, mean: f64) -> Nanos {
-        (-(1.0 - self.unit()).ln() * mean) as Nanos
+        (-(1.0 - self.uniform()).ln() * mean) as Nanos
     }
 
     fn schedule(&mut self, at: Nanos, scheduled_event: Scheduled) {
-        self.scheduled += 1;
+        self.sequence += 1;
         self.timeline
-            .push(Reverse((at, self.scheduled, scheduled_event)));
+            .push(Reverse((at, self.sequence, scheduled_event)));
     }
 
     /// Plays the whole stream; gives the hash of all actions, and how many there were of each
     /// number.
-    fn play(mut self) -> (u64, BTreeMap<u64, usize>) {
-        while self.events < EVENTS {
+    fn run(mut self) -> (u64, BTreeMap<u64, usize>) {
+        while self.event_count < EVENTS_PER_STREAM {
             let Reverse((at, _, scheduled_event)) =
                 self.timeline.pop().expect("arrivals never end");
             self.now = self.now.max(at);
             match scheduled_event {
-                Scheduled::Arrival => self.arrive(),
-                Scheduled::ListChange => self.change_list(),
-                Scheduled::PollAnswer => self.update_endpoints(UpdateKind::Full, self.list.clone()),
+                Scheduled::Arrival => self.submit_request(),
+                Scheduled::EndpointChange => self.change_endpoints(),
+                Scheduled::PollAnswer => {
+                    self.update_endpoints(UpdateKind::Full, self.endpoints.clone());
+                }
                 Scheduled::Timer(timer) => self.feed(Event::Timer { timer }),
                 Scheduled::AttemptEnds { request, attempt } => self.end_attempt(request, attempt),
-                Scheduled::ClientLeaves(request) => self.leave(request),
+                Scheduled::ClientDisconnects(request) => self.disconnect_client(request),
             }
         }
-        (self.hash.0, self.counts)
+        (self.hash.0, self.action_counts)
     }
 
-    fn arrive(&mut self) {
-        let surge = if (self.now - START) % SURGE_PERIOD < SECOND {
-            SURGE
+    fn submit_request(&mut self) {
+        let rate_factor = if (self.now - START) % SURGE_PERIOD < SECOND {
+            SURGE_FACTOR
         } else {
             1.0
         };
-        let rate = RATE_PER_BACKEND * f64::from(self.setup.backends) * surge;
-        let gap = self.exponential(SECOND as f64 / rate);
-        self.schedule(self.now + gap, Scheduled::Arrival);
+        let rate = RATE_PER_BACKEND * f64::from(self.setup.backends) * rate_factor;
+        let interval = self.exponential(SECOND as f64 / rate);
+        self.schedule(self.now + interval, Scheduled::Arrival);
         self.next_request += 1;
         let id = RequestId(self.next_request);
-        let class = (self.unit() * 3.0) as u16;
+        let class = (self.uniform() * 3.0) as u16;
         let client_timeout = if class == 2 { 700 * MS } else { 1_200 * MS };
         self.requests.insert(id, PendingRequest::default());
         self.schedule(
             self.now + client_timeout + 20 * MS,
-            Scheduled::ClientLeaves(id),
+            Scheduled::ClientDisconnects(id),
         );
         let mut request = Request {
             id,
             class: ClassId(class),
             client_timeout,
-            client_retry: self.unit() < 0.05,
+            client_retry: self.uniform() < 0.05,
             is_write: class > 0,
             ..Request::default()
         };
-        if self.setup.wide {
-            request.tenant = TenantId((self.unit() * 2.0) as u16);
-            request.work_hint = (self.unit() < 0.5).then_some(20 * MS);
+        if self.setup.extended {
+            request.tenant = TenantId((self.uniform() * 2.0) as u16);
+            request.work_hint = (self.uniform() < 0.5).then_some(20 * MS);
         }
         self.feed(Event::Request(request));
     }
 
     /// A backend drains, is removed, comes back in slow start, or begins to fail.
-    fn change_list(&mut self) {
-        self.schedule(self.now + SECOND / 2, Scheduled::ListChange);
-        let place = (self.unit() * f64::from(self.setup.backends)) as usize;
-        let id = place as u32;
-        let (now, state, draw) = (self.now, self.list[place].state, self.unit());
+    fn change_endpoints(&mut self) {
+        self.schedule(self.now + SECOND / 2, Scheduled::EndpointChange);
+        let index = (self.uniform() * f64::from(self.setup.backends)) as usize;
+        let id = index as u32;
+        let (now, state, random) = (self.now, self.endpoints[index].state, self.uniform());
         let entry = match state {
-            EndpointState::Ready if draw < 0.3 => {
+            EndpointState::Ready if random < 0.3 => {
                 backend(self.setup, id, EndpointState::Draining, None)
             }
-            EndpointState::Ready if draw < 0.5 => {
+            EndpointState::Ready if random < 0.5 => {
                 backend(self.setup, id, EndpointState::Ready, Some(now))
             }
             EndpointState::Ready => {
-                self.failing = id;
+                self.failing_backend = id;
                 return;
             }
             EndpointState::Draining => backend(self.setup, id, EndpointState::Removed, None),
             EndpointState::Removed => backend(self.setup, id, EndpointState::Ready, Some(now)),
         };
-        self.list[place] = entry.clone();
-        match self.unit() {
-            draw if draw < 0.2 => self.feed(Event::DiscoveryFailed),
-            draw if draw < 0.4 => self.update_endpoints(UpdateKind::Full, self.list.clone()),
+        self.endpoints[index] = entry.clone();
+        match self.uniform() {
+            random if random < 0.2 => self.feed(Event::DiscoveryFailed),
+            random if random < 0.4 => {
+                self.update_endpoints(UpdateKind::Full, self.endpoints.clone());
+            }
             _ => self.update_endpoints(UpdateKind::Delta, vec![entry]),
         }
     }
@@ -284,8 +288,8 @@
         if !std::mem::replace(&mut state.in_flight, false) {
             return;
         }
-        let (outcome, latency) = (state.outcome, self.now - state.sent);
-        if self.setup.wide && outcome == Outcome::Reset && !request.finished {
+        let (outcome, latency) = (state.outcome, self.now - state.sent_at);
+        if self.setup.extended && outcome == Outcome::Reset && !request.finished {
             let request = id;
             self.feed(Event::FirstByte { request, attempt });
         }
@@ -304,18 +308,18 @@
         });
     }
 
-    fn leave(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    fn disconnect_client(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        if !std::mem::replace(&mut request.finished, true) {
+        if !std::mem::replace(&mut pending.finished, true) {
             self.feed(Event::ClientDisconnected { request: id });
         }
     }
 
     /// Tells the module, hashes what it decides, and does it.
     fn feed(&mut self, event: Event) {
-        self.events += 1;
+        self.event_count += 1;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
@@ -331,7 +335,7 @@
         for field in &fields {
             self.hash.write(&field.to_le_bytes());
         }
-        *self.counts.entry(fields[0]).or_default() += 1;
+        *self.action_counts.entry(fields[0]).or_default() += 1;
     }
 
     fn execute(&mut self, action: &Action) {
@@ -340,15 +344,15 @@
                 request, backend, ..
             } => self.send(request, backend),
             Action::Reject { request, .. } | Action::Fail { request } => {
-                if let Some(open) = self.requests.get_mut(&request) {
-                    open.finished = true;
+                if let Some(pending) = self.requests.get_mut(&request) {
+                    pending.finished = true;
                 }
             }
             Action::CancelAttempt { request, attempt } => {
                 if let Some(state) = self
                     .requests
                     .get_mut(&request)
-                    .and_then(|open| open.attempts.get_mut(attempt as usize))
+                    .and_then(|pending| pending.attempts.get_mut(attempt as usize))
                 {
                     state.outcome = Outcome::Cancelled;
                     self.schedule(self.now, Scheduled::AttemptEnds { request, attempt });
@@ -366,11 +370,15 @@
     }
 
     fn send(&mut self, request: RequestId, backend: BackendId) {
-        let slow = 1.0 + f64::from(backend.0 % 4);
-        let mut latency = self.exponential(WORK * slow);
-        let fails = if backend.0 == self.failing { 0.7 } else { 0.03 };
-        let outcome = if self.unit() < fails {
-            let kinds = [
+        let slowdown = 1.0 + f64::from(backend.0 % 4);
+        let mut latency = self.exponential(MEAN_LATENCY * slowdown);
+        let failure_probability = if backend.0 == self.failing_backend {
+            0.7
+        } else {
+            0.03
+        };
+        let outcome = if self.uniform() < failure_probability {
+            let failures = [
                 Outcome::Error,
                 Outcome::Overloaded,
                 Outcome::Timeout,
@@ -378,19 +386,19 @@
                 Outcome::Reset,
                 Outcome::BadRequest,
             ];
-            kinds[(self.unit() * kinds.len() as f64) as usize]
+            failures[(self.uniform() * failures.len() as f64) as usize]
         } else {
             Outcome::Success
         };
         if outcome == Outcome::Timeout {
             latency = 2 * SECOND;
         }
-        let Some(open) = self.requests.get_mut(&request) else {
+        let Some(pending) = self.requests.get_mut(&request) else {
             return;
         };
-        let attempt = open.attempts.len() as u8;
-        open.attempts.push(AttemptState {
-            sent: self.now,
+        let attempt = pending.attempts.len() as u8;
+        pending.attempts.push(AttemptState {
+            sent_at: self.now,
             outcome,
             in_flight: true,
         });
@@ -401,8 +409,14 @@
     }
 }
 
-fn backend(setup: Setup, id: u32, state: EndpointState, started: Option<Nanos>) -> Endpoint {
-    let label = |count: u32| if setup.wide { (id % count) as u16 } else { 0 };
+fn backend(setup: Setup, id: u32, state: EndpointState, started_at: Option<Nanos>) -> Endpoint {
+    let label = |count: u32| {
+        if setup.extended {
+            (id % count) as u16
+        } else {
+            0
+        }
+    };
     Endpoint {
         id: BackendId(id),
         hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -411,7 +425,7 @@
         kind: KindId(label(2)),
         state,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
@@ -423,19 +437,19 @@
                 backends,
                 proxy_count,
                 poll_endpoints,
-                wide: false,
+                extended: false,
             })
         })
 }
 
-fn wide_setups() -> impl Iterator<Item = Setup> {
+fn extended_setups() -> impl Iterator<Item = Setup> {
     [(10, 2, true), (60, 12, false), (200, 300, true)]
         .into_iter()
         .map(|(backends, proxy_count, poll_endpoints)| Setup {
             backends,
             proxy_count,
             poll_endpoints,
-            wide: true,
+            extended: true,
         })
 }
 
@@ -458,9 +472,14 @@
         Action::StartAttempt {
             request,
             backend,
-            abandon_at: until,
+            abandon_at,
         } => {
-            vec![START_ATTEMPT, request.0.into(), backend.0.into(), *until]
+            vec![
+                START_ATTEMPT,
+                request.0.into(),
+                backend.0.into(),
+                *abandon_at,
+            ]
         }
         Action::Reject {
             request,
@@ -478,7 +497,7 @@
             let bytes = bytes.iter().copied().map(u64::from);
             [GOSSIP, to].into_iter().chain(bytes).collect()
         }
-        Action::WatchEndpoints(on) => vec![WATCH_ENDPOINTS, (*on).into()],
+        Action::WatchEndpoints(watch) => vec![WATCH_ENDPOINTS, (*watch).into()],
         Action::PollEndpoints => vec![POLL_ENDPOINTS],
         Action::Log(_) => vec![LOG],
     }
@@ -488,15 +507,15 @@
 fn all_decisions_are_as_recorded() {
     let mut hashes = Vec::new();
     let mut counts = BTreeMap::<u64, usize>::new();
-    for (place, setup) in setups().enumerate() {
-        let (hash, counted) = Recorder::new(setup, place as u64 + 1).play();
+    for (index, setup) in setups().enumerate() {
+        let (hash, stream_counts) = Recorder::new(setup, index as u64 + 1).run();
         hashes.push(hash);
-        for (number, count) in counted {
-            *counts.entry(number).or_default() += count;
+        for (code, count) in stream_counts {
+            *counts.entry(code).or_default() += count;
         }
     }
     // A stream in which something is never decided says nothing of it.
-    for (number, least) in [
+    for (code, minimum) in [
         (START_ATTEMPT, 30_000),
         (REJECT, 500),
         (FAIL, 500),
@@ -505,42 +524,47 @@
         (LOG, 100),
     ] {
         assert!(
-            counts.get(&number).is_some_and(|count| *count >= least),
-            "action {number}: {counts:?}"
+            counts.get(&code).is_some_and(|count| *count >= minimum),
+            "action {code}: {counts:?}"
         );
     }
-    assert_eq!(hashes, RECORDED, "of {:?}", setups().collect::<Vec<_>>());
+    assert_eq!(
+        hashes,
+        RECORDED_HASHES,
+        "of {:?}",
+        setups().collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn all_decisions_are_as_recorded_with_zones_quotas_and_streams() {
-    let hashes: Vec<u64> = wide_setups()
+    let hashes: Vec<u64> = extended_setups()
         .enumerate()
-        .map(|(place, setup)| Recorder::new(setup, place as u64 + 11).play().0)
+        .map(|(index, setup)| Recorder::new(setup, index as u64 + 11).run().0)
         .collect();
     assert_eq!(
         hashes,
-        RECORDED_WIDE,
+        RECORDED_EXTENDED_HASHES,
         "of {:?}",
-        wide_setups().collect::<Vec<_>>()
+        extended_setups().collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn a_stream_is_the_same_each_time_and_another_seed_is_another_one() {
+fn equal_seeds_give_equal_hashes_and_other_seeds_do_not() {
     let setup = Setup {
         backends: 3,
         proxy_count: 2,
         poll_endpoints: true,
-        wide: false,
+        extended: false,
     };
-    let play = |seed| Recorder::new(setup, seed).play().0;
-    assert_eq!(play(7), play(7));
-    assert_ne!(play(7), play(8));
+    let stream_hash = |seed| Recorder::new(setup, seed).run().0;
+    assert_eq!(stream_hash(7), stream_hash(7));
+    assert_ne!(stream_hash(7), stream_hash(8));
 }
 
 /// What the streams of `setups` hash to.
-const RECORDED: [u64; 6] = [
+const RECORDED_HASHES: [u64; 6] = [
     12_786_921_807_614_902_306,
     7_379_061_564_831_453_002,
     12_684_950_265_294_078_953,
@@ -550,7 +574,7 @@
 ];
 
 /// What the streams of `wide_setups` hash to.
-const RECORDED_WIDE: [u64; 3] = [
+const RECORDED_EXTENDED_HASHES: [u64; 3] = [
     3_573_954_004_103_346_401,
     427_959_500_892_172_197,
     12_175_326_164_420_875_243,
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -9,21 +9,21 @@
 use simulation::*;
 
 /// Nodes of the fleet of which one is played.
-const PROXIES: u32 = 300;
+const PROXY_COUNT: u32 = 300;
 /// Requests a second of the node.
 const RATE: f64 = 40.0;
 
-fn one_of_many(backends: &[Endpoint], seed: u64) -> Simulation {
+fn one_proxy_of_many(backends: &[Endpoint], seed: u64) -> Simulation {
     let settings = Settings {
-        proxy_count: PROXIES,
+        proxy_count: PROXY_COUNT,
         ..settings(1)
     };
-    Simulation::of(settings, vec![WORK], 1, backends, seed)
+    Simulation::with_settings(settings, vec![WORK], 1, backends, seed)
 }
 
 /// Processor time of this thread, by the kernel's scheduler: what else runs on the machine does not
 /// count.
-fn thread_time() -> Duration {
+fn thread_cpu_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
     let nanoseconds = stat
         .split_whitespace()
@@ -33,56 +33,62 @@
 }
 
 /// What 10 s of traffic with a change of the list each second cost, once the node has its list.
-fn cost(count: u32) -> Duration {
-    let backends: Vec<Endpoint> = (0..count).map(backend).collect();
-    let mut simulation = one_of_many(&backends, 1);
+fn cpu_time(backend_count: u32) -> Duration {
+    let backends: Vec<Endpoint> = (0..backend_count).map(backend).collect();
+    let mut simulation = one_proxy_of_many(&backends, 1);
     simulation.run(2 * SECOND, RATE);
-    let before = thread_time();
+    let cpu_time_before = thread_cpu_time();
     for second in 0..10 {
         simulation.run(SECOND, RATE);
         let state = EndpointState::Draining;
-        let leaving = Endpoint {
+        let draining = Endpoint {
             state,
             ..backends[second * 7].clone()
         };
-        simulation.update_endpoints(UpdateKind::Delta, &[leaving]);
+        simulation.update_endpoints(UpdateKind::Delta, &[draining]);
     }
-    assert!(simulation.in_time(START) > 0.9);
-    thread_time().checked_sub(before).unwrap()
+    assert!(simulation.fraction_in_time(START) > 0.9);
+    thread_cpu_time().checked_sub(cpu_time_before).unwrap()
 }
 
 #[test]
-fn the_cost_of_decisions_does_not_follow_the_length_of_the_list() {
-    let least = |count| (0..4).map(|_| cost(count)).min().expect("some plays");
-    let (usual, longest) = (least(200), least(3_200));
+fn cpu_time_less_than_triples_with_sixteen_times_the_backends() {
+    let min_cpu_time = |backend_count| {
+        (0..4)
+            .map(|_| cpu_time(backend_count))
+            .min()
+            .expect("some plays")
+    };
+    let (short_list, long_list) = (min_cpu_time(200), min_cpu_time(3_200));
     // Sixteen times the backends. The acceptance allows 1.4 times for the node as a whole (make
     // scale), of which the decisions are a small part; the walk of the whole list took eleven
     // times.
     assert!(
-        longest < 3 * usual,
-        "{usual:?} with 200 backends, {longest:?} with 3,200"
+        long_list < 3 * short_list,
+        "{short_list:?} with 200 backends, {long_list:?} with 3,200"
     );
 }
 
 /// Strengths of four groups of backends, by number.
-const STRENGTHS: [f64; 4] = [1.0, 0.8, 0.5, 0.3];
+const GROUP_CAPACITIES: [f64; 4] = [1.0, 0.8, 0.5, 0.3];
 
-fn by_group(id: BackendId, _: Nanos) -> Health {
-    Health::Works(STRENGTHS[id.0 as usize % 4])
+fn group_health(id: BackendId, _: Nanos) -> Health {
+    Health::Works(GROUP_CAPACITIES[id.0 as usize % 4])
 }
 
 /// Share of the first attempts that each group of strength gets from one node of so many, over some
 /// seeds.
-fn shares_of_groups(proxy_count: u32, backends: u32, rate: f64) -> [f64; 4] {
+fn first_attempt_shares(proxy_count: u32, backend_count: u32, rate: f64) -> [f64; 4] {
     let mut sent = [0usize; 4];
     for seed in 0..48 {
-        let list: Vec<Endpoint> = (0..backends).map(backend).collect();
+        let backends: Vec<Endpoint> = (0..backend_count).map(backend).collect();
         let settings = Settings {
             proxy_count,
             ..settings(1)
         };
-        let mut simulation = Simulation::of(settings, vec![WORK], 1, &list, seed * 1_000 + 1);
-        simulation.health = by_group;
+        let mut simulation =
+            Simulation::with_settings(settings, vec![WORK], 1, &backends, seed * 1_000 + 1);
+        simulation.health = group_health;
         simulation.run(20 * SECOND, rate);
         for record in simulation.records.values() {
             if let Some((_, id, _)) = record.attempts.first() {
@@ -90,27 +96,27 @@
             }
         }
     }
-    let all: usize = sent.iter().sum();
-    sent.map(|count| count as f64 / all as f64)
+    let total: usize = sent.iter().sum();
+    sent.map(|count| count as f64 / total as f64)
 }
 
 #[test]
-fn picks_are_spread_as_by_the_full_scan() {
+fn picks_are_distributed_as_by_a_full_scan() {
     // Measured on the code that walked the whole list for each pick: means of 48 plays, standard
     // errors up to 0.013.
-    for (proxy_count, backends, rate, wanted) in [
+    for (proxy_count, backend_count, rate, expected) in [
         (2, 10, 60.0, [0.773, 0.101, 0.109, 0.017]),
         (10, 60, 60.0, [0.815, 0.040, 0.135, 0.009]),
         (300, 200, 40.0, [0.598, 0.225, 0.140, 0.037]),
         (300, 400, 40.0, [0.649, 0.199, 0.121, 0.031]),
         (300, 3_200, 40.0, [0.842, 0.010, 0.143, 0.005]),
     ] {
-        let found = shares_of_groups(proxy_count, backends, rate);
-        for (share, wanted_share) in found.iter().zip(wanted) {
-            let distance = (share - wanted_share).abs();
+        let actual = first_attempt_shares(proxy_count, backend_count, rate);
+        for (share, expected_share) in actual.iter().zip(expected) {
+            let deviation = (share - expected_share).abs();
             assert!(
-                distance < 0.05,
-                "{proxy_count} nodes, {backends}: {found:?}, wanted {wanted:?}"
+                deviation < 0.05,
+                "{proxy_count} nodes, {backend_count}: {actual:?}, wanted {expected:?}"
             );
         }
     }
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -19,17 +19,17 @@
 /// Mean work of a request on a backend at full strength.
 pub const WORK: Nanos = 40 * MS;
 /// Attempts that a backend holds before it rejects others.
-pub const QUEUE: Nanos = 15;
+pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scheduled {
     Arrival,
     Timer {
-        node: usize,
+        proxy_index: usize,
         timer: TimerId,
     },
     AttemptEnds {
-        node: usize,
+        proxy_index: usize,
         request: u32,
         attempt: usize,
         outcome: u8,
@@ -42,9 +42,9 @@
     /// Its capacity as a fraction, 1 when warm.
     Works(f64),
     /// It rejects all at once, as one that drains does.
-    Leaving,
+    Draining,
     /// It takes all and answers none.
-    Swallows,
+    NeverAnswers,
 }
 
 pub const OUTCOMES: [Outcome; 4] = [
@@ -58,16 +58,16 @@
 /// still in flight.
 #[derive(Clone)]
 pub struct RequestRecord {
-    pub node: usize,
+    pub proxy_index: usize,
     pub class: usize,
     pub received_at: Nanos,
-    pub served: Option<Nanos>,
+    pub served_at: Option<Nanos>,
     pub attempts: Vec<(Nanos, BackendId, bool)>,
 }
 
 impl RequestRecord {
     /// It was not started at once.
-    pub fn waited(&self) -> bool {
+    pub fn was_queued(&self) -> bool {
         self.attempts
             .first()
             .is_none_or(|first| first.0 > self.received_at)
@@ -75,17 +75,17 @@
 }
 
 pub struct Simulation {
-    pub nodes: Vec<Balancer>,
+    pub proxies: Vec<Balancer>,
     pub settings: Settings,
     /// Mean work of each class, and the share of the last class.
     pub work: Vec<Nanos>,
-    pub last_share: f64,
+    pub last_class_share: f64,
     /// Backlog of which a backend's time above is counted: since when, until when, and the longest.
-    pub backlog_mark: Nanos,
-    pub above_mark: BTreeMap<BackendId, (Nanos, Nanos)>,
-    pub longest_above_mark: Nanos,
+    pub backlog_threshold: Nanos,
+    pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
+    pub longest_above_threshold: Nanos,
     /// Requests that were not started at once though some backend had nothing to do.
-    pub beside_idle: usize,
+    pub queued_despite_idle_backend: usize,
     /// A proxy that is stopped.
     pub stopped: Option<usize>,
     /// For each backend: when it has worked off what it holds.
@@ -100,23 +100,23 @@
     pub records: BTreeMap<u32, RequestRecord>,
 }
 
-pub fn settings(nodes: usize) -> Settings {
-    let effect = Idempotency::IdempotencyKey {
+pub fn settings(proxy_count: usize) -> Settings {
+    let idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: 3 * SECOND,
     };
-    let (objective, deadline) = (300 * MS, 1_670 * MS);
+    let (latency_objective, client_timeout) = (300 * MS, 1_670 * MS);
     let class = Class {
-        latency_objective: objective,
-        client_timeout: deadline,
+        latency_objective,
+        client_timeout,
         priority_weight: 1.0,
         late_priority_weight: 0.3,
-        idempotency: effect,
+        idempotency,
         ..Class::default()
     };
     let mut settings = Settings {
         classes: vec![class],
-        proxy_count: nodes as u32,
+        proxy_count: proxy_count as u32,
         poll_endpoints: true,
         ..Settings::default()
     };
@@ -133,13 +133,13 @@
 pub fn backend(id: u32) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u16), CellId((id % 6) as u16));
     // Marks tell nothing of place or age, as the node's hash of a uid does not.
-    let (id, mark) = (
+    let (id, hash) = (
         BackendId(id),
         u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
     );
     Endpoint {
         id,
-        hash: mark,
+        hash,
         zone,
         cell,
         state: EndpointState::Ready,
@@ -149,42 +149,48 @@
 }
 
 impl Simulation {
-    pub fn new(nodes: usize, backends: &[Endpoint]) -> Simulation {
-        Simulation::seeded(nodes, backends, 1)
+    pub fn new(proxy_count: usize, backends: &[Endpoint]) -> Simulation {
+        Simulation::with_seed(proxy_count, backends, 1)
     }
 
-    pub fn seeded(nodes: usize, backends: &[Endpoint], seed: u64) -> Simulation {
-        Simulation::of(settings(nodes), vec![WORK], nodes, backends, seed)
+    pub fn with_seed(proxy_count: usize, backends: &[Endpoint], seed: u64) -> Simulation {
+        Simulation::with_settings(
+            settings(proxy_count),
+            vec![WORK],
+            proxy_count,
+            backends,
+            seed,
+        )
     }
 
-    pub fn of(
+    pub fn with_settings(
         settings: Settings,
         work: Vec<Nanos>,
-        nodes: usize,
+        proxy_count: usize,
         backends: &[Endpoint],
         seed: u64,
     ) -> Simulation {
-        let zone = |node: usize| ZoneId((node % 2) as u16);
-        let balancer = |node| {
+        let zone = |proxy_index: usize| ZoneId((proxy_index % 2) as u16);
+        let balancer = |proxy_index| {
             let settings = Settings {
-                zone: zone(node),
-                proxy_index: node as u32,
+                zone: zone(proxy_index),
+                proxy_index: proxy_index as u32,
                 ..settings.clone()
             };
-            Balancer::new(settings, seed + node as u64, START).expect("sound settings")
+            Balancer::new(settings, seed + proxy_index as u64, START).expect("sound settings")
         };
-        let proxies = (0..nodes).map(balancer).collect();
+        let proxies = (0..proxy_count).map(balancer).collect();
         let mut simulation = Simulation {
-            nodes: proxies,
+            proxies,
             settings,
             work,
-            last_share: 0.0,
-            backlog_mark: Nanos::MAX,
-            above_mark: BTreeMap::new(),
-            longest_above_mark: 0,
-            beside_idle: 0,
+            last_class_share: 0.0,
+            backlog_threshold: Nanos::MAX,
+            above_threshold: BTreeMap::new(),
+            longest_above_threshold: 0,
+            queued_despite_idle_backend: 0,
             stopped: None,
-            free_at: backends.iter().map(|b| (b.id, START)).collect(),
+            free_at: backends.iter().map(|backend| (backend.id, START)).collect(),
             health: |_, _| Health::Works(1.0),
             now: START,
             schedule: BinaryHeap::new(),
@@ -199,9 +205,9 @@
 
     /// Tells every node.
     pub fn update_endpoints(&mut self, kind: UpdateKind, backends: &[Endpoint]) {
-        for node in 0..self.nodes.len() {
+        for proxy_index in 0..self.proxies.len() {
             self.handle(
-                node,
+                proxy_index,
                 Event::EndpointUpdate {
                     kind,
                     endpoints: backends.to_vec(),
@@ -210,38 +216,38 @@
         }
     }
 
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     pub fn exponential(&mut self, mean: f64) -> Nanos {
-        (-mean * (1.0 - self.unit()).ln()) as Nanos
+        (-mean * (1.0 - self.uniform()).ln()) as Nanos
     }
 
-    pub fn schedule_at(&mut self, at: Nanos, what: Scheduled) {
+    pub fn schedule_at(&mut self, at: Nanos, scheduled: Scheduled) {
         self.sequence += 1;
-        self.schedule.push(Reverse((at, self.sequence, what)));
+        self.schedule.push(Reverse((at, self.sequence, scheduled)));
     }
 
-    pub fn handle(&mut self, node: usize, event: Event) {
+    pub fn handle(&mut self, proxy_index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.nodes[node].handle(self.now, event, &mut actions);
+        self.proxies[proxy_index].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::SetTimer { at, timer } => {
-                    self.schedule_at(at, Scheduled::Timer { node, timer });
+                    self.schedule_at(at, Scheduled::Timer { proxy_index, timer });
                 }
                 Action::StartAttempt {
                     request,
                     backend,
-                    abandon_at: until,
-                } => self.send(node, request.0, backend, until),
+                    abandon_at,
+                } => self.send(proxy_index, request.0, backend, abandon_at),
                 Action::CancelAttempt { request, attempt } => {
                     let attempt = usize::from(attempt);
                     self.schedule_at(
                         self.now,
                         Scheduled::AttemptEnds {
-                            node,
+                            proxy_index,
                             request: request.0,
                             attempt,
                             outcome: 3,
@@ -253,43 +259,51 @@
         }
     }
 
-    pub fn send(&mut self, node: usize, request: u32, backend: BackendId, until: Nanos) {
+    pub fn send(
+        &mut self,
+        proxy_index: usize,
+        request: u32,
+        backend: BackendId,
+        abandon_at: Nanos,
+    ) {
         let class = self.records[&request].class;
         let work = self.exponential(self.work[class] as f64);
-        let queue = QUEUE * self.work.iter().max().expect("a class");
+        let max_backlog = MAX_QUEUE_LENGTH * self.work.iter().max().expect("a class");
         let now = self.now;
         let record = self.records.get_mut(&request).expect("asked");
         let attempt = record.attempts.len();
         record.attempts.push((now, backend, true));
         let free_at = self.free_at.get_mut(&backend).expect("listed");
         let (at, outcome) = match (self.health)(backend, now) {
-            Health::Works(strength) if *free_at <= now + queue => {
-                *free_at = (*free_at).max(now) + (work as f64 / strength) as Nanos;
-                if *free_at > now.saturating_add(self.backlog_mark) {
+            Health::Works(capacity) if *free_at <= now + max_backlog => {
+                *free_at = (*free_at).max(now) + (work as f64 / capacity) as Nanos;
+                if *free_at > now.saturating_add(self.backlog_threshold) {
                     // It falls under the mark when it has worked off what is above.
-                    let (since, end) = self
-                        .above_mark
+                    let (period_start, period_end) = self
+                        .above_threshold
                         .get(&backend)
                         .copied()
-                        .filter(|a| a.1 >= now)
+                        .filter(|period| period.1 >= now)
                         .unwrap_or((now, 0));
-                    let end = end.max(*free_at - self.backlog_mark);
-                    self.above_mark.insert(backend, (since, end));
-                    self.longest_above_mark = self.longest_above_mark.max(end - since);
+                    let period_end = period_end.max(*free_at - self.backlog_threshold);
+                    self.above_threshold
+                        .insert(backend, (period_start, period_end));
+                    self.longest_above_threshold =
+                        self.longest_above_threshold.max(period_end - period_start);
                 }
-                if *free_at < until {
+                if *free_at < abandon_at {
                     (*free_at, 0)
                 } else {
-                    (until, 2)
+                    (abandon_at, 2)
                 }
             }
-            Health::Swallows => (until, 2),
+            Health::NeverAnswers => (abandon_at, 2),
             _ => (now + MS, 1),
         };
         self.schedule_at(
             at,
             Scheduled::AttemptEnds {
-                node,
+                proxy_index,
                 request,
                 attempt,
                 outcome,
@@ -297,89 +311,109 @@
         );
     }
 
-    pub fn end(&mut self, node: usize, request: u32, attempt: usize, outcome: Outcome) {
+    pub fn end_attempt(
+        &mut self,
+        proxy_index: usize,
+        request: u32,
+        attempt: usize,
+        outcome: Outcome,
+    ) {
         let now = self.now;
         let record = self.records.get_mut(&request).expect("asked");
-        let (sent, _, out) = &mut record.attempts[attempt];
-        if !std::mem::replace(out, false) {
+        let (sent_at, _, in_flight) = &mut record.attempts[attempt];
+        if !std::mem::replace(in_flight, false) {
             return;
         }
-        let latency = now - *sent;
+        let latency = now - *sent_at;
         let finished = outcome == Outcome::Success;
-        record.served = finished.then_some(now);
-        let (request, attempt, load) = (RequestId(request), attempt as u8, Vec::new());
+        record.served_at = finished.then_some(now);
+        let (request, attempt, load_report) = (RequestId(request), attempt as u8, Vec::new());
         self.handle(
-            node,
+            proxy_index,
             Event::AttemptEnded {
                 request,
                 attempt,
                 latency,
                 outcome,
                 finished,
-                load_report: load,
+                load_report,
             },
         );
     }
 
     /// Goes on for `span`, with Poisson arrivals of `rate` requests a second over the fleet.
-    pub fn run(&mut self, span: Nanos, rate: f64) {
-        let end = self.now + span;
-        let gap = SECOND as f64 / rate;
-        let first = self.now + self.exponential(gap);
-        self.schedule_at(first, Scheduled::Arrival);
-        while let Some(Reverse((at, ..))) =
-            self.schedule.peek().copied().filter(|next| next.0.0 <= end)
+    pub fn run(&mut self, duration: Nanos, rate: f64) {
+        let end = self.now + duration;
+        let mean_interval = SECOND as f64 / rate;
+        let first_arrival = self.now + self.exponential(mean_interval);
+        self.schedule_at(first_arrival, Scheduled::Arrival);
+        while let Some(Reverse((at, ..))) = self
+            .schedule
+            .peek()
+            .copied()
+            .filter(|entry| entry.0.0 <= end)
         {
-            let Some(Reverse((.., what))) = self.schedule.pop() else {
+            let Some(Reverse((.., scheduled))) = self.schedule.pop() else {
                 return;
             };
             self.now = self.now.max(at);
-            match what {
+            match scheduled {
                 Scheduled::Arrival => {
-                    let next = self.now + self.exponential(gap);
-                    if next < end {
-                        self.schedule_at(next, Scheduled::Arrival);
+                    let next_arrival = self.now + self.exponential(mean_interval);
+                    if next_arrival < end {
+                        self.schedule_at(next_arrival, Scheduled::Arrival);
                     }
-                    self.submit_one();
+                    self.submit_request();
+                }
+                Scheduled::Timer { proxy_index, timer } => {
+                    self.handle(proxy_index, Event::Timer { timer });
                 }
-                Scheduled::Timer { node, timer } => self.handle(node, Event::Timer { timer }),
                 Scheduled::AttemptEnds {
-                    node,
+                    proxy_index,
                     request,
                     attempt,
                     outcome,
                 } => {
-                    self.end(node, request, attempt, OUTCOMES[usize::from(outcome)]);
+                    self.end_attempt(
+                        proxy_index,
+                        request,
+                        attempt,
+                        OUTCOMES[usize::from(outcome)],
+                    );
                 }
             }
         }
         self.now = end;
     }
 
-    pub fn submit_one(&mut self) {
-        let ticket = self.rng.next_u64() % (self.nodes.len() as u64 + self.extra_load);
-        let node = ticket.saturating_sub(self.extra_load) as usize;
+    pub fn submit_request(&mut self) {
+        let draw = self.rng.next_u64() % (self.proxies.len() as u64 + self.extra_load);
+        let proxy_index = draw.saturating_sub(self.extra_load) as usize;
         // The front has clients of a node that is down go to the next one.
-        let node = if self.stopped == Some(node) {
-            (node + 1) % self.nodes.len()
+        let proxy_index = if self.stopped == Some(proxy_index) {
+            (proxy_index + 1) % self.proxies.len()
+        } else {
+            proxy_index
+        };
+        let is_last_class = self.last_class_share > 0.0 && self.uniform() < self.last_class_share;
+        let class = if is_last_class {
+            self.work.len() - 1
         } else {
-            node
+            0
         };
-        let last = self.last_share > 0.0 && self.unit() < self.last_share;
-        let class = if last { self.work.len() - 1 } else { 0 };
         let id = self.records.len() as u32;
-        let deadline = self.settings.classes[class].client_timeout;
+        let class_timeout = self.settings.classes[class].client_timeout;
         self.records.insert(
             id,
             RequestRecord {
-                node,
+                proxy_index,
                 class,
                 received_at: self.now,
-                served: None,
+                served_at: None,
                 attempts: Vec::new(),
             },
         );
-        let (class, client_timeout) = (ClassId(class as u16), deadline / 167 * 160);
+        let (class, client_timeout) = (ClassId(class as u16), class_timeout / 167 * 160);
         let request = Request {
             id: RequestId(id),
             class,
@@ -387,22 +421,23 @@
             is_write: true,
             ..Request::default()
         };
-        self.handle(node, Event::Request(request));
-        let idle = |at: &Nanos| *at <= self.now;
-        self.beside_idle +=
-            usize::from(self.records[&id].attempts.is_empty() && self.free_at.values().any(idle));
+        self.handle(proxy_index, Event::Request(request));
+        let is_idle = |free_at: &Nanos| *free_at <= self.now;
+        self.queued_despite_idle_backend += usize::from(
+            self.records[&id].attempts.is_empty() && self.free_at.values().any(is_idle),
+        );
     }
 
     /// A node starts anew, with nothing but this list.
-    pub fn restart(&mut self, node: usize, backends: &[Endpoint]) {
+    pub fn restart(&mut self, proxy_index: usize, backends: &[Endpoint]) {
         let settings = Settings {
-            proxy_index: node as u32,
+            proxy_index: proxy_index as u32,
             ..self.settings.clone()
         };
-        self.nodes[node] =
-            Balancer::new(settings, 77 + node as u64, self.now).expect("sound settings");
+        self.proxies[proxy_index] =
+            Balancer::new(settings, 77 + proxy_index as u64, self.now).expect("sound settings");
         self.handle(
-            node,
+            proxy_index,
             Event::EndpointUpdate {
                 kind: UpdateKind::Cached,
                 endpoints: backends.to_vec(),
@@ -418,15 +453,15 @@
     }
 
     /// Fraction of those received from `from` on that were served within the objective.
-    pub fn in_time(&self, from: Nanos) -> f64 {
-        let objective =
+    pub fn fraction_in_time(&self, from: Nanos) -> f64 {
+        let latency_objective =
             |record: &RequestRecord| self.settings.classes[record.class].latency_objective;
-        let timely = |record: &&RequestRecord| {
+        let is_in_time = |record: &&RequestRecord| {
             record
-                .served
-                .is_some_and(|at| at <= record.received_at + objective(record))
+                .served_at
+                .is_some_and(|at| at <= record.received_at + latency_objective(record))
         };
-        self.received_since(from).filter(timely).count() as f64
+        self.received_since(from).filter(is_in_time).count() as f64
             / self.received_since(from).count() as f64
     }
 }
