--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -1,4 +1,4 @@
-//! Which request is admitted first.
+//! Tests of the order in which queued requests are admitted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,8 +6,8 @@
 
 use crate::support::*;
 
-/// One proxy of three hundred, with a class that can wait and one of more weight that can't, on
-/// twenty backends.
+/// One of 300 proxies in front of twenty backends. Class 0 has a long latency objective and a low
+/// weight, class 1 a short latency objective and a high weight.
 fn harness_of_one_in_300_proxies() -> Harness {
     let long_objective = Class {
         latency_objective: 300 * MS,
@@ -34,9 +34,12 @@
     )
 }
 
-/// Asks at the times given, by class, and answers each attempt after what `takes` says of class,
-/// backend and time since the start; gives the wait of each request before its first attempt, if it
-/// had one.
+/// Runs 10 s in steps of 5 ms. `submissions` has the class of each request by its time since
+/// `START`; each first attempt succeeds after `service_time`, which depends on the class, the
+/// backend and the time since `START` at which the attempt was sent.
+///
+/// Returns, for each request, its class, its wait until the first attempt, and the backend of that
+/// attempt. A request without an attempt has no wait and backend 0.
 fn run_submissions(
     harness: &mut Harness,
     submissions: &BTreeMap<Nanos, u16>,
@@ -84,7 +87,8 @@
 
 #[test]
 fn low_weight_requests_leave_the_reserved_tokens_to_high_weight_ones() {
-    // Forty a second that can wait, more than the answers let through, and five that can't.
+    // Each second, 40 requests of low weight, more than the admission rate permits, and five of
+    // high weight.
     let low_weight = (0..400).map(|n| (n * 25 * MS, 0));
     let high_weight = (0..50).map(|n| (n * 197 * MS + MS, 1));
     let records = run_submissions(
@@ -104,19 +108,20 @@
         .count();
     assert!(
         started(0) < 300,
-        "the admission rate binds: {} of 400 that can wait",
+        "the admission rate must hold back low-weight requests: {} of 400 were started",
         started(0)
     );
     assert!(
         started_at_once >= 45,
-        "{started_at_once} of 50 that can't wait start at once, {} at all",
+        "{started_at_once} of 50 high-weight requests were started at once, {} in total",
         started(1)
     );
 }
 
 #[test]
 fn high_weight_requests_go_to_idle_backends_that_were_just_fast() {
-    // Each backend is held up for a second in two, by others, each at a time of its own.
+    // Load from elsewhere slows down each backend for 1 s in every 2 s; the backends are in four
+    // different phases.
     let is_slow =
         |backend_id: BackendId, at: Nanos| (at / (500 * MS) + u64::from(backend_id.0) * 3) % 4 < 2;
     let submissions = (0..200).map(|n| (n * 49 * MS, 1)).collect();
@@ -138,7 +143,7 @@
         .count();
     assert!(
         missed < 70,
-        "{missed} of 200 went to backends that were held up"
+        "{missed} of 200 requests were not sent, or were sent to a slow backend"
     );
 }
 
@@ -202,8 +207,8 @@
             ..request
         })
     };
-    // 350 of the 400 ms of its objective have passed: its attempt is not waited for any longer than
-    // the rest.
+    // 350 of the 400 ms of the latency objective have passed, so the attempt is abandoned after the
+    // remaining 50 ms.
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     harness.serve(20, |_| 10 * MS);
     let actions = harness.handle(retry(900, 650));
@@ -215,7 +220,8 @@
         )),
         "{actions:?}"
     );
-    // Past its objective: the first attempt goes before it, though it came earlier.
+    // The latency objective of the retry has passed, so the first try is admitted before it,
+    // although the newest of equal requests is otherwise admitted first.
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     let (first, _) = harness.submit(0);
     let (first_try, _) = harness.submit(0);
@@ -223,7 +229,7 @@
     harness.wait(10 * MS);
     harness.end_attempt(first, 0, Outcome::Success);
     assert!(harness.sent.contains_key(&first_try) && !harness.sent.contains_key(&RequestId(901)));
-    // It is served all the same once nothing better waits.
+    // The retry is still admitted once no other request is queued.
     harness.end_attempt(first_try, 0, Outcome::Success);
     assert!(harness.sent.contains_key(&RequestId(901)));
 }
--- a/crates/balancer/tests/balancer/discovery.rs
+++ b/crates/balancer/tests/balancer/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, drains, and polls that fail.
+//! Tests of endpoint list updates, draining backends and failed polls.
 
 use kitefork_balancer::*;
 
@@ -43,13 +43,13 @@
     assert!(closes_idle(&harness.handle(update.clone())));
     assert!(
         !closes_idle(&harness.handle(update.clone())),
-        "notified again, with nothing new to close"
+        "a repeated update must not close the idle connections again"
     );
     harness.wait(200 * MS);
     assert!(closes_idle(&harness.end_attempt(id, 0, Outcome::Success)));
     assert!(
         closes_idle(&harness.wait(100 * MS)),
-        "once more, for a connection that was not idle yet"
+        "a second close must follow, for connections that were busy at the first one"
     );
     settings.rules.drain_close_within = None;
     let mut harness = Harness::new(settings, vec![backend(1)]);
@@ -77,8 +77,8 @@
 
 #[test]
 fn each_poll_follows_within_four_seconds_of_a_failed_one() {
-    // A change counts as notified 6 s after discovery had it and could be reached; of these, 2 s
-    // are for the call itself.
+    // A change counts as notified 6 s after discovery has it and can be reached; 2 s of these are
+    // left for the poll itself.
     for poll_interval in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
         for seed in 0..40 {
             let mut settings = Settings {
@@ -97,7 +97,7 @@
                     let waited = harness.now - failed_at;
                     assert!(
                         waited <= 4 * SECOND,
-                        "{poll_interval}, seed {seed}, failure {failure_index}: {waited}"
+                        "interval {poll_interval}, seed {seed}, failure {failure_index}: waited {waited} ns"
                     );
                 }
             }
--- a/crates/balancer/tests/balancer/ejection.rs
+++ b/crates/balancer/tests/balancer/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of outliers.
+//! Tests of outlier ejection.
 
 use kitefork_balancer::*;
 
@@ -24,7 +24,7 @@
     }
     assert!(
         failed_attempts < 20,
-        "{failed_attempts} sends to a backend that only fails"
+        "{failed_attempts} attempts at a backend that always fails"
     );
     harness.wait(10_000 * MS);
     assert!(harness.serve(400, |_| 10 * MS)[&BackendId(1)] > 40);
@@ -67,7 +67,7 @@
             } else {
                 attempts_at_faulty < 40
             },
-            "{log_events} {attempts_at_faulty}: 1 in {failure_interval}"
+            "1 in {failure_interval} fails: {log_events} log events, {attempts_at_faulty} attempts"
         );
     }
 }
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits.
+//! Tests of the concurrency limits.
 
 use kitefork_balancer::*;
 
@@ -22,13 +22,16 @@
             harness.end_attempt(id, 0, Outcome::Success);
         }
     }
-    assert!(sent > 90, "{sent} of 100 are sent while four are silent");
+    assert!(
+        sent > 90,
+        "{sent} of 100 requests were sent while four attempts were unanswered"
+    );
 }
 
 #[test]
 fn limit_of_two_proxies_keeps_the_shortest_latency_objective() {
-    // Three of 25 ms are as long as the objective of 75 ms; a proxy's share of less is one or
-    // two.
+    // Three attempts of 25 ms take as long as the latency objective of 75 ms, so a backend may have
+    // fewer in flight: one or two from each of the two proxies.
     let short_objective = Class {
         latency_objective: 75 * MS,
         client_timeout: 150 * MS,
@@ -59,8 +62,8 @@
     assert_eq!(max_in_flight, 2);
 }
 
-/// One of two proxies in front of a fleet, with requests of one class that wait for three latency
-/// objectives.
+/// One of two proxies in front of `backend_count` backends. The client timeout of its only class is
+/// three latency objectives.
 struct Burst {
     harness: Harness,
     backend_count: u32,
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Six times the usual latency at every backend, until limits are at their least.
+    /// Answers with six times the usual latency at every backend, until the limits are minimal.
     fn overload(&mut self) {
         for _ in 0..30 {
             for _ in 0..2 * self.backend_count {
@@ -152,16 +155,18 @@
             let mut burst = Burst::new(backend_count, service_time, tick);
             burst.serve(200);
             burst.overload();
-            // The burst is over: one is in flight at a time, and others idle. It never waits.
+            // After the burst, one request at a time is in flight while other backends are idle, so
+            // no request may wait.
             for round in 0..50 {
                 let id = burst.submit();
-                let message =
-                    format!("{backend_count} of {service_time} ns: waits in round {round}");
+                let message = format!(
+                    "{backend_count} backends, {service_time} ns: request waits in round {round}"
+                );
                 assert!(burst.is_sent(id), "{message}");
                 burst.answer(id);
             }
-            // Half as many as there are backends at once find capacity after ten answers of each
-            // and thirty objectives.
+            // After ten answers of each backend and 30 latency objectives, half as many requests as
+            // there are backends are sent at once.
             burst.serve(10 * backend_count);
             burst.harness.wait(30 * burst.latency_objective);
             let simultaneous: Vec<_> = (0..backend_count / 2).map(|_| burst.submit()).collect();
@@ -172,7 +177,7 @@
             assert_eq!(
                 waiting,
                 0,
-                "{backend_count} of {service_time} ns, of {}",
+                "{backend_count} backends, {service_time} ns: some of {} simultaneous requests wait",
                 simultaneous.len()
             );
         }
--- a/crates/balancer/tests/balancer/main.rs
+++ b/crates/balancer/tests/balancer/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the decisions through the interface: each failure found has a small test here.
+//! Tests of the balancer through its public interface. Each fault that was found has a small test
+//! here.
 
 mod admission;
 mod discovery;
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -1,4 +1,5 @@
-//! Random events, judged by the protocol rules.
+//! Property tests: random events, after each of which the actions are checked against the protocol
+//! rules.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +9,17 @@
 
 use crate::support::*;
 
+/// One step of a random run. A `usize` selects one of the attempts in flight or of the open
+/// requests, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     Submit(u16),
     End(usize, Outcome),
     DisconnectClient(usize),
+    /// An attempt of an unknown request ends.
     EndUnknown(u32, u8),
     Wait(Nanos),
+    /// An update with entries of id, state and start time; a start time of 0 means none.
     UpdateEndpoints(UpdateKind, Vec<(u32, u8, u16)>),
     DiscoveryFailed,
 }
@@ -42,12 +47,13 @@
     ]
 }
 
-/// The rules, seen from outside.
+/// Checks actions against the protocol rules, independently of the state of the balancer.
 #[derive(Default)]
 struct RuleChecker {
+    /// Class, deadline and attempts of each request without a final answer.
     open_requests: BTreeMap<RequestId, (u16, Nanos, Vec<ObservedAttempt>)>,
     endpoint_states: BTreeMap<BackendId, EndpointState>,
-    /// Backends that drain, and since when their idle connections may be open.
+    /// Draining backends whose idle connections are still to be closed, and since when.
     close_since: BTreeMap<BackendId, Nanos>,
 }
 
@@ -58,8 +64,8 @@
 }
 
 impl RuleChecker {
-    /// A backend was notified as draining or had an outcome: from now on its connections must
-    /// close.
+    /// If a backend is draining, requires its idle connections to be closed after `now`. Called
+    /// when an update first lists it as draining, and whenever an attempt there ends.
     fn require_close_if_draining(&mut self, now: Nanos, backend: BackendId) {
         if self.endpoint_states.get(&backend) == Some(&EndpointState::Draining) {
             self.close_since.insert(backend, now);
@@ -78,18 +84,21 @@
                     let (_, deadline, _) = self
                         .open_requests
                         .remove(request)
-                        .expect("rule 1: one answer");
+                        .expect("rule 1: at most one final answer");
                     assert!(now <= deadline);
                 }
                 _ => {}
             }
         }
-        let close_within = settings.rules.drain_close_within.expect("set");
+        let close_within = settings
+            .rules
+            .drain_close_within
+            .expect("the test sets a limit");
         assert!(
             self.close_since
                 .values()
                 .all(|since| now <= since + close_within),
-            "rule 5"
+            "rule 5: idle connections to a draining backend are closed in time"
         );
     }
 
@@ -101,12 +110,12 @@
         backend: BackendId,
     ) {
         let open = self.open_requests.get_mut(&request);
-        let (class, deadline, attempts) = open.expect("rule 1: send after the end");
+        let (class, deadline, attempts) = open.expect("rule 1: no attempt after the final answer");
         assert!(now < *deadline);
         assert_eq!(
             self.endpoint_states[&backend],
             EndpointState::Ready,
-            "rule 3"
+            "rule 3: attempts only at ready backends"
         );
         let possibly_executed: Vec<&ObservedAttempt> = attempts
             .iter()
@@ -114,16 +123,25 @@
             .collect();
         match settings.classes[usize::from(*class)].idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NotIdempotent => assert!(possibly_executed.is_empty(), "rule 2"),
+            Idempotency::NotIdempotent => assert!(
+                possibly_executed.is_empty(),
+                "rule 2: no repeat of a possibly executed request"
+            ),
             Idempotency::IdempotencyKey { scope, window } => {
                 let in_window = possibly_executed
                     .iter()
                     .all(|attempt| now <= attempt.sent_at + window);
-                assert!(in_window, "rule 2: window");
+                assert!(
+                    in_window,
+                    "rule 2: repeats only within the deduplication window"
+                );
                 let shares_keys = |attempt: &&ObservedAttempt| {
                     scope == DeduplicationScope::Global || attempt.backend.0 % 2 == backend.0 % 2
                 };
-                assert!(possibly_executed.iter().all(shares_keys), "rule 2: scope");
+                assert!(
+                    possibly_executed.iter().all(shares_keys),
+                    "rule 2: repeats only within the deduplication scope"
+                );
             }
         }
         attempts.push(ObservedAttempt {
@@ -135,7 +153,7 @@
 
     fn check_rejection(&mut self, now: Nanos, settings: &Settings, request: RequestId) {
         let open = self.open_requests.remove(&request);
-        let (class, deadline, attempts) = open.expect("rule 1: one answer");
+        let (class, deadline, attempts) = open.expect("rule 1: at most one final answer");
         assert!(now <= deadline);
         let was_possibly_executed = attempts.iter().any(ObservedAttempt::may_have_executed);
         let class = settings.classes.get(usize::from(class));
@@ -150,7 +168,7 @@
         );
         assert!(
             is_safe_to_repeat || !was_possibly_executed,
-            "rule 2: rejection"
+            "rule 2: rejection only if a retry by the client is harmless"
         );
     }
 }
@@ -161,11 +179,12 @@
     }
 }
 
-/// A balancer that plays steps, each judged by the rules.
+/// Runs steps on a balancer and checks the actions of each step against the protocol rules.
 struct StepRunner {
     settings: Settings,
     checker: RuleChecker,
     harness: Harness,
+    /// Actions of all steps so far.
     all_actions: Vec<Action>,
 }
 
@@ -221,7 +240,7 @@
         self.check(actions);
     }
 
-    /// Ends one of the attempts in flight, if there is any.
+    /// Ends one of the attempts in flight. Does nothing if there is none.
     fn end_in_flight(&mut self, index: usize, outcome: Outcome) {
         let in_flight: Vec<(RequestId, usize)> = self
             .harness
@@ -252,7 +271,7 @@
         self.check(actions);
     }
 
-    /// A client disconnects, if any has an open request.
+    /// Disconnects the client of an open request. Does nothing if there is none.
     fn disconnect_client(&mut self, index: usize) {
         let ids: Vec<RequestId> = self.checker.open_requests.keys().copied().collect();
         let Some(id) = ids.get(index % ids.len().max(1)).copied() else {
@@ -277,8 +296,8 @@
         self.check(actions);
     }
 
-    /// One timer at a time, so that each send is checked at its own time; attempts that are in
-    /// flight at the deadline time out there.
+    /// Advances the clock by 1 ms at a time, so that each attempt is checked close to the time at
+    /// which it was started. Attempts that are in flight at the deadline of their request time out.
     fn wait(&mut self, duration: Nanos) {
         let end = self.harness.now + duration;
         while self.harness.now < end {
@@ -291,7 +310,7 @@
             let mut open = self.checker.open_requests.values();
             assert!(
                 open.all(|(_, deadline, _)| now < *deadline + MS),
-                "rule 1: no answer in time"
+                "rule 1: a final answer by the deadline"
             );
         }
     }
@@ -370,7 +389,7 @@
         .unwrap();
 }
 
-/// A runner whose cases are the same each time.
+/// A runner that generates the same cases in every run.
 fn deterministic_runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
@@ -403,7 +422,8 @@
             harness.serve(10, |_| 10 * MS);
             let ids: Vec<RequestId> = request_plans.iter().map(|_| harness.submit(3).0).collect();
             let mut executed = BTreeMap::new();
-            // The requests advance alternately, so that what one of them shows moves the others.
+            // The requests advance alternately, so that the outcome of one affects the decisions on
+            // the others.
             for step in 0..6 {
                 for (id, (attempt_ends, client_disconnects)) in ids.iter().zip(&request_plans) {
                     let (outcome, wait) = attempt_ends[step];
@@ -427,7 +447,7 @@
                 prop_assert_eq!(
                     harness.sent[id].len(),
                     *sent_count,
-                    "{:?} again after it may have run",
+                    "another attempt of {:?} after one that may have been executed",
                     id
                 );
             }
--- a/crates/balancer/tests/balancer/requests.rs
+++ b/crates/balancer/tests/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its final answer.
+//! Tests of requests from their receipt to their final answer.
 
 use kitefork_balancer::*;
 
@@ -26,7 +26,7 @@
 fn early_timer_event_does_not_stop_later_timers() {
     let mut harness = Harness::new(settings(), vec![]);
     harness.submit(0);
-    let (at, timer) = harness.timers.pop_first().expect("armed");
+    let (at, timer) = harness.timers.pop_first().expect("a timer is set");
     harness.now = at - 1;
     harness.handle(Event::Timer { timer });
     assert!(has_rejection(&harness.wait(800 * MS)));
--- a/crates/balancer/tests/balancer/retries.rs
+++ b/crates/balancer/tests/balancer/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, and attempts that are cancelled as lost.
+//! Tests of retries, and of attempts that are cancelled as overdue.
 
 use kitefork_balancer::*;
 
@@ -88,7 +88,8 @@
             }
         }
         let (id, _) = harness.submit(0);
-        // The usual latency rises, so that it is not overdue at the moment which was set for it.
+        // The mean latency rises, so the attempt is not overdue yet when the check that was
+        // scheduled for it runs.
         let cancellation = Action::CancelAttempt {
             request: id,
             attempt: 0,
@@ -101,14 +102,17 @@
                 harness.end_attempt(other, 0, Outcome::Success);
             }
         }
-        assert!(is_cancelled, "with {failing_requests} retries before");
+        assert!(
+            is_cancelled,
+            "not cancelled after {failing_requests} failing requests"
+        );
     }
 }
 
 #[test]
 fn attempt_is_not_yet_overdue_at_six_times_the_mean_latency() {
-    // Where work and waits are exponential one in 150 takes five times the mean, one in 3,000 eight
-    // times.
+    // If work and waits are exponentially distributed, one attempt in 150 takes five times the mean
+    // and one in 3,000 eight times.
     let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
     harness.serve(40, |_| 30 * MS);
     let (id, _) = harness.submit(0);
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a backend in slow start is sent.
+//! Tests of the attempts that a backend in slow start gets.
 
 use kitefork_balancer::*;
 
@@ -27,8 +27,8 @@
             .copied()
             .unwrap_or(0);
     }
-    // An even share would be 100; a fifth of the capacity is there.
-    assert!(sent < 60, "{sent} sends to a starting backend");
+    // An equal share would be 100 attempts; the backend starts with a fifth of its capacity.
+    assert!(sent < 60, "{sent} attempts at a backend in slow start");
 }
 
 #[test]
--- a/crates/balancer/tests/balancer/split.rs
+++ b/crates/balancer/tests/balancer/split.rs
@@ -1,4 +1,4 @@
-//! How requests are split among backends.
+//! Tests of how requests are split among backends.
 
 use std::collections::BTreeSet;
 
@@ -35,7 +35,7 @@
     let total: usize = counts.values().sum();
     assert!(
         10 * fast_count > 6 * total,
-        "{fast_count} of {total} to the fast kind"
+        "{fast_count} of {total} requests went to the fast kind"
     );
 }
 
@@ -45,7 +45,7 @@
         let mut covered = BTreeSet::new();
         let mut preferred_total = 0;
         for proxy_index in 0..proxy_count {
-            // Each knows the backends in an order of its own; what they have in common is the mark.
+            // All proxies order the backends by their hashes, whatever the order of the list.
             let list = (1..=backend_count).rev().map(backend).collect();
             let settings = Settings {
                 proxy_index,
@@ -55,8 +55,8 @@
             let mut harness = Harness::with_seed(settings, list, 7 + u64::from(proxy_index));
             harness.serve(4_000, |_| 10 * MS);
             let counts = harness.serve(2_000, |_| 10 * MS);
-            // What explores goes anywhere; the rest to the proxy's own stretch, one idle backend
-            // each.
+            // Exploring attempts go to any backend, the others to idle backends of the section that
+            // the proxy prefers.
             let preferred: Vec<BackendId> = counts
                 .iter()
                 .filter(|entry| *entry.1 > 40)
@@ -68,7 +68,7 @@
         assert_eq!(
             (preferred_total, covered.len()),
             (backend_count as usize, backend_count as usize),
-            "{proxy_count} nodes"
+            "{proxy_count} proxies"
         );
     }
 }
--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -1,4 +1,4 @@
-//! A balancer that is fed events, with the attempts that it has in flight.
+//! Builders for settings, backends and requests, and a harness that runs one balancer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,6 +10,7 @@
 
 pub const START: Nanos = 100_000 * MS;
 
+/// A class with a latency objective of 400 ms and a client timeout of 1 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 400 * MS,
@@ -20,6 +21,8 @@
     }
 }
 
+/// Settings with five classes: 0 is idempotent, 1 and 2 have idempotency keys with global and cell
+/// scope, 3 is not idempotent, and 4 is idempotent with ten times the weight of the others.
 pub fn settings() -> Settings {
     let with_key = |scope| {
         class(Idempotency::IdempotencyKey {
@@ -47,6 +50,7 @@
     settings
 }
 
+/// A ready backend in the cell `id % 2`.
 pub fn backend(id: u32) -> Endpoint {
     Endpoint {
         id: BackendId(id),
@@ -60,6 +64,7 @@
     }
 }
 
+/// The event of a request with a client timeout of 800 ms.
 pub fn request(id: u32, class: u16) -> Event {
     let (id, class) = (RequestId(id), ClassId(class));
     Event::Request(Request {
@@ -70,13 +75,14 @@
     })
 }
 
-/// Feeds events to a balancer and keeps its attempts in flight; timers fire when due.
+/// Passes events to a balancer, fires its timers when they are due, and records its attempts.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Nanos,
     pub timers: BTreeSet<(Nanos, TimerId)>,
-    /// Attempts sent for each request: backend, time, and whether it is still out.
+    /// Attempts of each request: backend, time of sending, and whether it is still in flight.
     pub sent: BTreeMap<RequestId, Vec<(BackendId, Nanos, bool)>>,
+    /// Id of the last submitted request; 0 before the first.
     pub last_request_id: u32,
 }
 
@@ -86,7 +92,7 @@
     }
 
     pub fn with_seed(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
-        let balancer = Balancer::new(settings, seed, START).expect("sound settings");
+        let balancer = Balancer::new(settings, seed, START).expect("valid settings");
         let mut harness = Harness {
             balancer,
             now: START,
@@ -101,6 +107,7 @@
         harness
     }
 
+    /// Processes an event now and records the timers and attempts of the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -123,7 +130,7 @@
         actions
     }
 
-    /// Moves the clock, firing timers on the way.
+    /// Advances the clock and fires the timers that become due. Returns their actions.
     pub fn wait(&mut self, duration: Nanos) -> Vec<Action> {
         let end = self.now + duration;
         let mut actions = Vec::new();
@@ -136,6 +143,7 @@
         actions
     }
 
+    /// Submits a request with the next id. Returns the id and the resulting actions.
     pub fn submit(&mut self, class: u16) -> (RequestId, Vec<Action>) {
         self.last_request_id += 1;
         (
@@ -144,12 +152,13 @@
         )
     }
 
+    /// Ends an attempt now. Only a success gives the request its final answer.
     pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
         let sent = self
             .sent
             .get_mut(&id)
             .map(|attempts| &mut attempts[attempt])
-            .expect("sent");
+            .expect("the request has attempts");
         sent.2 = false;
         let latency = self.now - sent.1;
         let finished = outcome == Outcome::Success;
@@ -163,7 +172,8 @@
         })
     }
 
-    /// Serves requests one after the other, each after what its backend takes; counts by backend.
+    /// Serves requests of class 0 one after another, each after the service time of its backend.
+    /// Returns the number of requests by backend.
     pub fn serve(
         &mut self,
         count: usize,
@@ -182,8 +192,8 @@
 }
 
 impl Harness {
-    /// Like `serve`, at a proxy with little traffic: a request may wait for capacity before it is
-    /// sent.
+    /// Like `serve`, but with 400 ms between requests, so that a request may wait for capacity
+    /// before it is sent.
     pub fn serve_at_low_rate(
         &mut self,
         count: usize,
@@ -197,7 +207,7 @@
                 let (backend_id, sent_at, in_flight) = attempt;
                 *in_flight = false;
                 *counts.entry(*backend_id).or_default() += 1;
-                // It had ended by then; reported late, with the latency that it had.
+                // The attempt ended earlier; the end is reported late, with the true latency.
                 let latency = service_time(*backend_id).min(self.now - *sent_at);
                 self.handle(Event::AttemptEnded {
                     request: id,
@@ -214,6 +224,7 @@
     }
 }
 
+/// Backends of the attempts that these actions start.
 pub fn attempted_backends(actions: &[Action]) -> Vec<BackendId> {
     actions
         .iter()
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What many nodes do together: each instance is sound alone, and what they sum to is checked.
+//! Tests of many proxies together. Each proxy decides soundly by itself; these tests check the sum
+//! of their decisions.
 
 mod simulation;
 
@@ -12,7 +13,7 @@
     for proxy_count in PROXY_COUNTS {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let mut simulation = Simulation::new(proxy_count, &backends);
-        // 60 backends do 1,500 a second.
+        // 60 backends can serve 1,500 requests a second.
         simulation.run(12 * SECOND, 750.0);
         let settled_at = START + 4 * SECOND;
         let queued_fraction = simulation
@@ -23,11 +24,11 @@
         let fraction_in_time = simulation.fraction_in_time(settled_at);
         assert!(
             queued_fraction < 0.05,
-            "{proxy_count} nodes hold back {queued_fraction:.3}"
+            "{proxy_count} proxies queue {queued_fraction:.3} of the requests"
         );
         assert!(
             fraction_in_time > 0.95,
-            "{proxy_count} nodes serve {fraction_in_time:.3} in time"
+            "{proxy_count} proxies serve {fraction_in_time:.3} of the requests in time"
         );
         assert!(
             simulation
@@ -38,7 +39,7 @@
     }
 }
 
-/// Backends 30 to 59 start five seconds in, and their capacity grows evenly in slow start.
+/// Backends 30 to 59 start 5 s after `START`, and their capacity rises linearly in slow start.
 fn second_half_in_slow_start(id: BackendId, now: Nanos) -> Health {
     let elapsed_fraction = now.saturating_sub(START + 5 * SECOND) as f64 / (8_800 * MS) as f64;
     Health::Works(if id.0 < 30 {
@@ -51,21 +52,23 @@
 #[test]
 fn backends_in_slow_start_are_used_and_none_is_overloaded() {
     for proxy_count in PROXY_COUNTS {
-        // With two proxies one run has 225 to 391 by chance, 319 in the mean of five.
+        // With two proxies, single runs have between 225 and 391 attempts by chance, with a mean of
+        // 319 over five runs, so three runs are added up.
         let attempts: usize = [1, 11, 21]
             .into_iter()
             .map(|seed| attempts_in_slow_start(proxy_count, seed))
             .sum();
-        // A third of what thirty of this strength could do in the last two seconds.
+        // In each run, a third of the attempts that thirty backends of this capacity could serve in
+        // the last two seconds.
         assert!(
             attempts > 3 * 250,
-            "{proxy_count} nodes send {attempts} to thirty backends in slow start in three runs"
+            "{proxy_count} proxies: {attempts} attempts at thirty backends in slow start in three runs"
         );
     }
 }
 
-/// Attempts at thirty backends in slow start in the last two seconds, none of which is sent more
-/// than rule 4 allows.
+/// Number of attempts at thirty backends in slow start in the last two seconds of a run. Asserts
+/// that none of these backends is sent more than rule 4 allows.
 fn attempts_in_slow_start(proxy_count: usize, seed: u64) -> usize {
     let mut backends: Vec<Endpoint> = (0..30).map(backend).collect();
     let mut simulation = Simulation::with_seed(proxy_count, &backends, seed);
@@ -81,7 +84,7 @@
         .extend(backends.iter().map(|backend| (backend.id, START)));
     simulation.health = second_half_in_slow_start;
     simulation.update_endpoints(UpdateKind::Delta, &backends);
-    // More than the warm ones bear.
+    // More than the thirty backends of full capacity can serve.
     simulation.run(4 * SECOND, 850.0);
     let send_times: BTreeMap<BackendId, Vec<Nanos>> = simulation
         .records
@@ -104,7 +107,7 @@
             let Health::Works(capacity) = second_half_in_slow_start(id, *window_start) else {
                 unreachable!()
             };
-            // Rule 4: three times what it can do at that moment, for two seconds.
+            // Rule 4: less than three times the capacity at that moment, within two seconds.
             let max_attempts = 3.0 * capacity * (2 * SECOND / WORK) as f64;
             let sent = times[index..]
                 .iter()
@@ -112,7 +115,7 @@
                 .count();
             assert!(
                 (sent as f64) < max_attempts,
-                "{proxy_count} nodes send {sent} of {max_attempts} to {}",
+                "{proxy_count} proxies send {sent} attempts to backend {}, the limit is {max_attempts}",
                 id.0
             );
         }
@@ -131,7 +134,8 @@
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let mut simulation = Simulation::new(proxy_count, &backends);
         simulation.run(3 * SECOND, 750.0);
-        // Six in ten vanish at once, and the rest meet nearly twice what they can do.
+        // Six in ten backends are removed at once, and the others get nearly twice as many requests
+        // as they can serve.
         let removed = (24..60)
             .map(|id| Endpoint {
                 state: EndpointState::Removed,
@@ -141,13 +145,13 @@
         simulation.update_endpoints(UpdateKind::Delta, &removed);
         simulation.run(8 * SECOND, 1_100.0);
         let fraction_in_time = simulation.fraction_in_time(START + 4 * SECOND);
-        // With 300 nodes each has about two answers a window to go by.
+        // Each of 300 proxies can base its estimates on only about two answers in each window.
         let minimum = if proxy_count > 100 { 0.08 } else { 0.15 };
         assert!(
             fraction_in_time > minimum,
-            "{proxy_count} nodes serve {fraction_in_time:.3} in time of 0.55"
+            "{proxy_count} proxies serve {fraction_in_time:.3} in time, the capacity is 0.55"
         );
-        // What nobody has tried by half of its time is turned away then.
+        // A request without an attempt is rejected when half of its client timeout has passed.
         let time_to_first_attempt = |record: &RequestRecord| {
             record
                 .attempts
@@ -163,6 +167,7 @@
     }
 }
 
+/// Backends 0 to 9 are draining, while the endpoint list still has them as ready.
 fn first_ten_drain(id: BackendId, _: Nanos) -> Health {
     if id.0 < 10 {
         Health::Draining
@@ -190,11 +195,11 @@
         };
         let draining_fraction = recent_attempts().filter(|attempt| attempt.1.0 < 10).count() as f64
             / recent_attempts().count() as f64;
-        // Their share by number is a sixth.
+        // A sixth of the backends are draining.
         let maximum = if proxy_count > 100 { 0.13 } else { 0.11 };
         assert!(
             draining_fraction < maximum,
-            "{proxy_count} nodes send {draining_fraction:.3} to backends that are leaving"
+            "{proxy_count} proxies send {draining_fraction:.3} of the attempts to draining backends"
         );
         assert!(simulation.fraction_in_time(since) > if proxy_count > 100 { 0.88 } else { 0.9 });
     }
@@ -205,7 +210,7 @@
     for proxy_count in [10, 100, 300] {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let (mut received, mut queued) = (0, 0);
-        // One play in 25 falls behind for a second by chance, so a few count together.
+        // One run in 25 falls behind for a second by chance, so four runs are counted together.
         for seed in 1..=4 {
             let mut simulation = Simulation::with_seed(proxy_count, &backends, seed);
             simulation.extra_load = 4;
@@ -222,18 +227,19 @@
             assert_eq!(
                 reached.len(),
                 60,
-                "{proxy_count} nodes leave some backends without a request"
+                "{proxy_count} proxies leave some backends without an attempt"
             );
         }
         assert!(
             received > 360 && 20 * queued < received,
-            "of {proxy_count} nodes the busiest holds back {queued} of {received}"
+            "the busiest of {proxy_count} proxies queues {queued} of {received} requests"
         );
     }
 }
 
-/// Two classes on one-core backends: one that is idempotent and can wait, and one of more weight
-/// that must never run twice and can't wait.
+/// Settings for one-core backends, with two classes: an idempotent one with a long latency
+/// objective, and one of higher weight that is not idempotent and has a short latency objective.
+/// `scale` multiplies the times of the classes and the tick, which is at least 1 us.
 fn two_class_settings(proxy_count: usize, scale: f64) -> Settings {
     let scaled = |ms: u64| (scale * (ms * MS) as f64) as Nanos;
     let idempotent = Class {
@@ -261,8 +267,9 @@
     settings
 }
 
-/// Two nodes on so many backends of one zone, asked for `load` of what these can do, four in ten
-/// for payouts.
+/// A simulation of two proxies and of `backend_count` backends in one zone. Four in ten requests
+/// are of the class that is not idempotent; `scale` multiplies the work, the times of the classes
+/// and the tick.
 fn two_proxies(backend_count: u32, seed: u64, scale: f64) -> (Simulation, Vec<Endpoint>) {
     let backends: Vec<Endpoint> = (0..backend_count)
         .map(|id| Endpoint {
@@ -279,11 +286,12 @@
     (simulation, backends)
 }
 
-/// Requests a second that one backend can do, of the mix of `two_nodes`.
+/// Requests a second, in the mix of `two_proxies`, that one backend can serve.
 fn capacity(scale: f64) -> f64 {
     1.0 / (scale * (0.59 * 0.024 + 0.41 * 0.015))
 }
 
+/// Backend 0 never answers from 3 s after `START`.
 fn first_never_answers(id: BackendId, now: Nanos) -> Health {
     if id.0 == 0 && now > START + 3 * SECOND {
         Health::NeverAnswers
@@ -311,10 +319,10 @@
                 .filter(|record| record.class == 1)
                 .filter(was_sent_there)
                 .count();
-            // Three for each node, in ten seconds; an even share would be a hundred.
+            // Three for each proxy in ten seconds; an equal share would be a hundred.
             assert!(
                 sent_there <= 6,
-                "{sent_there} payouts went to the swallowing one of {backend_count}, seed {seed}"
+                "{sent_there} requests went to the one of {backend_count} that never answers, seed {seed}"
             );
         }
     }
@@ -324,15 +332,17 @@
 fn overload_at_two_proxies_leaves_no_backend_with_a_lasting_backlog() {
     for seed in 1..4 {
         let (mut simulation, backends) = two_proxies(12, seed, 1.0);
-        // The tightest kind turns slow when more than four wait for 1.5 s.
+        // Backends of the kind that withstands the least become slow when more than four requests
+        // wait there for 1.5 s.
         simulation.backlog_threshold = 5 * 24 * MS;
         simulation.run(5 * SECOND, 1.4 * capacity(1.0) * 12.0);
         assert!(
             simulation.longest_above_threshold < 1_500 * MS,
-            "over the mark for {} ms",
+            "a backlog was above the threshold for {} ms",
             simulation.longest_above_threshold / MS
         );
-        // One stops, its clients go over to the other, and it comes back with its last list.
+        // One proxy stops and the other gets the requests of its clients; later it restarts with
+        // its cached list.
         simulation.stopped = Some(1);
         simulation.run(2 * SECOND, 0.8 * capacity(1.0) * 12.0);
         let in_time_with_one = simulation.fraction_in_time(START + 6 * SECOND);
@@ -342,19 +352,19 @@
         let in_time_after_restart = simulation.fraction_in_time(START + 8 * SECOND);
         assert!(
             simulation.longest_above_threshold < 1_500 * MS,
-            "over the mark for {} ms",
+            "a backlog was above the threshold for {} ms",
             simulation.longest_above_threshold / MS
         );
         assert!(
             in_time_with_one > 0.85 && in_time_after_restart > 0.85,
-            "seed {seed}: {in_time_with_one:.3} by one, {in_time_after_restart:.3} by both again"
+            "seed {seed}: in time {in_time_with_one:.3} with one proxy, {in_time_after_restart:.3} with both"
         );
     }
 }
 
 #[test]
 fn under_one_percent_of_requests_wait_while_a_backend_is_idle() {
-    // Work of 50 us, 5 ms and 1 s in the mean, with objectives and timeouts to match.
+    // Mean work of 50 us, 5 ms and 1 s, with latency objectives and timeouts in proportion.
     for mean_work_seconds in [50e-6, 5e-3, 1.0] {
         let scale = mean_work_seconds / 0.0203;
         for backend_count in [2, 12, 50] {
@@ -365,7 +375,7 @@
                 simulation.queued_despite_idle_backend as f64 / simulation.records.len() as f64;
             assert!(
                 queued_fraction < 0.01,
-                "{queued_fraction:.3} of {} wait, {backend_count} backends, {mean_work_seconds} s",
+                "{queued_fraction:.3} of {} requests wait: {backend_count} backends, {mean_work_seconds} s",
                 simulation.records.len()
             );
         }
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -1,6 +1,6 @@
-//! A recording of all decisions over seeded streams of events: what they hash to stays the same
-//! while the module is moved and renamed. A change of behaviour that is meant replaces the hash,
-//! and says so.
+//! Regression tests with recorded hashes of all decisions over seeded streams of events. The hashes
+//! stay the same while code is moved and renamed. A commit that changes behaviour on purpose
+//! replaces them and says so.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,27 +12,28 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 const START: Nanos = 3_600 * SECOND;
-/// Events of each stream; six streams are played.
+/// Number of events in each stream; `setups` has six streams, `extended_setups` three.
 const EVENTS_PER_STREAM: usize = 36_000;
-/// Requests a second for each backend, outside of surges.
+/// Requests a second for each backend, outside surges.
 const RATE_PER_BACKEND: f64 = 3.0;
-/// In each `SURGE_PERIOD`, requests come so many times as often for the first second.
+/// Factor by which the request rate rises in the first second of each `SURGE_PERIOD`.
 const SURGE_FACTOR: f64 = 4.0;
 const SURGE_PERIOD: Nanos = 7 * SECOND;
-/// Mean time of an attempt.
+/// Mean latency of an attempt at the fastest backends, in nanoseconds.
 const MEAN_LATENCY: f64 = 40.0 * MS as f64;
 
-/// What a stream is played on.
+/// The fleet and the features of one stream.
 #[derive(Clone, Copy, Debug)]
 struct Setup {
     backends: u32,
     proxy_count: u32,
     poll_endpoints: bool,
-    /// With zones, kinds of machines, quotas, streamed answers, work hints, and connections that
-    /// must close at drains.
+    /// Whether the stream has zones, kinds of machines, quotas, streamed answers, work hints, and
+    /// idle connections that must be closed when a backend drains.
     extended: bool,
 }
 
+/// An event that the recorder has scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Scheduled {
     Arrival,
@@ -46,7 +47,7 @@
 #[derive(Default)]
 struct PendingRequest {
     attempts: Vec<AttemptState>,
-    /// It has its final answer, or its client has left.
+    /// Whether it has its final answer, or its client has disconnected.
     finished: bool,
 }
 
@@ -73,20 +74,24 @@
     }
 }
 
+/// Runs one stream on a balancer and hashes the actions.
 struct Recorder {
     setup: Setup,
     balancer: Balancer,
     rng: Xoshiro256PlusPlus,
     now: Nanos,
+    /// Scheduled events by time, then by the order in which they were scheduled.
     timeline: BinaryHeap<Reverse<(Nanos, u64, Scheduled)>>,
+    /// Number of events scheduled so far.
     sequence: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
     next_request: u32,
     endpoints: Vec<Endpoint>,
-    /// Backends that fail most of what they get.
+    /// Id of the backend that fails most of its attempts.
     failing_backend: u32,
+    /// Number of events that the balancer has processed.
     event_count: usize,
-    /// Actions by their numbers.
+    /// Number of actions by action code.
     action_counts: BTreeMap<u64, usize>,
     hash: Fnv1a,
 }
@@ -134,6 +139,7 @@
     settings
 }
 
+/// Adds the features of an extended setup.
 fn extend_settings(settings: &mut Settings, setup: Setup) {
     let quota_per_second =
         RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.proxy_count) / 4.0;
@@ -175,10 +181,12 @@
         recorder
     }
 
+    /// A uniform random number from [0, 1).
     fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// An exponentially distributed random duration.
     fn exponential(&mut self, mean: f64) -> Nanos {
         (-(1.0 - self.uniform()).ln() * mean) as Nanos
     }
@@ -189,12 +197,11 @@
             .push(Reverse((at, self.sequence, scheduled_event)));
     }
 
-    /// Plays the whole stream; gives the hash of all actions, and how many there were of each
-    /// number.
+    /// Runs the whole stream. Returns the hash of all actions, and the number of actions by code.
     fn run(mut self) -> (u64, BTreeMap<u64, usize>) {
         while self.event_count < EVENTS_PER_STREAM {
             let Reverse((at, _, scheduled_event)) =
-                self.timeline.pop().expect("arrivals never end");
+                self.timeline.pop().expect("an arrival is always scheduled");
             self.now = self.now.max(at);
             match scheduled_event {
                 Scheduled::Arrival => self.submit_request(),
@@ -210,6 +217,7 @@
         (self.hash.0, self.action_counts)
     }
 
+    /// Submits a request, and schedules the next arrival and the end of the client's wait.
     fn submit_request(&mut self) {
         let rate_factor = if (self.now - START) % SURGE_PERIOD < SECOND {
             SURGE_FACTOR
@@ -243,7 +251,7 @@
         self.feed(Event::Request(request));
     }
 
-    /// A backend drains, is removed, comes back in slow start, or begins to fail.
+    /// Drains, removes or restarts a random backend, or makes it the failing one.
     fn change_endpoints(&mut self) {
         self.schedule(self.now + SECOND / 2, Scheduled::EndpointChange);
         let index = (self.uniform() * f64::from(self.setup.backends)) as usize;
@@ -317,7 +325,7 @@
         }
     }
 
-    /// Tells the module, hashes what it decides, and does it.
+    /// Passes an event to the balancer, and hashes and carries out the resulting actions.
     fn feed(&mut self, event: Event) {
         self.event_count += 1;
         let mut actions = Vec::new();
@@ -328,7 +336,7 @@
         }
     }
 
-    /// Hashes an action by its number and the numbers in its fields, whatever they are called.
+    /// Hashes the current time and the encoded action.
     fn record(&mut self, action: &Action) {
         let fields = encode(action);
         self.hash.write(&self.now.to_le_bytes());
@@ -369,6 +377,7 @@
         }
     }
 
+    /// Sends an attempt: chooses its outcome and latency, and schedules its end.
     fn send(&mut self, request: RequestId, backend: BackendId) {
         let slowdown = 1.0 + f64::from(backend.0 % 4);
         let mut latency = self.exponential(MEAN_LATENCY * slowdown);
@@ -453,7 +462,7 @@
         })
 }
 
-/// Numbers of actions in the recording. They never change, whatever the actions are called.
+/// Codes of actions in the hashed encoding. They never change, so that actions can be renamed.
 const START_ATTEMPT: u64 = 1;
 const REJECT: u64 = 2;
 const FAIL: u64 = 3;
@@ -466,7 +475,8 @@
 const POLL_ENDPOINTS: u64 = 10;
 const LOG: u64 = 11;
 
-/// An action as its number and the numbers in its fields; of a log line only that there is one.
+/// Encodes an action as its code and the values of its fields, independent of all names. The event
+/// of a log action is left out.
 fn encode(action: &Action) -> Vec<u64> {
     match action {
         Action::StartAttempt {
@@ -514,7 +524,7 @@
             *counts.entry(code).or_default() += count;
         }
     }
-    // A stream in which something is never decided says nothing of it.
+    // The hashes cover a kind of action only if it occurs, so a minimum of each is required.
     for (code, minimum) in [
         (START_ATTEMPT, 30_000),
         (REJECT, 500),
@@ -525,13 +535,13 @@
     ] {
         assert!(
             counts.get(&code).is_some_and(|count| *count >= minimum),
-            "action {code}: {counts:?}"
+            "too few actions with code {code}: {counts:?}"
         );
     }
     assert_eq!(
         hashes,
         RECORDED_HASHES,
-        "of {:?}",
+        "hashes of {:?}",
         setups().collect::<Vec<_>>()
     );
 }
@@ -545,7 +555,7 @@
     assert_eq!(
         hashes,
         RECORDED_EXTENDED_HASHES,
-        "of {:?}",
+        "hashes of {:?}",
         extended_setups().collect::<Vec<_>>()
     );
 }
@@ -563,7 +573,7 @@
     assert_ne!(stream_hash(7), stream_hash(8));
 }
 
-/// What the streams of `setups` hash to.
+/// Hashes of the streams of `setups`.
 const RECORDED_HASHES: [u64; 6] = [
     12_786_921_807_614_902_306,
     7_379_061_564_831_453_002,
@@ -573,7 +583,7 @@
     15_964_821_636_492_578_482,
 ];
 
-/// What the streams of `wide_setups` hash to.
+/// Hashes of the streams of `extended_setups`.
 const RECORDED_EXTENDED_HASHES: [u64; 3] = [
     3_573_954_004_103_346_401,
     427_959_500_892_172_197,
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Long lists: what a decision costs does not follow their length, and the picks stay what they
-//! are.
+//! Tests of long endpoint lists: the CPU time of a decision must not grow in proportion to the
+//! list, and picks must be distributed as by a scan of the whole list.
 
 mod simulation;
 
@@ -8,9 +8,9 @@
 use kitefork_balancer::*;
 use simulation::*;
 
-/// Nodes of the fleet of which one is played.
+/// Number of proxies, one of which is simulated.
 const PROXY_COUNT: u32 = 300;
-/// Requests a second of the node.
+/// Requests a second at the simulated proxy.
 const RATE: f64 = 40.0;
 
 fn one_proxy_of_many(backends: &[Endpoint], seed: u64) -> Simulation {
@@ -21,18 +21,20 @@
     Simulation::with_settings(settings, vec![WORK], 1, backends, seed)
 }
 
-/// Processor time of this thread, by the kernel's scheduler: what else runs on the machine does not
-/// count.
+/// CPU time of this thread as accounted by the kernel's scheduler, which excludes the time of other
+/// processes.
 fn thread_cpu_time() -> Duration {
-    let stat = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
+    let stat =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("schedstat needs Linux");
     let nanoseconds = stat
         .split_whitespace()
         .next()
         .and_then(|text| text.parse().ok());
-    Duration::from_nanos(nanoseconds.expect("a figure"))
+    Duration::from_nanos(nanoseconds.expect("schedstat starts with a number"))
 }
 
-/// What 10 s of traffic with a change of the list each second cost, once the node has its list.
+/// CPU time of 10 s of traffic in which one backend starts to drain each second. The first 2 s
+/// after the proxy gets its list are not counted.
 fn cpu_time(backend_count: u32) -> Duration {
     let backends: Vec<Endpoint> = (0..backend_count).map(backend).collect();
     let mut simulation = one_proxy_of_many(&backends, 1);
@@ -57,27 +59,27 @@
         (0..4)
             .map(|_| cpu_time(backend_count))
             .min()
-            .expect("some plays")
+            .expect("there are four runs")
     };
     let (short_list, long_list) = (min_cpu_time(200), min_cpu_time(3_200));
-    // Sixteen times the backends. The acceptance allows 1.4 times for the node as a whole (make
-    // scale), of which the decisions are a small part; the walk of the whole list took eleven
-    // times.
+    // With sixteen times the backends, `make scale` allows 1.4 times the cost of the whole node, of
+    // which the decisions are a small part. A scan of the whole list for each pick took eleven
+    // times the CPU time.
     assert!(
         long_list < 3 * short_list,
         "{short_list:?} with 200 backends, {long_list:?} with 3,200"
     );
 }
 
-/// Strengths of four groups of backends, by number.
+/// Capacities of four groups of backends, as fractions; the group of a backend is its id modulo 4.
 const GROUP_CAPACITIES: [f64; 4] = [1.0, 0.8, 0.5, 0.3];
 
 fn group_health(id: BackendId, _: Nanos) -> Health {
     Health::Works(GROUP_CAPACITIES[id.0 as usize % 4])
 }
 
-/// Share of the first attempts that each group of strength gets from one node of so many, over some
-/// seeds.
+/// Fraction of the first attempts that each group of backends gets from one of `proxy_count`
+/// proxies, over 48 seeds.
 fn first_attempt_shares(proxy_count: u32, backend_count: u32, rate: f64) -> [f64; 4] {
     let mut sent = [0usize; 4];
     for seed in 0..48 {
@@ -102,8 +104,8 @@
 
 #[test]
 fn picks_are_distributed_as_by_a_full_scan() {
-    // Measured on the code that walked the whole list for each pick: means of 48 plays, standard
-    // errors up to 0.013.
+    // The expected fractions are those of a scan of the whole list for each pick: means of 48 runs,
+    // with standard errors up to 0.013.
     for (proxy_count, backend_count, rate, expected) in [
         (2, 10, 60.0, [0.773, 0.101, 0.109, 0.017]),
         (10, 60, 60.0, [0.815, 0.040, 0.135, 0.009]),
@@ -116,7 +118,7 @@
             let deviation = (share - expected_share).abs();
             assert!(
                 deviation < 0.05,
-                "{proxy_count} nodes, {backend_count}: {actual:?}, wanted {expected:?}"
+                "{proxy_count} proxies, {backend_count} backends: {actual:?}, expected {expected:?}"
             );
         }
     }
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A deterministic simulation of backends that work first come, first served, for tests of what
-//! many proxies do together; no sockets and no wall clock.
+//! A deterministic simulation of many proxies in front of backends that serve first come, first
+//! served. It uses no sockets and no wall clock.
 
-// Each test program uses a part of it.
+// Each test program uses only a part of this module.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,13 +14,15 @@
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
 pub const START: Nanos = 3_600 * SECOND;
-/// Fleet sizes that each scenario is played with: the same code and figures serve all of them.
+/// Numbers of proxies with which scenarios are run; the same settings must work for all of them.
 pub const PROXY_COUNTS: [usize; 4] = [2, 10, 100, 300];
-/// Mean work of a request on a backend at full strength.
+/// Mean time that a request takes at an idle backend of full capacity.
 pub const WORK: Nanos = 40 * MS;
-/// Attempts that a backend holds before it rejects others.
+/// Attempts that a backend holds before it rejects further ones, each counted with the longest mean
+/// work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
+/// An event that the simulation has scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scheduled {
     Arrival,
@@ -32,21 +34,23 @@
         proxy_index: usize,
         request: u32,
         attempt: usize,
+        /// Index in `OUTCOMES`.
         outcome: u8,
     },
 }
 
-/// How a backend is doing.
+/// Condition of a backend.
 #[derive(Clone, Copy)]
 pub enum Health {
-    /// Its capacity as a fraction, 1 when warm.
+    /// It serves attempts at this fraction of its full capacity.
     Works(f64),
-    /// It rejects all at once, as one that drains does.
+    /// It rejects each attempt immediately, as a draining backend does.
     Draining,
-    /// It takes all and answers none.
+    /// It accepts all attempts and answers none.
     NeverAnswers,
 }
 
+/// Outcomes of simulated attempts.
 pub const OUTCOMES: [Outcome; 4] = [
     Outcome::Success,
     Outcome::Overloaded,
@@ -54,19 +58,22 @@
     Outcome::Cancelled,
 ];
 
-/// What became of a request, its node, and each of its attempts: when, where, and whether it is
-/// still in flight.
+/// A submitted request and its attempts.
 #[derive(Clone)]
 pub struct RequestRecord {
+    /// Index of the proxy that received the request.
     pub proxy_index: usize,
+    /// Index of its class.
     pub class: usize,
     pub received_at: Nanos,
+    /// `None` if the request was not served.
     pub served_at: Option<Nanos>,
+    /// Time of sending, backend, and whether the attempt is still in flight.
     pub attempts: Vec<(Nanos, BackendId, bool)>,
 }
 
 impl RequestRecord {
-    /// It was not started at once.
+    /// Whether no attempt was started when the request was received.
     pub fn was_queued(&self) -> bool {
         self.attempts
             .first()
@@ -74,32 +81,40 @@
     }
 }
 
+/// The proxies and backends of one run, the scheduled events and the requests so far.
 pub struct Simulation {
     pub proxies: Vec<Balancer>,
     pub settings: Settings,
-    /// Mean work of each class, and the share of the last class.
+    /// Mean work of each class.
     pub work: Vec<Nanos>,
+    /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
-    /// Backlog of which a backend's time above is counted: since when, until when, and the longest.
+    /// Work held by a backend above which its backlog counts as long.
     pub backlog_threshold: Nanos,
+    /// Start and end of the latest period in which the backlog of a backend is above the threshold.
     pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
+    /// Longest period in which the backlog of one backend was above the threshold.
     pub longest_above_threshold: Nanos,
-    /// Requests that were not started at once though some backend had nothing to do.
+    /// Number of requests that were not started at once although some backend was idle.
     pub queued_despite_idle_backend: usize,
-    /// A proxy that is stopped.
+    /// Index of the proxy that is stopped, if any.
     pub stopped: Option<usize>,
-    /// For each backend: when it has worked off what it holds.
+    /// When each backend has finished the attempts that it holds.
     pub free_at: BTreeMap<BackendId, Nanos>,
     pub health: fn(BackendId, Nanos) -> Health,
     pub now: Nanos,
+    /// Scheduled events by time, then by the order in which they were scheduled.
     pub schedule: BinaryHeap<Reverse<(Nanos, u64, Scheduled)>>,
+    /// Number of events scheduled so far.
     pub sequence: u64,
     pub rng: Xoshiro256PlusPlus,
-    /// The first node gets this many times the mean more than the others.
+    /// The first proxy gets this many times the load of another proxy in addition to its own.
     pub extra_load: u64,
+    /// All submitted requests, by id.
     pub records: BTreeMap<u32, RequestRecord>,
 }
 
+/// Settings of one of `proxy_count` proxies, with one class with an idempotency key.
 pub fn settings(proxy_count: usize) -> Settings {
     let idempotency = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
@@ -130,9 +145,11 @@
     settings
 }
 
+/// A ready backend in one of two zones and six cells.
 pub fn backend(id: u32) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u16), CellId((id % 6) as u16));
-    // Marks tell nothing of place or age, as the node's hash of a uid does not.
+    // The hash does not depend on the zone, cell or age, nor does the hash that the node computes
+    // from the uid of a backend.
     let (id, hash) = (
         BackendId(id),
         u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -149,10 +166,13 @@
 }
 
 impl Simulation {
+    /// A simulation with the settings of `settings` and seed 1.
     pub fn new(proxy_count: usize, backends: &[Endpoint]) -> Simulation {
         Simulation::with_seed(proxy_count, backends, 1)
     }
 
+    /// A simulation with the settings of `settings`. `seed` seeds only the proxies; the random
+    /// numbers of the simulation itself have a fixed seed.
     pub fn with_seed(proxy_count: usize, backends: &[Endpoint], seed: u64) -> Simulation {
         Simulation::with_settings(
             settings(proxy_count),
@@ -163,6 +183,8 @@
         )
     }
 
+    /// A simulation in which the proxies alternate between two zones and have `settings` otherwise.
+    /// `work` is the mean work of each class; `seed` is used as by `with_seed`.
     pub fn with_settings(
         settings: Settings,
         work: Vec<Nanos>,
@@ -177,7 +199,7 @@
                 proxy_index: proxy_index as u32,
                 ..settings.clone()
             };
-            Balancer::new(settings, seed + proxy_index as u64, START).expect("sound settings")
+            Balancer::new(settings, seed + proxy_index as u64, START).expect("valid settings")
         };
         let proxies = (0..proxy_count).map(balancer).collect();
         let mut simulation = Simulation {
@@ -203,7 +225,7 @@
         simulation
     }
 
-    /// Tells every node.
+    /// Sends an update of the endpoint list to every proxy.
     pub fn update_endpoints(&mut self, kind: UpdateKind, backends: &[Endpoint]) {
         for proxy_index in 0..self.proxies.len() {
             self.handle(
@@ -216,10 +238,12 @@
         }
     }
 
+    /// A uniform random number from [0, 1).
     pub fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// An exponentially distributed random duration.
     pub fn exponential(&mut self, mean: f64) -> Nanos {
         (-mean * (1.0 - self.uniform()).ln()) as Nanos
     }
@@ -229,6 +253,7 @@
         self.schedule.push(Reverse((at, self.sequence, scheduled)));
     }
 
+    /// Passes an event to a proxy and carries out the resulting actions.
     pub fn handle(&mut self, proxy_index: usize, event: Event) {
         let mut actions = Vec::new();
         self.proxies[proxy_index].handle(self.now, event, &mut actions);
@@ -259,6 +284,7 @@
         }
     }
 
+    /// Sends an attempt and schedules its end.
     pub fn send(
         &mut self,
         proxy_index: usize,
@@ -268,17 +294,23 @@
     ) {
         let class = self.records[&request].class;
         let work = self.exponential(self.work[class] as f64);
-        let max_backlog = MAX_QUEUE_LENGTH * self.work.iter().max().expect("a class");
+        let max_backlog = MAX_QUEUE_LENGTH * self.work.iter().max().expect("there is a class");
         let now = self.now;
-        let record = self.records.get_mut(&request).expect("asked");
+        let record = self
+            .records
+            .get_mut(&request)
+            .expect("the request was submitted");
         let attempt = record.attempts.len();
         record.attempts.push((now, backend, true));
-        let free_at = self.free_at.get_mut(&backend).expect("listed");
+        let free_at = self
+            .free_at
+            .get_mut(&backend)
+            .expect("the backend is listed");
         let (at, outcome) = match (self.health)(backend, now) {
             Health::Works(capacity) if *free_at <= now + max_backlog => {
                 *free_at = (*free_at).max(now) + (work as f64 / capacity) as Nanos;
                 if *free_at > now.saturating_add(self.backlog_threshold) {
-                    // It falls under the mark when it has worked off what is above.
+                    // The period ends once the backend has finished the work above the threshold.
                     let (period_start, period_end) = self
                         .above_threshold
                         .get(&backend)
@@ -311,6 +343,7 @@
         );
     }
 
+    /// Ends an attempt. Does nothing if it has already ended.
     pub fn end_attempt(
         &mut self,
         proxy_index: usize,
@@ -319,7 +352,10 @@
         outcome: Outcome,
     ) {
         let now = self.now;
-        let record = self.records.get_mut(&request).expect("asked");
+        let record = self
+            .records
+            .get_mut(&request)
+            .expect("the request was submitted");
         let (sent_at, _, in_flight) = &mut record.attempts[attempt];
         if !std::mem::replace(in_flight, false) {
             return;
@@ -341,7 +377,8 @@
         );
     }
 
-    /// Goes on for `span`, with Poisson arrivals of `rate` requests a second over the fleet.
+    /// Runs for `duration`, with Poisson arrivals of `rate` requests a second at all proxies
+    /// together.
     pub fn run(&mut self, duration: Nanos, rate: f64) {
         let end = self.now + duration;
         let mean_interval = SECOND as f64 / rate;
@@ -386,10 +423,11 @@
         self.now = end;
     }
 
+    /// Submits a request to a random proxy.
     pub fn submit_request(&mut self) {
         let draw = self.rng.next_u64() % (self.proxies.len() as u64 + self.extra_load);
         let proxy_index = draw.saturating_sub(self.extra_load) as usize;
-        // The front has clients of a node that is down go to the next one.
+        // The front sends the requests for a stopped proxy to the next one.
         let proxy_index = if self.stopped == Some(proxy_index) {
             (proxy_index + 1) % self.proxies.len()
         } else {
@@ -428,14 +466,14 @@
         );
     }
 
-    /// A node starts anew, with nothing but this list.
+    /// Restarts a proxy, which then knows only this cached list.
     pub fn restart(&mut self, proxy_index: usize, backends: &[Endpoint]) {
         let settings = Settings {
             proxy_index: proxy_index as u32,
             ..self.settings.clone()
         };
         self.proxies[proxy_index] =
-            Balancer::new(settings, 77 + proxy_index as u64, self.now).expect("sound settings");
+            Balancer::new(settings, 77 + proxy_index as u64, self.now).expect("valid settings");
         self.handle(
             proxy_index,
             Event::EndpointUpdate {
@@ -445,14 +483,15 @@
         );
     }
 
-    /// Those asked from `from` on.
+    /// Requests that were received at `from` or later.
     pub fn received_since(&self, from: Nanos) -> impl Iterator<Item = &RequestRecord> {
         self.records
             .values()
             .filter(move |record| record.received_at >= from)
     }
 
-    /// Fraction of those received from `from` on that were served within the objective.
+    /// Fraction of the requests received at `from` or later that were served within their latency
+    /// objective.
     pub fn fraction_in_time(&self, from: Nanos) -> f64 {
         let latency_objective =
             |record: &RequestRecord| self.settings.classes[record.class].latency_objective;
