--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -170,11 +170,11 @@
         }
         harness.wait(10 * MS);
         harness.end_attempt(first, 0, Outcome::Success);
-        let served: Vec<u32> = ids
+        let started: Vec<u32> = ids
             .into_iter()
             .filter(|id| harness.sent.contains_key(&RequestId(*id)))
             .collect();
-        assert_eq!(served, [ids[2]]);
+        assert_eq!(started, [ids[2]]);
     }
 }
 
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -13,11 +13,11 @@
             proxy_count: proxy_count as u32,
             ..settings()
         };
-        let starting = Endpoint {
+        let in_slow_start = Endpoint {
             started_at: Some(START - 1),
             ..backend(1)
         };
-        let backends = std::iter::once(starting)
+        let backends = std::iter::once(in_slow_start)
             .chain((2..=20).map(backend))
             .collect();
         let mut harness = Harness::with_seed(settings, backends, seed);
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -25,7 +25,7 @@
 /// The fleet and the features of one stream.
 #[derive(Clone, Copy, Debug)]
 struct Setup {
-    backends: u32,
+    backend_count: u32,
     proxy_count: u32,
     poll_endpoints: bool,
     /// Whether the stream has zones, kinds of machines, quotas, streamed answers, work hints, and
@@ -85,7 +85,7 @@
     /// Number of events scheduled so far.
     sequence: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
-    next_request: u32,
+    last_request_id: u32,
     endpoints: Vec<Endpoint>,
     /// Id of the backend that fails most of its attempts.
     failing_backend: u32,
@@ -142,7 +142,7 @@
 /// Adds the features of an extended setup.
 fn extend_settings(settings: &mut Settings, setup: Setup) {
     let quota_per_second =
-        RATE_PER_BACKEND * f64::from(setup.backends) * f64::from(setup.proxy_count) / 4.0;
+        RATE_PER_BACKEND * f64::from(setup.backend_count) * f64::from(setup.proxy_count) / 4.0;
     settings.tenants.push(Tenant { quota_per_second });
     settings.over_quota_weight = 0.2;
     settings.cross_zone_cost = 0.03;
@@ -157,7 +157,7 @@
 
 impl Recorder {
     fn new(setup: Setup, seed: u64) -> Recorder {
-        let endpoints = (0..setup.backends)
+        let endpoints = (0..setup.backend_count)
             .map(|id| backend(setup, id, EndpointState::Ready, None))
             .collect();
         let mut recorder = Recorder {
@@ -168,7 +168,7 @@
             timeline: BinaryHeap::new(),
             sequence: 0,
             requests: BTreeMap::new(),
-            next_request: 0,
+            last_request_id: 0,
             endpoints,
             failing_backend: 0,
             event_count: 0,
@@ -224,11 +224,11 @@
         } else {
             1.0
         };
-        let rate = RATE_PER_BACKEND * f64::from(self.setup.backends) * rate_factor;
+        let rate = RATE_PER_BACKEND * f64::from(self.setup.backend_count) * rate_factor;
         let interval = self.exponential(SECOND as f64 / rate);
         self.schedule(self.now + interval, Scheduled::Arrival);
-        self.next_request += 1;
-        let id = RequestId(self.next_request);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let class = (self.uniform() * 3.0) as u16;
         let client_timeout = if class == 2 { 700 * MS } else { 1_200 * MS };
         self.requests.insert(id, PendingRequest::default());
@@ -254,7 +254,7 @@
     /// Drains, removes or restarts a random backend, or makes it the failing one.
     fn change_endpoints(&mut self) {
         self.schedule(self.now + SECOND / 2, Scheduled::EndpointChange);
-        let index = (self.uniform() * f64::from(self.setup.backends)) as usize;
+        let index = (self.uniform() * f64::from(self.setup.backend_count)) as usize;
         let id = index as u32;
         let (now, state, random) = (self.now, self.endpoints[index].state, self.uniform());
         let entry = match state {
@@ -441,9 +441,9 @@
 fn setups() -> impl Iterator<Item = Setup> {
     [(3, 2), (30, 12), (300, 100)]
         .into_iter()
-        .flat_map(|(backends, proxy_count)| {
+        .flat_map(|(backend_count, proxy_count)| {
             [false, true].map(|poll_endpoints| Setup {
-                backends,
+                backend_count,
                 proxy_count,
                 poll_endpoints,
                 extended: false,
@@ -454,8 +454,8 @@
 fn extended_setups() -> impl Iterator<Item = Setup> {
     [(10, 2, true), (60, 12, false), (200, 300, true)]
         .into_iter()
-        .map(|(backends, proxy_count, poll_endpoints)| Setup {
-            backends,
+        .map(|(backend_count, proxy_count, poll_endpoints)| Setup {
+            backend_count,
             proxy_count,
             poll_endpoints,
             extended: true,
@@ -563,7 +563,7 @@
 #[test]
 fn equal_seeds_give_equal_hashes_and_other_seeds_do_not() {
     let setup = Setup {
-        backends: 3,
+        backend_count: 3,
         proxy_count: 2,
         poll_endpoints: true,
         extended: false,
