--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -1,4 +1,4 @@
-//! A balancer that is fed events, with the attempts that it has in flight.
+//! Builders for settings, backends and requests, and a harness that runs one balancer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,6 +10,7 @@
 
 pub const START: Nanos = 100_000 * MS;
 
+/// A class with a latency objective of 400 ms and a client timeout of 1 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 400 * MS,
@@ -20,18 +21,20 @@
     }
 }
 
+/// Settings with five classes: 0 is idempotent, 1 and 2 have idempotency keys with global and cell
+/// scope, 3 is not idempotent, and 4 is idempotent with ten times the weight of the others.
 pub fn settings() -> Settings {
-    let keyed = |group| {
+    let with_key = |scope| {
         class(Idempotency::IdempotencyKey {
-            scope: group,
+            scope,
             window: 500 * MS,
         })
     };
     let mut settings = Settings {
         classes: vec![
             class(Idempotency::Idempotent),
-            keyed(DeduplicationScope::Global),
-            keyed(DeduplicationScope::Cell),
+            with_key(DeduplicationScope::Global),
+            with_key(DeduplicationScope::Cell),
             class(Idempotency::NotIdempotent),
             Class {
                 priority_weight: 10.0,
@@ -47,6 +50,7 @@
     settings
 }
 
+/// A ready backend in the cell `id % 2`.
 pub fn backend(id: u32) -> Endpoint {
     Endpoint {
         id: BackendId(id),
@@ -60,6 +64,7 @@
     }
 }
 
+/// The event of a request with a client timeout of 800 ms.
 pub fn request(id: u32, class: u16) -> Event {
     let (id, class) = (RequestId(id), ClassId(class));
     Event::Request(Request {
@@ -70,29 +75,30 @@
     })
 }
 
-/// Feeds events to a balancer and keeps its attempts in flight; timers fire when due.
+/// Passes events to a balancer, fires its timers when they are due, and records its attempts.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Nanos,
     pub timers: BTreeSet<(Nanos, TimerId)>,
-    /// Attempts sent for each request: backend, time, and whether it is still out.
+    /// Attempts of each request: backend, time of sending, and whether it is still in flight.
     pub sent: BTreeMap<RequestId, Vec<(BackendId, Nanos, bool)>>,
-    pub next: u32,
+    /// Id of the last submitted request; 0 before the first.
+    pub last_request_id: u32,
 }
 
 impl Harness {
     pub fn new(settings: Settings, backends: Vec<Endpoint>) -> Harness {
-        Harness::seeded(settings, backends, 7)
+        Harness::with_seed(settings, backends, 7)
     }
 
-    pub fn seeded(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
-        let balancer = Balancer::new(settings, seed, START).expect("sound settings");
+    pub fn with_seed(settings: Settings, backends: Vec<Endpoint>, seed: u64) -> Harness {
+        let balancer = Balancer::new(settings, seed, START).expect("valid settings");
         let mut harness = Harness {
             balancer,
             now: START,
             timers: BTreeSet::new(),
             sent: BTreeMap::new(),
-            next: 0,
+            last_request_id: 0,
         };
         harness.handle(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
@@ -101,6 +107,7 @@
         harness
     }
 
+    /// Processes an event now and records the timers and attempts of the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -123,9 +130,9 @@
         actions
     }
 
-    /// Moves the clock, firing timers on the way.
-    pub fn wait(&mut self, span: Nanos) -> Vec<Action> {
-        let end = self.now + span;
+    /// Advances the clock and fires the timers that become due. Returns their actions.
+    pub fn wait(&mut self, duration: Nanos) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= end) {
             self.timers.remove(&(at, timer));
@@ -136,17 +143,22 @@
         actions
     }
 
+    /// Submits a request with the next id. Returns the id and the resulting actions.
     pub fn submit(&mut self, class: u16) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        (RequestId(self.next), self.handle(request(self.next, class)))
+        self.last_request_id += 1;
+        (
+            RequestId(self.last_request_id),
+            self.handle(request(self.last_request_id, class)),
+        )
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
+    /// Ends an attempt now. Only a success gives the request its final answer.
+    pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
         let sent = self
             .sent
             .get_mut(&id)
             .map(|attempts| &mut attempts[attempt])
-            .expect("sent");
+            .expect("the request has attempts");
         sent.2 = false;
         let latency = self.now - sent.1;
         let finished = outcome == Outcome::Success;
@@ -160,42 +172,43 @@
         })
     }
 
-    /// Serves requests one after the other, each after what its backend takes; counts by backend.
+    /// Serves requests of class 0 one after another, each after the service time of its backend.
+    /// Returns the number of requests by backend.
     pub fn serve(
         &mut self,
         count: usize,
-        takes: impl Fn(BackendId) -> Nanos,
+        service_time: impl Fn(BackendId) -> Nanos,
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.submit(0);
-            let to = self.sent[&id][0].0;
-            *counts.entry(to).or_default() += 1;
-            self.wait(takes(to));
-            self.end(id, 0, Outcome::Success);
+            let backend_id = self.sent[&id][0].0;
+            *counts.entry(backend_id).or_default() += 1;
+            self.wait(service_time(backend_id));
+            self.end_attempt(id, 0, Outcome::Success);
         }
         counts
     }
 }
 
 impl Harness {
-    /// Like `serve`, at a proxy with little traffic: a request may wait for capacity before it is
-    /// sent.
-    pub fn trickle(
+    /// Like `serve`, but with 400 ms between requests, so that a request may wait for capacity
+    /// before it is sent.
+    pub fn serve_at_low_rate(
         &mut self,
         count: usize,
-        takes: impl Fn(BackendId) -> Nanos,
+        service_time: impl Fn(BackendId) -> Nanos,
     ) -> BTreeMap<BackendId, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let (id, _) = self.submit(0);
             self.wait(300 * MS);
             if let Some(attempt) = self.sent.get_mut(&id).and_then(|sent| sent.first_mut()) {
-                let (to, sent, out) = attempt;
-                *out = false;
-                *counts.entry(*to).or_default() += 1;
-                // It had ended by then; reported late, with the latency that it had.
-                let latency = takes(*to).min(self.now - *sent);
+                let (backend_id, sent_at, in_flight) = attempt;
+                *in_flight = false;
+                *counts.entry(*backend_id).or_default() += 1;
+                // The attempt ended earlier; the end is reported late, with the true latency.
+                let latency = service_time(*backend_id).min(self.now - *sent_at);
                 self.handle(Event::AttemptEnded {
                     request: id,
                     attempt: 0,
@@ -211,20 +224,25 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<BackendId> {
+/// Backends of the attempts that these actions start.
+pub fn attempted_backends(actions: &[Action]) -> Vec<BackendId> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::StartAttempt { backend, .. } => Some(*backend),
             _ => None,
         })
         .collect()
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn has_rejection(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn has_failure(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
