--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -111,7 +111,7 @@
     /// When the core has finished all that it was given so far.
     idle_at: Duration,
     in_flight: usize,
-    started: Duration,
+    restarted_at: Duration,
     random: RandomSource,
 }
 
@@ -127,26 +127,26 @@
     settings: BackendSettings,
     state: Mutex<State>,
     attempt_log: Arc<AttemptLog>,
-    rejected: AtomicU64,
+    rejected_attempts: AtomicU64,
 }
 
 /// Writes the end of an attempt to the log when dropped, whatever becomes of its connection: hyper
 /// drops the future of a request whose connection has closed.
 struct AttemptGuard<'a> {
     backend: &'a Backend,
-    index: usize,
+    log_index: usize,
     outcome: AttemptOutcome,
-    counted: bool,
+    counted_in_flight: bool,
 }
 
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         {
-            let attempt = &mut self.backend.attempt_log.lock()[self.index];
+            let attempt = &mut self.backend.attempt_log.lock()[self.log_index];
             attempt.ended = self.backend.clock.now();
             attempt.outcome = self.outcome;
         }
-        if self.counted {
+        if self.counted_in_flight {
             self.backend.state().in_flight -= 1;
         }
     }
@@ -154,7 +154,7 @@
 
 /// What a backend decides on a request that has come in.
 struct Decision {
-    health: Health,
+    treatment: Health,
     /// When the core has finished the request, where it is executed.
     finished_at: Duration,
 }
@@ -172,7 +172,7 @@
             health: Health::Works(1.0),
             idle_at: Duration::ZERO,
             in_flight: 0,
-            started: Duration::ZERO,
+            restarted_at: Duration::ZERO,
             random: RandomSource::from_seed(settings.seed),
         };
         Arc::new(Backend {
@@ -183,7 +183,7 @@
             settings,
             state: Mutex::new(state),
             attempt_log,
-            rejected: AtomicU64::new(0),
+            rejected_attempts: AtomicU64::new(0),
         })
     }
 
@@ -201,13 +201,13 @@
         let now = self.clock.now();
         let mut state = self.state();
         state.idle_at = now;
-        state.started = now;
+        state.restarted_at = now;
         state.health = Health::Works(1.0);
     }
 
     /// Requests rejected so far.
     pub fn rejected(&self) -> u64 {
-        self.rejected.load(Ordering::SeqCst)
+        self.rejected_attempts.load(Ordering::SeqCst)
     }
 
     /// Listens for nodes.
@@ -217,25 +217,25 @@
     /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let backend = self.clone();
-        let serve = move |stream: LinkedStream| backend.clone().accept(stream);
-        Ok(self.link.clone().listen(serve).await?.0)
+        let on_connection = move |stream: LinkedStream| backend.clone().handle_connection(stream);
+        Ok(self.link.clone().listen(on_connection).await?.0)
     }
 
-    fn accept(self: Arc<Self>, stream: LinkedStream) {
-        let table_full = self.link.open() > self.settings.connections;
+    fn handle_connection(self: Arc<Self>, stream: LinkedStream) {
+        let over_connection_limit = self.link.open_connections() > self.settings.connections;
         {
             let now = self.clock.now();
             let mut state = self.state();
             state.idle_at = state.idle_at.max(now) + self.settings.handshake;
         }
         tokio::spawn(async move {
-            let answer = service_fn(|request| {
+            let request_handler = service_fn(|request| {
                 let backend = self.clone();
-                async move { backend.answer(request, table_full).await }
+                async move { backend.handle_request(request, over_connection_limit).await }
             });
             // The end of a connection shows in the log of its attempts.
             let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), answer)
+                .serve_connection(TokioIo::new(stream), request_handler)
                 .await;
         });
     }
@@ -243,50 +243,57 @@
     /// Fraction of the full speed that the backend has now; it grows linearly in slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
         let settings = &self.settings;
-        if state.started.is_zero() || settings.slow_start.is_zero() {
+        if state.restarted_at.is_zero() || settings.slow_start.is_zero() {
             return 1.0;
         }
-        let age =
-            now.saturating_sub(state.started).as_secs_f64() / settings.slow_start.as_secs_f64();
+        let age = now.saturating_sub(state.restarted_at).as_secs_f64()
+            / settings.slow_start.as_secs_f64();
         (settings.slow_start_from + (1.0 - settings.slow_start_from) * age).min(1.0)
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-        table_full: bool,
+        over_connection_limit: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
         let is_complete = body.collect().await.is_ok();
         let arrived = self.clock.now();
         let txn = header(&head.headers, "x-txn").unwrap_or_default();
-        let text = format!("{}:{txn}", self.uid);
-        let mut attempt = self.record(&head.headers, txn, arrived);
-        let decision = self.decide(&mut attempt, arrived, is_complete && !table_full);
-        match decision.health {
+        let response_body = format!("{}:{txn}", self.uid);
+        let mut attempt = self.record_attempt(&head.headers, txn, arrived);
+        let decision = self.decide(&mut attempt, arrived, is_complete && !over_connection_limit);
+        match decision.treatment {
             Health::Works(_) => {
                 tokio::time::sleep_until(self.clock.at(decision.finished_at)).await;
                 attempt.outcome = AttemptOutcome::Served;
-                Ok(response(StatusCode::OK, text))
+                Ok(response(StatusCode::OK, response_body))
             }
             Health::Silent => std::future::pending().await,
             Health::Fails => {
                 attempt.outcome = AttemptOutcome::Failed;
-                Ok(response(StatusCode::INTERNAL_SERVER_ERROR, text))
+                Ok(response(StatusCode::INTERNAL_SERVER_ERROR, response_body))
             }
             Health::Rejects => {
-                self.rejected.fetch_add(1, Ordering::SeqCst);
+                self.rejected_attempts.fetch_add(1, Ordering::SeqCst);
                 attempt.outcome = AttemptOutcome::Overloaded;
-                let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, text);
-                let unexecuted = HeaderValue::from_static("1");
-                rejection.headers_mut().insert(REJECTED_HEADER, unexecuted);
+                let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, response_body);
+                let header_value = HeaderValue::from_static("1");
+                rejection
+                    .headers_mut()
+                    .insert(REJECTED_HEADER, header_value);
                 Ok(rejection)
             }
         }
     }
 
     /// Adds an attempt to the log; until its outcome is set, it counts as lost if dropped.
-    fn record(&self, headers: &HeaderMap, txn: String, arrived: Duration) -> AttemptGuard<'_> {
+    fn record_attempt(
+        &self,
+        headers: &HeaderMap,
+        txn: String,
+        arrived: Duration,
+    ) -> AttemptGuard<'_> {
         let remaining_time = header(headers, "x-remaining-ms")
             .and_then(|ms| ms.parse().ok())
             .map(Duration::from_millis);
@@ -303,29 +310,29 @@
         });
         AttemptGuard {
             backend: self,
-            index: attempts.len() - 1,
+            log_index: attempts.len() - 1,
             outcome: AttemptOutcome::ConnectionLost,
-            counted: false,
+            counted_in_flight: false,
         }
     }
 
     /// Rejects what can't be taken, and queues what is executed.
-    fn decide(&self, attempt: &mut AttemptGuard, now: Duration, acceptable: bool) -> Decision {
+    fn decide(&self, attempt: &mut AttemptGuard, now: Duration, may_accept: bool) -> Decision {
         let mut state = self.state();
-        let health = if acceptable && state.in_flight < self.settings.capacity {
+        let treatment = if may_accept && state.in_flight < self.settings.capacity {
             state.health
         } else {
             Health::Rejects
         };
-        if let Health::Works(fraction) = health {
+        if let Health::Works(speed_fraction) = treatment {
             let work = self.settings.work.as_secs_f64() * state.random.exponential();
-            let speed = fraction * self.slow_start_fraction(&state, now);
+            let speed = speed_fraction * self.slow_start_fraction(&state, now);
             state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(work / speed);
             state.in_flight += 1;
-            attempt.counted = true;
+            attempt.counted_in_flight = true;
         }
         Decision {
-            health,
+            treatment,
             finished_at: state.idle_at,
         }
     }
@@ -335,8 +342,8 @@
     Some(headers.get(name)?.to_str().ok()?.to_string())
 }
 
-fn response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::from(text));
+fn response(status: StatusCode, body: String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -91,13 +91,13 @@
     pub outcome: ClientOutcome,
 }
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
 /// All clients of a run.
 pub struct Clients {
     clock: Clock,
     /// Idle connections by node.
-    idle: Mutex<HashMap<usize, Vec<Sender>>>,
+    idle_connections: Mutex<HashMap<usize, Vec<RequestSender>>>,
     records: Mutex<Vec<RequestRecord>>,
 }
 
@@ -106,7 +106,7 @@
     pub fn new(clock: Clock) -> Arc<Clients> {
         Arc::new(Clients {
             clock,
-            idle: Mutex::default(),
+            idle_connections: Mutex::default(),
             records: Mutex::default(),
         })
     }
@@ -118,9 +118,10 @@
 
     /// Sends one request to a node now, and records its outcome.
     pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
-        let end = self.clock.at(request.planned + request.client_timeout);
-        let answer = tokio::time::timeout_at(end, self.exchange(&request, node, address)).await;
-        let outcome = answer.unwrap_or(ClientOutcome::TimedOut);
+        let deadline = self.clock.at(request.planned + request.client_timeout);
+        let result =
+            tokio::time::timeout_at(deadline, self.exchange(&request, node, address)).await;
+        let outcome = result.unwrap_or(ClientOutcome::TimedOut);
         let ended = self.clock.now();
         locked(&self.records).push(RequestRecord {
             request,
@@ -130,9 +131,9 @@
         });
     }
 
-    fn take_idle(&self, node: usize) -> Option<Sender> {
-        let mut idle = locked(&self.idle);
-        let senders = idle.get_mut(&node)?;
+    fn take_idle_connection(&self, node: usize) -> Option<RequestSender> {
+        let mut idle_connections = locked(&self.idle_connections);
+        let senders = idle_connections.get_mut(&node)?;
         senders.retain(|sender| !sender.is_closed());
         senders.pop()
     }
@@ -166,11 +167,11 @@
         node: usize,
         address: SocketAddr,
     ) -> ClientOutcome {
-        let mut is_new = false;
+        let mut is_last_try = false;
         loop {
-            let idle = self.take_idle(node);
-            is_new |= idle.is_none();
-            let sender = match idle {
+            let reused = self.take_idle_connection(node);
+            is_last_try |= reused.is_none();
+            let sender = match reused {
                 Some(sender) => Some(sender),
                 None => connect(address).await,
             };
@@ -184,13 +185,16 @@
                         return ClientOutcome::ConnectionLost;
                     };
                     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
-                    locked(&self.idle).entry(node).or_default().push(sender);
+                    locked(&self.idle_connections)
+                        .entry(node)
+                        .or_default()
+                        .push(sender);
                     return ClientOutcome::Answered { status, body };
                 }
                 // The node closed an idle connection while the request was on its way, which is no
                 // fault of the node: it is sent once more.
-                Err(error) if !is_new && (error.is_canceled() || error.is_closed()) => {
-                    is_new = true;
+                Err(error) if !is_last_try && (error.is_canceled() || error.is_closed()) => {
+                    is_last_try = true;
                 }
                 Err(_) => return ClientOutcome::ConnectionLost,
             }
@@ -198,7 +202,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Option<Sender> {
+async fn connect(address: SocketAddr) -> Option<RequestSender> {
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -29,9 +29,9 @@
 use crate::{Clock, locked};
 
 /// A watch that has nothing to say writes an empty line this often.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Parts of an answer that may wait to be written.
-const BODY_BUFFER: usize = 4;
+const BODY_BUFFER_CHUNKS: usize = 4;
 
 struct State {
     mode: Mode,
@@ -51,26 +51,26 @@
 /// What brings a node up to date.
 struct Update {
     revision: u64,
-    endpoints: usize,
+    endpoint_count: usize,
     line: Bytes,
 }
 
 /// What a node asks for.
 struct CallQuery {
-    watch: bool,
+    is_watch: bool,
     /// The revision that a watch resumes after.
-    after: Option<u64>,
+    resume_after: Option<u64>,
 }
 
 impl CallQuery {
     fn parse(query: &str) -> CallQuery {
-        let watch = query.contains("watch=1");
-        let after = query
+        let is_watch = query.contains("watch=1");
+        let resume_after = query
             .split('&')
-            .find_map(|part| part.strip_prefix("after=")?.parse().ok());
+            .find_map(|parameter| parameter.strip_prefix("after=")?.parse().ok());
         CallQuery {
-            watch,
-            after: after.filter(|_| watch),
+            is_watch,
+            resume_after: resume_after.filter(|_| is_watch),
         }
     }
 }
@@ -81,15 +81,15 @@
     capacity: Capacity,
     state: Mutex<State>,
     /// Wakes watches.
-    revision: watch::Sender<u64>,
+    published_revision: watch::Sender<u64>,
 }
 
-type Answer = Response<BoxBody<Bytes, io::Error>>;
+type HttpResponse = Response<BoxBody<Bytes, io::Error>>;
 
-fn service_unavailable() -> Answer {
-    let mut answer = Response::new(Empty::new().map_err(|never| match never {}).boxed());
-    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    answer
+fn service_unavailable() -> HttpResponse {
+    let mut response = Response::new(Empty::new().map_err(|never| match never {}).boxed());
+    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    response
 }
 
 impl DiscoveryService {
@@ -113,7 +113,7 @@
             clock,
             capacity,
             state: Mutex::new(state),
-            revision: watch::Sender::new(1),
+            published_revision: watch::Sender::new(1),
         })
     }
 
@@ -127,21 +127,21 @@
     ///
     /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>, node: usize, link: Arc<Link>) -> io::Result<SocketAddr> {
-        let (service, over) = (self.clone(), link.clone());
-        let serve = move |stream: LinkedStream| {
-            let (service, over) = (service.clone(), over.clone());
+        let (service, connection_link) = (self.clone(), link.clone());
+        let on_connection = move |stream: LinkedStream| {
+            let (service, connection_link) = (service.clone(), connection_link.clone());
             tokio::spawn(async move {
-                let answer = service_fn(|request| {
-                    let (service, over) = (service.clone(), over.clone());
-                    async move { service.answer(node, over, request).await }
+                let request_handler = service_fn(|request| {
+                    let (service, connection_link) = (service.clone(), connection_link.clone());
+                    async move { service.handle_request(node, connection_link, request).await }
                 });
                 // Its end, good or bad, shows in the outcome of its calls.
                 let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(stream), answer)
+                    .serve_connection(TokioIo::new(stream), request_handler)
                     .await;
             });
         };
-        Ok(link.listen(serve).await?.0)
+        Ok(link.listen(on_connection).await?.0)
     }
 
     /// Changes how calls are treated that come from now on.
@@ -179,7 +179,7 @@
             state.history.pop_front();
         }
         drop(state);
-        self.revision.send_replace(revision);
+        self.published_revision.send_replace(revision);
     }
 
     /// The endpoint list as it is now.
@@ -208,15 +208,16 @@
     }
 
     /// The changes after a revision, or the whole list where the history does not reach back.
-    fn update(&self, after: Option<u64>) -> Update {
+    fn update_since(&self, after: Option<u64>) -> Update {
         let state = self.state();
         let revision = state.revision;
-        let oldest = state
+        let oldest_revision = state
             .history
             .front()
             .map_or(revision + 1, |change| change.revision);
-        let resumes = after.filter(|after| *after > 0 && after + 1 >= oldest && *after <= revision);
-        let endpoints: Vec<Value> = match resumes {
+        let resume_after =
+            after.filter(|after| *after > 0 && after + 1 >= oldest_revision && *after <= revision);
+        let endpoints: Vec<Value> = match resume_after {
             Some(after) => state
                 .history
                 .iter()
@@ -225,12 +226,12 @@
                 .collect(),
             None => state.endpoints.values().map(Endpoint::json).collect(),
         };
-        let count = endpoints.len();
-        let object = json!({"rev": revision, "all": resumes.is_none(), "targets": endpoints});
+        let endpoint_count = endpoints.len();
+        let message = json!({"rev": revision, "all": resume_after.is_none(), "targets": endpoints});
         Update {
             revision,
-            endpoints: count,
-            line: Bytes::from(object.to_string() + "\n"),
+            endpoint_count,
+            line: Bytes::from(message.to_string() + "\n"),
         }
     }
 
@@ -238,7 +239,7 @@
     /// cut is over.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
         let at = self.clock.now();
-        if link.passes_out() {
+        if link.delivers_to_node() {
             let notification = Notification { node, at, revision };
             self.state().notifications.push(notification);
         }
@@ -257,72 +258,73 @@
         state.calls.len() - 1
     }
 
-    fn end_call(&self, index: usize, outcome: CallOutcome) {
+    fn end_call(&self, call_index: usize, outcome: CallOutcome) {
         let ended = self.clock.now();
         let mut state = self.state();
-        let call = &mut state.calls[index];
+        let call = &mut state.calls[call_index];
         call.ended = ended;
         call.outcome = outcome;
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         node: usize,
         link: Arc<Link>,
         request: Request<Incoming>,
-    ) -> Result<Answer, Infallible> {
+    ) -> Result<HttpResponse, Infallible> {
         let query = CallQuery::parse(request.uri().query().unwrap_or_default());
-        let call = self.record_call(node);
+        let call_index = self.record_call(node);
         let mode = self.state().mode;
         match mode {
             Mode::Up => {}
             Mode::Overloaded => {
-                self.end_call(call, CallOutcome::Failed);
+                self.end_call(call_index, CallOutcome::Failed);
                 return Ok(service_unavailable());
             }
             Mode::Silent => std::future::pending::<()>().await,
-            Mode::Truncates => return Ok(self.truncated_answer(call).await),
+            Mode::Truncates => return Ok(self.truncated_response(call_index).await),
         }
-        if !self.wait_in_queue(call, &query).await {
-            self.end_call(call, CallOutcome::Failed);
+        if !self.wait_in_queue(call_index, &query).await {
+            self.end_call(call_index, CallOutcome::Failed);
             return Ok(service_unavailable());
         }
-        self.end_call(call, CallOutcome::Answered);
-        let (sender, body) = Channel::<Bytes, io::Error>::new(BODY_BUFFER);
+        self.end_call(call_index, CallOutcome::Answered);
+        let (sender, body) = Channel::<Bytes, io::Error>::new(BODY_BUFFER_CHUNKS);
         tokio::spawn(self.clone().write_body(node, link, query, sender));
         Ok(Response::new(body.boxed()))
     }
 
     /// Half of the list, and the connection closes without the last chunk.
-    async fn truncated_answer(&self, call: usize) -> Answer {
+    async fn truncated_response(&self, call_index: usize) -> HttpResponse {
         let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
-        let list = self.update(None).line;
+        let list = self.update_since(None).line;
         let _ = sender.send_data(list.slice(..list.len() / 2)).await;
-        self.end_call(call, CallOutcome::Failed);
+        self.end_call(call_index, CallOutcome::Failed);
         sender.abort(io::ErrorKind::BrokenPipe.into());
         Response::new(body.boxed())
     }
 
     /// Waits until the call is served, or until it has waited as long as a call may: then `false`.
-    async fn wait_in_queue(&self, call: usize, query: &CallQuery) -> bool {
-        let endpoints = self.update(query.after).endpoints as u32;
+    async fn wait_in_queue(&self, call_index: usize, query: &CallQuery) -> bool {
+        let endpoint_count = self.update_since(query.resume_after).endpoint_count as u32;
         let (arrived, wait, served_at) = {
             let mut state = self.state();
-            let arrived = state.calls[call].arrived;
-            let start = state.idle_at.max(arrived);
-            let wait = start.saturating_sub(arrived);
+            let arrived = state.calls[call_index].arrived;
+            let service_start = state.idle_at.max(arrived);
+            let wait = service_start.saturating_sub(arrived);
             if wait <= self.capacity.max_wait {
-                state.idle_at = start + self.capacity.call + self.capacity.endpoint * endpoints;
+                state.idle_at =
+                    service_start + self.capacity.call + self.capacity.endpoint * endpoint_count;
             }
             (arrived, wait, state.idle_at)
         };
         let is_served = wait <= self.capacity.max_wait;
-        let until = if is_served {
+        let wait_until = if is_served {
             served_at
         } else {
             arrived + self.capacity.max_wait
         };
-        tokio::time::sleep_until(self.clock.at(until)).await;
+        tokio::time::sleep_until(self.clock.at(wait_until)).await;
         is_served
     }
 
@@ -334,31 +336,36 @@
         query: CallQuery,
         mut sender: Sender<Bytes, io::Error>,
     ) {
-        let mut changes = self.revision.subscribe();
-        changes.mark_unchanged();
-        let first = self.update(query.after);
-        let mut revision = first.revision;
+        let mut revision_receiver = self.published_revision.subscribe();
+        revision_receiver.mark_unchanged();
+        let first_update = self.update_since(query.resume_after);
+        let mut revision = first_update.revision;
         self.record_notification(node, &link, revision);
-        self.state().bytes_written += first.line.len() as u64;
-        let mut sent = sender.send_data(first.line).await;
-        while query.watch && sent.is_ok() {
+        self.state().bytes_written += first_update.line.len() as u64;
+        let mut send_result = sender.send_data(first_update.line).await;
+        while query.is_watch && send_result.is_ok() {
             // The guard that `wait_for` gives is dropped at once: it would hold off a change.
-            let changed = async { changes.wait_for(|now| *now > revision).await.is_ok() };
+            let revision_change = async {
+                revision_receiver
+                    .wait_for(|published| *published > revision)
+                    .await
+                    .is_ok()
+            };
             let line = tokio::select! {
                 // The list may have changed between the first line and here.
-                changed = changed => {
-                    if !changed {
+                has_changed = revision_change => {
+                    if !has_changed {
                         return;
                     }
-                    let update = self.update(Some(revision));
+                    let update = self.update_since(Some(revision));
                     revision = update.revision;
                     self.record_notification(node, &link, revision);
                     update.line
                 }
-                () = tokio::time::sleep(KEEP_ALIVE) => Bytes::from_static(b"\n"),
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => Bytes::from_static(b"\n"),
             };
             self.state().bytes_written += line.len() as u64;
-            sent = sender.send_data(line).await;
+            send_result = sender.send_data(line).await;
         }
     }
 }
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -18,7 +18,7 @@
 
 impl EndpointState {
     /// The protocol's word.
-    fn wire_word(self) -> &'static str {
+    fn wire_name(self) -> &'static str {
         match self {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
@@ -53,7 +53,7 @@
             "az": self.zone,
             "model": "m",
             "pod_group": self.cell,
-            "state": self.state.wire_word(),
+            "state": self.state.wire_name(),
             "capacity_hint": 1.0,
             "boot_ms": self.boot_ms,
         })
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -50,7 +50,7 @@
 }
 
 /// Bytes of a piece.
-const PIECE: usize = 7;
+const PIECE_BYTES: usize = 7;
 /// Pause behind a piece.
 const PIECE_PAUSE: Duration = Duration::from_millis(1);
 
@@ -72,13 +72,13 @@
 #[derive(Debug, Default)]
 pub struct Link {
     health: Mutex<Health>,
-    behaviour: Mutex<WriteBehaviour>,
+    write_behaviour: Mutex<WriteBehaviour>,
     /// The tasks that wait, by number of the connection.
     wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
-    changed: Notify,
+    health_changed: Notify,
     /// Resets so far; each strikes the connections that were open.
     resets: AtomicU64,
-    open: AtomicUsize,
+    open_connections: AtomicUsize,
     accepted: AtomicUsize,
 }
 
@@ -86,33 +86,33 @@
     /// Changes the health, for open connections too.
     pub fn set(&self, health: Health) {
         *locked(&self.health) = health;
-        self.changed.notify_one();
-        self.wake();
+        self.health_changed.notify_one();
+        self.wake_all();
     }
 
     /// Changes how the stand-in's bytes are written, on open connections too.
     pub fn set_write_behaviour(&self, behaviour: WriteBehaviour) {
-        *locked(&self.behaviour) = behaviour;
+        *locked(&self.write_behaviour) = behaviour;
     }
 
     /// Resets all connections that are open.
     pub fn reset(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
-        self.wake();
+        self.wake_all();
     }
 
-    fn wake(&self) {
+    fn wake_all(&self) {
         let wakers = std::mem::take(&mut *locked(&self.wakers));
         wakers
             .into_values()
-            .flat_map(|waiting| [waiting.read, waiting.write])
+            .flat_map(|connection| [connection.read, connection.write])
             .flatten()
             .for_each(Waker::wake);
     }
 
     /// Connections open now.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.load(Ordering::SeqCst)
     }
 
     /// Connections accepted since the start.
@@ -121,7 +121,7 @@
     }
 
     /// Whether the stand-in's bytes reach the node.
-    pub fn passes_out(&self) -> bool {
+    pub fn delivers_to_node(&self) -> bool {
         !matches!(self.health(), Health::Cut | Health::CutOut)
     }
 
@@ -140,14 +140,14 @@
     /// Outside of a Tokio runtime.
     pub async fn listen(
         self: Arc<Self>,
-        serve: impl Fn(LinkedStream) + Send + 'static,
+        on_connection: impl Fn(LinkedStream) + Send + 'static,
     ) -> io::Result<(SocketAddr, tokio::task::JoinHandle<()>)> {
         // An address of its own: ports of 127.0.0.1 are given to connections, also while a link
         // refuses, and one that connects to its own port would even reach itself.
         let port = Port::reserve("127.1.0.1:0".parse().expect("an address"))?;
         let address = port.address;
         let listener = port.listen()?;
-        let task = tokio::spawn(self.accept_connections(port, listener, serve));
+        let task = tokio::spawn(self.accept_connections(port, listener, on_connection));
         Ok((address, task))
     }
 
@@ -155,14 +155,14 @@
         self: Arc<Self>,
         port: Port,
         listener: TcpListener,
-        serve: impl Fn(LinkedStream),
+        on_connection: impl Fn(LinkedStream),
     ) {
         let mut open_listener = Some(listener);
         loop {
             if self.health() == Health::Refused {
                 // Without a listener the kernel refuses connections; the port stays reserved.
                 open_listener = None;
-                self.changed.notified().await;
+                self.health_changed.notified().await;
                 continue;
             }
             let listener = match open_listener.take() {
@@ -171,23 +171,23 @@
             };
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                    serve(self.clone().linked(stream));
+                    on_connection(self.clone().wrap_stream(stream));
                 },
-                () = self.changed.notified() => {}
+                () = self.health_changed.notified() => {}
             }
             open_listener = Some(listener);
         }
     }
 
-    fn linked(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
+    fn wrap_stream(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
         let _ = stream.set_nodelay(true);
-        self.open.fetch_add(1, Ordering::SeqCst);
-        let number = self.accepted.fetch_add(1, Ordering::SeqCst);
+        self.open_connections.fetch_add(1, Ordering::SeqCst);
+        let connection_number = self.accepted.fetch_add(1, Ordering::SeqCst);
         let resets_before = self.resets.load(Ordering::SeqCst);
         LinkedStream {
             stream,
             link: self,
-            number,
+            connection_number,
             resets_before,
             pause: None,
         }
@@ -199,16 +199,16 @@
 /// started, which holds a copy of the listener until it has become its program.
 struct Port {
     address: SocketAddr,
-    _holder: TcpSocket,
+    _reserving_socket: TcpSocket,
 }
 
 impl Port {
     /// Reserves a port; port 0 of the address means any that is free.
     fn reserve(address: SocketAddr) -> io::Result<Port> {
-        let holder = bind(address)?;
+        let reserving_socket = bind(address)?;
         Ok(Port {
-            address: holder.local_addr()?,
-            _holder: holder,
+            address: reserving_socket.local_addr()?,
+            _reserving_socket: reserving_socket,
         })
     }
 
@@ -241,7 +241,7 @@
 pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
-    number: usize,
+    connection_number: usize,
     /// Resets of the link before this connection was accepted.
     resets_before: u64,
     /// The pause behind the last piece.
@@ -250,8 +250,8 @@
 
 impl Drop for LinkedStream {
     fn drop(&mut self) {
-        locked(&self.link.wakers).remove(&self.number);
-        self.link.open.fetch_sub(1, Ordering::SeqCst);
+        locked(&self.link.wakers).remove(&self.connection_number);
+        self.link.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -260,11 +260,11 @@
     fn poll_permitted(&self, context: &Context<'_>, direction: Direction) -> Poll<io::Result<()>> {
         // Registered before the health is read, so that a change in between is not missed.
         let mut wakers = locked(&self.link.wakers);
-        let waiting = wakers.entry(self.number).or_default();
+        let connection_wakers = wakers.entry(self.connection_number).or_default();
         let waker = Some(context.waker().clone());
         match direction {
-            Direction::Read => waiting.read = waker,
-            Direction::Write => waiting.write = waker,
+            Direction::Read => connection_wakers.read = waker,
+            Direction::Write => connection_wakers.write = waker,
         }
         drop(wakers);
         if self.link.resets.load(Ordering::SeqCst) > self.resets_before {
@@ -297,19 +297,19 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         std::task::ready!(self.poll_permitted(context, Direction::Write))?;
-        let behaviour = *locked(&self.link.behaviour);
+        let behaviour = *locked(&self.link.write_behaviour);
         match behaviour {
             WriteBehaviour::Unchanged => Pin::new(&mut self.stream).poll_write(context, bytes),
             WriteBehaviour::Duplicated => {
-                let twice = [bytes, bytes].concat();
-                let written = Pin::new(&mut self.stream).poll_write(context, &twice);
+                let doubled = [bytes, bytes].concat();
+                let written = Pin::new(&mut self.stream).poll_write(context, &doubled);
                 written.map_ok(|count| count.min(bytes.len()))
             }
             WriteBehaviour::InPieces => {
                 if let Some(pause) = &mut self.pause {
                     std::task::ready!(pause.as_mut().poll(context));
                 }
-                let piece = &bytes[..bytes.len().min(PIECE)];
+                let piece = &bytes[..bytes.len().min(PIECE_BYTES)];
                 let written = Pin::new(&mut self.stream).poll_write(context, piece);
                 if written.is_ready() {
                     self.pause = Some(Box::pin(tokio::time::sleep(PIECE_PAUSE)));
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -5,9 +5,9 @@
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn echo() -> (Arc<Link>, SocketAddr) {
+async fn echo_server() -> (Arc<Link>, SocketAddr) {
     let link = Arc::new(Link::default());
-    let serve = |mut stream: LinkedStream| {
+    let on_connection = |mut stream: LinkedStream| {
         tokio::spawn(async move {
             let mut byte = [0];
             while stream.read_exact(&mut byte).await.is_ok()
@@ -15,13 +15,13 @@
             {}
         });
     };
-    let (address, _) = link.clone().listen(serve).await.unwrap();
+    let (address, _) = link.clone().listen(on_connection).await.unwrap();
     (link, address)
 }
 
 #[tokio::test]
-async fn a_cut_passes_nothing_and_heals_and_a_reset_and_a_closed_port_are_seen() {
-    let (link, address) = echo().await;
+async fn cut_delays_bytes_and_reset_and_refusal_reach_the_client() {
+    let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let mut byte = [0];
     stream.write_all(b"a").await.unwrap();
@@ -29,11 +29,11 @@
     for cut in [Health::Cut, Health::CutOut] {
         link.set(cut);
         stream.write_all(b"b").await.unwrap();
-        let silent = tokio::time::timeout(
+        let read = tokio::time::timeout(
             std::time::Duration::from_millis(50),
             stream.read_exact(&mut byte),
         );
-        assert!(silent.await.is_err(), "{cut:?}");
+        assert!(read.await.is_err(), "{cut:?}");
         link.set(Health::Healthy);
         stream.read_exact(&mut byte).await.unwrap();
         assert_eq!(byte, *b"b");
@@ -48,26 +48,26 @@
 }
 
 #[tokio::test]
-async fn bytes_come_twice_or_in_pieces() {
-    let (link, address) = echo().await;
+async fn write_behaviour_duplicates_bytes_or_splits_them_into_pieces() {
+    let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
-    for (behaviour, wanted) in [
+    for (behaviour, expected) in [
         (WriteBehaviour::Duplicated, &b"aa"[..]),
         (WriteBehaviour::InPieces, b"a"),
         (WriteBehaviour::Unchanged, b"a"),
     ] {
         link.set_write_behaviour(behaviour);
         stream.write_all(b"a").await.unwrap();
-        let mut bytes = vec![0; wanted.len()];
+        let mut bytes = vec![0; expected.len()];
         stream.read_exact(&mut bytes).await.unwrap();
-        assert_eq!(bytes, wanted, "{behaviour:?}");
+        assert_eq!(bytes, expected, "{behaviour:?}");
     }
 }
 
 /// Threads that start processes while the test goes on. A process that is being started holds all
 /// descriptors of its parent until it has become its program.
 fn start_processes(stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
-    let start = |stop: Arc<AtomicBool>| {
+    let spawn_starter = |stop: Arc<AtomicBool>| {
         std::thread::spawn(move || {
             while !stop.load(Ordering::SeqCst) {
                 let mut child = std::process::Command::new("true").spawn().unwrap();
@@ -75,16 +75,16 @@
             }
         })
     };
-    (0..3).map(|_| start(stop.clone())).collect()
+    (0..3).map(|_| spawn_starter(stop.clone())).collect()
 }
 
 #[tokio::test]
-async fn a_link_that_refuses_connections_keeps_its_port_while_processes_are_started() {
+async fn refusing_link_keeps_its_port_while_processes_are_started() {
     let stop = Arc::new(AtomicBool::new(false));
     let starters = start_processes(&stop);
     let mut links = Vec::new();
     for _ in 0..100 {
-        let (link, address) = echo().await;
+        let (link, address) = echo_server().await;
         link.set(Health::Refused);
         while TcpStream::connect(address).await.is_ok() {}
         links.push((link, address));
@@ -95,9 +95,9 @@
     }
     for (link, address) in links {
         // Without SO_REUSEADDR a port is given only if no other socket has it.
-        let taken = TcpSocket::new_v4().unwrap().bind(address);
+        let second_bind = TcpSocket::new_v4().unwrap().bind(address);
         assert_eq!(
-            taken.unwrap_err().kind(),
+            second_bind.unwrap_err().kind(),
             io::ErrorKind::AddrInUse,
             "{address}"
         );
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -37,13 +37,13 @@
 ];
 
 /// Pieces of a request that trickles.
-const PIECES: usize = 5;
+const TRICKLE_PIECES: usize = 5;
 /// Pause behind each piece.
-const PAUSE: Duration = Duration::from_millis(60);
+const TRICKLE_PAUSE: Duration = Duration::from_millis(60);
 /// A client waits at least this long for what it is owed ...
-const MIN_WAIT: Duration = Duration::from_secs(3);
+const MIN_ANSWER_WAIT: Duration = Duration::from_secs(3);
 /// ... and this much longer, so that a late answer is still seen and can be judged.
-const WAIT_MARGIN: Duration = Duration::from_secs(1);
+const LATE_ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 /// A request of a misbehaving client.
 #[derive(Clone, Debug)]
@@ -116,15 +116,15 @@
             answers: 0,
         };
         if let Ok(stream) = TcpStream::connect(address).await {
-            self.converse(&mut record, stream).await;
+            self.run_connection(&mut record, stream).await;
         }
         locked(&self.records).push(record);
     }
 
-    async fn converse(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
+    async fn run_connection(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
         record.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
-        let sent = send(&record.request, &mut stream).await;
+        let sent = send_request(&record.request, &mut stream).await;
         record.sent = self.clock.now();
         if sent.is_err() {
             record.ended = Some(record.sent);
@@ -152,42 +152,42 @@
     /// Reads until the answers that are owed have come, the node ends the connection, or the client
     /// has waited well past its timeout.
     async fn read_answers(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
-        let wanted = match record.request.behaviour {
+        let expected_answers = match record.request.behaviour {
             Behaviour::Pipelines => 2,
             _ => 1,
         };
-        let limit = record.request.client_timeout.max(MIN_WAIT) + WAIT_MARGIN;
-        let mut bytes = Vec::new();
+        let read_timeout = record.request.client_timeout.max(MIN_ANSWER_WAIT) + LATE_ANSWER_MARGIN;
+        let mut received = Vec::new();
         let read = async {
-            let mut piece = [0; 4096];
+            let mut buffer = [0; 4096];
             loop {
-                match stream.read(&mut piece).await {
+                match stream.read(&mut buffer).await {
                     Ok(0) | Err(_) => return,
-                    Ok(count) => bytes.extend_from_slice(&piece[..count]),
+                    Ok(count) => received.extend_from_slice(&buffer[..count]),
                 }
-                if count_complete_answers(&bytes) >= wanted {
+                if count_complete_answers(&received) >= expected_answers {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(limit, read).await.is_ok() {
+        if tokio::time::timeout(read_timeout, read).await.is_ok() {
             record.ended = Some(self.clock.now());
         }
-        record.answers = count_complete_answers(&bytes);
+        record.answers = count_complete_answers(&received);
     }
 }
 
-async fn send(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
-    let text = request_bytes(request, "");
+async fn send_request(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
+    let encoded = request_bytes(request, "");
     match request.behaviour {
         Behaviour::Silent => Ok(()),
-        Behaviour::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
-        Behaviour::Trickles => trickle(stream, &text).await,
+        Behaviour::StopsMidway => stream.write_all(&encoded[..encoded.len() / 2]).await,
+        Behaviour::Trickles => trickle(stream, &encoded).await,
         Behaviour::Pipelines => {
-            let both = [text, request_bytes(request, "b")].concat();
-            stream.write_all(&both).await
+            let both_requests = [encoded, request_bytes(request, "b")].concat();
+            stream.write_all(&both_requests).await
         }
-        Behaviour::Disconnects(_) | Behaviour::HalfCloses => stream.write_all(&text).await,
+        Behaviour::Disconnects(_) | Behaviour::HalfCloses => stream.write_all(&encoded).await,
     }
 }
 
@@ -195,44 +195,44 @@
     let txn = format!("{}{suffix}", request.txn);
     let class = &request.class;
     let remaining_ms = request.client_timeout.as_millis();
-    let (method, key, body) = if request.has_key {
-        let key = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
-        ("POST", key, "body")
+    let (method, key_headers, body) = if request.has_key {
+        let key_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
+        ("POST", key_headers, "body")
     } else {
         ("GET", String::new(), "")
     };
     format!(
         "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
-         X-Remaining-Ms: {remaining_ms}\r\n{key}\r\n{body}"
+         X-Remaining-Ms: {remaining_ms}\r\n{key_headers}\r\n{body}"
     )
     .into_bytes()
 }
 
-async fn trickle(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
-    for piece in text.chunks(text.len().div_ceil(PIECES)) {
+async fn trickle(stream: &mut TcpStream, encoded: &[u8]) -> std::io::Result<()> {
+    for piece in encoded.chunks(encoded.len().div_ceil(TRICKLE_PIECES)) {
         stream.write_all(piece).await?;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(TRICKLE_PAUSE).await;
     }
     Ok(())
 }
 
 /// Complete answers at the head of these bytes; each has a `Content-Length`.
 fn count_complete_answers(mut bytes: &[u8]) -> usize {
-    const HEAD_END: &[u8] = b"\r\n\r\n";
+    const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
     let mut count = 0;
-    while let Some(end) = bytes
-        .windows(HEAD_END.len())
-        .position(|window| window == HEAD_END)
+    while let Some(head_length) = bytes
+        .windows(HEAD_TERMINATOR.len())
+        .position(|window| window == HEAD_TERMINATOR)
     {
-        let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
-        let length = head
+        let head = String::from_utf8_lossy(&bytes[..head_length]).to_lowercase();
+        let length_text = head
             .split("content-length: ")
             .nth(1)
             .and_then(|rest| rest.lines().next());
-        let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) else {
+        let Some(length) = length_text.and_then(|text| text.trim().parse::<usize>().ok()) else {
             break;
         };
-        let Some(rest) = bytes.get(end + HEAD_END.len() + length..) else {
+        let Some(rest) = bytes.get(head_length + HEAD_TERMINATOR.len() + length..) else {
             break;
         };
         count += 1;
