--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,5 +1,5 @@
-//! The stand-in backend: one core that serves requests in order of arrival, with a bounded queue,
-//! slow start, a bounded table of connections, and the faults of real backends.
+//! The stand-in backend: one core that serves requests in order of arrival, with a limit on
+//! requests in flight and on connections, slow start, and the faults of real backends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,39 +19,40 @@
 use crate::random::RandomSource;
 use crate::{Clock, locked};
 
-/// Header by which a backend says that it rejected a request unexecuted.
+/// Response header with which a backend marks a request as rejected unexecuted.
 const REJECTED_HEADER: &str = "x-turned-away";
 
-/// What a backend can do.
+/// Capacity and speed of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSettings {
-    /// Mean work of a request at full speed; each draws its own from an exponential distribution.
+    /// Mean execution time of a request at full speed; that of each request is drawn from an
+    /// exponential distribution.
     pub work: Duration,
-    /// Work of a new connection; the first request on it waits for that.
+    /// Time that the core spends on each new connection; requests that arrive later wait for it.
     pub handshake: Duration,
-    /// Most requests in flight; beyond, requests are rejected unexecuted.
+    /// Maximum number of requests in flight; further requests are rejected unexecuted.
     pub capacity: usize,
-    /// Most connections; beyond, requests on new ones are rejected unexecuted.
+    /// Maximum number of connections; requests on further ones are rejected unexecuted.
     pub connections: usize,
-    /// Fraction of its speed that it starts with.
+    /// Fraction of the full speed right after a restart.
     pub slow_start_from: f64,
-    /// Time after a start until it is at full speed.
+    /// Time from a restart to full speed; zero means that there is no slow start.
     pub slow_start: Duration,
-    /// Seed of its draws.
+    /// Seed of the random execution times.
     pub seed: u64,
 }
 
 /// How a backend treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub enum Health {
-    /// It serves them at this fraction of its speed.
+    /// It executes them at this fraction of its speed and answers 200.
     Works(f64),
-    /// It takes them and answers none.
+    /// It reads them and never answers.
     #[default]
     Silent,
-    /// It answers 500.
+    /// It answers 500 at once.
     Fails,
-    /// It rejects all of them unexecuted, as a draining backend does.
+    /// It rejects all of them with 503, unexecuted, as a draining backend does.
     Rejects,
 }
 
@@ -66,32 +67,33 @@
     Failed,
     /// Rejected with 503, unexecuted.
     Overloaded,
-    /// Its connection closed before it was answered.
+    /// The connection closed before the attempt was answered.
     ConnectionLost,
 }
 
 /// One attempt as a backend received it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's `X-Txn`.
+    /// The request's `X-Txn`; empty if it has none.
     pub txn: String,
-    /// Its `Idempotency-Key`, if it had one.
+    /// The request's `Idempotency-Key`; `None` if it has none.
     pub key: Option<String>,
-    /// The backend.
+    /// The name of the backend in the endpoint list.
     pub uid: String,
-    /// Cell of the backend: the group within which repeats of a key are dropped.
+    /// The cell of the backend: the group of backends that drops repeats of an idempotency key.
     pub cell: u16,
-    /// `X-Remaining-Ms`: how much longer the client waits, as the node has it.
+    /// `X-Remaining-Ms`: how much longer the client waits, according to the node; `None` if the
+    /// header is missing or is not a number.
     pub remaining_time: Option<Duration>,
-    /// When its last byte had come.
+    /// When the last byte of the request arrived, or reading its body failed.
     pub arrived: Duration,
-    /// When it ended.
+    /// When the attempt ended; equal to `arrived` until then.
     pub ended: Duration,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// The attempts that all backends of a run received.
+/// The attempts that the backends of a run received; all of them share the log.
 #[derive(Default)]
 pub struct AttemptLog(Mutex<Vec<Attempt>>);
 
@@ -100,7 +102,7 @@
         locked(&self.0)
     }
 
-    /// All attempts so far, by arrival.
+    /// All attempts so far, in order of arrival.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.lock().clone()
     }
@@ -108,20 +110,22 @@
 
 struct State {
     health: Health,
-    /// When the core has finished all that it was given so far.
+    /// When the core will have finished all work queued so far.
     idle_at: Duration,
+    /// Requests that are being executed or wait for the core.
     in_flight: usize,
+    /// Time of the last restart; zero if there was none.
     restarted_at: Duration,
     random: RandomSource,
 }
 
-/// A backend.
+/// A stand-in backend, one process with one core.
 pub struct Backend {
-    /// Its name in the endpoint list.
+    /// The name of the backend in the endpoint list, the same at every node and over restarts.
     pub uid: String,
-    /// Its cell.
+    /// The cell of the backend; see [`Attempt::cell`].
     pub cell: u16,
-    /// Its link to the nodes.
+    /// The link between the nodes and the backend.
     pub link: Arc<Link>,
     clock: Clock,
     settings: BackendSettings,
@@ -130,12 +134,14 @@
     rejected_attempts: AtomicU64,
 }
 
-/// Writes the end of an attempt to the log when dropped, whatever becomes of its connection: hyper
-/// drops the future of a request whose connection has closed.
+/// Records the end of an attempt in the log when dropped. This covers connections that close early:
+/// hyper then drops the future of the request.
 struct AttemptGuard<'a> {
     backend: &'a Backend,
+    /// Position of the attempt in the attempt log.
     log_index: usize,
     outcome: AttemptOutcome,
+    /// Whether the attempt is counted in [`State::in_flight`].
     counted_in_flight: bool,
 }
 
@@ -152,15 +158,15 @@
     }
 }
 
-/// What a backend decides on a request that has come in.
+/// What a backend does with a request that has arrived.
 struct Decision {
     treatment: Health,
-    /// When the core has finished the request, where it is executed.
+    /// When the core finishes the request; unused if the request is not executed.
     finished_at: Duration,
 }
 
 impl Backend {
-    /// A backend at full speed.
+    /// Creates a backend at full speed that does not listen yet.
     pub fn new(
         uid: &str,
         cell: u16,
@@ -191,12 +197,13 @@
         locked(&self.state)
     }
 
-    /// Changes how requests are treated that come from now on.
+    /// Sets how requests that arrive from now on are treated.
     pub fn set(&self, health: Health) {
         self.state().health = health;
     }
 
-    /// Its process starts anew: in slow start, its queue empty. The caller resets its link.
+    /// Restarts the backend: its queue is empty and it is in slow start. The caller resets the
+    /// link, which closes the connections.
     pub fn restart(&self) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -205,12 +212,12 @@
         state.health = Health::Works(1.0);
     }
 
-    /// Requests rejected so far.
+    /// Number of attempts rejected unexecuted so far, over all restarts.
     pub fn rejected(&self) -> u64 {
         self.rejected_attempts.load(Ordering::SeqCst)
     }
 
-    /// Listens for nodes.
+    /// Starts to listen for nodes; returns the address.
     ///
     /// # Errors
     ///
@@ -233,14 +240,15 @@
                 let backend = self.clone();
                 async move { backend.handle_request(request, over_connection_limit).await }
             });
-            // The end of a connection shows in the log of its attempts.
+            // The result is not needed: the attempt log shows how the attempts on the connection
+            // ended.
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), request_handler)
                 .await;
         });
     }
 
-    /// Fraction of the full speed that the backend has now; it grows linearly in slow start.
+    /// Current speed as a fraction of the full speed; it grows linearly in slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
         let settings = &self.settings;
         if state.restarted_at.is_zero() || settings.slow_start.is_zero() {
@@ -287,7 +295,8 @@
         }
     }
 
-    /// Adds an attempt to the log; until its outcome is set, it counts as lost if dropped.
+    /// Adds an attempt to the log. If the guard is dropped before its outcome is set, the attempt
+    /// ends as [`AttemptOutcome::ConnectionLost`].
     fn record_attempt(
         &self,
         headers: &HeaderMap,
@@ -316,7 +325,8 @@
         }
     }
 
-    /// Rejects what can't be taken, and queues what is executed.
+    /// Chooses the treatment of a request, and queues the request if it is executed. Requests are
+    /// rejected if `may_accept` is false or the maximum number in flight is reached.
     fn decide(&self, attempt: &mut AttemptGuard, now: Duration, may_accept: bool) -> Decision {
         let mut state = self.state();
         let treatment = if may_accept && state.in_flight < self.settings.capacity {
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,6 +1,5 @@
-//! Well-behaved clients in an open loop: each request has a time at which it is meant to be sent,
-//! and goes then, whatever has become of the others. Connections are reused; a client gives up at
-//! its timeout.
+//! Well-behaved clients in an open loop: each request is sent at its planned time, whether earlier
+//! requests have ended or not. Idle connections are reused, and a client gives up at its timeout.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,57 +15,58 @@
 
 use crate::{Clock, locked};
 
-/// What executing a request twice means, and so its method.
+/// What happens if a request is executed twice; this determines the method of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
-    /// Nothing; sent as `GET`.
+    /// A second execution has no further effect; sent as `GET`.
     Idempotent,
-    /// Repeats of its key are dropped within a cell and a window; sent as `POST` with the key.
+    /// Backends of one cell drop repeats of the key within a time window; sent as `POST` with the
+    /// key.
     IdempotencyKey,
-    /// It has its effect twice; sent as `POST` without a key.
+    /// A second execution has the effect again; sent as `POST` without a key.
     NotIdempotent,
 }
 
-/// A request to be sent.
+/// A request that a client sends.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its name, unique in the run; sent as `X-Txn`.
+    /// Identifier of the request, unique in the run; sent as `X-Txn`.
     pub txn: String,
-    /// Name of its class.
+    /// Name of the class of the request; sent as `X-Lane`.
     pub class: String,
-    /// What executing it twice means.
+    /// What happens if the request is executed twice.
     pub idempotency: Idempotency,
-    /// When it is meant to be sent; its timeout counts from here.
+    /// When the request is due to be sent; the client timeout counts from this time.
     pub planned: Duration,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub client_timeout: Duration,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// With a complete answer.
+    /// A complete answer arrived.
     Answered {
-        /// Its HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Its body.
+        /// Body of the answer; bytes that are not UTF-8 are replaced.
         body: String,
     },
-    /// The node could not be reached.
+    /// No connection to the node could be opened.
     Unreachable,
-    /// The connection ended without a complete answer.
+    /// The connection ended before the answer was complete.
     ConnectionLost,
-    /// The client's timeout ran out.
+    /// The client timeout passed before the answer was complete.
     TimedOut,
 }
 
 impl ClientOutcome {
-    /// Answered with 200.
+    /// Whether the answer was 200.
     pub fn is_served(&self) -> bool {
         matches!(self, ClientOutcome::Answered { status: 200, .. })
     }
 
-    /// Answered with 429 or 503: the request was not executed, and a retry is harmless.
+    /// Whether the answer was 429 or 503: the request was not executed, and a retry is harmless.
     pub fn is_rejected(&self) -> bool {
         matches!(
             self,
@@ -78,31 +78,31 @@
     }
 }
 
-/// A request that has ended, and how.
+/// The record of a request that has ended.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The request.
+    /// The request as it was planned.
     pub request: ClientRequest,
-    /// Number of the node.
+    /// Number of the node that the request was sent to.
     pub node: usize,
-    /// When it ended.
+    /// When the request ended for its client.
     pub ended: Duration,
-    /// How it ended.
+    /// How the request ended for its client.
     pub outcome: ClientOutcome,
 }
 
 type RequestSender = SendRequest<Full<Bytes>>;
 
-/// All clients of a run.
+/// All well-behaved clients of a run; they share idle connections and records.
 pub struct Clients {
     clock: Clock,
-    /// Idle connections by node.
+    /// Idle connections by number of the node.
     idle_connections: Mutex<HashMap<usize, Vec<RequestSender>>>,
     records: Mutex<Vec<RequestRecord>>,
 }
 
 impl Clients {
-    /// Clients that have sent nothing yet.
+    /// Creates clients that have sent nothing yet.
     pub fn new(clock: Clock) -> Arc<Clients> {
         Arc::new(Clients {
             clock,
@@ -111,12 +111,12 @@
         })
     }
 
-    /// All requests that have ended, by their ends.
+    /// All requests that have ended, in the order in which they ended.
     pub fn records(&self) -> Vec<RequestRecord> {
         locked(&self.records).clone()
     }
 
-    /// Sends one request to a node now, and records its outcome.
+    /// Sends one request to a node at once, waits until it has ended and records its outcome.
     pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
         let deadline = self.clock.at(request.planned + request.client_timeout);
         let result =
@@ -131,6 +131,7 @@
         });
     }
 
+    /// Takes an open idle connection to the node, if there is one, and drops closed ones.
     fn take_idle_connection(&self, node: usize) -> Option<RequestSender> {
         let mut idle_connections = locked(&self.idle_connections);
         let senders = idle_connections.get_mut(&node)?;
@@ -158,15 +159,17 @@
         } else {
             Full::from("body")
         };
-        builder.body(body).expect("valid headers")
+        builder.body(body).expect("the headers are valid")
     }
 
+    /// Sends the request on an idle or a new connection and reads the answer.
     async fn exchange(
         &self,
         request: &ClientRequest,
         node: usize,
         address: SocketAddr,
     ) -> ClientOutcome {
+        // Set on a new connection, or when the request has been sent once more.
         let mut is_last_try = false;
         loop {
             let reused = self.take_idle_connection(node);
@@ -191,8 +194,8 @@
                         .push(sender);
                     return ClientOutcome::Answered { status, body };
                 }
-                // The node closed an idle connection while the request was on its way, which is no
-                // fault of the node: it is sent once more.
+                // The node may close an idle connection while a request is on its way; this is not
+                // a fault of the node, so the request is sent once more.
                 Err(error) if !is_last_try && (error.is_canceled() || error.is_closed()) => {
                     is_last_try = true;
                 }
@@ -209,7 +212,7 @@
         .await
         .ok()?;
     tokio::spawn(async move {
-        // The end of the connection shows at the request that is on it.
+        // The result is not needed: the request on the connection fails with it.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The stand-in discovery: one queue for all calls, watches, revisions with a bounded history, and
-//! outages.
+//! The stand-in discovery service: one queue for the calls of all nodes, watches, revisions with a
+//! bounded history, and outages.
 
 mod call;
 mod endpoint;
@@ -28,9 +28,9 @@
 use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
-/// A watch that has nothing to say writes an empty line this often.
+/// Interval at which a watch without changes writes an empty line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Parts of an answer that may wait to be written.
+/// Capacity of a body's channel: chunks that may wait to be written.
 const BODY_BUFFER_CHUNKS: usize = 4;
 
 struct State {
@@ -39,26 +39,30 @@
     endpoints: BTreeMap<String, Endpoint>,
     /// The latest changes, bounded by the capacity's `history`.
     history: VecDeque<EndpointChange>,
-    /// When all calls that were queued so far are served.
+    /// When all calls queued so far will have been served.
     idle_at: Duration,
     calls: Vec<DiscoveryCall>,
     notifications: Vec<Notification>,
     bytes_written: u64,
-    /// All changes, for the referee.
+    /// All changes of the run, for the referee.
     changes: Vec<EndpointChange>,
 }
 
-/// What brings a node up to date.
+/// A message that brings a node up to the current revision.
 struct Update {
+    /// The revision that the node has with it.
     revision: u64,
     endpoint_count: usize,
+    /// The message as one line of JSON, with its line feed.
     line: Bytes,
 }
 
-/// What a node asks for.
+/// Query parameters of a call.
 struct CallQuery {
+    /// Whether the call is a watch; otherwise it polls the whole list.
     is_watch: bool,
-    /// The revision that a watch resumes after.
+    /// The revision after which a watch resumes; `None` for a poll and for a watch that starts with
+    /// the whole list.
     resume_after: Option<u64>,
 }
 
@@ -75,12 +79,12 @@
     }
 }
 
-/// The discovery service; one for all nodes.
+/// The stand-in discovery service; all nodes of a run share it.
 pub struct DiscoveryService {
     clock: Clock,
     capacity: Capacity,
     state: Mutex<State>,
-    /// Wakes watches.
+    /// The current revision; watches subscribe to it.
     published_revision: watch::Sender<u64>,
 }
 
@@ -93,7 +97,7 @@
 }
 
 impl DiscoveryService {
-    /// A service whose list has these endpoints.
+    /// Creates a service with these endpoints in its list, at revision 1.
     pub fn new(clock: Clock, capacity: Capacity, endpoints: Vec<Endpoint>) -> Arc<Self> {
         let by_uid = endpoints
             .into_iter()
@@ -121,7 +125,7 @@
         locked(&self.state)
     }
 
-    /// Opens a listener for one node.
+    /// Starts to listen for one node on its link; returns the address.
     ///
     /// # Errors
     ///
@@ -135,7 +139,8 @@
                     let (service, connection_link) = (service.clone(), connection_link.clone());
                     async move { service.handle_request(node, connection_link, request).await }
                 });
-                // Its end, good or bad, shows in the outcome of its calls.
+                // The result is not needed: the outcomes of the calls show how the connection
+                // ended.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), request_handler)
                     .await;
@@ -144,20 +149,20 @@
         Ok(link.listen(on_connection).await?.0)
     }
 
-    /// Changes how calls are treated that come from now on.
+    /// Sets how calls that arrive from now on are treated.
     pub fn set(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
-    /// Its process starts anew: its queue and its history are empty. The caller resets its
-    /// links.
+    /// Restarts the service: its queue and its history are empty. The caller resets the links,
+    /// which closes the connections.
     pub fn restart(&self) {
         let mut state = self.state();
         state.history.clear();
         state.idle_at = self.clock.now();
     }
 
-    /// Publishes a change.
+    /// Publishes a change: adds, replaces or removes an endpoint, at a new revision.
     pub fn change(&self, endpoint: Endpoint) {
         let mut state = self.state();
         state.revision += 1;
@@ -182,22 +187,22 @@
         self.published_revision.send_replace(revision);
     }
 
-    /// The endpoint list as it is now.
+    /// The current endpoint list, by backend name.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.state().endpoints.values().cloned().collect()
     }
 
-    /// All calls so far.
+    /// All calls so far, in order of arrival.
     pub fn calls(&self) -> Vec<DiscoveryCall> {
         self.state().calls.clone()
     }
 
-    /// All lists and watch events written so far.
+    /// All lists and watch events written so far, except those that a cut link held back.
     pub fn notifications(&self) -> Vec<Notification> {
         self.state().notifications.clone()
     }
 
-    /// Bytes of lists and watch events written to nodes so far.
+    /// Number of bytes of lists, watch events and keep-alive lines written to nodes so far.
     pub fn bytes_written(&self) -> u64 {
         self.state().bytes_written
     }
@@ -207,7 +212,8 @@
         self.state().changes.clone()
     }
 
-    /// The changes after a revision, or the whole list where the history does not reach back.
+    /// The changes after a revision, or the whole list if there is no such revision or the history
+    /// does not reach back to it.
     fn update_since(&self, after: Option<u64>) -> Update {
         let state = self.state();
         let revision = state.revision;
@@ -235,8 +241,8 @@
         }
     }
 
-    /// Records a notification, unless the link is cut: then it reaches the node at best when the
-    /// cut is over.
+    /// Records a notification, unless the link is cut: then it reaches the node at the earliest
+    /// after the cut.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
         let at = self.clock.now();
         if link.delivers_to_node() {
@@ -245,7 +251,7 @@
         }
     }
 
-    /// Records a call as unanswered; gives its index.
+    /// Records a call as unanswered; returns its index.
     fn record_call(&self, node: usize) -> usize {
         let arrived = self.clock.now();
         let mut state = self.state();
@@ -294,7 +300,7 @@
         Ok(Response::new(body.boxed()))
     }
 
-    /// Half of the list, and the connection closes without the last chunk.
+    /// Sends half of the list and then closes the connection without the last chunk.
     async fn truncated_response(&self, call_index: usize) -> HttpResponse {
         let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
         let list = self.update_since(None).line;
@@ -304,7 +310,8 @@
         Response::new(body.boxed())
     }
 
-    /// Waits until the call is served, or until it has waited as long as a call may: then `false`.
+    /// Queues the call and waits until it is served. Returns `false` after the maximum wait if the
+    /// call would wait longer.
     async fn wait_in_queue(&self, call_index: usize, query: &CallQuery) -> bool {
         let endpoint_count = self.update_since(query.resume_after).endpoint_count as u32;
         let (arrived, wait, served_at) = {
@@ -328,7 +335,7 @@
         is_served
     }
 
-    /// Writes the list or the changes, and for a watch each later change.
+    /// Writes the list or the changes, and for a watch all later changes and keep-alive lines.
     async fn write_body(
         self: Arc<Self>,
         node: usize,
@@ -344,7 +351,7 @@
         self.state().bytes_written += first_update.line.len() as u64;
         let mut send_result = sender.send_data(first_update.line).await;
         while query.is_watch && send_result.is_ok() {
-            // The guard that `wait_for` gives is dropped at once: it would hold off a change.
+            // The guard that `wait_for` returns blocks further changes, so it is dropped at once.
             let revision_change = async {
                 revision_receiver
                     .wait_for(|published| *published > revision)
@@ -352,7 +359,7 @@
                     .is_ok()
             };
             let line = tokio::select! {
-                // The list may have changed between the first line and here.
+                // `wait_for` also returns at once if the revision grew since the last line.
                 has_changed = revision_change => {
                     if !has_changed {
                         return;
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -1,65 +1,66 @@
-//! Calls to the service, and what it does with them.
+//! Calls to the discovery service, its capacity and how it treats calls.
 
 use std::time::Duration;
 
-/// What the service can do.
+/// Capacity of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Work for each call; calls are served one after the other.
+    /// Time that the service spends on each call; calls are served one after the other.
     pub call: Duration,
-    /// Work for each endpoint of an answer.
+    /// Time that the service spends on each endpoint of an answer.
     pub endpoint: Duration,
-    /// A call that would wait longer than this gets 503 after it.
+    /// Maximum time that a call waits in the queue; a call that would wait longer gets 503 after
+    /// this time.
     pub max_wait: Duration,
-    /// Changes that are kept for watches that resume.
+    /// Maximum number of changes that are kept for watches that resume after a revision.
     pub history: usize,
 }
 
-/// How the service treats calls.
+/// How the discovery service treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
-    /// It answers.
+    /// It answers calls, within its capacity.
     #[default]
     Up,
     /// It answers 503 at once.
     Overloaded,
-    /// It takes calls and never answers.
+    /// It reads calls and never answers.
     Silent,
-    /// It ends the connection in the middle of an answer.
+    /// It closes the connection in the middle of an answer.
     Truncates,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Answered with a list or the beginning of a watch.
+    /// Answered with a list, or with the start of a watch.
     Answered,
-    /// Answered with 503, or broken off.
+    /// Answered with 503, or with a truncated list.
     Failed,
-    /// Never answered.
+    /// Not answered yet, or never.
     Unanswered,
 }
 
 /// One call of a node: a poll of the whole list, or a watch.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
-    /// Number of the node whose listener it came to.
+    /// Number of the node: each node calls its own listener.
     pub node: usize,
-    /// When it had arrived.
+    /// When the call arrived.
     pub arrived: Duration,
-    /// When it was answered.
+    /// When the call was answered; equal to `arrived` while it is unanswered.
     pub ended: Duration,
-    /// How it ended.
+    /// How the call ended.
     pub outcome: CallOutcome,
 }
 
-/// A list or a watch event written to a node.
+/// A list, or a line of changes of a watch, that was written to a node.
 #[derive(Clone, Debug)]
 pub struct Notification {
-    /// Number of the node.
+    /// Number of the node that it was written to.
     pub node: usize,
-    /// When it was written.
+    /// When the service wrote it.
     pub at: Duration,
-    /// The revision that it brought the node to.
+    /// Revision of the endpoint list that the node has with it.
     pub revision: u64,
 }
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints and their changes.
+//! Endpoints of the endpoint list, and their changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 /// State of an endpoint on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The backend accepts requests.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// The backend finishes its requests and accepts no new ones.
     Draining,
-    /// It is no longer on the list.
+    /// The backend is no longer on the list.
     Removed,
 }
 
 impl EndpointState {
-    /// The protocol's word.
+    /// The state as the discovery protocol spells it.
     fn wire_name(self) -> &'static str {
         match self {
             EndpointState::Ready => "Ready",
@@ -32,20 +32,20 @@
 pub struct Endpoint {
     /// Name of the backend, the same at every node and over restarts.
     pub uid: String,
-    /// Where it listens.
+    /// Address that the backend listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the backend; `az` in the protocol.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the backend; `pod_group` in the protocol.
     pub cell: u16,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Unix time of its last start in milliseconds; 0: long ago.
+    /// Unix time of the backend's last start in milliseconds; 0 means long ago.
     pub boot_ms: u64,
 }
 
 impl Endpoint {
-    /// As the protocol writes it.
+    /// The endpoint as a JSON object of the discovery protocol.
     pub fn json(&self) -> Value {
         json!({
             "uid": self.uid,
@@ -63,10 +63,10 @@
 /// A change of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
-    /// The revision that it made.
+    /// The revision of the list that the change created.
     pub revision: u64,
-    /// When it was published.
+    /// When the change was published.
     pub at: Duration,
-    /// The endpoint after it.
+    /// The endpoint after the change.
     pub endpoint: Endpoint,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins for what the node meets, by the platform's published protocol, on loopback: clients,
-//! backends, discovery, and the links to them.
+//! Stand-ins for the peers of a node, on loopback: clients, backends, the discovery service, and
+//! the links between them and the node. They follow the platform's published protocol.
 //!
-//! They are written on an independent HTTP library, so that two different parsers meet. Each keeps
-//! an exact log of what reached it and when; times count from the start of the run. Nothing here
-//! decides whether the node did well: that is the testbed's referee, on the logs alone.
+//! Backends, discovery and well-behaved clients use an HTTP library that the node does not use, so
+//! that a fault of one parser is not hidden by the same fault at the other end. Each stand-in logs
+//! what it received and when; times count from the start of the run. The stand-ins do not judge the
+//! node: the testbed's referee does, from these logs alone.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -17,31 +18,33 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Locks a mutex.
+/// Locks a mutex whose poisoning ends the run.
 ///
 /// # Panics
 ///
-/// If another thread has panicked with the lock: that ends the run.
+/// If another thread panicked while it held the lock.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("a part of the testbed has panicked")
+    mutex
+        .lock()
+        .expect("no thread panicked while it held the lock")
 }
 
-/// The clock that all logs of a run share.
+/// The clock of a run: all logs of the run use its times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock; its zero is now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// Time since the start.
+    /// The time since the clock started.
     pub fn now(&self) -> Duration {
         self.0.elapsed()
     }
 
-    /// That time on the runtime's clock.
+    /// Converts a time since the start into an instant of the Tokio runtime.
     pub fn at(&self, time: Duration) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + time)
     }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,5 +1,5 @@
 //! The link between a stand-in server and the nodes: a listener whose connections can be cut, reset
-//! and refused while the run goes on.
+//! and refused during a run.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,90 +17,92 @@
 
 use crate::locked;
 
-/// Connections that may wait to be accepted.
+/// Backlog of the listener: connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// A port that is still listened on is tried again after this.
+/// Delay before another attempt to listen on a port that still has a listener.
 const LISTEN_RETRY: Duration = Duration::from_millis(5);
 
-/// What a link does with bytes and connections.
+/// Whether a link passes bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Health {
-    /// Bytes pass.
+    /// Bytes pass in both directions, and connections are accepted.
     #[default]
     Healthy,
-    /// No bytes pass, either way; what was written arrives when the cut is over, as TCP sends
-    /// again what was not acknowledged.
+    /// No bytes pass in either direction. What was written arrives when the cut is over, as with
+    /// TCP, which retransmits what was not acknowledged.
     Cut,
-    /// Bytes from the node pass, bytes to it do not.
+    /// Bytes from the node pass, bytes to the node do not; they arrive when the cut is over.
     CutOut,
-    /// New connections are refused.
+    /// New connections are refused (`ECONNREFUSED`); bytes pass on open ones.
     Refused,
 }
 
-/// How the stand-in's bytes are written.
+/// How the bytes that the stand-in writes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WriteBehaviour {
-    /// As they are.
+    /// They are sent as written.
     #[default]
     Unchanged,
-    /// All of them twice, the second time right behind the first.
+    /// The bytes of each write are sent twice in a row.
     Duplicated,
-    /// A few bytes at a time, with a pause behind each.
+    /// They are sent in pieces of a few bytes with a pause after each.
     InPieces,
 }
 
-/// Bytes of a piece.
+/// Length of a piece in bytes.
 const PIECE_BYTES: usize = 7;
-/// Pause behind a piece.
+/// Pause after a piece.
 const PIECE_PAUSE: Duration = Duration::from_millis(1);
 
-/// The tasks that wait to read from and to write to a connection.
+/// Wakers of the tasks that last polled a connection for reading and for writing.
 #[derive(Debug, Default)]
 struct ConnectionWakers {
     read: Option<Waker>,
     write: Option<Waker>,
 }
 
-/// A direction of a connection, as the stand-in sees it.
+/// Direction of the bytes, seen from the stand-in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Read,
     Write,
 }
 
-/// One link; all its connections share its health.
+/// A link; its health and write behaviour apply to all its connections.
 #[derive(Debug, Default)]
 pub struct Link {
     health: Mutex<Health>,
     write_behaviour: Mutex<WriteBehaviour>,
-    /// The tasks that wait, by number of the connection.
+    /// Wakers to call when the link changes, by number of the connection.
     wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
+    /// Wakes the accept loop after a change of the health.
     health_changed: Notify,
-    /// Resets so far; each strikes the connections that were open.
+    /// Number of resets so far; a connection is reset if this grows after it was accepted.
     resets: AtomicU64,
     open_connections: AtomicUsize,
     accepted: AtomicUsize,
 }
 
 impl Link {
-    /// Changes the health, for open connections too.
+    /// Sets the health, also for connections that are already open.
     pub fn set(&self, health: Health) {
         *locked(&self.health) = health;
         self.health_changed.notify_one();
         self.wake_all();
     }
 
-    /// Changes how the stand-in's bytes are written, on open connections too.
+    /// Sets how the stand-in's bytes are sent, also on connections that are already open.
     pub fn set_write_behaviour(&self, behaviour: WriteBehaviour) {
         *locked(&self.write_behaviour) = behaviour;
     }
 
-    /// Resets all connections that are open.
+    /// Resets (RST) all connections that are open.
     pub fn reset(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
         self.wake_all();
     }
 
+    /// Wakes all waiting tasks, so that they poll their connections again.
     fn wake_all(&self) {
         let wakers = std::mem::take(&mut *locked(&self.wakers));
         wakers
@@ -110,17 +112,17 @@
             .for_each(Waker::wake);
     }
 
-    /// Connections open now.
+    /// Number of connections that are open now.
     pub fn open_connections(&self) -> usize {
         self.open_connections.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted since the start.
+    /// Number of connections accepted since the link was created.
     pub fn accepted(&self) -> usize {
         self.accepted.load(Ordering::SeqCst)
     }
 
-    /// Whether the stand-in's bytes reach the node.
+    /// Whether bytes from the stand-in reach the node now, that is, no cut holds them back.
     pub fn delivers_to_node(&self) -> bool {
         !matches!(self.health(), Health::Cut | Health::CutOut)
     }
@@ -129,7 +131,8 @@
         *locked(&self.health)
     }
 
-    /// Listens on a port of its own; each connection is handed to `serve`.
+    /// Listens on a newly reserved port and hands each connection to `on_connection`. Returns the
+    /// address and the task that accepts connections.
     ///
     /// # Errors
     ///
@@ -137,20 +140,22 @@
     ///
     /// # Panics
     ///
-    /// Outside of a Tokio runtime.
+    /// If called outside of a Tokio runtime.
     pub async fn listen(
         self: Arc<Self>,
         on_connection: impl Fn(LinkedStream) + Send + 'static,
     ) -> io::Result<(SocketAddr, tokio::task::JoinHandle<()>)> {
-        // An address of its own: ports of 127.0.0.1 are given to connections, also while a link
-        // refuses, and one that connects to its own port would even reach itself.
-        let port = Port::reserve("127.1.0.1:0".parse().expect("an address"))?;
+        // Not 127.0.0.1: the kernel gives ports of that address to outgoing connections, also a
+        // link's port while the link refuses connections. A connection that is given the very port
+        // it connects to would reach itself.
+        let port = Port::reserve("127.1.0.1:0".parse().expect("the address is valid"))?;
         let address = port.address;
         let listener = port.listen()?;
         let task = tokio::spawn(self.accept_connections(port, listener, on_connection));
         Ok((address, task))
     }
 
+    /// Accepts connections, and closes the listener while connections are refused.
     async fn accept_connections(
         self: Arc<Self>,
         port: Port,
@@ -160,7 +165,7 @@
         let mut open_listener = Some(listener);
         loop {
             if self.health() == Health::Refused {
-                // Without a listener the kernel refuses connections; the port stays reserved.
+                // Without a listener the kernel refuses connections; `port` stays reserved.
                 open_listener = None;
                 self.health_changed.notified().await;
                 continue;
@@ -179,6 +184,7 @@
         }
     }
 
+    /// Puts an accepted connection under the control of the link.
     fn wrap_stream(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
         let _ = stream.set_nodelay(true);
         self.open_connections.fetch_add(1, Ordering::SeqCst);
@@ -194,16 +200,17 @@
     }
 }
 
-/// A port that belongs to one link for good. A socket that is bound and never listens holds it:
-/// closing the listener and binding anew would lose it to others whenever a process is being
-/// started, which holds a copy of the listener until it has become its program.
+/// A port that one link keeps as long as it exists, reserved by a socket that is bound and never
+/// listens. With the listener alone, the port could go to another socket between closing it and
+/// binding again: a process that is being started holds a copy of the listener until `exec`, and
+/// the link can't bind until then.
 struct Port {
     address: SocketAddr,
     _reserving_socket: TcpSocket,
 }
 
 impl Port {
-    /// Reserves a port; port 0 of the address means any that is free.
+    /// Reserves a port; port 0 of the address means any free port.
     fn reserve(address: SocketAddr) -> io::Result<Port> {
         let reserving_socket = bind(address)?;
         Ok(Port {
@@ -212,13 +219,13 @@
         })
     }
 
-    /// A listener on the port. Fails while another one is open.
+    /// Opens a listener on the port. Fails while another listener on it is open.
     fn listen(&self) -> io::Result<TcpListener> {
         bind(self.address)?.listen(ACCEPT_BACKLOG)
     }
 
-    /// A listener on the port, as soon as no other one is open: a process that is being started may
-    /// still hold the one from before.
+    /// Opens a listener on the port as soon as no other one is open: a process that is being
+    /// started may still hold a copy of the previous one.
     async fn listen_when_free(&self) -> TcpListener {
         loop {
             if let Ok(listener) = self.listen() {
@@ -231,20 +238,20 @@
 
 fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
-    // Sockets that have this set may share a port as long as one of them listens at most.
+    // With SO_REUSEADDR several sockets may share a port, as long as at most one of them listens.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
 }
 
-/// A connection over a link.
+/// A connection that was accepted from a link.
 pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
     connection_number: usize,
-    /// Resets of the link before this connection was accepted.
+    /// Number of resets of the link when this connection was accepted.
     resets_before: u64,
-    /// The pause behind the last piece.
+    /// The pause after the last piece; `None` if no piece was sent yet.
     pause: Option<Pin<Box<Sleep>>>,
 }
 
@@ -256,9 +263,10 @@
 }
 
 impl LinkedStream {
-    /// Whether bytes pass now; if they don't, the task is woken when that may have changed.
+    /// Ready if bytes pass now, an error if the connection has been reset. If bytes don't pass, the
+    /// task is woken at the next change of the link.
     fn poll_permitted(&self, context: &Context<'_>, direction: Direction) -> Poll<io::Result<()>> {
-        // Registered before the health is read, so that a change in between is not missed.
+        // The waker is registered before the health is read, so that no change is missed.
         let mut wakers = locked(&self.link.wakers);
         let connection_wakers = wakers.entry(self.connection_number).or_default();
         let waker = Some(context.waker().clone());
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -5,6 +5,7 @@
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+/// Starts a server on a link that returns each byte it reads.
 async fn echo_server() -> (Arc<Link>, SocketAddr) {
     let link = Arc::new(Link::default());
     let on_connection = |mut stream: LinkedStream| {
@@ -64,8 +65,8 @@
     }
 }
 
-/// Threads that start processes while the test goes on. A process that is being started holds all
-/// descriptors of its parent until it has become its program.
+/// Threads that start processes until `stop` is set. A process that is being started holds copies
+/// of all descriptors of its parent until `exec`.
 fn start_processes(stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
     let spawn_starter = |stop: Arc<AtomicBool>| {
         std::thread::spawn(move || {
@@ -78,6 +79,8 @@
     (0..3).map(|_| spawn_starter(stop.clone())).collect()
 }
 
+/// Guards against losing a link's port to another socket: a process that is being started holds a
+/// copy of the closed listener, so that the link can't bind its port at once.
 #[tokio::test]
 async fn refusing_link_keeps_its_port_while_processes_are_started() {
     let stop = Arc::new(AtomicBool::new(false));
@@ -94,7 +97,7 @@
         starter.join().unwrap();
     }
     for (link, address) in links {
-        // Without SO_REUSEADDR a port is given only if no other socket has it.
+        // Without SO_REUSEADDR, `bind` succeeds only if no other socket has the port.
         let second_bind = TcpSocket::new_v4().unwrap().bind(address);
         assert_eq!(
             second_bind.unwrap_err().kind(),
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -1,5 +1,6 @@
 //! Misbehaving clients: they disconnect early, half-close, trickle, stop in the middle of a
-//! request, say nothing, or pipeline. They write to bare sockets, as no HTTP library does that.
+//! request, send nothing, or pipeline. They write to plain sockets, because HTTP libraries don't
+//! allow this.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,17 +14,17 @@
 /// How a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It closes its connection this long after its request.
+    /// It sends its request and closes the connection after this time.
     Disconnects(Duration),
-    /// It ends its sending behind its request and waits for the answer.
+    /// It shuts down its sending direction after the request and waits for the answer.
     HalfCloses,
-    /// It sends its request in pieces with pauses.
+    /// It sends its request in pieces, with a pause after each.
     Trickles,
-    /// It sends half a request and stays.
+    /// It sends the first half of a request and keeps the connection open.
     StopsMidway,
-    /// It says nothing.
+    /// It connects and sends nothing.
     Silent,
-    /// It sends two requests at once.
+    /// It sends two requests at once, without waiting for the first answer.
     Pipelines,
 }
 
@@ -36,46 +37,48 @@
     Behaviour::Pipelines,
 ];
 
-/// Pieces of a request that trickles.
+/// Number of pieces of a request that trickles.
 const TRICKLE_PIECES: usize = 5;
-/// Pause behind each piece.
+/// Pause after each piece.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(60);
-/// A client waits at least this long for what it is owed ...
+/// Minimum time that a client waits for its answers, before [`LATE_ANSWER_MARGIN`] is added.
 const MIN_ANSWER_WAIT: Duration = Duration::from_secs(3);
-/// ... and this much longer, so that a late answer is still seen and can be judged.
+/// Additional time that a client waits, so that a late answer is still recorded and can be judged.
 const LATE_ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 /// A request of a misbehaving client.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRequest {
-    /// Its name, unique in the run; a pipelined second request has a `b` behind it.
+    /// Identifier of the request, unique in the run; a pipelined second request has `b` appended.
     pub txn: String,
-    /// Name of its class, whose requests are idempotent or have an idempotency key.
+    /// Name of the class of the request; its requests are idempotent or have an idempotency key.
     pub class: String,
-    /// It is sent as `POST` with an idempotency key.
+    /// Whether the request is sent as `POST` with an idempotency key; otherwise it is a `GET`.
     pub has_key: bool,
-    /// How long the client waits.
+    /// The client timeout that the request states in `X-Remaining-Ms`; the client waits longer, to
+    /// see late answers.
     pub client_timeout: Duration,
-    /// What the client does.
+    /// How the client misbehaves.
     pub behaviour: Behaviour,
 }
 
-/// What became of a misbehaving client.
+/// The record of a misbehaving client that has ended.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRecord {
-    /// What it sent, and how.
+    /// The request and the behaviour of the client.
     pub request: MisbehavingRequest,
-    /// Number of the node.
+    /// Number of the node that the client connected to.
     pub node: usize,
-    /// When it had connected; `None` if it could not.
+    /// When the connection was open; `None` if it could not be opened.
     pub connected: Option<Duration>,
-    /// When its last byte was sent.
+    /// When the last byte was written; the start time if the client could not connect.
     pub sent: Duration,
-    /// When it closed, or ended its sending.
+    /// When the client closed the connection or its sending direction; `None` if it did neither.
     pub disconnected: Option<Duration>,
-    /// When the node had ended the connection or given all answers.
+    /// When the node had ended the connection or sent all answers; `None` if the client could
+    /// not connect, disconnected first or stopped waiting.
     pub ended: Option<Duration>,
-    /// Complete answers that it got.
+    /// Number of complete answers that the client received.
     pub answers: usize,
 }
 
@@ -86,7 +89,7 @@
 }
 
 impl MisbehavingClients {
-    /// Clients that have sent nothing yet.
+    /// Creates clients that have sent nothing yet.
     pub fn new(clock: Clock) -> Arc<MisbehavingClients> {
         Arc::new(MisbehavingClients {
             clock,
@@ -94,12 +97,12 @@
         })
     }
 
-    /// All clients that have ended.
+    /// The records of all clients that have ended.
     pub fn records(&self) -> Vec<MisbehavingRecord> {
         locked(&self.records).clone()
     }
 
-    /// Plays one client to its end.
+    /// Runs one client until it has ended, and records the result.
     pub async fn play(
         self: Arc<Self>,
         request: MisbehavingRequest,
@@ -121,6 +124,7 @@
         locked(&self.records).push(record);
     }
 
+    /// Sends the request and then behaves as the record's behaviour says.
     async fn run_connection(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
         record.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
@@ -149,8 +153,8 @@
         self.read_answers(record, stream).await;
     }
 
-    /// Reads until the answers that are owed have come, the node ends the connection, or the client
-    /// has waited well past its timeout.
+    /// Reads until all expected answers are complete, the node ends the connection, or the client
+    /// has waited for its timeout, at least [`MIN_ANSWER_WAIT`], and [`LATE_ANSWER_MARGIN`].
     async fn read_answers(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
         let expected_answers = match record.request.behaviour {
             Behaviour::Pipelines => 2,
@@ -177,6 +181,7 @@
     }
 }
 
+/// Writes the request, or the part of it that the behaviour sends.
 async fn send_request(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
     let encoded = request_bytes(request, "");
     match request.behaviour {
@@ -191,6 +196,7 @@
     }
 }
 
+/// Encodes the request; `suffix` is appended to its `X-Txn`.
 fn request_bytes(request: &MisbehavingRequest, suffix: &str) -> Vec<u8> {
     let txn = format!("{}{suffix}", request.txn);
     let class = &request.class;
@@ -216,7 +222,8 @@
     Ok(())
 }
 
-/// Complete answers at the head of these bytes; each has a `Content-Length`.
+/// Counts the complete answers at the start of `bytes`. Answers without a `Content-Length` are not
+/// counted, nor any that follow them.
 fn count_complete_answers(mut bytes: &[u8]) -> usize {
     const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
     let mut count = 0;
