--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -254,9 +254,9 @@
         if state.restarted_at.is_zero() || settings.slow_start.is_zero() {
             return 1.0;
         }
-        let age = now.saturating_sub(state.restarted_at).as_secs_f64()
+        let progress = now.saturating_sub(state.restarted_at).as_secs_f64()
             / settings.slow_start.as_secs_f64();
-        (settings.slow_start_from + (1.0 - settings.slow_start_from) * age).min(1.0)
+        (settings.slow_start_from + (1.0 - settings.slow_start_from) * progress).min(1.0)
     }
 
     async fn handle_request(
