--- a/tools/check_line_lengths.sh
+++ b/tools/check_line_lengths.sh
@@ -6,7 +6,7 @@
 git ls-files '*.rs' | xargs awk '
   length($0) > 110 || (length($0) > 100 && $0 ~ /^ *\/\//) {
     print FILENAME ": line " FNR " is too long"
-    bad = 1
+    has_long_line = 1
   }
-  END { exit bad }'
+  END { exit has_long_line }'
 echo "line lengths: good"
--- a/tools/check_pages.py
+++ b/tools/check_pages.py
@@ -60,15 +60,15 @@
     def __init__(self, root):
         self.root = Path(root).resolve()
         self.files = self._tracked_files() or self._files_on_disk()
-        self.names = {Path(file).name for file in self.files}
+        self.file_names = {Path(file).name for file in self.files}
         self._texts = {}
 
     def _tracked_files(self):
         command = ["git", "-C", str(self.root), "ls-files", "-z", "--cached", "--others", "--exclude-standard"]
-        listing = subprocess.run(command, capture_output=True, text=True, check=False)
-        if listing.returncode != 0:
+        result = subprocess.run(command, capture_output=True, text=True, check=False)
+        if result.returncode != 0:
             return set()
-        return {file for file in listing.stdout.split("\0") if file and (self.root / file).is_file()}
+        return {file for file in result.stdout.split("\0") if file and (self.root / file).is_file()}
 
     def _files_on_disk(self):
         return {str(path.relative_to(self.root)) for path in self.root.rglob("*") if path.is_file()}
@@ -92,25 +92,25 @@
 
 def prose_lines(text):
     """Numbered lines of a page outside of fenced blocks."""
-    fenced = False
+    in_fence = False
     for number, line in enumerate(text.splitlines(), 1):
         if FENCE.match(line):
-            fenced = not fenced
-        elif not fenced:
+            in_fence = not in_fence
+        elif not in_fence:
             yield number, line
 
 
 def anchors(text):
     """The anchors that the headings of a page make, as common renderers derive them."""
-    found = {}
+    slug_counts = {}
     for _, line in prose_lines(text):
         heading = HEADING.match(line)
         if heading is None:
             continue
-        plain = re.sub(r"[`*]|\[([^\]]*)\]\([^)]*\)", lambda match: match.group(1) or "", heading.group(1))
-        slug = re.sub(r"[^\w\- ]", "", plain.lower()).strip().replace(" ", "-")
-        found[slug] = found.get(slug, 0) + 1
-    return {f"{slug}-{n}" if n else slug for slug, count in found.items() for n in range(count)}
+        title = re.sub(r"[`*]|\[([^\]]*)\]\([^)]*\)", lambda match: match.group(1) or "", heading.group(1))
+        slug = re.sub(r"[^\w\- ]", "", title.lower()).strip().replace(" ", "-")
+        slug_counts[slug] = slug_counts.get(slug, 0) + 1
+    return {f"{slug}-{index}" if index else slug for slug, count in slug_counts.items() for index in range(count)}
 
 
 def check_links(tree, page):
@@ -131,11 +131,11 @@
 def defines(text, name):
     """Whether a Rust source defines a name; `Type::name` stands for both."""
     parts = name.split("::")
-    for place, part in enumerate(parts):
-        found = re.search(DEFINITION.format(name=re.escape(part)), text)
-        is_variant = place > 0 and re.search(VARIANT.format(name=re.escape(part)), text, re.MULTILINE)
-        is_implemented = place < len(parts) - 1 and re.search(rf"\bimpl\b.*\b{re.escape(part)}\b", text)
-        if not (found or is_variant or is_implemented):
+    for position, part in enumerate(parts):
+        is_declared = re.search(DEFINITION.format(name=re.escape(part)), text)
+        is_variant = position > 0 and re.search(VARIANT.format(name=re.escape(part)), text, re.MULTILINE)
+        is_implemented = position < len(parts) - 1 and re.search(rf"\bimpl\b.*\b{re.escape(part)}\b", text)
+        if not (is_declared or is_variant or is_implemented):
             return False
     return True
 
@@ -145,8 +145,8 @@
     for number, line in prose_lines(tree.text(page)):
         for span in CODE_SPAN.findall(line):
             for file, name in CODE_REFERENCE.findall(span):
-                known = file in tree.files if "/" in file else file in tree.names
-                if not known:
+                exists = file in tree.files if "/" in file else file in tree.file_names
+                if not exists:
                     yield Finding(page, number, f"`{file}`: the tree has no such file")
                 elif name and "/" not in file:
                     yield Finding(page, number, f"`{file}:{name}`: give the file's whole path")
@@ -157,14 +157,14 @@
 def check_commands(tree):
     """The README's `make` commands are targets, the two main ones among them."""
     targets = set(MAKE_TARGET.findall(tree.text("Makefile")))
-    named = set()
+    named_commands = set()
     for number, line in enumerate(tree.text("README.md").splitlines(), 1):
         for command in MAKE_COMMAND.findall(line):
-            named.add(command)
+            named_commands.add(command)
             if command not in targets:
                 yield Finding("README.md", number, f"`make {command}`: the Makefile has no such target")
     for command in REQUIRED_COMMANDS:
-        if command not in named:
+        if command not in named_commands:
             yield Finding("README.md", 1, f"`make {command}` is not named")
 
 
@@ -186,18 +186,18 @@
 
 def check_names(tree):
     """Names in backticks that look like functions or tests, and that no file of code, settings or tools holds."""
-    kinds = (".rs", ".toml", ".json", ".py", ".sh")
-    code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(kinds))
+    code_extensions = (".rs", ".toml", ".json", ".py", ".sh")
+    code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(code_extensions))
     # Incidents and the changelog keep the names of their time.
     for page in (page for page in tree.pages() if page.startswith("docs/") and "/incidents/" not in page):
         for number, line in prose_lines(tree.text(page)):
             for span in CODE_SPAN.findall(line):
-                name = IDENTIFIER.match(span)
-                if name is None:
+                identifier = IDENTIFIER.match(span)
+                if identifier is None:
                     continue
-                start = span.rstrip(".").split("::")[-1]
-                end = "" if name.group(1) else r"\b"
-                if not re.search(rf"\b{re.escape(start)}{end}", code):
+                name_start = span.rstrip(".").split("::")[-1]
+                word_end = "" if identifier.group(1) else r"\b"
+                if not re.search(rf"\b{re.escape(name_start)}{word_end}", code):
                     yield Finding(page, number, f"`{span}`: the code has no such name")
 
 
--- a/tools/check_pages_tests.py
+++ b/tools/check_pages_tests.py
@@ -6,7 +6,7 @@
 
 import check_pages
 
-SOUND = {
+VALID_FILES = {
     "README.md": "# Program\n\nRun `make build`, then `make test`; see [the design](docs/design.md#the-node).\n",
     "Makefile": "build:\n\tcargo build\n\ntest:\n\tcargo test\n",
     "docs/design.md": (
@@ -19,12 +19,12 @@
 }
 
 
-class Planted(unittest.TestCase):
+class CheckPagesTest(unittest.TestCase):
     """A sound checkout has no findings; one with a planted fault has exactly that one."""
 
     def findings(self, **changes):
         """Findings in the sound checkout with some files replaced: `a__b_c` stands for `a/b.c`."""
-        files = dict(SOUND)
+        files = dict(VALID_FILES)
         files.update({name.replace("__", "/").replace("_DOT_", "."): text for name, text in changes.items()})
         with tempfile.TemporaryDirectory() as folder:
             for name, text in files.items():
@@ -33,62 +33,62 @@
                 path.write_text(text, encoding="utf-8")
             return [str(finding) for finding in check_pages.check(folder)]
 
-    def test_a_sound_checkout_has_no_findings(self):
+    def test_valid_checkout_has_no_findings(self):
         self.assertEqual(self.findings(), [])
 
-    def test_a_broken_link_is_found(self):
+    def test_broken_link_is_found(self):
         findings = self.findings(docs__more_DOT_md="See [here](nowhere.md).\n")
         self.assertEqual(findings, ["docs/more.md:1: link to nowhere.md: there is no such file"])
 
-    def test_a_broken_link_whose_text_begins_a_line_earlier_is_found(self):
+    def test_broken_link_with_text_over_two_lines_is_found(self):
         self.assertEqual(len(self.findings(docs__more_DOT_md="See [over\nthere](nowhere.md).\n")), 1)
 
-    def test_a_link_within_code_is_not_followed(self):
+    def test_link_within_code_is_ignored(self):
         self.assertEqual(self.findings(docs__more_DOT_md="Write `[text](nowhere.md)`.\n"), [])
 
-    def test_a_broken_anchor_is_found(self):
+    def test_broken_anchor_is_found(self):
         findings = self.findings(docs__more_DOT_md="\nSee [here](design.md#no-such-part).\n")
         self.assertEqual(findings, ["docs/more.md:2: link to design.md#no-such-part: the page has no such heading"])
 
-    def test_a_missing_file_of_code_is_found(self):
+    def test_missing_code_file_with_path_is_found(self):
         findings = self.findings(docs__more_DOT_md="`crates/node/src/gone.rs`\n")
         self.assertEqual(findings, ["docs/more.md:1: `crates/node/src/gone.rs`: the tree has no such file"])
 
-    def test_a_missing_file_without_its_path_is_found(self):
+    def test_missing_code_file_without_path_is_found(self):
         findings = self.findings(docs__more_DOT_md="`gone.rs`\n")
         self.assertEqual(findings, ["docs/more.md:1: `gone.rs`: the tree has no such file"])
 
-    def test_a_missing_function_is_found(self):
+    def test_missing_function_is_found(self):
         findings = self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:may_read`\n")
         expected = "docs/more.md:1: `crates/node/src/rules.rs:may_read`: the file defines no such name"
         self.assertEqual(findings, [expected])
 
-    def test_a_name_that_is_only_the_start_of_another_is_found(self):
+    def test_name_that_is_only_a_prefix_of_a_defined_name_is_found(self):
         self.assertEqual(len(self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:may`\n")), 1)
 
-    def test_a_missing_method_is_found(self):
+    def test_missing_method_is_found(self):
         self.assertEqual(len(self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:Permit::gone`\n")), 1)
 
-    def test_a_function_without_its_files_path_is_found(self):
+    def test_function_reference_without_full_path_is_found(self):
         self.assertEqual(len(self.findings(docs__more_DOT_md="`rules.rs:may_write`\n")), 1)
 
-    def test_a_command_without_a_target_is_found(self):
+    def test_make_command_without_target_is_found(self):
         findings = self.findings(README_DOT_md="`make build`, `make test`, `make coffee`\n")
         self.assertEqual(findings, ["README.md:1: `make coffee`: the Makefile has no such target"])
 
-    def test_a_main_command_that_is_missing_is_found(self):
+    def test_missing_required_command_is_found(self):
         findings = self.findings(README_DOT_md="`make build`\n")
         self.assertEqual(findings, ["README.md:1: `make test` is not named"])
 
-    def test_a_path_of_a_machine_is_found(self):
+    def test_machine_path_is_found(self):
         findings = self.findings(docs__more_DOT_md="Look into " + "/home" + "/somebody.\n")
         self.assertEqual(len(findings), 1)
 
-    def test_a_page_that_code_names_and_nobody_wrote_is_found(self):
+    def test_missing_page_named_in_code_is_found(self):
         findings = self.findings(crates__node__src__more_DOT_rs="//! See docs/gone.md.\n")
         self.assertEqual(findings, ["crates/node/src/more.rs:1: docs/gone.md: there is no such page"])
 
-    def test_a_function_that_no_file_has_is_listed_among_names(self):
+    def test_undefined_function_is_listed_by_check_names(self):
         with tempfile.TemporaryDirectory() as folder:
             for name, text in (("docs/more.md", "`may_write` and `may_...`, not `may_read`\n"), ("a.rs", "fn may_write() {}\n")):
                 path = Path(folder) / name
@@ -97,7 +97,7 @@
             findings = [str(finding) for finding in check_pages.check_names(check_pages.Tree(folder))]
         self.assertEqual(findings, ["docs/more.md:1: `may_read`: the code has no such name"])
 
-    def test_fenced_blocks_are_not_read(self):
+    def test_fenced_block_is_ignored(self):
         self.assertEqual(self.findings(docs__more_DOT_md="```\n[x](nowhere.md) `gone.rs`\n```\n"), [])
 
 
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -15,53 +15,53 @@
 import re
 import sys
 
-LINE = re.compile(r"^(?:[\d.]+ )?kitefork: (?:trace t=(\d+\.\d+) (\S+)(.*)|start )")
+TRACE_OR_START_LINE = re.compile(r"^(?:[\d.]+ )?kitefork: (?:trace t=(\d+\.\d+) (\S+)(.*)|start )")
 FIELD = re.compile(r"(\w+)=(\S+)")
 
 
 def events(folder):
     """Each traced event as (time, node, word, fields), with the uid for a backend's number and the req's names."""
-    for path in sorted(pathlib.Path(folder).glob("*.log")):
-        uids, reqs, sends, life = {}, {}, {}, 0
-        with open(path, errors="replace") as log:
+    for log_path in sorted(pathlib.Path(folder).glob("*.log")):
+        uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, 0
+        with open(log_path, errors="replace") as log:
             for line in log:
-                found = LINE.match(line)
-                if not found:
+                match = TRACE_OR_START_LINE.match(line)
+                if not match:
                     continue
-                if found[1] is None:
+                if match[1] is None:
                     # A start line is written before the list that the node was given.
-                    uids, reqs, sends, life = {}, {}, {}, life + 1
+                    uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, incarnation + 1
                     continue
-                fields = dict(FIELD.findall(found[3]))
-                word, number = found[2], fields.get("id")
+                fields = dict(FIELD.findall(match[3]))
+                word, request_id = match[2], fields.get("id")
                 if word == "endpoint":
                     uids[fields["b"]] = fields["uid"]
                 # One for each req; its key is told after its first send, so all its events share it.
-                names = reqs.setdefault(number, {}) if number else {}
-                names.update((k, fields[k]) for k in ("txn", "key") if k in fields)
+                names = request_names.setdefault(request_id, {}) if request_id else {}
+                names.update((name, fields[name]) for name in ("txn", "key") if name in fields)
                 if word == "send":
-                    sends[number, fields["try"]] = fields["b"]
+                    backend_by_attempt[request_id, fields["try"]] = fields["b"]
                 if word == "ended":
-                    fields["b"] = sends.get((number, fields["try"]), "-")
+                    fields["b"] = backend_by_attempt.get((request_id, fields["try"]), "-")
                 if "b" in fields:
                     fields["uid"] = uids.get(fields["b"], "?")
-                yield float(found[1]), f"{path.stem}/{life}", word, fields | {"names": names}
+                yield float(match[1]), f"{log_path.stem}/{incarnation}", word, fields | {"names": names}
 
 
-def from_start(folder):
+def events_since_first(folder):
     """All events by their time since the first one."""
-    every = list(events(folder))
-    start = min((at for at, *_ in every), default=0)
-    return [(at - start, *rest) for at, *rest in every]
+    all_events = list(events(folder))
+    first_time = min((at for at, *_ in all_events), default=0)
+    return [(at - first_time, *rest) for at, *rest in all_events]
 
 
-def table(rows, columns):
-    widths = [max(len(str(row.get(c, 0))) for row in [*rows, {c: c}]) for c in columns]
-    for row in [{c: c for c in columns}, *rows]:
-        print("  ".join(str(row.get(c, 0)).rjust(w) for c, w in zip(columns, widths)))
+def print_table(rows, columns):
+    widths = [max(len(str(row.get(column, 0))) for row in [*rows, {column: column}]) for column in columns]
+    for row in [{column: column for column in columns}, *rows]:
+        print("  ".join(str(row.get(column, 0)).rjust(width) for column, width in zip(columns, widths)))
 
 
-def kind(word, fields):
+def event_column(word, fields):
     if word == "ended":
         return fields["outcome"]
     if word == "answer":
@@ -71,68 +71,71 @@
     return word
 
 
-COLUMNS = ["request", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
+EVENT_COLUMNS = ["request", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
            "NotSent", "Rejected", "Failed", "TimedOut", "client-disconnected", "call", "call-failed", "notified"]
 
 
-def seconds(folder):
+def print_seconds(folder):
     rows = collections.defaultdict(collections.Counter)
-    for at, _, word, fields in from_start(folder):
-        rows[int(at)][kind(word, fields)] += 1
-    table([{"s": s, **rows[s]} for s in sorted(rows)], ["s", *COLUMNS])
+    for at, _, word, fields in events_since_first(folder):
+        rows[int(at)][event_column(word, fields)] += 1
+    print_table([{"s": second, **rows[second]} for second in sorted(rows)], ["s", *EVENT_COLUMNS])
 
 
-def backends(folder, since=0.0, until=1e18):
-    rows, nodes, spent = collections.defaultdict(collections.Counter), collections.defaultdict(set), collections.Counter()
-    for at, node, word, fields in from_start(folder):
+def print_backends(folder, from_s=0.0, to_s=1e18):
+    rows, nodes, success_us = collections.defaultdict(collections.Counter), collections.defaultdict(set), collections.Counter()
+    for at, node, word, fields in events_since_first(folder):
         uid = fields.get("uid")
-        if uid is None or word == "endpoint" or not since <= at < until:
+        if uid is None or word == "endpoint" or not from_s <= at < to_s:
             continue
-        rows[uid][kind(word, fields)] += 1
+        rows[uid][event_column(word, fields)] += 1
         nodes[uid].add(node)
         if fields.get("outcome") == "Success":
-            spent[uid] += int(fields["us"])
+            success_us[uid] += int(fields["us"])
     columns = ["send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled"]
-    failures = lambda uid: sum(rows[uid][c] for c in columns[4:])
-    table(
-        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": spent[uid] // 1000 // max(rows[uid]["Success"], 1), **rows[uid]}
-         for uid in sorted(rows, key=failures, reverse=True)],
+    failure_count = lambda uid: sum(rows[uid][column] for column in columns[4:])
+    print_table(
+        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": success_us[uid] // 1000 // max(rows[uid]["Success"], 1), **rows[uid]}
+         for uid in sorted(rows, key=failure_count, reverse=True)],
         ["uid", "nodes", "ok_ms", *columns],
     )
 
 
-def news(folder):
-    told, nodes = collections.defaultdict(dict), set()
+def print_propagation_times(folder):
+    first_seen, nodes = collections.defaultdict(dict), set()
     for at, node, word, fields in events(folder):
         # The same node after a restart is told anew, which is no later news.
         node = node.split("/")[0]
         nodes.add(node)
         if word == "endpoint":
-            told[fields["uid"], fields["state"], fields["boot_ms"]].setdefault(node, at)
+            first_seen[fields["uid"], fields["state"], fields["boot_ms"]].setdefault(node, at)
     rows = []
-    for (uid, state, _), times in told.items():
+    for (uid, state, _), times in first_seen.items():
         times = sorted(times.values())
-        share = lambda part: f"{times[int(part * len(nodes)) - 1] - times[0]:.2f}" if len(times) >= part * len(nodes) else "-"
+        seconds_to_reach = lambda fraction: (
+            f"{times[int(fraction * len(nodes)) - 1] - times[0]:.2f}" if len(times) >= fraction * len(nodes) else "-"
+        )
         rows.append({"uid": uid, "state": state, "first": f"{times[0]:.2f}", "nodes": len(times),
-                     "half_s": share(0.5), "most_s": share(0.9)})
-    table(sorted(rows, key=lambda row: row["first"]), ["uid", "state", "first", "nodes", "half_s", "most_s"])
+                     "half_s": seconds_to_reach(0.5), "most_s": seconds_to_reach(0.9)})
+    print_table(sorted(rows, key=lambda row: row["first"]), ["uid", "state", "first", "nodes", "half_s", "most_s"])
 
 
-def follow(folder, name):
-    every = list(events(folder))
-    keys = {e[3]["names"].get("key") for e in every if name in e[3]["names"].values()} - {None, "-"}
-    for at, node, word, fields in sorted(every, key=lambda e: e[0]):
+def print_request_events(folder, name):
+    all_events = list(events(folder))
+    keys = {fields["names"].get("key") for *_, fields in all_events if name in fields["names"].values()} - {None, "-"}
+    for at, node, word, fields in sorted(all_events, key=lambda event: event[0]):
         names = fields.pop("names")
         if name in names.values() or names.get("key") in keys:
-            print(f"{at:.6f} {node:8} {word:7} {names.get('txn')}", *(f"{k}={v}" for k, v in fields.items()))
+            print(f"{at:.6f} {node:8} {word:7} {names.get('txn')}", *(f"{key}={value}" for key, value in fields.items()))
 
 
 def main():
-    known = {"seconds": seconds, "backends": backends, "news": news, "follow": follow}
-    if len(sys.argv) < 3 or sys.argv[1] not in known:
+    commands = {"seconds": print_seconds, "backends": print_backends, "news": print_propagation_times,
+                "follow": print_request_events}
+    if len(sys.argv) < 3 or sys.argv[1] not in commands:
         sys.exit(__doc__)
-    more = [float(a) if sys.argv[1] == "backends" else a for a in sys.argv[3:]]
-    known[sys.argv[1]](sys.argv[2], *more)
+    arguments = [float(argument) if sys.argv[1] == "backends" else argument for argument in sys.argv[3:]]
+    commands[sys.argv[1]](sys.argv[2], *arguments)
 
 
 if __name__ == "__main__":
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -6,22 +6,22 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-most_listed=3
+max_listed=3
 listed=()
 if [ -f KNOWN-RED.txt ]; then
   mapfile -t listed < <(sed -E '/^(#|$)/d; s/ *;.*//' KNOWN-RED.txt)
 fi
-if [ "${#listed[@]}" -gt "$most_listed" ]; then
-  echo "KNOWN-RED.txt lists ${#listed[@]} tests, $most_listed at most are allowed"
+if [ "${#listed[@]}" -gt "$max_listed" ]; then
+  echo "KNOWN-RED.txt lists ${#listed[@]} tests, $max_listed at most are allowed"
   exit 1
 fi
 
-skip=()
+skip_arguments=()
 for test in "${listed[@]}"; do
-  skip+=(--skip "$test")
+  skip_arguments+=(--skip "$test")
 done
-if [ "${#skip[@]}" -gt 0 ]; then
-  cargo test --workspace --locked -- --exact "${skip[@]}"
+if [ "${#skip_arguments[@]}" -gt 0 ]; then
+  cargo test --workspace --locked -- --exact "${skip_arguments[@]}"
 else
   cargo test --workspace --locked
 fi
