--- a/tools/check_pages_tests.py
+++ b/tools/check_pages_tests.py
@@ -40,26 +40,26 @@
         self.assertEqual(self.findings(), [])
 
     def test_broken_link_is_found(self):
-        findings = self.findings(docs__more_DOT_md="See [here](nowhere.md).\n")
-        self.assertEqual(findings, ["docs/more.md:1: link to nowhere.md: there is no such file"])
+        findings = self.findings(docs__more_DOT_md="See [here](missing.md).\n")
+        self.assertEqual(findings, ["docs/more.md:1: link to missing.md: there is no such file"])
 
     def test_broken_link_with_text_over_two_lines_is_found(self):
-        self.assertEqual(len(self.findings(docs__more_DOT_md="See [over\nthere](nowhere.md).\n")), 1)
+        self.assertEqual(len(self.findings(docs__more_DOT_md="See [over\nthere](missing.md).\n")), 1)
 
     def test_link_within_code_is_ignored(self):
-        self.assertEqual(self.findings(docs__more_DOT_md="Write `[text](nowhere.md)`.\n"), [])
+        self.assertEqual(self.findings(docs__more_DOT_md="Write `[text](missing.md)`.\n"), [])
 
     def test_broken_anchor_is_found(self):
         findings = self.findings(docs__more_DOT_md="\nSee [here](design.md#no-such-part).\n")
         self.assertEqual(findings, ["docs/more.md:2: link to design.md#no-such-part: the page has no such heading"])
 
     def test_missing_code_file_with_path_is_found(self):
-        findings = self.findings(docs__more_DOT_md="`crates/node/src/gone.rs`\n")
-        self.assertEqual(findings, ["docs/more.md:1: `crates/node/src/gone.rs`: the tree has no such file"])
+        findings = self.findings(docs__more_DOT_md="`crates/node/src/missing.rs`\n")
+        self.assertEqual(findings, ["docs/more.md:1: `crates/node/src/missing.rs`: the tree has no such file"])
 
     def test_missing_code_file_without_path_is_found(self):
-        findings = self.findings(docs__more_DOT_md="`gone.rs`\n")
-        self.assertEqual(findings, ["docs/more.md:1: `gone.rs`: the tree has no such file"])
+        findings = self.findings(docs__more_DOT_md="`missing.rs`\n")
+        self.assertEqual(findings, ["docs/more.md:1: `missing.rs`: the tree has no such file"])
 
     def test_missing_function_is_found(self):
         findings = self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:may_read`\n")
@@ -70,7 +70,7 @@
         self.assertEqual(len(self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:may`\n")), 1)
 
     def test_missing_method_is_found(self):
-        self.assertEqual(len(self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:Permit::gone`\n")), 1)
+        self.assertEqual(len(self.findings(docs__more_DOT_md="`crates/node/src/rules.rs:Permit::missing`\n")), 1)
 
     def test_function_reference_without_full_path_is_found(self):
         self.assertEqual(len(self.findings(docs__more_DOT_md="`rules.rs:may_write`\n")), 1)
@@ -88,8 +88,8 @@
         self.assertEqual(len(findings), 1)
 
     def test_missing_page_named_in_code_is_found(self):
-        findings = self.findings(crates__node__src__more_DOT_rs="//! See docs/gone.md.\n")
-        self.assertEqual(findings, ["crates/node/src/more.rs:1: docs/gone.md: there is no such page"])
+        findings = self.findings(crates__node__src__more_DOT_rs="//! See docs/missing.md.\n")
+        self.assertEqual(findings, ["crates/node/src/more.rs:1: docs/missing.md: there is no such page"])
 
     def test_undefined_function_is_listed_by_check_names(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -101,7 +101,7 @@
         self.assertEqual(findings, ["docs/more.md:1: `may_read`: the code has no such name"])
 
     def test_fenced_block_is_ignored(self):
-        self.assertEqual(self.findings(docs__more_DOT_md="```\n[x](nowhere.md) `gone.rs`\n```\n"), [])
+        self.assertEqual(self.findings(docs__more_DOT_md="```\n[x](missing.md) `missing.rs`\n```\n"), [])
 
 
 if __name__ == "__main__":
