--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -136,7 +136,7 @@
 
 def print_request_events(folder, name):
     all_events = list(events(folder))
-    keys = {fields["names"].get("key") for *_, fields in all_events if name in fields["names"].values()} - {None, "-"}
+    keys = {event[3]["names"].get("key") for event in all_events if name in event[3]["names"].values()} - {None, "-"}
     for at, node, word, fields in sorted(all_events, key=lambda event: event[0]):
         names = fields.pop("names")
         if name in names.values() or names.get("key") in keys:
