--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,5 +1,5 @@
-//! The stand-in backend: one core that serves requests in order of arrival, with a bounded queue,
-//! slow start, a bounded table of connections, and the faults of real backends.
+//! The stand-in backend: one core that serves requests in order of arrival, with a limit on
+//! requests in flight and on connections, slow start, and the faults of real backends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,39 +19,40 @@
 use crate::random::RandomSource;
 use crate::{Clock, locked};
 
-/// Header by which a backend says that it rejected a request unexecuted.
+/// Response header with which a backend marks a request as rejected unexecuted.
 const REJECTED_HEADER: &str = "x-turned-away";
 
-/// What a backend can do.
+/// Capacity and speed of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSettings {
-    /// Mean work of a request at full speed; each draws its own from an exponential distribution.
+    /// Mean execution time of a request at full speed; that of each request is drawn from an
+    /// exponential distribution.
     pub work: Duration,
-    /// Work of a new connection; the first request on it waits for that.
+    /// Time that the core spends on each new connection; requests that arrive later wait for it.
     pub handshake: Duration,
-    /// Most requests in flight; beyond, requests are rejected unexecuted.
+    /// Maximum number of requests in flight; further requests are rejected unexecuted.
     pub capacity: usize,
-    /// Most connections; beyond, requests on new ones are rejected unexecuted.
+    /// Maximum number of connections; requests on further ones are rejected unexecuted.
     pub connections: usize,
-    /// Fraction of its speed that it starts with.
+    /// Fraction of the full speed right after a restart.
     pub slow_start_from: f64,
-    /// Time after a start until it is at full speed.
+    /// Time from a restart to full speed; zero means that there is no slow start.
     pub slow_start: Duration,
-    /// Seed of its draws.
+    /// Seed of the random execution times.
     pub seed: u64,
 }
 
 /// How a backend treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub enum Health {
-    /// It serves them at this fraction of its speed.
+    /// It executes them at this fraction of its speed and answers 200.
     Works(f64),
-    /// It takes them and answers none.
+    /// It reads them and never answers.
     #[default]
     Silent,
-    /// It answers 500.
+    /// It answers 500 at once.
     Fails,
-    /// It rejects all of them unexecuted, as a draining backend does.
+    /// It rejects all of them with 503, unexecuted, as a draining backend does.
     Rejects,
 }
 
@@ -66,32 +67,33 @@
     Failed,
     /// Rejected with 503, unexecuted.
     Overloaded,
-    /// Its connection closed before it was answered.
+    /// The connection closed before the attempt was answered.
     ConnectionLost,
 }
 
 /// One attempt as a backend received it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's `X-Txn`.
+    /// The request's `X-Txn`; empty if it has none.
     pub txn: String,
-    /// Its `Idempotency-Key`, if it had one.
+    /// The request's `Idempotency-Key`; `None` if it has none.
     pub key: Option<String>,
-    /// The backend.
+    /// The name of the backend in the endpoint list.
     pub uid: String,
-    /// Cell of the backend: the group within which repeats of a key are dropped.
+    /// The cell of the backend: the group of backends that drops repeats of an idempotency key.
     pub cell: u16,
-    /// `X-Remaining-Ms`: how much longer the client waits, as the node has it.
+    /// `X-Remaining-Ms`: how much longer the client waits, according to the node; `None` if the
+    /// header is missing or is not a number.
     pub remaining_time: Option<Duration>,
-    /// When its last byte had come.
+    /// When the last byte of the request arrived, or reading its body failed.
     pub arrived: Duration,
-    /// When it ended.
+    /// When the attempt ended; equal to `arrived` until then.
     pub ended: Duration,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// The attempts that all backends of a run received.
+/// The attempts that the backends of a run received; all of them share the log.
 #[derive(Default)]
 pub struct AttemptLog(Mutex<Vec<Attempt>>);
 
@@ -100,7 +102,7 @@
         locked(&self.0)
     }
 
-    /// All attempts so far, by arrival.
+    /// All attempts so far, in order of arrival.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.lock().clone()
     }
@@ -108,59 +110,63 @@
 
 struct State {
     health: Health,
-    /// When the core has finished all that it was given so far.
+    /// When the core will have finished all work queued so far.
     idle_at: Duration,
+    /// Requests that are being executed or wait for the core.
     in_flight: usize,
-    started: Duration,
+    /// Time of the last restart; zero if there was none.
+    restarted_at: Duration,
     random: RandomSource,
 }
 
-/// A backend.
+/// A stand-in backend, one process with one core.
 pub struct Backend {
-    /// Its name in the endpoint list.
+    /// The name of the backend in the endpoint list, the same at every node and over restarts.
     pub uid: String,
-    /// Its cell.
+    /// The cell of the backend; see [`Attempt::cell`].
     pub cell: u16,
-    /// Its link to the nodes.
+    /// The link between the nodes and the backend.
     pub link: Arc<Link>,
     clock: Clock,
     settings: BackendSettings,
     state: Mutex<State>,
     attempt_log: Arc<AttemptLog>,
-    rejected: AtomicU64,
+    rejected_attempts: AtomicU64,
 }
 
-/// Writes the end of an attempt to the log when dropped, whatever becomes of its connection: hyper
-/// drops the future of a request whose connection has closed.
+/// Records the end of an attempt in the log when dropped. This covers connections that close early:
+/// hyper then drops the future of the request.
 struct AttemptGuard<'a> {
     backend: &'a Backend,
-    index: usize,
+    /// Position of the attempt in the attempt log.
+    log_index: usize,
     outcome: AttemptOutcome,
-    counted: bool,
+    /// Whether the attempt is counted in [`State::in_flight`].
+    counted_in_flight: bool,
 }
 
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         {
-            let attempt = &mut self.backend.attempt_log.lock()[self.index];
+            let attempt = &mut self.backend.attempt_log.lock()[self.log_index];
             attempt.ended = self.backend.clock.now();
             attempt.outcome = self.outcome;
         }
-        if self.counted {
+        if self.counted_in_flight {
             self.backend.state().in_flight -= 1;
         }
     }
 }
 
-/// What a backend decides on a request that has come in.
+/// What a backend does with a request that has arrived.
 struct Decision {
-    health: Health,
-    /// When the core has finished the request, where it is executed.
+    treatment: Health,
+    /// When the core finishes the request; unused if the request is not executed.
     finished_at: Duration,
 }
 
 impl Backend {
-    /// A backend at full speed.
+    /// Creates a backend at full speed that does not listen yet.
     pub fn new(
         uid: &str,
         cell: u16,
@@ -172,7 +178,7 @@
             health: Health::Works(1.0),
             idle_at: Duration::ZERO,
             in_flight: 0,
-            started: Duration::ZERO,
+            restarted_at: Duration::ZERO,
             random: RandomSource::from_seed(settings.seed),
         };
         Arc::new(Backend {
@@ -183,7 +189,7 @@
             settings,
             state: Mutex::new(state),
             attempt_log,
-            rejected: AtomicU64::new(0),
+            rejected_attempts: AtomicU64::new(0),
         })
     }
 
@@ -191,102 +197,112 @@
         locked(&self.state)
     }
 
-    /// Changes how requests are treated that come from now on.
+    /// Sets how requests that arrive from now on are treated.
     pub fn set(&self, health: Health) {
         self.state().health = health;
     }
 
-    /// Its process starts anew: in slow start, its queue empty. The caller resets its link.
+    /// Restarts the backend: its queue is empty and it is in slow start. The caller resets the
+    /// link, which closes the connections.
     pub fn restart(&self) {
         let now = self.clock.now();
         let mut state = self.state();
         state.idle_at = now;
-        state.started = now;
+        state.restarted_at = now;
         state.health = Health::Works(1.0);
     }
 
-    /// Requests rejected so far.
+    /// Number of attempts rejected unexecuted so far, over all restarts.
     pub fn rejected(&self) -> u64 {
-        self.rejected.load(Ordering::SeqCst)
+        self.rejected_attempts.load(Ordering::SeqCst)
     }
 
-    /// Listens for nodes.
+    /// Starts to listen for nodes; returns the address.
     ///
     /// # Errors
     ///
     /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let backend = self.clone();
-        let serve = move |stream: LinkedStream| backend.clone().accept(stream);
-        Ok(self.link.clone().listen(serve).await?.0)
+        let on_connection = move |stream: LinkedStream| backend.clone().handle_connection(stream);
+        Ok(self.link.clone().listen(on_connection).await?.0)
     }
 
-    fn accept(self: Arc<Self>, stream: LinkedStream) {
-        let table_full = self.link.open() > self.settings.connections;
+    fn handle_connection(self: Arc<Self>, stream: LinkedStream) {
+        let over_connection_limit = self.link.open_connections() > self.settings.connections;
         {
             let now = self.clock.now();
             let mut state = self.state();
             state.idle_at = state.idle_at.max(now) + self.settings.handshake;
         }
         tokio::spawn(async move {
-            let answer = service_fn(|request| {
+            let request_handler = service_fn(|request| {
                 let backend = self.clone();
-                async move { backend.answer(request, table_full).await }
+                async move { backend.handle_request(request, over_connection_limit).await }
             });
-            // The end of a connection shows in the log of its attempts.
+            // The result is not needed: the attempt log shows how the attempts on the connection
+            // ended.
             let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), answer)
+                .serve_connection(TokioIo::new(stream), request_handler)
                 .await;
         });
     }
 
-    /// Fraction of the full speed that the backend has now; it grows linearly in slow start.
+    /// Current speed as a fraction of the full speed; it grows linearly in slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
         let settings = &self.settings;
-        if state.started.is_zero() || settings.slow_start.is_zero() {
+        if state.restarted_at.is_zero() || settings.slow_start.is_zero() {
             return 1.0;
         }
-        let age =
-            now.saturating_sub(state.started).as_secs_f64() / settings.slow_start.as_secs_f64();
-        (settings.slow_start_from + (1.0 - settings.slow_start_from) * age).min(1.0)
+        let progress = now.saturating_sub(state.restarted_at).as_secs_f64()
+            / settings.slow_start.as_secs_f64();
+        (settings.slow_start_from + (1.0 - settings.slow_start_from) * progress).min(1.0)
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-        table_full: bool,
+        over_connection_limit: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
         let is_complete = body.collect().await.is_ok();
         let arrived = self.clock.now();
         let txn = header(&head.headers, "x-txn").unwrap_or_default();
-        let text = format!("{}:{txn}", self.uid);
-        let mut attempt = self.record(&head.headers, txn, arrived);
-        let decision = self.decide(&mut attempt, arrived, is_complete && !table_full);
-        match decision.health {
+        let response_body = format!("{}:{txn}", self.uid);
+        let mut attempt = self.record_attempt(&head.headers, txn, arrived);
+        let decision = self.decide(&mut attempt, arrived, is_complete && !over_connection_limit);
+        match decision.treatment {
             Health::Works(_) => {
                 tokio::time::sleep_until(self.clock.at(decision.finished_at)).await;
                 attempt.outcome = AttemptOutcome::Served;
-                Ok(response(StatusCode::OK, text))
+                Ok(response(StatusCode::OK, response_body))
             }
             Health::Silent => std::future::pending().await,
             Health::Fails => {
                 attempt.outcome = AttemptOutcome::Failed;
-                Ok(response(StatusCode::INTERNAL_SERVER_ERROR, text))
+                Ok(response(StatusCode::INTERNAL_SERVER_ERROR, response_body))
             }
             Health::Rejects => {
-                self.rejected.fetch_add(1, Ordering::SeqCst);
+                self.rejected_attempts.fetch_add(1, Ordering::SeqCst);
                 attempt.outcome = AttemptOutcome::Overloaded;
-                let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, text);
-                let unexecuted = HeaderValue::from_static("1");
-                rejection.headers_mut().insert(REJECTED_HEADER, unexecuted);
+                let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, response_body);
+                let header_value = HeaderValue::from_static("1");
+                rejection
+                    .headers_mut()
+                    .insert(REJECTED_HEADER, header_value);
                 Ok(rejection)
             }
         }
     }
 
-    /// Adds an attempt to the log; until its outcome is set, it counts as lost if dropped.
-    fn record(&self, headers: &HeaderMap, txn: String, arrived: Duration) -> AttemptGuard<'_> {
+    /// Adds an attempt to the log. If the guard is dropped before its outcome is set, the attempt
+    /// ends as [`AttemptOutcome::ConnectionLost`].
+    fn record_attempt(
+        &self,
+        headers: &HeaderMap,
+        txn: String,
+        arrived: Duration,
+    ) -> AttemptGuard<'_> {
         let remaining_time = header(headers, "x-remaining-ms")
             .and_then(|ms| ms.parse().ok())
             .map(Duration::from_millis);
@@ -303,29 +319,30 @@
         });
         AttemptGuard {
             backend: self,
-            index: attempts.len() - 1,
+            log_index: attempts.len() - 1,
             outcome: AttemptOutcome::ConnectionLost,
-            counted: false,
+            counted_in_flight: false,
         }
     }
 
-    /// Rejects what can't be taken, and queues what is executed.
-    fn decide(&self, attempt: &mut AttemptGuard, now: Duration, acceptable: bool) -> Decision {
+    /// Chooses the treatment of a request, and queues the request if it is executed. Requests are
+    /// rejected if `may_accept` is false or the maximum number in flight is reached.
+    fn decide(&self, attempt: &mut AttemptGuard, now: Duration, may_accept: bool) -> Decision {
         let mut state = self.state();
-        let health = if acceptable && state.in_flight < self.settings.capacity {
+        let treatment = if may_accept && state.in_flight < self.settings.capacity {
             state.health
         } else {
             Health::Rejects
         };
-        if let Health::Works(fraction) = health {
+        if let Health::Works(speed_fraction) = treatment {
             let work = self.settings.work.as_secs_f64() * state.random.exponential();
-            let speed = fraction * self.slow_start_fraction(&state, now);
+            let speed = speed_fraction * self.slow_start_fraction(&state, now);
             state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(work / speed);
             state.in_flight += 1;
-            attempt.counted = true;
+            attempt.counted_in_flight = true;
         }
         Decision {
-            health,
+            treatment,
             finished_at: state.idle_at,
         }
     }
@@ -335,8 +352,8 @@
     Some(headers.get(name)?.to_str().ok()?.to_string())
 }
 
-fn response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::from(text));
+fn response(status: StatusCode, body: String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The stand-in discovery: one queue for all calls, watches, revisions with a bounded history, and
-//! outages.
+//! The stand-in discovery service: one queue for the calls of all nodes, watches, revisions with a
+//! bounded history, and outages.
 
 mod call;
 mod endpoint;
@@ -28,10 +28,10 @@
 use crate::link::{Link, LinkedStream};
 use crate::{Clock, locked};
 
-/// A watch that has nothing to say writes an empty line this often.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Parts of an answer that may wait to be written.
-const BODY_BUFFER: usize = 4;
+/// Interval at which a watch without changes writes an empty line.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Capacity of a body's channel: chunks that may wait to be written.
+const BODY_BUFFER_CHUNKS: usize = 4;
 
 struct State {
     mode: Mode,
@@ -39,61 +39,65 @@
     endpoints: BTreeMap<String, Endpoint>,
     /// The latest changes, bounded by the capacity's `history`.
     history: VecDeque<EndpointChange>,
-    /// When all calls that were queued so far are served.
+    /// When all calls queued so far will have been served.
     idle_at: Duration,
     calls: Vec<DiscoveryCall>,
     notifications: Vec<Notification>,
     bytes_written: u64,
-    /// All changes, for the referee.
+    /// All changes of the run, for the referee.
     changes: Vec<EndpointChange>,
 }
 
-/// What brings a node up to date.
+/// A message that brings a node up to the current revision.
 struct Update {
+    /// The revision that the node has with it.
     revision: u64,
-    endpoints: usize,
+    endpoint_count: usize,
+    /// The message as one line of JSON, with its line feed.
     line: Bytes,
 }
 
-/// What a node asks for.
+/// Query parameters of a call.
 struct CallQuery {
-    watch: bool,
-    /// The revision that a watch resumes after.
-    after: Option<u64>,
+    /// Whether the call is a watch; otherwise it polls the whole list.
+    is_watch: bool,
+    /// The revision after which a watch resumes; `None` for a poll and for a watch that starts with
+    /// the whole list.
+    resume_after: Option<u64>,
 }
 
 impl CallQuery {
     fn parse(query: &str) -> CallQuery {
-        let watch = query.contains("watch=1");
-        let after = query
+        let is_watch = query.contains("watch=1");
+        let resume_after = query
             .split('&')
-            .find_map(|part| part.strip_prefix("after=")?.parse().ok());
+            .find_map(|parameter| parameter.strip_prefix("after=")?.parse().ok());
         CallQuery {
-            watch,
-            after: after.filter(|_| watch),
+            is_watch,
+            resume_after: resume_after.filter(|_| is_watch),
         }
     }
 }
 
-/// The discovery service; one for all nodes.
+/// The stand-in discovery service; all nodes of a run share it.
 pub struct DiscoveryService {
     clock: Clock,
     capacity: Capacity,
     state: Mutex<State>,
-    /// Wakes watches.
-    revision: watch::Sender<u64>,
+    /// The current revision; watches subscribe to it.
+    published_revision: watch::Sender<u64>,
 }
 
-type Answer = Response<BoxBody<Bytes, io::Error>>;
+type HttpResponse = Response<BoxBody<Bytes, io::Error>>;
 
-fn service_unavailable() -> Answer {
-    let mut answer = Response::new(Empty::new().map_err(|never| match never {}).boxed());
-    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    answer
+fn service_unavailable() -> HttpResponse {
+    let mut response = Response::new(Empty::new().map_err(|never| match never {}).boxed());
+    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    response
 }
 
 impl DiscoveryService {
-    /// A service whose list has these endpoints.
+    /// Creates a service with these endpoints in its list, at revision 1.
     pub fn new(clock: Clock, capacity: Capacity, endpoints: Vec<Endpoint>) -> Arc<Self> {
         let by_uid = endpoints
             .into_iter()
@@ -113,7 +117,7 @@
             clock,
             capacity,
             state: Mutex::new(state),
-            revision: watch::Sender::new(1),
+            published_revision: watch::Sender::new(1),
         })
     }
 
@@ -121,43 +125,44 @@
         locked(&self.state)
     }
 
-    /// Opens a listener for one node.
+    /// Starts to listen for one node on its link; returns the address.
     ///
     /// # Errors
     ///
     /// If no port can be bound.
     pub async fn serve(self: &Arc<Self>, node: usize, link: Arc<Link>) -> io::Result<SocketAddr> {
-        let (service, over) = (self.clone(), link.clone());
-        let serve = move |stream: LinkedStream| {
-            let (service, over) = (service.clone(), over.clone());
+        let (service, connection_link) = (self.clone(), link.clone());
+        let on_connection = move |stream: LinkedStream| {
+            let (service, connection_link) = (service.clone(), connection_link.clone());
             tokio::spawn(async move {
-                let answer = service_fn(|request| {
-                    let (service, over) = (service.clone(), over.clone());
-                    async move { service.answer(node, over, request).await }
+                let request_handler = service_fn(|request| {
+                    let (service, connection_link) = (service.clone(), connection_link.clone());
+                    async move { service.handle_request(node, connection_link, request).await }
                 });
-                // Its end, good or bad, shows in the outcome of its calls.
+                // The result is not needed: the outcomes of the calls show how the connection
+                // ended.
                 let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(stream), answer)
+                    .serve_connection(TokioIo::new(stream), request_handler)
                     .await;
             });
         };
-        Ok(link.listen(serve).await?.0)
+        Ok(link.listen(on_connection).await?.0)
     }
 
-    /// Changes how calls are treated that come from now on.
+    /// Sets how calls that arrive from now on are treated.
     pub fn set(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
-    /// Its process starts anew: its queue and its history are empty. The caller resets its
-    /// links.
+    /// Restarts the service: its queue and its history are empty. The caller resets the links,
+    /// which closes the connections.
     pub fn restart(&self) {
         let mut state = self.state();
         state.history.clear();
         state.idle_at = self.clock.now();
     }
 
-    /// Publishes a change.
+    /// Publishes a change: adds, replaces or removes an endpoint, at a new revision.
     pub fn change(&self, endpoint: Endpoint) {
         let mut state = self.state();
         state.revision += 1;
@@ -179,25 +184,25 @@
             state.history.pop_front();
         }
         drop(state);
-        self.revision.send_replace(revision);
+        self.published_revision.send_replace(revision);
     }
 
-    /// The endpoint list as it is now.
+    /// The current endpoint list, by backend name.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.state().endpoints.values().cloned().collect()
     }
 
-    /// All calls so far.
+    /// All calls so far, in order of arrival.
     pub fn calls(&self) -> Vec<DiscoveryCall> {
         self.state().calls.clone()
     }
 
-    /// All lists and watch events written so far.
+    /// All lists and watch events written so far, except those that a cut link held back.
     pub fn notifications(&self) -> Vec<Notification> {
         self.state().notifications.clone()
     }
 
-    /// Bytes of lists and watch events written to nodes so far.
+    /// Number of bytes of lists, watch events and keep-alive lines written to nodes so far.
     pub fn bytes_written(&self) -> u64 {
         self.state().bytes_written
     }
@@ -207,16 +212,18 @@
         self.state().changes.clone()
     }
 
-    /// The changes after a revision, or the whole list where the history does not reach back.
-    fn update(&self, after: Option<u64>) -> Update {
+    /// The changes after a revision, or the whole list if there is no such revision or the history
+    /// does not reach back to it.
+    fn update_since(&self, after: Option<u64>) -> Update {
         let state = self.state();
         let revision = state.revision;
-        let oldest = state
+        let oldest_revision = state
             .history
             .front()
             .map_or(revision + 1, |change| change.revision);
-        let resumes = after.filter(|after| *after > 0 && after + 1 >= oldest && *after <= revision);
-        let endpoints: Vec<Value> = match resumes {
+        let resume_after =
+            after.filter(|after| *after > 0 && after + 1 >= oldest_revision && *after <= revision);
+        let endpoints: Vec<Value> = match resume_after {
             Some(after) => state
                 .history
                 .iter()
@@ -225,26 +232,26 @@
                 .collect(),
             None => state.endpoints.values().map(Endpoint::json).collect(),
         };
-        let count = endpoints.len();
-        let object = json!({"rev": revision, "all": resumes.is_none(), "targets": endpoints});
+        let endpoint_count = endpoints.len();
+        let message = json!({"rev": revision, "all": resume_after.is_none(), "targets": endpoints});
         Update {
             revision,
-            endpoints: count,
-            line: Bytes::from(object.to_string() + "\n"),
+            endpoint_count,
+            line: Bytes::from(message.to_string() + "\n"),
         }
     }
 
-    /// Records a notification, unless the link is cut: then it reaches the node at best when the
-    /// cut is over.
+    /// Records a notification, unless the link is cut: then it reaches the node at the earliest
+    /// after the cut.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
         let at = self.clock.now();
-        if link.passes_out() {
+        if link.delivers_to_node() {
             let notification = Notification { node, at, revision };
             self.state().notifications.push(notification);
         }
     }
 
-    /// Records a call as unanswered; gives its index.
+    /// Records a call as unanswered; returns its index.
     fn record_call(&self, node: usize) -> usize {
         let arrived = self.clock.now();
         let mut state = self.state();
@@ -257,76 +264,78 @@
         state.calls.len() - 1
     }
 
-    fn end_call(&self, index: usize, outcome: CallOutcome) {
+    fn end_call(&self, call_index: usize, outcome: CallOutcome) {
         let ended = self.clock.now();
         let mut state = self.state();
-        let call = &mut state.calls[index];
+        let call = &mut state.calls[call_index];
         call.ended = ended;
         call.outcome = outcome;
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         node: usize,
         link: Arc<Link>,
         request: Request<Incoming>,
-    ) -> Result<Answer, Infallible> {
+    ) -> Result<HttpResponse, Infallible> {
         let query = CallQuery::parse(request.uri().query().unwrap_or_default());
-        let call = self.record_call(node);
+        let call_index = self.record_call(node);
         let mode = self.state().mode;
         match mode {
             Mode::Up => {}
             Mode::Overloaded => {
-                self.end_call(call, CallOutcome::Failed);
+                self.end_call(call_index, CallOutcome::Failed);
                 return Ok(service_unavailable());
             }
             Mode::Silent => std::future::pending::<()>().await,
-            Mode::Truncates => return Ok(self.truncated_answer(call).await),
+            Mode::Truncates => return Ok(self.truncated_response(call_index).await),
         }
-        if !self.wait_in_queue(call, &query).await {
-            self.end_call(call, CallOutcome::Failed);
+        if !self.wait_in_queue(call_index, &query).await {
+            self.end_call(call_index, CallOutcome::Failed);
             return Ok(service_unavailable());
         }
-        self.end_call(call, CallOutcome::Answered);
-        let (sender, body) = Channel::<Bytes, io::Error>::new(BODY_BUFFER);
+        self.end_call(call_index, CallOutcome::Answered);
+        let (sender, body) = Channel::<Bytes, io::Error>::new(BODY_BUFFER_CHUNKS);
         tokio::spawn(self.clone().write_body(node, link, query, sender));
         Ok(Response::new(body.boxed()))
     }
 
-    /// Half of the list, and the connection closes without the last chunk.
-    async fn truncated_answer(&self, call: usize) -> Answer {
+    /// Sends half of the list and then closes the connection without the last chunk.
+    async fn truncated_response(&self, call_index: usize) -> HttpResponse {
         let (mut sender, body) = Channel::<Bytes, io::Error>::new(1);
-        let list = self.update(None).line;
+        let list = self.update_since(None).line;
         let _ = sender.send_data(list.slice(..list.len() / 2)).await;
-        self.end_call(call, CallOutcome::Failed);
+        self.end_call(call_index, CallOutcome::Failed);
         sender.abort(io::ErrorKind::BrokenPipe.into());
         Response::new(body.boxed())
     }
 
-    /// Waits until the call is served, or until it has waited as long as a call may: then `false`.
-    async fn wait_in_queue(&self, call: usize, query: &CallQuery) -> bool {
-        let endpoints = self.update(query.after).endpoints as u32;
+    /// Queues the call and waits until it is served. Returns `false` after the maximum wait if the
+    /// call would wait longer.
+    async fn wait_in_queue(&self, call_index: usize, query: &CallQuery) -> bool {
+        let endpoint_count = self.update_since(query.resume_after).endpoint_count as u32;
         let (arrived, wait, served_at) = {
             let mut state = self.state();
-            let arrived = state.calls[call].arrived;
-            let start = state.idle_at.max(arrived);
-            let wait = start.saturating_sub(arrived);
+            let arrived = state.calls[call_index].arrived;
+            let service_start = state.idle_at.max(arrived);
+            let wait = service_start.saturating_sub(arrived);
             if wait <= self.capacity.max_wait {
-                state.idle_at = start + self.capacity.call + self.capacity.endpoint * endpoints;
+                state.idle_at =
+                    service_start + self.capacity.call + self.capacity.endpoint * endpoint_count;
             }
             (arrived, wait, state.idle_at)
         };
         let is_served = wait <= self.capacity.max_wait;
-        let until = if is_served {
+        let wait_until = if is_served {
             served_at
         } else {
             arrived + self.capacity.max_wait
         };
-        tokio::time::sleep_until(self.clock.at(until)).await;
+        tokio::time::sleep_until(self.clock.at(wait_until)).await;
         is_served
     }
 
-    /// Writes the list or the changes, and for a watch each later change.
+    /// Writes the list or the changes, and for a watch all later changes and keep-alive lines.
     async fn write_body(
         self: Arc<Self>,
         node: usize,
@@ -334,31 +343,36 @@
         query: CallQuery,
         mut sender: Sender<Bytes, io::Error>,
     ) {
-        let mut changes = self.revision.subscribe();
-        changes.mark_unchanged();
-        let first = self.update(query.after);
-        let mut revision = first.revision;
+        let mut revision_receiver = self.published_revision.subscribe();
+        revision_receiver.mark_unchanged();
+        let first_update = self.update_since(query.resume_after);
+        let mut revision = first_update.revision;
         self.record_notification(node, &link, revision);
-        self.state().bytes_written += first.line.len() as u64;
-        let mut sent = sender.send_data(first.line).await;
-        while query.watch && sent.is_ok() {
-            // The guard that `wait_for` gives is dropped at once: it would hold off a change.
-            let changed = async { changes.wait_for(|now| *now > revision).await.is_ok() };
+        self.state().bytes_written += first_update.line.len() as u64;
+        let mut send_result = sender.send_data(first_update.line).await;
+        while query.is_watch && send_result.is_ok() {
+            // The guard that `wait_for` returns blocks further changes, so it is dropped at once.
+            let revision_change = async {
+                revision_receiver
+                    .wait_for(|published| *published > revision)
+                    .await
+                    .is_ok()
+            };
             let line = tokio::select! {
-                // The list may have changed between the first line and here.
-                changed = changed => {
-                    if !changed {
+                // `wait_for` also returns at once if the revision grew since the last line.
+                has_changed = revision_change => {
+                    if !has_changed {
                         return;
                     }
-                    let update = self.update(Some(revision));
+                    let update = self.update_since(Some(revision));
                     revision = update.revision;
                     self.record_notification(node, &link, revision);
                     update.line
                 }
-                () = tokio::time::sleep(KEEP_ALIVE) => Bytes::from_static(b"\n"),
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => Bytes::from_static(b"\n"),
             };
             self.state().bytes_written += line.len() as u64;
-            sent = sender.send_data(line).await;
+            send_result = sender.send_data(line).await;
         }
     }
 }
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -1,5 +1,6 @@
 //! Misbehaving clients: they disconnect early, half-close, trickle, stop in the middle of a
-//! request, say nothing, or pipeline. They write to bare sockets, as no HTTP library does that.
+//! request, send nothing, or pipeline. They write to plain sockets, because HTTP libraries don't
+//! allow this.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,17 +14,17 @@
 /// How a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It closes its connection this long after its request.
+    /// It sends its request and closes the connection after this time.
     Disconnects(Duration),
-    /// It ends its sending behind its request and waits for the answer.
+    /// It shuts down its sending direction after the request and waits for the answer.
     HalfCloses,
-    /// It sends its request in pieces with pauses.
+    /// It sends its request in pieces, with a pause after each.
     Trickles,
-    /// It sends half a request and stays.
+    /// It sends the first half of a request and keeps the connection open.
     StopsMidway,
-    /// It says nothing.
+    /// It connects and sends nothing.
     Silent,
-    /// It sends two requests at once.
+    /// It sends two requests at once, without waiting for the first answer.
     Pipelines,
 }
 
@@ -36,46 +37,48 @@
     Behaviour::Pipelines,
 ];
 
-/// Pieces of a request that trickles.
-const PIECES: usize = 5;
-/// Pause behind each piece.
-const PAUSE: Duration = Duration::from_millis(60);
-/// A client waits at least this long for what it is owed ...
-const MIN_WAIT: Duration = Duration::from_secs(3);
-/// ... and this much longer, so that a late answer is still seen and can be judged.
-const WAIT_MARGIN: Duration = Duration::from_secs(1);
+/// Number of pieces of a request that trickles.
+const TRICKLE_PIECES: usize = 5;
+/// Pause after each piece.
+const TRICKLE_PAUSE: Duration = Duration::from_millis(60);
+/// Minimum time that a client waits for its answers, before [`LATE_ANSWER_MARGIN`] is added.
+const MIN_ANSWER_WAIT: Duration = Duration::from_secs(3);
+/// Additional time that a client waits, so that a late answer is still recorded and can be judged.
+const LATE_ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 /// A request of a misbehaving client.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRequest {
-    /// Its name, unique in the run; a pipelined second request has a `b` behind it.
+    /// Identifier of the request, unique in the run; a pipelined second request has `b` appended.
     pub txn: String,
-    /// Name of its class, whose requests are idempotent or have an idempotency key.
+    /// Name of the class of the request; its requests are idempotent or have an idempotency key.
     pub class: String,
-    /// It is sent as `POST` with an idempotency key.
+    /// Whether the request is sent as `POST` with an idempotency key; otherwise it is a `GET`.
     pub has_key: bool,
-    /// How long the client waits.
+    /// The client timeout that the request states in `X-Remaining-Ms`; the client waits longer, to
+    /// see late answers.
     pub client_timeout: Duration,
-    /// What the client does.
+    /// How the client misbehaves.
     pub behaviour: Behaviour,
 }
 
-/// What became of a misbehaving client.
+/// The record of a misbehaving client that has ended.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRecord {
-    /// What it sent, and how.
+    /// The request and the behaviour of the client.
     pub request: MisbehavingRequest,
-    /// Number of the node.
+    /// Number of the node that the client connected to.
     pub node: usize,
-    /// When it had connected; `None` if it could not.
+    /// When the connection was open; `None` if it could not be opened.
     pub connected: Option<Duration>,
-    /// When its last byte was sent.
+    /// When the last byte was written; the start time if the client could not connect.
     pub sent: Duration,
-    /// When it closed, or ended its sending.
+    /// When the client closed the connection or its sending direction; `None` if it did neither.
     pub disconnected: Option<Duration>,
-    /// When the node had ended the connection or given all answers.
+    /// When the node had ended the connection or sent all answers; `None` if the client could
+    /// not connect, disconnected first or stopped waiting.
     pub ended: Option<Duration>,
-    /// Complete answers that it got.
+    /// Number of complete answers that the client received.
     pub answers: usize,
 }
 
@@ -86,7 +89,7 @@
 }
 
 impl MisbehavingClients {
-    /// Clients that have sent nothing yet.
+    /// Creates clients that have sent nothing yet.
     pub fn new(clock: Clock) -> Arc<MisbehavingClients> {
         Arc::new(MisbehavingClients {
             clock,
@@ -94,12 +97,12 @@
         })
     }
 
-    /// All clients that have ended.
+    /// The records of all clients that have ended.
     pub fn records(&self) -> Vec<MisbehavingRecord> {
         locked(&self.records).clone()
     }
 
-    /// Plays one client to its end.
+    /// Runs one client until it has ended, and records the result.
     pub async fn play(
         self: Arc<Self>,
         request: MisbehavingRequest,
@@ -116,15 +119,16 @@
             answers: 0,
         };
         if let Ok(stream) = TcpStream::connect(address).await {
-            self.converse(&mut record, stream).await;
+            self.run_connection(&mut record, stream).await;
         }
         locked(&self.records).push(record);
     }
 
-    async fn converse(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
+    /// Sends the request and then behaves as the record's behaviour says.
+    async fn run_connection(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
         record.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
-        let sent = send(&record.request, &mut stream).await;
+        let sent = send_request(&record.request, &mut stream).await;
         record.sent = self.clock.now();
         if sent.is_err() {
             record.ended = Some(record.sent);
@@ -149,90 +153,93 @@
         self.read_answers(record, stream).await;
     }
 
-    /// Reads until the answers that are owed have come, the node ends the connection, or the client
-    /// has waited well past its timeout.
+    /// Reads until all expected answers are complete, the node ends the connection, or the client
+    /// has waited for its timeout, at least [`MIN_ANSWER_WAIT`], and [`LATE_ANSWER_MARGIN`].
     async fn read_answers(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
-        let wanted = match record.request.behaviour {
+        let expected_answers = match record.request.behaviour {
             Behaviour::Pipelines => 2,
             _ => 1,
         };
-        let limit = record.request.client_timeout.max(MIN_WAIT) + WAIT_MARGIN;
-        let mut bytes = Vec::new();
+        let read_timeout = record.request.client_timeout.max(MIN_ANSWER_WAIT) + LATE_ANSWER_MARGIN;
+        let mut received = Vec::new();
         let read = async {
-            let mut piece = [0; 4096];
+            let mut buffer = [0; 4096];
             loop {
-                match stream.read(&mut piece).await {
+                match stream.read(&mut buffer).await {
                     Ok(0) | Err(_) => return,
-                    Ok(count) => bytes.extend_from_slice(&piece[..count]),
+                    Ok(count) => received.extend_from_slice(&buffer[..count]),
                 }
-                if count_complete_answers(&bytes) >= wanted {
+                if count_complete_answers(&received) >= expected_answers {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(limit, read).await.is_ok() {
+        if tokio::time::timeout(read_timeout, read).await.is_ok() {
             record.ended = Some(self.clock.now());
         }
-        record.answers = count_complete_answers(&bytes);
+        record.answers = count_complete_answers(&received);
     }
 }
 
-async fn send(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
-    let text = request_bytes(request, "");
+/// Writes the request, or the part of it that the behaviour sends.
+async fn send_request(request: &MisbehavingRequest, stream: &mut TcpStream) -> std::io::Result<()> {
+    let encoded = request_bytes(request, "");
     match request.behaviour {
         Behaviour::Silent => Ok(()),
-        Behaviour::StopsMidway => stream.write_all(&text[..text.len() / 2]).await,
-        Behaviour::Trickles => trickle(stream, &text).await,
+        Behaviour::StopsMidway => stream.write_all(&encoded[..encoded.len() / 2]).await,
+        Behaviour::Trickles => trickle(stream, &encoded).await,
         Behaviour::Pipelines => {
-            let both = [text, request_bytes(request, "b")].concat();
-            stream.write_all(&both).await
+            let both_requests = [encoded, request_bytes(request, "b")].concat();
+            stream.write_all(&both_requests).await
         }
-        Behaviour::Disconnects(_) | Behaviour::HalfCloses => stream.write_all(&text).await,
+        Behaviour::Disconnects(_) | Behaviour::HalfCloses => stream.write_all(&encoded).await,
     }
 }
 
+/// Encodes the request; `suffix` is appended to its `X-Txn`.
 fn request_bytes(request: &MisbehavingRequest, suffix: &str) -> Vec<u8> {
     let txn = format!("{}{suffix}", request.txn);
     let class = &request.class;
     let remaining_ms = request.client_timeout.as_millis();
-    let (method, key, body) = if request.has_key {
-        let key = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
-        ("POST", key, "body")
+    let (method, key_headers, body) = if request.has_key {
+        let key_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
+        ("POST", key_headers, "body")
     } else {
         ("GET", String::new(), "")
     };
     format!(
         "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
-         X-Remaining-Ms: {remaining_ms}\r\n{key}\r\n{body}"
+         X-Remaining-Ms: {remaining_ms}\r\n{key_headers}\r\n{body}"
     )
     .into_bytes()
 }
 
-async fn trickle(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
-    for piece in text.chunks(text.len().div_ceil(PIECES)) {
+async fn trickle(stream: &mut TcpStream, encoded: &[u8]) -> std::io::Result<()> {
+    for piece in encoded.chunks(encoded.len().div_ceil(TRICKLE_PIECES)) {
         stream.write_all(piece).await?;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(TRICKLE_PAUSE).await;
     }
     Ok(())
 }
 
-/// Complete answers at the head of these bytes; each has a `Content-Length`.
+/// Counts the complete answers at the start of `bytes`. Answers without a `Content-Length` are not
+/// counted, nor any that follow them.
 fn count_complete_answers(mut bytes: &[u8]) -> usize {
-    const HEAD_END: &[u8] = b"\r\n\r\n";
+    const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
     let mut count = 0;
-    while let Some(end) = bytes
-        .windows(HEAD_END.len())
-        .position(|window| window == HEAD_END)
+    while let Some(head_length) = bytes
+        .windows(HEAD_TERMINATOR.len())
+        .position(|window| window == HEAD_TERMINATOR)
     {
-        let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
-        let length = head
+        let head = String::from_utf8_lossy(&bytes[..head_length]).to_lowercase();
+        let length_text = head
             .split("content-length: ")
             .nth(1)
             .and_then(|rest| rest.lines().next());
-        let Some(length) = length.and_then(|text| text.trim().parse::<usize>().ok()) else {
+        let Some(length) = length_text.and_then(|text| text.trim().parse::<usize>().ok()) else {
             break;
         };
-        let Some(rest) = bytes.get(end + HEAD_END.len() + length..) else {
+        let Some(rest) = bytes.get(head_length + HEAD_TERMINATOR.len() + length..) else {
             break;
         };
         count += 1;
--- a/tools/check_pages.py
+++ b/tools/check_pages.py
@@ -1,19 +1,19 @@
 #!/usr/bin/env python3
-"""Checks that the pages and the code agree. Prints one line for each finding; exit code 1 if there is any.
+"""Checks that the pages agree with the code. Prints one line per finding; the exit code is 1 if there is any.
 
-Checked are README.md, CHANGELOG.md and every page below docs/:
+The pages are README.md, CHANGELOG.md and all Markdown files below docs/. The checks are:
 
 - a relative link points to a file that exists, and its anchor to a heading of that page;
-- a code reference `path/file.rs` is a file of the tree, from the root; a bare `file.rs` is the name of at least one file;
+- a code reference `path/file.rs` names a file by its path from the root; `file.rs` names at least one file in the tree;
 - a code reference `path/file.rs:name` names a function, type, constant or module that is defined in that file;
-  in `path/file.rs:Type::name` both are;
-- `make` commands of the README are targets of the Makefile, and `make build` and `make test` are among them;
-- no page holds a path of somebody's machine;
-- a page that a comment in the code names exists.
+  in `path/file.rs:Type::name`, both names are defined in the file;
+- every `make` command in the README is a target of the Makefile, and the README names `make build` and `make test`;
+- no page contains a path of a particular machine, such as a home directory;
+- a page that is named in a comment of the code exists.
 
 Usage: tools/check_pages.py [--root FOLDER]
-       tools/check_pages.py --names       also lists names in `backticks` that the code does not have
-       tools/check_pages.py --self-test   plants faults in a temporary folder and shows that each is found
+       tools/check_pages.py --names       also lists names in `backticks` that the code does not contain
+       tools/check_pages.py --self-test   runs the tests of this program, which check that each kind of fault is found
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 REQUIRED_COMMANDS = ("build", "test")
 
-# The text of a link may begin on the line before, so only the end of a link is looked for.
+# The text of a link may start on the previous line, so the pattern matches only the end of a link.
 LINK = re.compile(r"\]\(([^()\s]+)\)")
 URL = re.compile(r"[a-z][a-z0-9+.-]*:", re.IGNORECASE)
 HEADING = re.compile(r"#{1,6} +(.*?)(?: +#+)?$")
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """What is wrong at one line of a page."""
+    """A fault on one line of a page or a source file."""
 
     page: str
     line: int
@@ -55,66 +55,66 @@
 
 
 class Tree:
-    """The files of a checkout, by their paths from its root."""
+    """The files of a checkout; paths are relative to its root."""
 
     def __init__(self, root):
         self.root = Path(root).resolve()
         self.files = self._tracked_files() or self._files_on_disk()
-        self.names = {Path(file).name for file in self.files}
+        self.file_names = {Path(file).name for file in self.files}
         self._texts = {}
 
     def _tracked_files(self):
         command = ["git", "-C", str(self.root), "ls-files", "-z", "--cached", "--others", "--exclude-standard"]
-        listing = subprocess.run(command, capture_output=True, text=True, check=False)
-        if listing.returncode != 0:
+        result = subprocess.run(command, capture_output=True, text=True, check=False)
+        if result.returncode != 0:
             return set()
-        return {file for file in listing.stdout.split("\0") if file and (self.root / file).is_file()}
+        return {file for file in result.stdout.split("\0") if file and (self.root / file).is_file()}
 
     def _files_on_disk(self):
         return {str(path.relative_to(self.root)) for path in self.root.rglob("*") if path.is_file()}
 
     def text(self, file):
-        """The text of a file, or an empty one if it does not exist."""
+        """Returns the text of a file, or an empty string if the file does not exist."""
         if file not in self._texts:
             path = self.root / file
             self._texts[file] = path.read_text(encoding="utf-8") if path.is_file() else ""
         return self._texts[file]
 
     def pages(self):
-        """The pages that are checked."""
+        """Returns the pages that are checked, sorted by path."""
         return sorted(file for file in self.files if file.endswith(".md") and is_checked(file))
 
 
 def is_checked(file):
-    """Whether a Markdown file is one of the pages that are checked."""
+    """Returns whether a Markdown file is one of the pages that are checked."""
     return file in ("README.md", "CHANGELOG.md") or file.startswith("docs/")
 
 
 def prose_lines(text):
-    """Numbered lines of a page outside of fenced blocks."""
-    fenced = False
+    """Yields (line number, line) for the lines of a page outside of fenced code blocks."""
+    in_fence = False
     for number, line in enumerate(text.splitlines(), 1):
         if FENCE.match(line):
-            fenced = not fenced
-        elif not fenced:
+            in_fence = not in_fence
+        elif not in_fence:
             yield number, line
 
 
 def anchors(text):
-    """The anchors that the headings of a page make, as common renderers derive them."""
-    found = {}
+    """Returns the anchors of the headings of a page, derived as common Markdown renderers do it."""
+    slug_counts = {}
     for _, line in prose_lines(text):
         heading = HEADING.match(line)
         if heading is None:
             continue
-        plain = re.sub(r"[`*]|\[([^\]]*)\]\([^)]*\)", lambda match: match.group(1) or "", heading.group(1))
-        slug = re.sub(r"[^\w\- ]", "", plain.lower()).strip().replace(" ", "-")
-        found[slug] = found.get(slug, 0) + 1
-    return {f"{slug}-{n}" if n else slug for slug, count in found.items() for n in range(count)}
+        title = re.sub(r"[`*]|\[([^\]]*)\]\([^)]*\)", lambda match: match.group(1) or "", heading.group(1))
+        slug = re.sub(r"[^\w\- ]", "", title.lower()).strip().replace(" ", "-")
+        slug_counts[slug] = slug_counts.get(slug, 0) + 1
+    return {f"{slug}-{index}" if index else slug for slug, count in slug_counts.items() for index in range(count)}
 
 
 def check_links(tree, page):
-    """Relative links point to files of the tree, anchors to headings."""
+    """Checks that relative links point to existing files, and their anchors to headings."""
     for number, line in prose_lines(tree.text(page)):
         for link in LINK.findall(CODE_SPAN.sub("code", line)):
             if URL.match(link):
@@ -129,24 +129,24 @@
 
 
 def defines(text, name):
-    """Whether a Rust source defines a name; `Type::name` stands for both."""
+    """Returns whether a Rust source defines a name; for `Type::name`, both parts must be defined."""
     parts = name.split("::")
-    for place, part in enumerate(parts):
-        found = re.search(DEFINITION.format(name=re.escape(part)), text)
-        is_variant = place > 0 and re.search(VARIANT.format(name=re.escape(part)), text, re.MULTILINE)
-        is_implemented = place < len(parts) - 1 and re.search(rf"\bimpl\b.*\b{re.escape(part)}\b", text)
-        if not (found or is_variant or is_implemented):
+    for position, part in enumerate(parts):
+        is_declared = re.search(DEFINITION.format(name=re.escape(part)), text)
+        is_variant = position > 0 and re.search(VARIANT.format(name=re.escape(part)), text, re.MULTILINE)
+        is_implemented = position < len(parts) - 1 and re.search(rf"\bimpl\b.*\b{re.escape(part)}\b", text)
+        if not (is_declared or is_variant or is_implemented):
             return False
     return True
 
 
 def check_code_references(tree, page):
-    """Files of code that a page names exist and define what it says they define."""
+    """Checks that the source files a page names exist and define the names given with them."""
     for number, line in prose_lines(tree.text(page)):
         for span in CODE_SPAN.findall(line):
             for file, name in CODE_REFERENCE.findall(span):
-                known = file in tree.files if "/" in file else file in tree.names
-                if not known:
+                exists = file in tree.files if "/" in file else file in tree.file_names
+                if not exists:
                     yield Finding(page, number, f"`{file}`: the tree has no such file")
                 elif name and "/" not in file:
                     yield Finding(page, number, f"`{file}:{name}`: give the file's whole path")
@@ -155,28 +155,28 @@
 
 
 def check_commands(tree):
-    """The README's `make` commands are targets, the two main ones among them."""
+    """Checks that the README's `make` commands are targets, and that the required ones are in the README."""
     targets = set(MAKE_TARGET.findall(tree.text("Makefile")))
-    named = set()
+    named_commands = set()
     for number, line in enumerate(tree.text("README.md").splitlines(), 1):
         for command in MAKE_COMMAND.findall(line):
-            named.add(command)
+            named_commands.add(command)
             if command not in targets:
                 yield Finding("README.md", number, f"`make {command}`: the Makefile has no such target")
     for command in REQUIRED_COMMANDS:
-        if command not in named:
+        if command not in named_commands:
             yield Finding("README.md", 1, f"`make {command}` is not named")
 
 
 def check_machine_paths(tree, page):
-    """No page holds a path of somebody's machine."""
+    """Checks that a page contains no path of a particular machine."""
     for number, line in enumerate(tree.text(page).splitlines(), 1):
         for path in MACHINE_PATH.findall(line):
             yield Finding(page, number, f"{path} is a path of one machine")
 
 
 def check_pages_named_in_code(tree):
-    """Pages that comments in the code name exist."""
+    """Checks that the pages named in Rust files exist."""
     for file in sorted(file for file in tree.files if file.endswith(".rs")):
         for number, line in enumerate(tree.text(file).splitlines(), 1):
             for page in PAGE_IN_CODE.findall(line):
@@ -185,24 +185,24 @@
 
 
 def check_names(tree):
-    """Names in backticks that look like functions or tests, and that no file of code, settings or tools holds."""
-    kinds = (".rs", ".toml", ".json", ".py", ".sh")
-    code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(kinds))
-    # Incidents and the changelog keep the names of their time.
+    """Lists names in backticks that look like functions or tests and occur in no source, settings or tool file."""
+    code_extensions = (".rs", ".toml", ".json", ".py", ".sh")
+    code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(code_extensions))
+    # Incident reports and the changelog keep the names that were in use when they were written.
     for page in (page for page in tree.pages() if page.startswith("docs/") and "/incidents/" not in page):
         for number, line in prose_lines(tree.text(page)):
             for span in CODE_SPAN.findall(line):
-                name = IDENTIFIER.match(span)
-                if name is None:
+                identifier = IDENTIFIER.match(span)
+                if identifier is None:
                     continue
-                start = span.rstrip(".").split("::")[-1]
-                end = "" if name.group(1) else r"\b"
-                if not re.search(rf"\b{re.escape(start)}{end}", code):
+                name_start = span.rstrip(".").split("::")[-1]
+                word_end = "" if identifier.group(1) else r"\b"
+                if not re.search(rf"\b{re.escape(name_start)}{word_end}", code):
                     yield Finding(page, number, f"`{span}`: the code has no such name")
 
 
 def check(root):
-    """All findings in a checkout."""
+    """Returns all findings in a checkout."""
     tree = Tree(root)
     findings = []
     for page in tree.pages():
@@ -215,7 +215,7 @@
 
 
 def self_test():
-    """Runs the tests beside this program; tells whether they pass."""
+    """Runs the tests in check_pages_tests.py; returns whether they pass."""
     sys.dont_write_bytecode = True
     sys.path.insert(0, str(Path(__file__).parent))
     suite = unittest.defaultTestLoader.loadTestsFromName("check_pages_tests")
@@ -223,7 +223,7 @@
 
 
 def main():
-    """Checks the checkout that this program lies in, or another; gives the exit code."""
+    """Checks the checkout that contains this program, or the one given by --root; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--root", default=Path(__file__).resolve().parent.parent)
     parser.add_argument("--names", action="store_true")
