--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -58,7 +58,7 @@
     #[error("done")]
     Complete,
     /// No data, or no complete object or list, was received within the time limit.
-    #[error("silent for too long")]
+    #[error("timed out: no complete data from discovery")]
     TimedOut,
     /// The connection was closed or broke.
     #[error("the connection ended")]
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -72,7 +72,7 @@
             sleep_ms(300);
         }
     });
-    node.expect_log("discovery-failed silent");
+    node.expect_log("discovery-failed timed out: no complete data");
     assert!(
         started_at.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -88,7 +88,7 @@
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     let started_at = Instant::now();
-    node.expect_log("discovery-failed silent");
+    node.expect_log("discovery-failed timed out: no complete data");
     let mut call = node.discovery.accept();
     call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     node.discovery.accept().expect("after=7 ");
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -10,7 +10,7 @@
     let mut node = TestNode::start();
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
-    node.expect_log("discovery-failed silent");
+    node.expect_log("discovery-failed timed out: no complete data");
     node.discovery.accept().expect("after=7 ");
 }
 
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -80,7 +80,7 @@
     node.expect_log("reload discovery=");
     // When the idle timeout ends this watch, the first backoff has ended and the next one has not.
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
-    node.expect_log("discovery-failed silent");
+    node.expect_log("discovery-failed timed out: no complete data");
     watch.expect_close();
     assert!(new_discovery.has_no_pending_connection());
 }
