--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -64,7 +64,7 @@
 pub(crate) struct AdmissionQueue {
     entries: BTreeSet<QueueEntry>,
     /// Number of positions assigned so far.
-    sequence: u64,
+    last_sequence: u64,
     /// For each tenant, the number of requests that its quota still allows.
     quota_tokens: Vec<f64>,
     proxy_count: f64,
@@ -76,7 +76,7 @@
         let quota_tokens = vec![0.0; tenant_count];
         AdmissionQueue {
             entries: BTreeSet::new(),
-            sequence: 0,
+            last_sequence: 0,
             quota_tokens,
             proxy_count,
         }
@@ -118,10 +118,10 @@
         if request.client_retry || is_late {
             weight *= settings.classes[class].late_priority_weight.clamp(0.0, 1.0);
         }
-        self.sequence += 1;
+        self.last_sequence += 1;
         let position = QueuePosition {
             inverted_weight: u64::MAX - (weight.max(0.0).to_bits() >> IGNORED_WEIGHT_BITS),
-            inverted_sequence: u64::MAX - self.sequence,
+            inverted_sequence: u64::MAX - self.last_sequence,
         };
         let cost = if weight < RESERVE_WEIGHT_FRACTION * highest_weight {
             AdmissionCost::KEEPS_RESERVE
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Multiplies the counts by `factor`.
-    pub(crate) fn decay(&mut self, factor: f64) {
-        self.received *= factor;
-        self.completions.decay(factor);
+    /// Multiplies the counts by `decay_factor`.
+    pub(crate) fn decay(&mut self, decay_factor: f64) {
+        self.received *= decay_factor;
+        self.completions.decay(decay_factor);
     }
 
     /// Adds the tokens of `elapsed_seconds`. The bucket holds as many as accumulate within the
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Task {
     /// Watch or poll the endpoint list.
-    PollEndpoints,
+    WatchEndpoints,
     /// Check whether a queued request can no longer be answered in time, or whether the attempt of
     /// a request is overdue.
     CheckTimeouts(RequestId),
@@ -62,7 +62,7 @@
     random: Xoshiro256PlusPlus,
     timers: TimerQueue<Task>,
     /// When the counts were last decayed.
-    refreshed_at: Nanos,
+    decayed_at: Nanos,
     requests: RequestTable,
     endpoints: EndpointList,
     poll_backoff: PollBackoff,
@@ -100,13 +100,13 @@
         let proxy_count = f64::from(settings.proxy_count.max(1));
         let mut timers = TimerQueue::default();
         if settings.poll_endpoints {
-            timers.schedule(now, Task::PollEndpoints);
+            timers.schedule(now, Task::WatchEndpoints);
         }
         let has_cross_zone_cost = settings.cross_zone_cost > 0.0;
         Ok(Balancer {
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             timers,
-            refreshed_at: now,
+            decayed_at: now,
             requests: RequestTable::default(),
             endpoints: EndpointList::default(),
             poll_backoff: PollBackoff::default(),
@@ -174,7 +174,7 @@
                 self.on_attempt_ended(now, &ended, actions);
             }
             Event::ClientDisconnected { request } => self.close(request, actions),
-            Event::Timer { timer } => self.timers.fired(timer),
+            Event::Timer { timer } => self.timers.on_fired(timer),
             Event::HealthCheckEnded { .. } | Event::GossipReceived { .. } => {}
         }
     }
@@ -182,7 +182,7 @@
     fn run_due_tasks(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(task) = self.timers.pop_due(now) {
             match task {
-                Task::PollEndpoints => actions.push(Action::WatchEndpoints(true)),
+                Task::WatchEndpoints => actions.push(Action::WatchEndpoints(true)),
                 Task::CheckTimeouts(id) => self.check_timeouts(now, id, actions),
                 // The task only causes a timer event: queued requests are admitted at every event.
                 Task::AdmitQueued => {}
@@ -202,7 +202,7 @@
     /// Decays the counts and refills the tokens and quotas for the time that has passed since the
     /// last call. Does nothing if no time has passed.
     fn decay(&mut self, now: Nanos) {
-        let elapsed_seconds = seconds(now.saturating_sub(self.refreshed_at));
+        let elapsed_seconds = seconds(now.saturating_sub(self.decayed_at));
         if elapsed_seconds <= 0.0 {
             return;
         }
@@ -216,7 +216,7 @@
         for class in &mut self.classes {
             class.raise_minimums(elapsed_seconds, self.timescale.longest_objective);
         }
-        self.refreshed_at = now;
+        self.decayed_at = now;
     }
 
     /// Whether no further attempt may be started at this admission cost. Where the share of this
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -140,12 +140,12 @@
         if !may_retry || now >= self.latest_start(id) {
             return;
         }
-        let allowed_time = self.overdue_after(id);
-        let overdue_at = last_attempt.sent_at.saturating_add(allowed_time);
+        let time_until_overdue = self.overdue_after(id);
+        let overdue_at = last_attempt.sent_at.saturating_add(time_until_overdue);
         if now < overdue_at {
             self.timers.schedule(overdue_at, Task::CheckTimeouts(id));
         } else if !self.retries.has_token() {
-            let next_check_at = now.saturating_add(allowed_time / OVERDUE_MULTIPLE as u64);
+            let next_check_at = now.saturating_add(time_until_overdue / OVERDUE_MULTIPLE as u64);
             self.timers.schedule(next_check_at, Task::CheckTimeouts(id));
         } else {
             self.retries.spend();
@@ -252,7 +252,7 @@
             outcome,
             latency_ratio,
             ratio_to_mean: latency / self.classes[class].mean_latency().max(1e-9),
-            at: self.refreshed_at,
+            at: self.decayed_at,
         };
         let unloaded_latencies = self
             .classes
@@ -265,10 +265,10 @@
 
     /// Counts a failure of a backend and ejects it if that makes it an outlier.
     fn on_failure(&mut self, now: Nanos, backend: BackendId, actions: &mut Vec<Action>) {
-        let random = uniform(&mut self.random);
+        let jitter_draw = uniform(&mut self.random);
         let ejection = self
             .outliers
-            .on_failure(now, backend, &mut self.endpoints, random);
+            .on_failure(now, backend, &mut self.endpoints, jitter_draw);
         let Some(ejection) = ejection else { return };
         if let Some(record) = self.endpoints.get_mut(backend) {
             record.service_times.reset();
--- a/crates/balancer/src/balancer/discovery.rs
+++ b/crates/balancer/src/balancer/discovery.rs
@@ -68,8 +68,8 @@
         let random = &mut self.random;
         let no_longer_ready = self.endpoints.apply(kind, endpoints, |endpoint| {
             let load = BackendLoad::new(initial_limit);
-            let slow_start = SlowStartTokens::new(uniform(random));
-            EndpointRecord::new(endpoint, load, slow_start, PickWeights::new(now))
+            let slow_start_tokens = SlowStartTokens::new(uniform(random));
+            EndpointRecord::new(endpoint, load, slow_start_tokens, PickWeights::new(now))
         });
         for backend in no_longer_ready {
             self.close_idle_connections(now, backend, actions);
@@ -106,8 +106,8 @@
         }
         let interval = self.settings.rules.poll_interval;
         let wait = self.poll_backoff.next_wait(interval, &mut self.random);
-        let poll_at = now.saturating_add(wait.saturating_add(self.settings.tick));
-        self.timers.schedule(poll_at, Task::PollEndpoints);
+        let watch_at = now.saturating_add(wait.saturating_add(self.settings.tick));
+        self.timers.schedule(watch_at, Task::WatchEndpoints);
         if self.poll_backoff.is_first_failure() {
             actions.push(Action::Log(LogEvent::DiscoveryUnreachable));
         }
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -28,7 +28,7 @@
         let statistics = &mut self.classes[usize::from(request.class.0)];
         let elapsed = statistics.estimated_elapsed(request.client_timeout, class_timeout);
         let is_late = elapsed >= objective;
-        let remaining = if is_late {
+        let time_to_objective = if is_late {
             objective
         } else {
             objective - elapsed
@@ -42,7 +42,7 @@
         self.requests.insert(PendingRequest {
             request,
             deadline,
-            objective_at: now.saturating_add(remaining).min(deadline),
+            objective_at: now.saturating_add(time_to_objective).min(deadline),
             attempts: Vec::new(),
             finished: false,
             streaming: false,
@@ -90,8 +90,9 @@
                 (pending.request.client_timeout as f64 * remaining_fraction) as Nanos;
             answer_by = answer_by.min(pending.deadline - remaining_time);
         }
-        let unloaded = nanos(self.classes[pending.class()].unloaded_latency());
-        answer_by.saturating_sub(unloaded.min(class.latency_objective / 2) + self.settings.tick)
+        let unloaded_latency = nanos(self.classes[pending.class()].unloaded_latency());
+        answer_by
+            .saturating_sub(unloaded_latency.min(class.latency_objective / 2) + self.settings.tick)
     }
 
     /// Cancels the attempt of a request if it is overdue. A request without an attempt in flight
@@ -131,12 +132,12 @@
             self.finish(id, actions);
         } else if pending.in_flight() == 0 {
             // A failed connection uses no capacity, so a retry after it needs no token.
-            let is_free = cancelled_as_overdue || ended.outcome == Outcome::ConnectFailed;
-            let is_within_budget = is_free || self.retries.has_token();
+            let is_budget_exempt = cancelled_as_overdue || ended.outcome == Outcome::ConnectFailed;
+            let is_within_budget = is_budget_exempt || self.retries.has_token();
             let latest_start = self.latest_start(id);
             if now < latest_start && self.may_retry(pending, ended.outcome) && is_within_budget {
                 let position = pending.position;
-                if !is_free {
+                if !is_budget_exempt {
                     self.retries.spend();
                 }
                 self.admission.queue.insert(position, id);
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -17,12 +17,12 @@
     /// Decays the counts of all backends and renews everything that depends on them.
     pub(super) fn renew_weights(&mut self, now: Nanos) {
         self.estimation.subset.renew(&mut self.endpoints);
-        let step = self.estimation.split.seconds_since_renewal(now);
-        self.decay_backends(now, step);
+        let elapsed_seconds = self.estimation.split.seconds_since_renewal(now);
+        self.decay_backends(now, elapsed_seconds);
         let priors = self.prior_latencies(now);
         self.outliers.renew(now, &self.endpoints);
         let members = self.subset_members(now);
-        self.renew_slow_start(now, step, &members);
+        self.renew_slow_start(now, elapsed_seconds, &members);
         self.renew_total_limit(now);
         let inputs = SplitInputs {
             arrivals_per_slot: self.fleet_arrivals(now),
@@ -39,12 +39,12 @@
             .renew(now, &mut self.endpoints, &inputs);
     }
 
-    fn decay_backends(&mut self, now: Nanos, step: f64) {
+    fn decay_backends(&mut self, now: Nanos, elapsed_seconds: f64) {
         let time_constant = self
             .estimation
             .estimator
-            .completion_memory(now, self.endpoints.len());
-        let decay_factor = (-step / time_constant).exp();
+            .completion_time_constant(now, self.endpoints.len());
+        let decay_factor = (-elapsed_seconds / time_constant).exp();
         for record in self.endpoints.iter_mut() {
             record.service_times.decay(decay_factor);
             record.failure_history.decay(decay_factor);
@@ -60,7 +60,7 @@
         };
         prior_latencies(&self.endpoints, &context, |record| {
             self.slow_start
-                .capacity_fraction(self.refreshed_at, record.endpoint())
+                .capacity_fraction(self.decayed_at, record.endpoint())
                 < 1.0
         })
     }
@@ -107,8 +107,9 @@
                 .estimated_latency(summed_wait, prior.expected);
             let has_estimate =
                 record.service_times.has_completions() || is_data_sparse && prior.expected > 0.0;
-            let is_member = members.contains(&record.id()) && !self.is_overloaded(latency, prior);
-            let is_in_split = self.is_usable(now, record) && has_estimate && is_member;
+            let is_eligible_member =
+                members.contains(&record.id()) && !self.is_overloaded(latency, prior);
+            let is_in_split = self.is_usable(now, record) && has_estimate && is_eligible_member;
             if is_in_split {
                 service_rate(latency, self.slot_seconds())
             } else {
@@ -142,8 +143,13 @@
         self.endpoints.iter().map(fraction).collect()
     }
 
-    /// Refills the tokens of backends in slow start for `step` seconds.
-    fn renew_slow_start(&mut self, now: Nanos, step: f64, members: &BTreeSet<BackendId>) {
+    /// Refills the tokens of backends in slow start for `elapsed_seconds`.
+    fn renew_slow_start(
+        &mut self,
+        now: Nanos,
+        elapsed_seconds: f64,
+        members: &BTreeSet<BackendId>,
+    ) {
         let fraction_sum = members
             .iter()
             .filter_map(|id| self.endpoints.get(*id))
@@ -156,26 +162,26 @@
         for record in self.endpoints.iter_mut() {
             let fraction = self.slow_start.capacity_fraction(now, record.endpoint());
             self.slow_start
-                .refill(&mut record.slow_start_tokens, fraction, step);
+                .refill(&mut record.slow_start_tokens, fraction, elapsed_seconds);
         }
     }
 
     /// Sets the total concurrency limit from the summed limits of the usable backends and the
     /// pressure on them.
     fn renew_total_limit(&mut self, now: Nanos) {
-        let mut limit = 0.0;
+        let mut summed_limits = 0.0;
         let mut pressure = Pressure::default();
         for record in self
             .endpoints
             .iter()
             .filter(|record| self.is_usable(now, record))
         {
-            limit += record.load.concurrency_limit();
+            summed_limits += record.load.concurrency_limit();
             if record.service_times.has_completions() {
                 pressure.add(&record.load, &record.service_times, now);
             }
         }
-        self.limiter.set_total(limit, pressure.value());
+        self.limiter.set_total(summed_limits, pressure.value());
     }
 
     fn proxy_count(&self) -> f64 {
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn attempts_rejected_by_backends_do_not_count_as_capacity() {
+fn attempts_rejected_by_backends_do_not_count_as_completions() {
     let class = Class {
         latency_objective: 300 * MS,
         client_timeout: 600 * MS,
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -15,7 +15,7 @@
 pub(crate) const LATENCY_SAMPLES: f64 = 64.0;
 
 /// Time constant with which minimum means are raised, in longest latency objectives.
-const MINIMUM_MEMORY_OBJECTIVES: f64 = 100.0;
+const RAISE_TIME_CONSTANT_OBJECTIVES: f64 = 100.0;
 
 /// Statistics of one class. Latencies are in seconds.
 #[derive(Clone, Default)]
@@ -56,12 +56,12 @@
             zone_latency.add(latency, LATENCY_SAMPLES);
         }
         let has_full_window = zone_latency.count >= LATENCY_SAMPLES;
-        let unloaded = if has_full_window {
+        let unloaded_latency = if has_full_window {
             zone_latency.minimum
         } else {
             self.latencies.minimum
         };
-        latency / unloaded.max(1e-9)
+        latency / unloaded_latency.max(1e-9)
     }
 
     /// Estimates the time since the client's first attempt at this request, from its client
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Raises the minimum means for `step` seconds that have passed.
-    pub(crate) fn raise_minimums(&mut self, step: f64, longest_objective: f64) {
-        let fraction = step / (MINIMUM_MEMORY_OBJECTIVES * longest_objective);
+    /// Raises the minimum means after `elapsed_seconds` have passed.
+    pub(crate) fn raise_minimums(&mut self, elapsed_seconds: f64, longest_objective: f64) {
+        let fraction = elapsed_seconds / (RAISE_TIME_CONSTANT_OBJECTIVES * longest_objective);
         for latencies in self
             .zone_latencies
             .values_mut()
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -150,14 +150,14 @@
         no_longer_ready_ids
     }
 
-    /// Those of `affected` whose state differs from `before` and is not ready.
+    /// Those of `affected` whose state differs from `states_before` and is not ready.
     fn no_longer_ready(
         &self,
         affected: &[BackendId],
-        before: &[Option<EndpointState>],
+        states_before: &[Option<EndpointState>],
     ) -> Vec<BackendId> {
         let mut ids = Vec::new();
-        for (id, before) in affected.iter().zip(before) {
+        for (id, before) in affected.iter().zip(states_before) {
             let after = self.state(*id);
             if after != *before && after.is_some_and(|state| state != EndpointState::Ready) {
                 ids.push(*id);
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -23,7 +23,7 @@
 pub(crate) const TARGET_COMPLETIONS: f64 = 12.0;
 
 /// Longest time constant with which a backend's completions decay, in longest latency objectives.
-pub(crate) const MAX_MEMORY_OBJECTIVES: f64 = 10.0;
+pub(crate) const MAX_TIME_CONSTANT_OBJECTIVES: f64 = 10.0;
 
 /// Number of completions of a kind of machine that count after decay, as for the latencies of a
 /// class.
@@ -162,21 +162,22 @@
     /// Time constant, in seconds, with which the completions of a backend decay, so that about
     /// [`TARGET_COMPLETIONS`] of them count. Bounded by the shortest latency objective and the
     /// longest memory.
-    pub(crate) fn completion_memory(&self, now: Nanos, backends: usize) -> f64 {
-        let rate = self.arrival_rate_per_backend(now, backends);
-        let max_memory = MAX_MEMORY_OBJECTIVES * self.timescale.longest_objective;
-        (TARGET_COMPLETIONS / rate.max(1e-9)).clamp(self.timescale.shortest_objective, max_memory)
+    pub(crate) fn completion_time_constant(&self, now: Nanos, backend_count: usize) -> f64 {
+        let rate = self.arrival_rate_per_backend(now, backend_count);
+        let max_time_constant = MAX_TIME_CONSTANT_OBJECTIVES * self.timescale.longest_objective;
+        (TARGET_COMPLETIONS / rate.max(1e-9))
+            .clamp(self.timescale.shortest_objective, max_time_constant)
     }
 
     /// Whether a backend gets fewer completions within the longest memory than an estimate needs.
-    pub(crate) fn is_data_sparse(&self, now: Nanos, backends: usize) -> bool {
-        let rate = self.arrival_rate_per_backend(now, backends);
-        rate * MAX_MEMORY_OBJECTIVES * self.timescale.longest_objective < TARGET_COMPLETIONS
+    pub(crate) fn is_data_sparse(&self, now: Nanos, backend_count: usize) -> bool {
+        let rate = self.arrival_rate_per_backend(now, backend_count);
+        rate * MAX_TIME_CONSTANT_OBJECTIVES * self.timescale.longest_objective < TARGET_COMPLETIONS
     }
 
     /// Requests per second that this proxy attempts, divided by the number of backends.
-    fn arrival_rate_per_backend(&self, now: Nanos, backends: usize) -> f64 {
-        self.arrival_rate(now) / (backends.max(1) as f64)
+    fn arrival_rate_per_backend(&self, now: Nanos, backend_count: usize) -> f64 {
+        self.arrival_rate(now) / (backend_count.max(1) as f64)
     }
 
     /// Number of backends that get as many completions as an estimate needs within the longest
@@ -184,7 +185,8 @@
     pub(crate) fn estimable_backends(&self, now: Nanos) -> f64 {
         let longest_objective = self.timescale.longest_objective;
         let age = self.timescale.age(now).max(longest_objective);
-        self.first_attempts / age * MAX_MEMORY_OBJECTIVES * longest_objective / TARGET_COMPLETIONS
+        self.first_attempts / age * MAX_TIME_CONSTANT_OBJECTIVES * longest_objective
+            / TARGET_COMPLETIONS
     }
 
     /// Latencies of each kind of machine, as multiples of the mean latency of their class.
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn completion_memory_spans_the_target_number_of_completions() {
+fn completion_time_constant_spans_the_target_number_of_completions() {
     let mut estimator = estimator();
     // Without arrivals, even the maximum memory of ten latency objectives is too short.
-    assert_eq!(estimator.completion_memory(10_000 * MS, 4), 3.0);
+    assert_eq!(estimator.completion_time_constant(10_000 * MS, 4), 3.0);
     assert!(estimator.is_data_sparse(10_000 * MS, 4));
     // 60 arrivals in a window of 0.6 s are 100 per second, or 20 for each of five backends.
     (0..60).for_each(|_| estimator.on_first_attempt());
     assert!((estimator.arrival_rate(100_000 * MS) - 100.0).abs() < 1e-6);
-    assert!((estimator.completion_memory(100_000 * MS, 5) - 0.6).abs() < 1e-6);
+    assert!((estimator.completion_time_constant(100_000 * MS, 5) - 0.6).abs() < 1e-6);
     assert!(!estimator.is_data_sparse(100_000 * MS, 5));
 }
 
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -16,9 +16,9 @@
     endpoint: &Endpoint,
 ) -> bool {
     let is_open = !pending.finished && !pending.streaming && now < pending.deadline;
-    let has_attempts_left = has_attempts_left(settings, pending) && pending.in_flight() == 0;
+    let may_start_another = has_attempts_left(settings, pending) && pending.in_flight() == 0;
     is_open
-        && has_attempts_left
+        && may_start_another
         && may_repeat(now, settings, pending, endpoint)
         && endpoint.state == EndpointState::Ready
 }
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -39,7 +39,7 @@
     consecutive_failures: f64,
     ejected_until: Nanos,
     /// Consecutive ejections, which determine the duration of the next one.
-    ejections: u32,
+    consecutive_ejections: u32,
 }
 
 impl FailureHistory {
@@ -71,7 +71,7 @@
     /// Resets the duration of the next ejection to that of a first one, after the backend has
     /// served enough attempts.
     pub(crate) fn reset_backoff(&mut self) {
-        self.ejections = 0;
+        self.consecutive_ejections = 0;
     }
 
     fn is_ejected(&self, now: Nanos) -> bool {
@@ -116,14 +116,14 @@
         self.fails_open = ejected > MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
     }
 
-    /// Counts a failure, and returns the ejection if the backend becomes an outlier by it. `random`
-    /// is a draw from [0, 1) that determines the jitter of the ejection's end.
+    /// Counts a failure, and returns the ejection if the backend becomes an outlier by it.
+    /// `jitter_draw` is a draw from [0, 1) that determines the jitter of the ejection's duration.
     pub(crate) fn on_failure(
         &self,
         now: Nanos,
         id: BackendId,
         endpoints: &mut EndpointList,
-        random: f64,
+        jitter_draw: f64,
     ) -> Option<Ejection> {
         let fleet = FleetFailures::from_endpoints(endpoints);
         let max_ejected = MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
@@ -137,11 +137,11 @@
         if !is_outlier || is_at_limit || history.is_ejected(now) {
             return None;
         }
-        let jitter = 0.75 + 0.5 * random;
-        let doublings = history.ejections.min(MAX_BACKOFF_DOUBLINGS);
+        let jitter = 0.75 + 0.5 * jitter_draw;
+        let doublings = history.consecutive_ejections.min(MAX_BACKOFF_DOUBLINGS);
         let seconds = self.base_ejection_seconds * jitter * f64::from(1u32 << doublings);
         history.ejected_until = now + (seconds * SECOND) as Nanos;
-        history.ejections += 1;
+        history.consecutive_ejections += 1;
         history.failures = 0.0;
         Some(Ejection {
             until: history.ejected_until,
@@ -157,7 +157,7 @@
         let rest_failure_rate = (fleet.failures - self.failures).max(0.0)
             / (fleet.failures + fleet.completions - completions).max(1.0);
         let failure_rate = self.failures / (self.failures + completions);
-        let has_not_recovered = self.ejections > 0 && completions < 1.0;
+        let has_not_recovered = self.consecutive_ejections > 0 && completions < 1.0;
         let has_enough_failures = self.failures >= OUTLIER_FAILURES || has_not_recovered;
         has_enough_failures
             && (self.consecutive_failures >= OUTLIER_CONSECUTIVE_FAILURES
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -70,7 +70,7 @@
     }
     let prior = |record: &EndpointRecord| {
         let kind_latency = kind_latency_of(record);
-        let start_factor = if in_slow_start(record) {
+        let slow_start_factor = if in_slow_start(record) {
             pools.slow_start_factor()
         } else {
             1.0
@@ -78,7 +78,7 @@
         let cell_factor = pooled_factor(pools.cells.get(&record.endpoint().cell));
         let zone_factor = pooled_factor(pools.zones.get(&record.endpoint().zone));
         PriorLatency {
-            expected: kind_latency * cell_factor * start_factor * zone_factor,
+            expected: kind_latency * cell_factor * slow_start_factor * zone_factor,
             kind_latency,
         }
     };
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -205,23 +205,24 @@
 
     fn checks(&self) -> [Check; 7] {
         let (classes, rules) = (&self.classes, &self.rules);
-        let capacity = rules.slow_start_initial_capacity;
-        let has_times = |class: &Class| class.latency_objective > 0 && class.client_timeout > 0;
-        let has_weight = |class: &Class| is_finite_and_not_negative(class.priority_weight);
+        let initial_capacity = rules.slow_start_initial_capacity;
+        let has_valid_durations =
+            |class: &Class| class.latency_objective > 0 && class.client_timeout > 0;
+        let has_valid_weight = |class: &Class| is_finite_and_not_negative(class.priority_weight);
         [
             Check::new(self.tick > 0, "tick", "must be above 0"),
             Check::new(
-                classes.iter().all(has_times),
+                classes.iter().all(has_valid_durations),
                 "classes",
                 "latency objective and client timeout must be above 0",
             ),
             Check::new(
-                classes.iter().all(has_weight),
+                classes.iter().all(has_valid_weight),
                 "classes",
                 "priority weight must be 0 or more",
             ),
             Check::new(
-                capacity > 0.0 && capacity <= 1.0,
+                initial_capacity > 0.0 && initial_capacity <= 1.0,
                 "rules.slow_start_initial_capacity",
                 "must be above 0, at most 1",
             ),
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -19,9 +19,9 @@
 /// start; the rest covers load that this proxy can't observe.
 const SAFE_RATE_FRACTION: f64 = 0.5;
 
-/// Minimum capacity of the token bucket of a backend, in attempts: a proxy that picks the backend
+/// Minimum size of the token bucket of a backend, in attempts: a proxy that picks the backend
 /// seldom would otherwise lose a fraction of a token at most picks.
-const MIN_TOKEN_CAPACITY: f64 = 2.0;
+const MIN_BUCKET_SIZE: f64 = 2.0;
 
 /// Tokens of one backend: the attempts that this proxy may send to it in slow start.
 #[derive(Clone, Copy, Default)]
@@ -94,15 +94,20 @@
         self.completion_rate
     }
 
-    /// Adds the tokens that one backend gains in `step` seconds, up to the capacity of its bucket.
-    pub(crate) fn refill(&self, tokens: &mut SlowStartTokens, capacity_fraction: f64, step: f64) {
+    /// Adds the tokens that one backend gains in `elapsed_seconds`, up to the size of its bucket.
+    pub(crate) fn refill(
+        &self,
+        tokens: &mut SlowStartTokens,
+        capacity_fraction: f64,
+        elapsed_seconds: f64,
+    ) {
         let rules = &self.rules;
         let completion_rate = self.completion_rate.max(self.min_completion_rate);
         let refill_rate =
             SAFE_RATE_FRACTION * rules.overload_multiple * capacity_fraction * completion_rate;
-        let token_capacity =
-            (refill_rate * rules.overload_duration as f64 / SECOND).max(MIN_TOKEN_CAPACITY);
-        tokens.0 = (tokens.0 + refill_rate * step).min(token_capacity);
+        let bucket_size =
+            (refill_rate * rules.overload_duration as f64 / SECOND).max(MIN_BUCKET_SIZE);
+        tokens.0 = (tokens.0 + refill_rate * elapsed_seconds).min(bucket_size);
     }
 }
 
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn token_capacity_is_at_least_two_attempts() {
+fn bucket_size_is_at_least_two_attempts() {
     let slow_start = slow_start(300.0);
     let mut tokens = SlowStartTokens::default();
     slow_start.refill(&mut tokens, 0.2, 1_000.0);
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -66,7 +66,7 @@
 
     /// Handles a timer that has fired; a superseded one is ignored. The timer is identified by its
     /// id rather than its time, because a caller whose clock rounds may fire it early.
-    pub(crate) fn fired(&mut self, timer: TimerId) {
+    pub(crate) fn on_fired(&mut self, timer: TimerId) {
         self.armed = self.armed.filter(|armed| armed.timer != timer);
     }
 }
--- a/crates/balancer/src/timer_queue_tests.rs
+++ b/crates/balancer/src/timer_queue_tests.rs
@@ -29,8 +29,8 @@
     assert_eq!(queue.arm(), None);
     queue.schedule(4, 'y');
     assert_eq!(queue.arm(), Some(armed(4, 2)));
-    queue.fired(TimerId(1));
+    queue.on_fired(TimerId(1));
     assert_eq!(queue.arm(), None);
-    queue.fired(TimerId(2));
+    queue.on_fired(TimerId(2));
     assert_eq!(queue.arm(), Some(armed(4, 3)));
 }
