--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -20,7 +20,7 @@
     Reject {
         /// Id of the request.
         request: RequestId,
-        /// How long the client should wait before it retries; 0 gives no advice.
+        /// How long the client should wait before it retries; 0 if it gets no advice.
         retry_after: Nanos,
     },
     /// Final answer: the request failed and may have been executed.
@@ -35,8 +35,8 @@
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
     },
-    /// Deliver [`Event::Timer`](crate::Event::Timer) at a given time. This replaces the timer set
-    /// before.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) at a given time. This timer replaces the one
+    /// set before.
     SetTimer {
         /// When the timer is due.
         at: Nanos,
@@ -71,7 +71,7 @@
 /// An event for the log; its text is the [`Display`](fmt::Display) form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// An outlier was ejected: it gets no requests for a while.
+    /// An outlier was ejected: it receives no attempts for a while.
     BackendEjected {
         /// Backend that is ejected.
         backend: BackendId,
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -1,10 +1,10 @@
 //! The queue of requests that wait for admission, and their order.
 //!
 //! Requests with the highest weight in relation to their usual work come first; requests beyond the
-//! quota of their tenant and late retries come later. Among requests of equal weight the newest
-//! comes first: during an overload, first come, first served would answer every request just too
-//! late, so the oldest ones are given up instead. Age is a sequence number that the queue assigns,
-//! as request ids have no order in time.
+//! quota of their tenant and retries by the client come later. Among requests of equal weight the
+//! newest comes first: during an overload, first come, first served would answer every request just
+//! too late, so the oldest ones are given up instead. Age is a sequence number that the queue
+//! assigns, as request ids have no order in time.
 //!
 //! The queue does not decide how many requests are admitted; see
 //! [`AdmissionRate`](crate::admission_rate) and
@@ -22,8 +22,9 @@
 /// weight of a class.
 const RESERVE_WEIGHT_FRACTION: f64 = 0.5;
 
-/// Low bits of a weight that the order ignores, so that weights within about a fifth are equal.
-/// Otherwise a drift of the usual work, by which weights are divided, would order requests by age.
+/// Number of low bits of a weight that the order ignores, so that weights within about a fifth are
+/// equal. Otherwise a drift of the usual work, by which weights are divided, would order requests
+/// by age.
 const IGNORED_WEIGHT_BITS: u32 = 50;
 
 /// Position in the queue: by weight, then by age. Both are inverted, so that the highest weight and
@@ -63,7 +64,7 @@
 /// The queued requests, and the quotas of the tenants.
 pub(crate) struct AdmissionQueue {
     entries: BTreeSet<QueueEntry>,
-    /// Number of positions assigned so far.
+    /// Sequence number of the last position assigned; 0 before the first.
     last_sequence: u64,
     /// For each tenant, the number of requests that its quota still allows.
     quota_tokens: Vec<f64>,
@@ -93,8 +94,8 @@
 
     /// Returns the queue position of a request that is received now, and its admission cost; the
     /// request counts against the quota of its tenant. A request of low weight must leave the
-    /// reserved tokens to others. `is_late`: its latency objective, counted from the first try of
-    /// its client, has already passed.
+    /// reserved tokens to others. `is_late` tells whether its latency objective, counted from the
+    /// first try of its client, has already passed.
     pub(crate) fn position_and_cost(
         &mut self,
         request: &Request,
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -4,8 +4,8 @@
 use crate::settings::{Class, Idempotency, Tenant};
 use crate::test_support::{MS, request, settings};
 
-/// Settings with a class of weight 1 and one of weight 10, and with a tenant without quota and one
-/// with a large quota.
+/// Settings with a class of weight 1 and one of weight 10, and with a tenant whose quota is 0 and
+/// one with a large quota.
 fn two_classes() -> Settings {
     let mut settings = settings(Idempotency::Idempotent);
     let high_priority = Class {
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -133,8 +133,8 @@
         self.timescale.per_second(now, self.completions.count)
     }
 
-    /// Time at which the bucket will hold enough tokens for this cost, for which the caller then
-    /// sets a timer. `None` if it holds enough already, or if an earlier call gave a time after
+    /// Time at which the bucket will hold enough tokens for this cost; the caller schedules a
+    /// wake-up for it. `None` if it holds enough already, or if an earlier call gave a time after
     /// `now`.
     pub(crate) fn next_wake(&mut self, now: Nanos, cost: AdmissionCost) -> Option<Nanos> {
         if self.wake_at > now || self.covers(cost) {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,7 +1,7 @@
 //! The balancer: receives events, passes them to the components that decide, and returns actions.
 //!
 //! Each decision is made by a type with its own state, stored in a field of [`Balancer`]; the
-//! balancer only connects them. Requests are normally split by the learned service rates of the
+//! balancer only connects them. Requests are normally split by the estimated service rates of the
 //! backends; see `docs/design.md`.
 
 mod attempts;
@@ -40,7 +40,7 @@
 /// A task scheduled for later. Tasks due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Task {
-    /// Watch or poll the endpoint list.
+    /// Start watching the endpoint list. Scheduled only if the list is polled.
     WatchEndpoints,
     /// Check whether a queued request can no longer be answered in time, or whether the attempt of
     /// a request is overdue.
@@ -199,8 +199,8 @@
         self.estimation.split.full_scans()
     }
 
-    /// Decays the counts and refills the tokens and quotas for the time that has passed since the
-    /// last call. Does nothing if no time has passed.
+    /// Decays the counts, raises the minimum latencies, and refills the admission tokens and the
+    /// quotas for the time that has passed since the last call. Does nothing if no time has passed.
     fn decay(&mut self, now: Nanos) {
         let elapsed_seconds = seconds(now.saturating_sub(self.decayed_at));
         if elapsed_seconds <= 0.0 {
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Picks a backend for a request. Backends that the request has not been attempted at are
+    /// Picks a backend for a request. Backends at which the request was not attempted before are
     /// preferred.
     fn pick_backend(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
         let pending = self.requests.get(id).expect("queued requests are pending");
@@ -93,8 +93,8 @@
         picked
     }
 
-    /// Updates load, token and rate counts for an attempt sent to `backend`, and returns its
-    /// record.
+    /// Counts an attempt sent to `backend` as in flight, spends its tokens, and returns its entry
+    /// for the request.
     fn count_sent(&mut self, now: Nanos, backend: BackendId) -> Attempt {
         let record = self
             .endpoints
@@ -125,10 +125,11 @@
         )
     }
 
-    /// Cancels an overdue attempt if another one may still be started in time. Without this, a
-    /// connection that stops responding would use up the whole time of a request and occupy
-    /// capacity for as long. If the backend is only slow, the work is done twice; the retry budget
-    /// bounds how often.
+    /// Cancels an overdue attempt if another one may still be started in time; checks again later
+    /// if the attempt is not overdue yet or the retry budget is spent. Without this, a connection
+    /// that stops responding would use up the whole time of a request and occupy capacity for as
+    /// long. If the backend is only slow, the work is done twice; the retry budget bounds how
+    /// often.
     pub(super) fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.pending(id);
         let Some((index, last_attempt)) = pending.attempts.iter().enumerate().next_back() else {
--- a/crates/balancer/src/balancer/discovery.rs
+++ b/crates/balancer/src/balancer/discovery.rs
@@ -13,11 +13,12 @@
 
 use super::{Balancer, Task};
 
-/// Longest wait after a failed poll, in nanoseconds. A change counts as notified 6 s after
-/// discovery has it and can be reached (protocol page); 2 s of these are left for the poll itself.
+/// Longest wait after a failed poll, in nanoseconds. A change counts as notified 6 s after the
+/// change is in the list and discovery is reachable (protocol page); 2 s of these are left for the
+/// poll itself.
 const MAX_BACKOFF: Nanos = 3_990_000_000;
 
-/// The poll interval divided by this is the first wait after a failure.
+/// The first wait after a failure is the poll interval divided by this.
 const FIRST_BACKOFF_DIVISOR: Nanos = 20;
 
 /// Maximum number of times that the wait is doubled.
@@ -82,8 +83,9 @@
     }
 
     /// Closes the idle connections to a backend that is draining or removed, if the rules demand
-    /// it: now, and again after half of the permitted time for connections that are still busy.
-    /// Called when the backend leaves the ready state and whenever an attempt there ends.
+    /// it: now, and again after half of the permitted time for connections that are busy now.
+    /// Called when the backend leaves the ready state and whenever an attempt there ends after
+    /// that.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Nanos,
@@ -98,8 +100,8 @@
         }
     }
 
-    /// If the endpoint list is polled, schedules another poll after a backoff. The known list stays
-    /// in use.
+    /// If the endpoint list is polled, schedules another poll after a backoff, and logs the first
+    /// failure since the last successful poll. The known list stays in use.
     pub(super) fn on_discovery_failed(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !self.settings.poll_endpoints {
             return;
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -53,8 +53,8 @@
             .schedule(self.latest_start(id), Task::CheckTimeouts(id));
     }
 
-    /// Records that the answer to a request has begun to be streamed: it is not retried from then
-    /// on.
+    /// Records that the answer to a request has begun to be streamed: the request is not retried
+    /// from then on.
     pub(super) fn on_first_byte(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(id) {
             pending.streaming = true;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether another attempt may follow one with this outcome. Not if the request may have been
+    /// Whether another attempt may follow one with this outcome: not if the request may have been
     /// executed and must not be executed twice, if the request itself is invalid, or if no attempts
     /// are left.
     fn may_retry(&self, pending: &PendingRequest, outcome: Outcome) -> bool {
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -86,7 +86,7 @@
             .is_data_sparse(now, self.endpoints.len())
     }
 
-    /// Arrivals per slot at all proxies together, if each proxy receives as many as this one.
+    /// Arrivals per slot at all proxies together, assuming that each receives as many as this one.
     fn fleet_arrivals(&self, now: Nanos) -> f64 {
         self.estimation.estimator.arrival_rate(now) * self.proxy_count() * self.slot_seconds()
     }
@@ -126,7 +126,7 @@
     /// Whether a backend is so clearly overloaded that it should receive nothing for a while, as a
     /// smaller share would not relieve it. It is part of the split again once its samples have
     /// decayed. Slow but healthy backends are left out as well, so this applies only where many
-    /// proxies share the other backends of the subset.
+    /// proxies share each backend.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
@@ -143,7 +143,8 @@
         self.endpoints.iter().map(fraction).collect()
     }
 
-    /// Refills the tokens of backends in slow start for `elapsed_seconds`.
+    /// Updates the completion rate that slow start uses, and refills the slow-start tokens of all
+    /// backends for `elapsed_seconds`.
     fn renew_slow_start(
         &mut self,
         now: Nanos,
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -9,7 +9,7 @@
 
 const MS: Nanos = 1_000_000;
 
-/// Settings of one of 300 proxies, each of which sends little to each backend.
+/// Settings of one of 300 proxies, each of which sends few attempts to each backend.
 fn settings_of_one_in_300_proxies() -> Settings {
     let class = Class {
         latency_objective: 300 * MS,
@@ -167,8 +167,8 @@
         ];
         largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
-    // At most the attempts and scheduled closes of four seconds, and one entry for each possible
-    // kind.
+    // At most the attempts and the scheduled connection closes of four seconds, and one entry for
+    // each possible kind.
     let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
@@ -272,8 +272,9 @@
         },
         &mut Vec::new(),
     );
-    // 100 requests a second, of which the backends accept one in four. The fourth protocol rule
-    // (slow start) is judged by the completions.
+    // 100 requests a second, of which the backends accept one in four. The tokens of slow start
+    // (fourth protocol rule) are refilled by the completion rate, so rejected attempts must not
+    // count.
     let mut actions = Vec::new();
     for round in 0..500 {
         let now = Nanos::from(round) * 10 * MS + 2;
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -1,11 +1,11 @@
-//! The backends that a pick considers, so that the cost of a pick does not grow with the endpoint
-//! list.
+//! The backends that a pick considers, selected in advance so that the cost of a pick does not grow
+//! with the endpoint list.
 //!
-//! Formula (9) gives a share to backends of the subset, the support set; exploration gives a small
-//! weight to every ready backend. Both are renewed together. A pick then iterates over the support
-//! set alone, and finds the backend to explore by a binary search in the running sums of the
-//! exploration weights. If the backend found is not legal now, the caller scans the whole list; the
-//! distribution of picks stays the same.
+//! The support set consists of the backends that are part of the split by formula (9); exploration
+//! gives a small weight to every ready backend that is not ejected. Both are renewed together. A
+//! pick then iterates over the support set alone, and finds the backend to explore by a binary
+//! search in the cumulative exploration weights. If this yields no backend that is usable now, the
+//! caller scans the whole list; the distribution of picks stays the same.
 
 use crate::endpoint_list::EndpointRecord;
 use crate::ids::BackendId;
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -2,8 +2,9 @@
 //! timeouts of its requests.
 //!
 //! Latencies are kept by zone because a longer network path to a distant zone is no sign of
-//! overload there. The minimum of the mean latency stands for the latency without load; it is
-//! raised slowly, over a hundred longest latency objectives, in case the work itself grows.
+//! overload there. The minimum of the mean latency is taken as the unloaded latency, the latency
+//! without load. It is raised slowly, with a time constant of a hundred times the longest latency
+//! objective, in case the work itself grows.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +12,12 @@
 use crate::ids::{Nanos, ZoneId};
 use crate::statistics::{FractionHistogram, MovingMean};
 
-/// Number of latencies in the moving means of a class: their standard error is under a tenth.
+/// Number of latencies in the moving means of a class: the relative standard error is then under a
+/// tenth.
 pub(crate) const LATENCY_SAMPLES: f64 = 64.0;
 
-/// Time constant with which minimum means are raised, in longest latency objectives.
+/// Time constant with which minimum means are raised, as a multiple of the longest latency
+/// objective.
 const RAISE_TIME_CONSTANT_OBJECTIVES: f64 = 100.0;
 
 /// Statistics of one class. Latencies are in seconds.
@@ -32,7 +35,7 @@
         self.latencies.mean
     }
 
-    /// Minimum of the mean latency, in seconds: the latency without load.
+    /// Minimum of the mean latency, in seconds.
     pub(crate) fn unloaded_latency(&self) -> f64 {
         self.latencies.minimum
     }
@@ -47,9 +50,9 @@
         self.latencies.add(latency, LATENCY_SAMPLES);
     }
 
-    /// Latency of an attempt in a zone, as a multiple of the latency without load there. Also adds
-    /// the latency to the zone's mean if the attempt was answered. Until the zone's window is full,
-    /// the latencies of the class in all zones are the reference.
+    /// Latency of an attempt in a zone, as a multiple of the unloaded latency there. Also adds the
+    /// latency to the zone's mean if the attempt was served. Until the zone's window is full, the
+    /// unloaded latency of the class over all zones is the reference.
     pub(crate) fn latency_ratio(&mut self, zone: ZoneId, latency: f64, outcome: Outcome) -> f64 {
         let zone_latency = self.zone_latencies.entry(zone).or_default();
         if outcome == Outcome::Success {
@@ -64,9 +67,9 @@
         latency / unloaded_latency.max(1e-9)
     }
 
-    /// Estimates the time since the client's first attempt at this request, from its client
-    /// timeout: first attempts have the most frequent timeout, while a retry has only the remaining
-    /// time. `class_timeout` is the client timeout of the class.
+    /// Estimates the time since the client's first try of this request, from its client timeout:
+    /// first tries have the most frequent timeout, while a retry by the client has only the
+    /// remaining time. `class_timeout` is the client timeout of the class.
     ///
     /// The estimate keeps capacity from being spent on answers that come too late to count. A
     /// client that uses a shorter timeout from the start is mistaken for one that retries, and
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Raises the minimum means after `elapsed_seconds` have passed.
+    /// Raises the minimum means for `elapsed_seconds` that have passed. `longest_objective` is the
+    /// longest latency objective, in seconds.
     pub(crate) fn raise_minimums(&mut self, elapsed_seconds: f64, longest_objective: f64) {
         let fraction = elapsed_seconds / (RAISE_TIME_CONSTANT_OBJECTIVES * longest_objective);
         for latencies in self
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,7 +1,8 @@
 //! The endpoint list that this proxy knows, with the state that it keeps for each backend.
 //!
 //! A record consists of parts whose fields are private to the module that uses them for its
-//! decision. A removed backend stays in the list until its last attempt has ended.
+//! decision. A removed backend stays in the list until the first update after its last attempt has
+//! ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,7 +54,7 @@
         self.endpoint.id
     }
 
-    /// Whether the list has the backend as ready for requests.
+    /// Whether the backend is ready according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
@@ -62,8 +63,8 @@
         self.endpoint.state == EndpointState::Removed
     }
 
-    /// Replaces the entry. If the process was restarted, the state learned from the old process is
-    /// dropped as well.
+    /// Replaces the entry. If the process was restarted, the state of the old process is dropped
+    /// as well, except for its attempts in flight.
     fn update(&mut self, new_record: EndpointRecord) {
         let is_new_process = new_record.endpoint.started_at > self.endpoint.started_at;
         if is_new_process {
@@ -75,11 +76,12 @@
     }
 }
 
-/// All backends that this proxy knows, removed ones with attempts in flight included.
+/// All backends that this proxy knows, including removed ones that had attempts in flight at the
+/// last update.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     records: BTreeMap<BackendId, EndpointRecord>,
-    /// Removed backends that have attempts in flight.
+    /// Removed backends that had attempts in flight at the last update.
     removed_in_flight: BTreeSet<BackendId>,
 }
 
@@ -119,11 +121,11 @@
         self.records.len()
     }
 
-    /// Applies an update. `make_record` creates the record of a new backend from its entry; it is
-    /// called once for each entry, in their order.
+    /// Applies an update. `make_record` creates a new record from an entry; it is called once for
+    /// each entry in their order, also for known backends.
     ///
-    /// Returns the backends whose state the update changed to draining or removed. A backend that
-    /// was known and is draining in a full list is returned twice.
+    /// Returns the backends whose state the update changed to draining or removed. A known backend
+    /// whose state a full or cached list changes to draining is returned twice.
     pub(crate) fn apply(
         &mut self,
         kind: UpdateKind,
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -22,7 +22,8 @@
 /// service rate is then about a quarter.
 pub(crate) const TARGET_COMPLETIONS: f64 = 12.0;
 
-/// Longest time constant with which a backend's completions decay, in longest latency objectives.
+/// Maximum time constant with which a backend's completions decay, as a multiple of the longest
+/// latency objective.
 pub(crate) const MAX_TIME_CONSTANT_OBJECTIVES: f64 = 10.0;
 
 /// Number of completions of a kind of machine that count after decay, as for the latencies of a
@@ -154,14 +155,15 @@
         );
     }
 
-    /// Requests per second that this proxy attempts: lambda of formula (9), for this proxy alone.
+    /// Requests per second for which this proxy starts a first attempt: lambda of formula (9), for
+    /// this proxy alone.
     pub(crate) fn arrival_rate(&self, now: Nanos) -> f64 {
         self.timescale.per_second(now, self.arrivals)
     }
 
     /// Time constant, in seconds, with which the completions of a backend decay, so that about
-    /// [`TARGET_COMPLETIONS`] of them count. Bounded by the shortest latency objective and the
-    /// longest memory.
+    /// [`TARGET_COMPLETIONS`] of them count; at least the shortest latency objective, at most the
+    /// maximum time constant.
     pub(crate) fn completion_time_constant(&self, now: Nanos, backend_count: usize) -> f64 {
         let rate = self.arrival_rate_per_backend(now, backend_count);
         let max_time_constant = MAX_TIME_CONSTANT_OBJECTIVES * self.timescale.longest_objective;
@@ -169,19 +171,20 @@
             .clamp(self.timescale.shortest_objective, max_time_constant)
     }
 
-    /// Whether a backend gets fewer completions within the longest memory than an estimate needs.
+    /// Whether a backend gets fewer completions within the maximum time constant than an estimate
+    /// needs.
     pub(crate) fn is_data_sparse(&self, now: Nanos, backend_count: usize) -> bool {
         let rate = self.arrival_rate_per_backend(now, backend_count);
         rate * MAX_TIME_CONSTANT_OBJECTIVES * self.timescale.longest_objective < TARGET_COMPLETIONS
     }
 
-    /// Requests per second that this proxy attempts, divided by the number of backends.
+    /// Arrival rate of this proxy, divided by the number of backends.
     fn arrival_rate_per_backend(&self, now: Nanos, backend_count: usize) -> f64 {
         self.arrival_rate(now) / (backend_count.max(1) as f64)
     }
 
-    /// Number of backends that get as many completions as an estimate needs within the longest
-    /// memory, at the mean rate of first attempts since the start.
+    /// Number of backends that can get as many completions as an estimate needs within the maximum
+    /// time constant, at the mean rate of first attempts since the start.
     pub(crate) fn estimable_backends(&self, now: Nanos) -> f64 {
         let longest_objective = self.timescale.longest_objective;
         let age = self.timescale.age(now).max(longest_objective);
@@ -194,7 +197,7 @@
         &self.kinds
     }
 
-    /// Sets the number of first attempts since the start, for tests.
+    /// Sets the number of first attempts since the start.
     #[cfg(test)]
     pub(crate) fn set_first_attempts(&mut self, first_attempts: f64) {
         self.first_attempts = first_attempts;
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -45,7 +45,7 @@
 #[test]
 fn completion_time_constant_spans_the_target_number_of_completions() {
     let mut estimator = estimator();
-    // Without arrivals, even the maximum memory of ten latency objectives is too short.
+    // Without arrivals, even the maximum time constant of ten latency objectives is too short.
     assert_eq!(estimator.completion_time_constant(10_000 * MS, 4), 3.0);
     assert!(estimator.is_data_sparse(10_000 * MS, 4));
     // 60 arrivals in a window of 0.6 s are 100 per second, or 20 for each of five backends.
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -135,7 +135,7 @@
         latency: Nanos,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the request has got its final answer.
+        /// Whether the request has its final answer.
         finished: bool,
         /// Values of the load report that the backend sent along; empty without a report. The
         /// settings name its fields.
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -7,8 +7,8 @@
 use crate::request_table::{Attempt, PendingRequest};
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// Whether the rules allow an attempt of a request at this endpoint now. The budget of a backend in
-/// slow start is checked elsewhere; see [`SlowStart`](crate::slow_start::SlowStart).
+/// Whether the rules allow an attempt of a request at this endpoint now. The rule on slow start is
+/// checked by [`SlowStart`](crate::slow_start::SlowStart).
 pub(crate) fn may_attempt(
     now: Nanos,
     settings: &Settings,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -35,19 +35,19 @@
 //! # Ok::<(), kitefork_balancer::SettingsError>(())
 //! ```
 //!
-//! Each decision is a module with private state; `balancer` connects them:
+//! Each decision is made in a module of its own; `balancer` connects them:
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | `estimator`, `pooled_latency` | the service rate of each backend, the arrival rate |
 //! | `optimal_split`, `candidates` | the weight with which a backend is picked |
 //! | `pick` | which backend an attempt goes to |
-//! | `subset` | which backends this proxy learns about and which it prefers |
+//! | `subset` | which backends this proxy uses and which of them it prefers |
 //! | `slow_start` | how many attempts a backend may be sent during slow start |
 //! | `outlier_detector` | which backends are ejected |
 //! | `concurrency_limiter` | how many attempts may be in flight |
 //! | `admission_queue`, `admission_rate` | which queued request is next, and when it is admitted |
-//! | `retry_policy` | whether the budget covers a retry, when an attempt is overdue |
+//! | `retry_policy` | whether the retry budget covers a retry, when an attempt is overdue |
 //! | `legality` | whether the protocol rules allow an attempt or a rejection |
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -1,11 +1,13 @@
 //! Outlier ejection: a backend that fails far more often than the others receives no attempts for a
 //! while.
 //!
-//! Only failures are judged; the split already follows latencies. Fast errors and dead or
-//! unreachable backends fail too quickly for their latency to show. The duration of an ejection
-//! doubles with each consecutive ejection. At most half of the ready backends are ejected; if more
-//! look faulty, the backends alone can't be the cause, and ejection fails open. A fault in a single
-//! class of requests ejects a backend for all classes.
+//! Only failures are judged; the split already follows latencies. A backend that answers with
+//! errors at once, has stopped or is unreachable fails too quickly for its latency to show the
+//! fault. The duration of an ejection doubles with each consecutive ejection, up to a maximum. At
+//! most half of the ready backends are ejected; if more appear faulty, the backends alone can't be
+//! the cause. If the list changes so that more than half of them are ejected, ejection fails open:
+//! attempts go to ejected backends as well. A fault in a single class of requests ejects a backend
+//! for all classes.
 //!
 //! This module does not reject requests and does not decide whether an attempt is legal.
 
@@ -16,8 +18,8 @@
 /// Decayed number of failures from which a backend can be an outlier.
 pub(crate) const OUTLIER_FAILURES: f64 = 3.0;
 
-/// The failure rate of an outlier exceeds that of the other backends by this much. A backend below
-/// that still has capacity, which an overloaded fleet needs; its service rate shows how much.
+/// The failure rate of an outlier exceeds that of the other backends by more than this. A backend
+/// below that still has capacity, which an overloaded fleet needs; its service rate shows how much.
 const OUTLIER_FAILURE_RATE_EXCESS: f64 = 0.5;
 
 /// Consecutive failures that make an outlier regardless of earlier completions; they are rare at a
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -4,7 +4,7 @@
 //! The prior is the mean latency of the fleet, multiplied by factors that are pooled for the
 //! backend's kind of machine, its cell, its zone, and slow start. It helps proxies that send few
 //! attempts to each backend, and it detects a fault that affects all backends with one label, such
-//! as a rack that stops answering or a zone that is cut off. As a drawback, a healthy backend among
+//! as a cell that stops answering or a zone that is cut off. As a drawback, a healthy backend among
 //! faulty ones gets a small share.
 
 use std::collections::BTreeMap;
--- a/crates/balancer/src/request_table.rs
+++ b/crates/balancer/src/request_table.rs
@@ -36,7 +36,8 @@
     pub(crate) request: Request,
     /// When its client stops waiting.
     pub(crate) deadline: Nanos,
-    /// When the latency objective of this request ends. A later answer has less weight, or none.
+    /// Time up to which an answer is within the latency objective. A later answer has less weight,
+    /// or none.
     pub(crate) objective_at: Nanos,
     pub(crate) attempts: Vec<Attempt>,
     /// Whether it has its final answer, or its client has disconnected.
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -79,7 +79,7 @@
     pub quota_per_second: f64,
 }
 
-/// What the operator of a site permits.
+/// Limits that the operator of a site sets.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum number of attempts for one request, the first one included.
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -4,8 +4,8 @@
 //! [`Rules::slow_start_duration`]; the operators give this as a lower bound. A backend breaks down
 //! if it receives, from all proxies together, more than [`Rules::overload_multiple`] times its
 //! present capacity for [`Rules::overload_duration`] (the fourth protocol rule). Each proxy
-//! therefore accumulates tokens for attempts at a fraction of that rate, estimated from the
-//! completions of this proxy at backends of full capacity.
+//! therefore accumulates tokens for attempts at a fraction of that rate, estimated from its own
+//! completions per backend of full capacity.
 //!
 //! This module does not decide whether an attempt is otherwise legal, nor which backend is picked.
 
@@ -15,7 +15,7 @@
 use crate::settings::Rules;
 use crate::timescale::{SECOND, Timescale};
 
-/// Fraction of the rate believed to be safe at which this proxy sends attempts to a backend in slow
+/// Fraction of the estimated safe rate at which this proxy may send attempts to a backend in slow
 /// start; the rest covers load that this proxy can't observe.
 const SAFE_RATE_FRACTION: f64 = 0.5;
 
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -49,8 +49,8 @@
     }
 
     /// Arms a timer for the earliest task and returns it. `None` if there is no task, or if the
-    /// armed timer is due no later. The timer armed before is superseded and never needs to be
-    /// cancelled.
+    /// armed timer is due no later than that task. The timer armed before is superseded and never
+    /// needs to be cancelled.
     pub(crate) fn arm(&mut self) -> Option<ArmedTimer> {
         let at = self.tasks.first()?.0;
         if self.armed.is_some_and(|armed| armed.at <= at) {
--- a/crates/balancer/src/timescale.rs
+++ b/crates/balancer/src/timescale.rs
@@ -49,7 +49,8 @@
         seconds(now.saturating_sub(self.started_at))
     }
 
-    /// Time constant, in seconds, with which the arrivals and completions of the whole fleet decay.
+    /// Time constant, in seconds, with which the arrivals at this proxy and its completions at all
+    /// backends together decay.
     pub(crate) fn arrival_window(&self) -> f64 {
         2.0 * self.longest_objective
     }
--- a/crates/balancer/src/timescale_tests.rs
+++ b/crates/balancer/src/timescale_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the times derived from the settings.
+//! Unit tests of the durations derived from the settings.
 
 use super::*;
 use crate::settings::{Class, Idempotency};
