--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -1,4 +1,4 @@
-//! The admission rate: how many attempts a second this proxy may start. It replaces concurrency
+//! The admission rate: how many attempts per second this proxy may start. It replaces concurrency
 //! limits where they are too coarse because this proxy's share at a backend is less than one
 //! attempt.
 //!
@@ -109,8 +109,8 @@
         self.tokens = (self.tokens + rate * elapsed_seconds).min(bucket_size);
     }
 
-    /// Attempts a second that this proxy may start, at least one in each arrival window. During the
-    /// first arrival window it is one attempt in each tick, which is practically unlimited.
+    /// Attempts per second that this proxy may start, at least one in each arrival window. During
+    /// the first arrival window it is one attempt in each tick, which is practically unlimited.
     pub(crate) fn attempts_per_second(&self, now: Nanos) -> f64 {
         let window = self.timescale.arrival_window();
         if self.timescale.age(now) < window {
@@ -128,7 +128,7 @@
         self.tokens >= cost.tokens
     }
 
-    /// Completions a second that this proxy gets from all backends together.
+    /// Completions per second that this proxy gets from all backends together.
     pub(crate) fn completions_per_second(&self, now: Nanos) -> f64 {
         self.timescale.per_second(now, self.completions.count)
     }
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -79,7 +79,7 @@
 #[test]
 fn proxy_with_few_completions_starts_a_fifth_of_its_requests() {
     let mut balancer = Balancer::new(settings_of_one_in_300_proxies(), 7, 0).unwrap();
-    // 30 requests a second for two seconds, without any backend.
+    // 30 requests per second for two seconds, without any backend.
     for round in 0..60 {
         balancer.handle(
             (1 + Nanos::from(round) * 33) * MS,
@@ -196,7 +196,7 @@
             endpoints: backends.collect(),
         };
         balancer.handle(1, list, &mut Vec::new());
-        // 60 requests a second for 20 seconds: within ten latency objectives, 15 backends get 12
+        // 60 requests per second for 20 seconds: within ten latency objectives, 15 backends get 12
         // completions each.
         balancer.estimation.estimator.set_first_attempts(1_200.0);
         let members = balancer.subset_members(20_000_000_000);
@@ -272,7 +272,7 @@
         },
         &mut Vec::new(),
     );
-    // 100 requests a second, of which the backends accept one in four. The tokens of slow start
+    // 100 requests per second, of which the backends accept one in four. The tokens of slow start
     // (fourth protocol rule) are refilled by the completion rate, so rejected attempts must not
     // count.
     let mut actions = Vec::new();
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -82,7 +82,7 @@
     /// Counts an attempt that has ended after `latency` seconds. A rejection or a failed connection
     /// counts as at least `min_failure_latency` seconds, however fast it was: the request has to
     /// start again at another backend, and a backend that shuts down while the endpoint list is
-    /// outdated would otherwise look like the fastest.
+    /// outdated would otherwise appear to be the fastest.
     pub(crate) fn on_ended(&mut self, outcome: Outcome, latency: f64, min_failure_latency: f64) {
         self.latency_sum += match outcome {
             Outcome::BadRequest => 0.0,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -75,7 +75,7 @@
 /// A tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Quota of the tenant: requests a second over all proxies.
+    /// Quota of the tenant: requests per second over all proxies.
     pub quota_per_second: f64,
 }
 
