--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Picks a backend for a request. Backends that the request has not been attempted at are
+    /// Picks a backend for a request. Backends at which the request was not attempted before are
     /// preferred.
     fn pick_backend(&mut self, now: Nanos, id: RequestId) -> Option<BackendId> {
         let pending = self.requests.get(id).expect("queued requests are pending");
@@ -93,8 +93,8 @@
         picked
     }
 
-    /// Updates load, token and rate counts for an attempt sent to `backend`, and returns its
-    /// record.
+    /// Counts an attempt sent to `backend` as in flight, spends its tokens, and returns its entry
+    /// for the request.
     fn count_sent(&mut self, now: Nanos, backend: BackendId) -> Attempt {
         let record = self
             .endpoints
@@ -125,10 +125,11 @@
         )
     }
 
-    /// Cancels an overdue attempt if another one may still be started in time. Without this, a
-    /// connection that stops responding would use up the whole time of a request and occupy
-    /// capacity for as long. If the backend is only slow, the work is done twice; the retry budget
-    /// bounds how often.
+    /// Cancels an overdue attempt if another one may still be started in time; checks again later
+    /// if the attempt is not overdue yet or the retry budget is spent. Without this, a connection
+    /// that stops responding would use up the whole time of a request and occupy capacity for as
+    /// long. If the backend is only slow, the work is done twice; the retry budget bounds how
+    /// often.
     pub(super) fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.pending(id);
         let Some((index, last_attempt)) = pending.attempts.iter().enumerate().next_back() else {
@@ -140,12 +141,12 @@
         if !may_retry || now >= self.latest_start(id) {
             return;
         }
-        let allowed_time = self.overdue_after(id);
-        let overdue_at = last_attempt.sent_at.saturating_add(allowed_time);
+        let time_until_overdue = self.overdue_after(id);
+        let overdue_at = last_attempt.sent_at.saturating_add(time_until_overdue);
         if now < overdue_at {
             self.timers.schedule(overdue_at, Task::CheckTimeouts(id));
         } else if !self.retries.has_token() {
-            let next_check_at = now.saturating_add(allowed_time / OVERDUE_MULTIPLE as u64);
+            let next_check_at = now.saturating_add(time_until_overdue / OVERDUE_MULTIPLE as u64);
             self.timers.schedule(next_check_at, Task::CheckTimeouts(id));
         } else {
             self.retries.spend();
@@ -252,7 +253,7 @@
             outcome,
             latency_ratio,
             ratio_to_mean: latency / self.classes[class].mean_latency().max(1e-9),
-            at: self.refreshed_at,
+            at: self.decayed_at,
         };
         let unloaded_latencies = self
             .classes
@@ -265,10 +266,10 @@
 
     /// Counts a failure of a backend and ejects it if that makes it an outlier.
     fn on_failure(&mut self, now: Nanos, backend: BackendId, actions: &mut Vec<Action>) {
-        let random = uniform(&mut self.random);
+        let jitter_draw = uniform(&mut self.random);
         let ejection = self
             .outliers
-            .on_failure(now, backend, &mut self.endpoints, random);
+            .on_failure(now, backend, &mut self.endpoints, jitter_draw);
         let Some(ejection) = ejection else { return };
         if let Some(record) = self.endpoints.get_mut(backend) {
             record.service_times.reset();
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -9,7 +9,7 @@
 
 const MS: Nanos = 1_000_000;
 
-/// Settings of one of 300 proxies, each of which sends little to each backend.
+/// Settings of one of 300 proxies, each of which sends few attempts to each backend.
 fn settings_of_one_in_300_proxies() -> Settings {
     let class = Class {
         latency_objective: 300 * MS,
@@ -79,7 +79,7 @@
 #[test]
 fn proxy_with_few_completions_starts_a_fifth_of_its_requests() {
     let mut balancer = Balancer::new(settings_of_one_in_300_proxies(), 7, 0).unwrap();
-    // 30 requests a second for two seconds, without any backend.
+    // 30 requests per second for two seconds, without any backend.
     for round in 0..60 {
         balancer.handle(
             (1 + Nanos::from(round) * 33) * MS,
@@ -167,8 +167,8 @@
         ];
         largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
-    // At most the attempts and scheduled closes of four seconds, and one entry for each possible
-    // kind.
+    // At most the attempts and the scheduled connection closes of four seconds, and one entry for
+    // each possible kind.
     let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
@@ -196,7 +196,7 @@
             endpoints: backends.collect(),
         };
         balancer.handle(1, list, &mut Vec::new());
-        // 60 requests a second for 20 seconds: within ten latency objectives, 15 backends get 12
+        // 60 requests per second for 20 seconds: within ten latency objectives, 15 backends get 12
         // completions each.
         balancer.estimation.estimator.set_first_attempts(1_200.0);
         let members = balancer.subset_members(20_000_000_000);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn attempts_rejected_by_backends_do_not_count_as_capacity() {
+fn attempts_rejected_by_backends_do_not_count_as_completions() {
     let class = Class {
         latency_objective: 300 * MS,
         client_timeout: 600 * MS,
@@ -272,8 +272,9 @@
         },
         &mut Vec::new(),
     );
-    // 100 requests a second, of which the backends accept one in four. The fourth protocol rule
-    // (slow start) is judged by the completions.
+    // 100 requests per second, of which the backends accept one in four. The tokens of slow start
+    // (fourth protocol rule) are refilled by the completion rate, so rejected attempts must not
+    // count.
     let mut actions = Vec::new();
     for round in 0..500 {
         let now = Nanos::from(round) * 10 * MS + 2;
--- a/crates/balancer/src/legality.rs
+++ b/crates/balancer/src/legality.rs
@@ -7,8 +7,8 @@
 use crate::request_table::{Attempt, PendingRequest};
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// Whether the rules allow an attempt of a request at this endpoint now. The budget of a backend in
-/// slow start is checked elsewhere; see [`SlowStart`](crate::slow_start::SlowStart).
+/// Whether the rules allow an attempt of a request at this endpoint now. The rule on slow start is
+/// checked by [`SlowStart`](crate::slow_start::SlowStart).
 pub(crate) fn may_attempt(
     now: Nanos,
     settings: &Settings,
@@ -16,9 +16,9 @@
     endpoint: &Endpoint,
 ) -> bool {
     let is_open = !pending.finished && !pending.streaming && now < pending.deadline;
-    let has_attempts_left = has_attempts_left(settings, pending) && pending.in_flight() == 0;
+    let may_start_another = has_attempts_left(settings, pending) && pending.in_flight() == 0;
     is_open
-        && has_attempts_left
+        && may_start_another
         && may_repeat(now, settings, pending, endpoint)
         && endpoint.state == EndpointState::Ready
 }
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -4,7 +4,7 @@
 //! The prior is the mean latency of the fleet, multiplied by factors that are pooled for the
 //! backend's kind of machine, its cell, its zone, and slow start. It helps proxies that send few
 //! attempts to each backend, and it detects a fault that affects all backends with one label, such
-//! as a rack that stops answering or a zone that is cut off. As a drawback, a healthy backend among
+//! as a cell that stops answering or a zone that is cut off. As a drawback, a healthy backend among
 //! faulty ones gets a small share.
 
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
     }
     let prior = |record: &EndpointRecord| {
         let kind_latency = kind_latency_of(record);
-        let start_factor = if in_slow_start(record) {
+        let slow_start_factor = if in_slow_start(record) {
             pools.slow_start_factor()
         } else {
             1.0
@@ -78,7 +78,7 @@
         let cell_factor = pooled_factor(pools.cells.get(&record.endpoint().cell));
         let zone_factor = pooled_factor(pools.zones.get(&record.endpoint().zone));
         PriorLatency {
-            expected: kind_latency * cell_factor * start_factor * zone_factor,
+            expected: kind_latency * cell_factor * slow_start_factor * zone_factor,
             kind_latency,
         }
     };
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -49,8 +49,8 @@
     }
 
     /// Arms a timer for the earliest task and returns it. `None` if there is no task, or if the
-    /// armed timer is due no later. The timer armed before is superseded and never needs to be
-    /// cancelled.
+    /// armed timer is due no later than that task. The timer armed before is superseded and never
+    /// needs to be cancelled.
     pub(crate) fn arm(&mut self) -> Option<ArmedTimer> {
         let at = self.tasks.first()?.0;
         if self.armed.is_some_and(|armed| armed.at <= at) {
@@ -66,7 +66,7 @@
 
     /// Handles a timer that has fired; a superseded one is ignored. The timer is identified by its
     /// id rather than its time, because a caller whose clock rounds may fire it early.
-    pub(crate) fn fired(&mut self, timer: TimerId) {
+    pub(crate) fn on_fired(&mut self, timer: TimerId) {
         self.armed = self.armed.filter(|armed| armed.timer != timer);
     }
 }
