--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -196,7 +196,7 @@
 
     fn cached_endpoints(&self) -> Result<EndpointUpdate, ConfigError> {
         match self.root.find("known") {
-            Some(known) => EndpointUpdate::read(&known),
+            Some(list) => EndpointUpdate::read(&list),
             None => Ok(EndpointUpdate::default()),
         }
     }
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -68,9 +68,9 @@
     assert_error(objective, r#""goalTimeNs":0"#, "`settings.grades`");
     let duration = r#""fallNs":1"#;
     assert_error(duration, r#""fallNs":0"#, "`settings.rules.fallNs`");
-    let capacity = "`settings.rules.coldFrom`";
-    assert_error(r#""coldFrom":0.3"#, r#""coldFrom":0"#, capacity);
+    let capacity_key = "`settings.rules.coldFrom`";
+    assert_error(r#""coldFrom":0.3"#, r#""coldFrom":0"#, capacity_key);
     assert_error(r#""tickNs":5000000"#, r#""tickNs":0"#, "`settings.tickNs`");
-    let close = r#""fallNs":1,"drainCloseNs":0"#;
-    assert_error(duration, close, "`settings.rules.drainCloseNs`");
+    let zero_drain_close = r#""fallNs":1,"drainCloseNs":0"#;
+    assert_error(duration, zero_drain_close, "`settings.rules.drainCloseNs`");
 }
--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -15,17 +15,17 @@
         let mut open = [0usize; 2];
         for (is_upstream, opens) in steps {
             let purpose = if is_upstream { Purpose::Upstream } else { Purpose::Client };
-            let side = usize::from(is_upstream);
+            let kind = usize::from(is_upstream);
             if !opens {
-                open[side] = open[side].saturating_sub(1);
-            } else if budget.fits(purpose, open[side], open[1 - side]) {
-                open[side] += 1;
+                open[kind] = open[kind].saturating_sub(1);
+            } else if budget.fits(purpose, open[kind], open[1 - kind]) {
+                open[kind] += 1;
             } else {
-                prop_assert!(open[side] >= budget.reserve(purpose), "{open:?}");
+                prop_assert!(open[kind] >= budget.reserve(purpose), "{open:?}");
                 // Either this kind is at its maximum, or the other one uses more than its reserve.
                 prop_assert!(
-                    open[side] == budget.max(purpose)
-                        || budget.exceeds_reserve(purpose.other(), open[1 - side])
+                    open[kind] == budget.max(purpose)
+                        || budget.exceeds_reserve(purpose.other(), open[1 - kind])
                 );
             }
             prop_assert!(open[0] + open[1] + OTHER_DESCRIPTORS <= descriptor_limit, "{open:?}");
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -203,12 +203,12 @@
     ///
     /// As [`Registration::set`].
     pub fn register(&mut self, number: u32, event_loop: &EventLoop) -> Result<(), Errno> {
-        let wanted = if self.outbox.is_empty() {
+        let interest = if self.outbox.is_empty() {
             READ
         } else {
             READ_WRITE
         };
-        self.set_events(number, event_loop, wanted)
+        self.set_events(number, event_loop, interest)
     }
 
     /// Deregisters all events of the call `number`, which would otherwise be reported in every loop
@@ -225,10 +225,10 @@
         &mut self,
         number: u32,
         event_loop: &EventLoop,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
         let token = Token::Discovery(number);
-        event_loop.register(&mut self.registration, &self.socket, token, wanted)
+        event_loop.register(&mut self.registration, &self.socket, token, interest)
     }
 
     /// Sets the deadline of the call `number` to `at`, in nanoseconds on the node's clock.
@@ -317,8 +317,8 @@
 
     fn parse(&mut self, progress: &mut CallProgress) -> Result<(), CallEnd> {
         let bytes = self.inbox.bytes();
-        let used = self.parser.feed(bytes).map_err(CallEnd::Malformed)?;
-        self.inbox.consume(used);
+        let consumed = self.parser.feed(bytes).map_err(CallEnd::Malformed)?;
+        self.inbox.consume(consumed);
         match self.parser.head.as_ref().map(|head| &head.start) {
             None => return Ok(()),
             Some(Start::Response { status: 200 }) => {}
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -48,11 +48,11 @@
     next_id: u32,
     zones: Vec<String>,
     kinds: Vec<String>,
-    endpoints: HashMap<BackendId, KnownEndpoint>,
+    endpoints: HashMap<BackendId, StoredEndpoint>,
     start_times: StartTimes,
 }
 
-struct KnownEndpoint {
+struct StoredEndpoint {
     address: Option<SocketAddr>,
     state: EndpointState,
     /// The last start as listed, in Unix milliseconds; 0 if unknown.
@@ -81,7 +81,7 @@
     pub fn ready_address(&self, id: BackendId) -> Option<SocketAddr> {
         self.endpoints
             .get(&id)
-            .filter(|known| known.state == EndpointState::Ready)?
+            .filter(|stored| stored.state == EndpointState::Ready)?
             .address
     }
 
@@ -89,7 +89,7 @@
     pub fn has_ready(&self) -> bool {
         self.endpoints
             .values()
-            .any(|known| known.state == EndpointState::Ready)
+            .any(|stored| stored.state == EndpointState::Ready)
     }
 
     /// Applies an update. An older one is applied too, as its sender may have restarted its
@@ -155,12 +155,12 @@
             .or_insert(BackendId(self.next_id));
         self.next_id += u32::from(id.0 == self.next_id);
         // A start is converted once, so that a later step of a clock does not change its time.
-        let known = self
+        let stored = self
             .endpoints
             .get(&id)
-            .filter(|known| !is_new_start(known, entry, freshness));
-        let started_at = match known {
-            Some(known) => known.started_at,
+            .filter(|stored| !is_new_start(stored, entry, freshness));
+        let started_at = match stored {
+            Some(stored) => stored.started_at,
             None => self.start_times.started_at(entry.boot_ms, observation),
         };
         let mut hasher = fnv::FnvHasher::default();
@@ -184,8 +184,8 @@
             let unready = self
                 .endpoints
                 .get(&endpoint.id)
-                .filter(|known| entry.boot_ms <= known.boot_ms)
-                .filter(|known| known.state != EndpointState::Ready);
+                .filter(|stored| entry.boot_ms <= stored.boot_ms)
+                .filter(|stored| stored.state != EndpointState::Ready);
             if let Some(unready) = unready {
                 endpoint.state = unready.state;
             }
@@ -200,11 +200,11 @@
         disconnect: &mut Vec<BackendId>,
     ) {
         let listed: HashSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
-        for (id, known) in &mut self.endpoints {
-            if !listed.contains(id) && known.state != EndpointState::Removed {
+        for (id, stored) in &mut self.endpoints {
+            if !listed.contains(id) && stored.state != EndpointState::Removed {
                 disconnect.push(*id);
-                known.state = EndpointState::Removed;
-                known.last_update_at = now;
+                stored.state = EndpointState::Removed;
+                stored.last_update_at = now;
             }
         }
     }
@@ -218,15 +218,15 @@
         disconnect: &mut Vec<BackendId>,
     ) {
         for (entry, endpoint) in update.entries.iter().zip(endpoints) {
-            let known = self.endpoints.get(&endpoint.id);
-            let has_address_changed = known.is_some_and(|known| known.address != entry.address);
-            let boot_ms = match known {
-                Some(known) if !is_new_start(known, entry, freshness) => known.boot_ms,
+            let stored = self.endpoints.get(&endpoint.id);
+            let has_address_changed = stored.is_some_and(|stored| stored.address != entry.address);
+            let boot_ms = match stored {
+                Some(stored) if !is_new_start(stored, entry, freshness) => stored.boot_ms,
                 _ => entry.boot_ms,
             };
             self.endpoints.insert(
                 endpoint.id,
-                KnownEndpoint {
+                StoredEndpoint {
                     address: entry.address,
                     state: endpoint.state,
                     boot_ms,
@@ -243,10 +243,10 @@
     /// Forgets backends that were removed long ago. Uids are never reused, so a day of releases
     /// would fill the list otherwise.
     fn forget_removed(&mut self, now: Nanos) {
-        self.endpoints.retain(|_, known| {
-            known.state != EndpointState::Removed
+        self.endpoints.retain(|_, stored| {
+            stored.state != EndpointState::Removed
                 || now
-                    < known
+                    < stored
                         .last_update_at
                         .saturating_add(REMOVED_ENDPOINT_RETENTION)
         });
@@ -268,7 +268,7 @@
     fn trace_line(&self, entry: &ListedEndpoint, now: Nanos) -> Option<String> {
         let id = self.ids.get(&entry.uid)?;
         let address = entry.address.map_or("-".into(), |a| a.to_string());
-        let started_at = self.endpoints.get(id).and_then(|known| known.started_at);
+        let started_at = self.endpoints.get(id).and_then(|stored| stored.started_at);
         let age_ms = started_at.map_or(-1, |at| (now as i64 - at as i64) / MS as i64);
         Some(format!(
             "b={} uid={} at={address} az={} model={} cell={} state={:?} boot_ms={} age_ms={age_ms}",
@@ -279,11 +279,11 @@
 
 /// Whether an entry lists another start than the known one. If the wall clock was set back, a new
 /// start has an earlier time than the old one; an older list may still have an old start.
-fn is_new_start(known: &KnownEndpoint, entry: &ListedEndpoint, freshness: Freshness) -> bool {
+fn is_new_start(stored: &StoredEndpoint, entry: &ListedEndpoint, freshness: Freshness) -> bool {
     match freshness {
-        Freshness::Older => entry.boot_ms > known.boot_ms,
+        Freshness::Older => entry.boot_ms > stored.boot_ms,
         Freshness::Cached | Freshness::Current => {
-            entry.boot_ms != 0 && entry.boot_ms != known.boot_ms
+            entry.boot_ms != 0 && entry.boot_ms != stored.boot_ms
         }
     }
 }
@@ -291,8 +291,8 @@
 /// The position of a name in `names`. An unknown name is appended: a new kind of machine must not
 /// make the whole list invalid.
 fn position_of(names: &mut Vec<String>, name: &str) -> u16 {
-    let found = names.iter().position(|known| known == name);
-    found.unwrap_or_else(|| {
+    let position = names.iter().position(|other| other == name);
+    position.unwrap_or_else(|| {
         if names.len() < MAX_NAMES {
             names.push(name.to_string());
         }
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -12,7 +12,7 @@
 
 impl ClientConnection {
     /// The events that the present state of the connection needs.
-    fn wanted_events(&self) -> EventFlags {
+    fn interest(&self) -> EventFlags {
         match (self.is_outbox_empty(), self.is_input_full()) {
             // The end of the client's stream is already known, and every poll would report it
             // again.
@@ -28,12 +28,12 @@
         &mut self,
         number: u32,
         event_loop: &EventLoop,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
         let was_watched = self.registration.flags().contains(EventFlags::IN);
         let token = Token::Client(number);
-        event_loop.register(&mut self.registration, &self.socket, token, wanted)?;
-        if wanted.contains(EventFlags::IN) && !was_watched {
+        event_loop.register(&mut self.registration, &self.socket, token, interest)?;
+        if interest.contains(EventFlags::IN) && !was_watched {
             self.input.note_watched(event_loop.now());
         }
         Ok(())
@@ -86,7 +86,7 @@
             self.pause(number, event_loop);
             return Ok(());
         }
-        if let Err(error) = self.register(number, event_loop, self.wanted_events()) {
+        if let Err(error) = self.register(number, event_loop, self.interest()) {
             diagnostics.log(now, "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
                 return Err(CloseReason::Broken);
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -192,7 +192,7 @@
 fn index_of(names: &[String], name: Option<&str>) -> Option<u16> {
     names
         .iter()
-        .position(|known| name == Some(known))
+        .position(|other| name == Some(other))
         .and_then(|index| u16::try_from(index).ok())
 }
 
--- a/crates/node/src/errno_tests.rs
+++ b/crates/node/src/errno_tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn connect_tells_local_shortages_from_unreachable_backends() {
+fn connect_distinguishes_local_shortages_from_unreachable_backends() {
     for error in [
         Errno::NFILE,
         Errno::NOBUFS,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -309,7 +309,7 @@
 
     fn wake_at(&self, started_at: Nanos, max_wait: Nanos) -> Nanos {
         self.timers
-            .next()
+            .next_tick_at()
             .unwrap_or(Nanos::MAX)
             .min(started_at.saturating_add(max_wait))
     }
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -8,7 +8,7 @@
 /// Headers that are never forwarded, whether or not `Connection` lists them: those that apply to
 /// one connection only (RFC 9110, section 7.6.1), `Content-Length`, which the proxy writes itself,
 /// and `Expect`, which the proxy answers.
-const HOP_BY_HOP: [&str; 10] = [
+const NEVER_FORWARDED: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -124,7 +124,8 @@
     }
 
     fn is_end_to_end(&self, header: &Header) -> bool {
-        !HOP_BY_HOP.contains(&header.name.as_str()) && !self.has_token("connection", &header.name)
+        !NEVER_FORWARDED.contains(&header.name.as_str())
+            && !self.has_token("connection", &header.name)
     }
 
     fn allows_reuse(&self, version: Version) -> bool {
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -129,16 +129,16 @@
 /// # Errors
 ///
 /// Those of poll(2).
-pub fn is_ready(socket: impl AsFd, wanted: PollFlags) -> Result<bool, Errno> {
+pub fn is_ready(descriptor: impl AsFd, events: PollFlags) -> Result<bool, Errno> {
     const NO_WAIT: Timespec = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let mut polled = [PollFd::new(&socket, wanted)];
+    let mut polled = [PollFd::new(&descriptor, events)];
     poll(&mut polled, Some(&NO_WAIT))?;
     Ok(polled[0]
         .revents()
-        .intersects(wanted | PollFlags::HUP | PollFlags::ERR))
+        .intersects(events | PollFlags::HUP | PollFlags::ERR))
 }
 
 /// Starts a connection to `address`; it is established once the socket is writable.
@@ -185,14 +185,14 @@
         epoll: &OwnedFd,
         socket: &OwnedFd,
         token: EventData,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
         match self.registered {
-            Some(flags) if flags == wanted => return Ok(()),
-            Some(_) => epoll::modify(epoll, socket, token, wanted)?,
-            None => epoll::add(epoll, socket, token, wanted)?,
+            Some(flags) if flags == interest => return Ok(()),
+            Some(_) => epoll::modify(epoll, socket, token, interest)?,
+            None => epoll::add(epoll, socket, token, interest)?,
         }
-        self.registered = Some(wanted);
+        self.registered = Some(interest);
         Ok(())
     }
 }
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -133,12 +133,12 @@
 
     fn handle_message(&mut self, number: u32, message: Message) {
         let now = self.event_loop.now();
-        let waited = now.saturating_sub(message.started_at);
+        let elapsed = now.saturating_sub(message.started_at);
         let is_peer_closed = self
             .clients
             .get(number)
             .is_some_and(|connection| connection.is_peer_closed());
-        match downstream::route(message.head, message.body, &self.deployment, waited) {
+        match downstream::route(message.head, message.body, &self.deployment, elapsed) {
             // The client may have disconnected, so its request must not be executed. It may also
             // have closed only its sending side, and then it waits for an answer.
             Route::Request { .. } if is_peer_closed => {
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -271,10 +271,10 @@
 
     /// Cancels an attempt that the decision module no longer wants.
     pub(super) fn cancel_attempt(&mut self, request: u32, attempt: u8) {
-        let found = self
+        let connection_number = self
             .upstreams
             .find_attempt(UpstreamAttempt::Request { request, attempt });
-        if let Some(number) = found {
+        if let Some(number) = connection_number {
             self.end_attempt(number, Outcome::Cancelled);
         }
         self.drop_postponed(request);
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -183,8 +183,8 @@
     /// Number of bytes by which a full buffer grows: it doubles, up to its maximum size. At the
     /// maximum size it is 1, which [`RingBuffer::reserve`] rejects.
     fn growth_bytes(&self) -> usize {
-        let doubled = self.len.max(INITIAL_SIZE);
-        doubled.min(self.max_size - self.len).max(1)
+        let growth = self.len.max(INITIAL_SIZE);
+        growth.min(self.max_size - self.len).max(1)
     }
 
     /// Makes space for `additional` bytes; returns whether they fit into the maximum size.
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn keeps_byte_order_across_the_wrap_and_its_maximum_size() {
+fn buffer_keeps_byte_order_across_the_wrap_and_respects_its_maximum_size() {
     let mut buffer = RingBuffer::new(5000);
     let bytes: Vec<u8> = (0..4000u32).map(|i| i as u8).collect();
     assert!(buffer.push(&bytes[..1500]));
--- a/crates/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -36,7 +36,7 @@
     /// Schedules an event for the time `at`; if that has passed, it fires at the next tick.
     pub fn schedule(&mut self, at: Nanos, event: T) {
         let tick = at.div_ceil(self.tick_length).max(self.last_tick + 1);
-        self.slots[slot_of(tick)].push(Timer { tick, event });
+        self.slots[slot_index(tick)].push(Timer { tick, event });
     }
 
     /// Removes the events that are due and returns them, in the order of their ticks.
@@ -47,7 +47,7 @@
         let first_tick = (self.last_tick + 1).max(one_revolution_ago);
         let mut due = Vec::new();
         for tick in first_tick..=current_tick {
-            let slot = &mut self.slots[slot_of(tick)];
+            let slot = &mut self.slots[slot_index(tick)];
             due.extend(slot.extract_if(.., |timer| timer.tick <= current_tick));
         }
         self.last_tick = self.last_tick.max(current_tick);
@@ -57,14 +57,14 @@
 
     /// When to call [`TimerWheel::expire`] again: the next tick whose slot holds a timer, of this
     /// revolution or a later one. `None` when nothing is scheduled.
-    pub fn next(&self) -> Option<Nanos> {
+    pub fn next_tick_at(&self) -> Option<Nanos> {
         let mut revolution = self.last_tick + 1..=self.last_tick + SLOTS as u64;
-        let tick = revolution.find(|tick| !self.slots[slot_of(*tick)].is_empty())?;
+        let tick = revolution.find(|tick| !self.slots[slot_index(*tick)].is_empty())?;
         Some(tick * self.tick_length)
     }
 }
 
-fn slot_of(tick: u64) -> usize {
+fn slot_index(tick: u64) -> usize {
     tick as usize % SLOTS
 }
 
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -31,7 +31,7 @@
     ] {
         wheel.schedule(at, name);
     }
-    assert_eq!(wheel.next(), Some(1_005));
+    assert_eq!(wheel.next_tick_at(), Some(1_005));
     assert_eq!(wheel.expire(1_004), []);
     assert_eq!(wheel.expire(1_005), ['a', 'z']);
     assert_eq!(wheel.expire(1_014), []);
@@ -40,5 +40,5 @@
     // a revolution loses no timer.
     wheel.schedule(30_000, 'e');
     assert_eq!(wheel.expire(90_000), ['d', 'e']);
-    assert_eq!(wheel.next(), None);
+    assert_eq!(wheel.next_tick_at(), None);
 }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -253,10 +253,10 @@
                 ReadOutcome::EndOfStream => true,
                 ReadOutcome::Broken => return self.closed_by_peer(),
             };
-            let Ok(used) = self.parser.feed(self.inbox.bytes()) else {
+            let Ok(consumed) = self.parser.feed(self.inbox.bytes()) else {
                 return Progress::Failed(self.outcome_if_closed(Outcome::Reset));
             };
-            self.inbox.consume(used);
+            self.inbox.consume(consumed);
             if is_end_of_stream && !self.parser.end_of_input() {
                 return self.closed_by_peer();
             }
@@ -313,23 +313,23 @@
     ///
     /// As [`Registration::set`].
     pub fn register(&mut self, number: u32, event_loop: &EventLoop) -> Result<(), Errno> {
-        let wanted = match self.state {
+        let interest = match self.state {
             UpstreamState::Connecting | UpstreamState::Connected | UpstreamState::Sending => {
                 READ_WRITE
             }
             UpstreamState::Waiting | UpstreamState::Idle => READ,
         };
-        self.set_events(number, event_loop, wanted)
+        self.set_events(number, event_loop, interest)
     }
 
     fn set_events(
         &mut self,
         number: u32,
         event_loop: &EventLoop,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
         let token = Token::Upstream(number);
-        event_loop.register(&mut self.registration, &self.socket, token, wanted)
+        event_loop.register(&mut self.registration, &self.socket, token, interest)
     }
 
     /// Pauses the connection `number` and resumes it after [`MIN_RETRY`], because the machine
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -44,12 +44,12 @@
 }
 
 impl UpstreamConnections {
-    /// Creates a table for at most `max` connections at a time. A connection must be established
-    /// within `connect_timeout`; the backends' machines close connections that are idle for
-    /// `idle_limit` (both in nanoseconds).
-    pub fn new(max: usize, connect_timeout: Nanos, idle_limit: Nanos) -> UpstreamConnections {
+    /// Creates a table for at most `capacity` connections at a time. A connection must be
+    /// established within `connect_timeout`; the backends' machines close connections that are idle
+    /// for `idle_limit` (both in nanoseconds).
+    pub fn new(capacity: usize, connect_timeout: Nanos, idle_limit: Nanos) -> UpstreamConnections {
         UpstreamConnections {
-            table: Slab::new(max),
+            table: Slab::new(capacity),
             pool: Pool::default(),
             postponed: Vec::new(),
             connect_timeout,
@@ -74,10 +74,10 @@
         self.table.get_mut(number)
     }
 
-    fn find(&self, is_wanted: impl Fn(&UpstreamConnection) -> bool) -> Option<u32> {
+    fn find(&self, predicate: impl Fn(&UpstreamConnection) -> bool) -> Option<u32> {
         self.table
             .iter()
-            .find(|(_, connection)| is_wanted(connection))
+            .find(|(_, connection)| predicate(connection))
             .map(|(number, _)| number)
     }
 
