--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -25,15 +25,15 @@
 
 use crate::discovery::EndpointUpdate;
 
-/// Maximum size of the configuration file, in bytes: several times an endpoint list of thousands of
-/// backends.
+/// Maximum size of the configuration file, in bytes: several times the size of an endpoint list
+/// with thousands of backends.
 const MAX_FILE_BYTES: u64 = 32 << 20;
-/// Minimum number of file descriptors: with fewer the node can't hold a client connection and an
-/// upstream connection beside the descriptors that it needs for itself.
+/// Minimum number of file descriptors: those that the node needs for itself
+/// (`descriptor_budget::OTHER_DESCRIPTORS`), and some for client and upstream connections.
 const MIN_SOCKETS: usize = 32;
-/// Default number of file descriptors, if the file gives no limit.
+/// Default maximum number of file descriptors, if the file gives none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Default memory, in MiB, if the file gives no limit.
+/// Default memory limit, in MiB, if the file gives none.
 const DEFAULT_MEMORY_MB: usize = 192;
 
 /// Configuration of a node, from the environment and the configuration file.
@@ -50,22 +50,22 @@
     pub sockets: usize,
     /// Maximum memory of the process, in MiB.
     pub memory_mb: usize,
-    /// The cached endpoint list, as the node last received it; may be stale, empty if the file has
-    /// none.
+    /// The cached endpoint list from the file, which may be stale; empty if the file has none.
     pub cached_endpoints: EndpointUpdate,
     /// The settings of the deployment.
     pub deployment: Deployment,
-    /// Whether every event and decision is written to the log.
+    /// Whether the trace is on, which writes events and decisions to standard error.
     pub trace: bool,
 }
 
-/// Why the configuration can't be loaded. The text is one line that names the key or the variable.
+/// Why the configuration can't be loaded. The text is one line; it names the key or the variable if
+/// the error concerns one.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The variable `BALANCER_CONFIG`, which names the file, is not set.
     #[error("BALANCER_CONFIG is not set")]
     NoFile,
-    /// The file can't be read.
+    /// The file can't be read, or is too long.
     #[error("BALANCER_CONFIG: {0}")]
     Unreadable(#[from] std::io::Error),
     /// The content of the file is invalid.
@@ -92,7 +92,8 @@
 ///
 /// # Errors
 ///
-/// If the file can't be read or is too long, or if a key is missing or its value is invalid.
+/// If `BALANCER_CONFIG` is not set, if the file can't be read or is too long, or if a key is
+/// missing or its value is invalid.
 pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, LoadError> {
     load_with(env, OFlags::empty())
 }
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,8 +1,9 @@
-//! Counters of the node's actions by reason, for operators who want to know why requests were
-//! rejected, retried or abandoned.
+//! Counters of events by kind and reason, which show operators why client connections were closed,
+//! which actions the protocol rules denied, and how often connections could not be made or
+//! accepted.
 //!
-//! The counters live as long as the process. Their number is bounded, as each key is a string
-//! literal in the code.
+//! The counters are kept until the process ends. Their number is bounded, as kinds and reasons are
+//! string literals in the code.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,27 +13,27 @@
 pub enum CloseReason {
     /// Its client closed it.
     ClientDisconnected,
-    /// The connection failed: a reset, or a write error that can't be retried.
+    /// The connection failed: a reset, or another error that can't be retried.
     Broken,
-    /// Its last answer has been written.
+    /// Its last answer has been written, and its client has closed its side.
     Answered,
     /// Its descriptor was needed for another connection.
     Evicted,
-    /// The client sent nothing for too long, or took too long to send a message or to read an
-    /// answer.
+    /// The client sent nothing for too long, took too long to send a message or to read an answer,
+    /// or did not close the connection after its last answer.
     TimedOut,
     /// The node is shutting down.
     Shutdown,
 }
 
 impl CloseReason {
-    /// Whether the client closed or broke the connection, so that closing it without an answer is
-    /// no violation.
+    /// Whether the client closed the connection or it failed, so that closing it without an answer
+    /// is no violation.
     pub fn is_by_client(self) -> bool {
         matches!(self, CloseReason::ClientDisconnected | CloseReason::Broken)
     }
 
-    /// The stable word for it in logs and counters.
+    /// The name of the reason in logs and counters, which must not change.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_disconnected",
--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Both kinds share one limit. Each has a reserve that the other can't use, and the rest is
 //! available to both. A fixed split would reject one kind while the descriptors of the other are
-//! idle. Arithmetic only, no I/O.
+//! idle. This module does no I/O.
 
 /// The kind of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -14,20 +14,21 @@
 }
 
 /// Descriptors that are not connections of either kind: the standard streams (3), epoll, the
-/// listener, the signals' socket pairs and their copies (6), discovery calls (4), one for a file
-/// that is being read, and a margin.
+/// listener, the signals' wake-up sockets (2) and a copy of the other end for each signal (3),
+/// discovery calls (4), one for a file that is being read, and a margin.
 pub const OTHER_DESCRIPTORS: usize = 20;
 /// Minimum number of connections, even if the process may hold fewer descriptors.
 const MIN_CONNECTIONS: usize = 4;
-/// Divisor of all connections that gives the reserve of the clients. It is the larger reserve:
-/// every upstream connection in use has a client that waits for it, but most clients wait for none.
+/// The reserve of the clients is the maximum number of connections divided by this. It is the
+/// larger reserve: every upstream connection in use has a client that waits for it, but most
+/// clients wait for none.
 const CLIENT_RESERVE_DIVISOR: usize = 2;
-/// Divisor of all connections that gives the reserve of the upstream connections.
+/// The reserve of the upstream connections is the maximum number of connections divided by this.
 const UPSTREAM_RESERVE_DIVISOR: usize = 4;
-/// Divisor of the descriptor limit that gives the maximum number of clients that have sent a
-/// request. The platform allows them a third of a node's descriptors (the connection pool of a
-/// front has such a bound elsewhere). At that bound the next request gets no connection, which the
-/// node can't observe, so idle connections are closed before it is reached.
+/// The maximum number of connected clients that have sent a request is the descriptor limit divided
+/// by this. The platform allows such clients a third of a node's descriptors (elsewhere, the
+/// connection pool of a front has such a bound). At that bound the next request gets no connection,
+/// which the node can't observe, so idle connections are closed before it is reached.
 const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
 /// How many connections of each kind may be open.
@@ -60,8 +61,8 @@
         self.max_connections - self.reserve(purpose.other())
     }
 
-    /// Whether one more connection fits for `purpose`, of which `open` are open beside `other_open`
-    /// of the other kind.
+    /// Whether another connection for `purpose` fits while `open` connections for it and
+    /// `other_open` of the other kind are open.
     pub fn fits(&self, purpose: Purpose, open: usize, other_open: usize) -> bool {
         open < self.max_connections - other_open.max(self.reserve(purpose.other()))
     }
--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -16,7 +16,7 @@
 }
 
 impl Diagnostics {
-    /// Creates an empty log and empty counters, to be used with this trace.
+    /// Creates the output with this trace, a new log and empty counters.
     pub fn new(trace: Trace) -> Diagnostics {
         Diagnostics {
             log: Log::default(),
@@ -35,7 +35,7 @@
         self.trace.line(now, details);
     }
 
-    /// Whether trace lines are written at all.
+    /// Whether trace lines are written.
     pub fn is_tracing(&self) -> bool {
         self.trace.is_on()
     }
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -201,7 +201,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Registration::set`].
+    /// Those of [`Registration::set`].
     pub fn register(&mut self, number: u32, event_loop: &EventLoop) -> Result<(), Errno> {
         let interest = if self.outbox.is_empty() {
             READ
@@ -211,12 +211,11 @@
         self.set_events(number, event_loop, interest)
     }
 
-    /// Deregisters all events of the call `number`, which would otherwise be reported in every loop
-    /// iteration.
+    /// Deregisters all events of the call `number`, as every poll would report them again.
     ///
     /// # Errors
     ///
-    /// As [`Registration::set`].
+    /// Those of [`Registration::set`].
     pub fn pause(&mut self, number: u32, event_loop: &EventLoop) -> Result<(), Errno> {
         self.set_events(number, event_loop, EventFlags::empty())
     }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -19,7 +19,7 @@
 use crate::slab::Slab;
 use crate::start_time::StartObservation;
 
-/// Maximum number of open calls: a watch, a poll, and the calls that replace them after a reload.
+/// Maximum number of open calls: one watch, and polls, of which usually at most one is open.
 const MAX_CALLS: usize = 4;
 /// Delay, in nanoseconds, after which a call that could not be opened for lack of local resources
 /// is tried again.
@@ -304,8 +304,8 @@
     }
 
     /// Pauses a call because the machine temporarily lacks resources, and resumes it after
-    /// [`MIN_RETRY`]. Until then its events are deregistered, as they would otherwise be reported
-    /// in every loop iteration.
+    /// [`MIN_RETRY`]. Until then its events are deregistered, as every poll would report them
+    /// again.
     pub fn pause_call(&mut self, number: u32, event_loop: &mut EventLoop) {
         if let Some(call) = self.calls.get_mut(number) {
             let _ = call.pause(number, event_loop);
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -12,10 +12,10 @@
 use crate::clock::{MS, SECOND};
 use crate::start_time::{StartObservation, StartTimes};
 
-/// How long a removed backend is remembered, in nanoseconds: an older list may name it once more,
-/// and what is known about it should then still apply. No attempt at it is in flight for that long.
+/// How long a removed backend is remembered, in nanoseconds: an older list may contain it again,
+/// and what is known about it must still apply then. No attempt at it is in flight for that long.
 const REMOVED_ENDPOINT_RETENTION: Nanos = 60 * SECOND;
-/// Maximum number of names of zones, and of kinds; further names are not distinguished.
+/// Maximum number of names of zones, and of kinds; any further name counts as the last of them.
 const MAX_NAMES: usize = 1_000;
 
 /// How recent an update is compared with the known list.
@@ -277,8 +277,9 @@
     }
 }
 
-/// Whether an entry lists another start than the known one. If the wall clock was set back, a new
-/// start has an earlier time than the old one; an older list may still have an old start.
+/// Whether an entry lists a new start of the backend. If the backend's clock was set back, a new
+/// start may be earlier than the stored one, so any other start counts as new. An older list may
+/// still have the start before the stored one, so there only a later start counts.
 fn is_new_start(stored: &StoredEndpoint, entry: &ListedEndpoint, freshness: Freshness) -> bool {
     match freshness {
         Freshness::Older => entry.boot_ms > stored.boot_ms,
--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -66,7 +66,7 @@
     }
 
     /// Earliest arrival time of bytes that are read at `now`. `previous_poll_at` is the time of the
-    /// previous poll, which reported no event for this socket.
+    /// previous poll, whose event for this socket, if any, has been handled.
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
         let poll_covers_socket = !self.has_unread && previous_poll_at >= self.watched_since;
         let last_empty_at = if poll_covers_socket {
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -11,7 +11,7 @@
 use crate::ring_buffer::WriteOutcome;
 
 impl ClientConnection {
-    /// The events that the present state of the connection needs.
+    /// The events that the current state of the connection needs.
     fn interest(&self) -> EventFlags {
         match (self.is_outbox_empty(), self.is_input_full()) {
             // The end of the client's stream is already known, and every poll would report it
@@ -44,16 +44,18 @@
         event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
     }
 
-    /// Whether the deadline whose timer has fired is due; one that has moved is scheduled again.
+    /// Returns whether the deadline of the connection `number` has passed, after its timer has
+    /// fired.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
     }
 
-    /// Suspends the events of the connection `number` and schedules its resumption after
-    /// [`MIN_RETRY`]. During a temporary shortage of resources every poll would otherwise report
-    /// them again.
+    /// Pauses the connection `number` and resumes it after [`MIN_RETRY`], because the machine
+    /// temporarily lacks resources. Until then its events are deregistered, as every poll would
+    /// report them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // If this fails too, events arrive before the resumption and meet the same shortage.
+        // If this fails too, events are still reported during the pause, and handling them may fail
+        // again.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
         let resume_at = event_loop.now() + MIN_RETRY;
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -60,7 +60,7 @@
 pub enum ReadEvent {
     /// No complete message is available.
     Incomplete,
-    /// This machine has a temporary shortage of a resource: read again a little later.
+    /// The machine temporarily lacks resources: read again after a short delay.
     RetryLater,
     /// A complete message.
     Message(Message),
@@ -83,7 +83,7 @@
     /// The client has closed its side, or the connection is broken. A half-close can't be
     /// distinguished from a full close.
     peer_closed: bool,
-    /// When the present state began, in nanoseconds on the node's clock. The time limits of a
+    /// When the current state began, in nanoseconds on the node's clock. The time limits of a
     /// client count from here, so that a client that sends or reads one byte now and then doesn't
     /// keep its connection forever.
     state_since: Nanos,
@@ -145,7 +145,7 @@
         self.outbox.is_empty()
     }
 
-    /// When the present state times out, in nanoseconds on the node's clock; [`Deadline::NEVER`]
+    /// When the current state times out, in nanoseconds on the node's clock; [`Deadline::NEVER`]
     /// while a request waits for its answer.
     fn state_deadline(&self) -> Nanos {
         let timeout = match self.state {
@@ -241,8 +241,7 @@
 
     /// Reads received bytes up to the end of one complete message. While a request waits for its
     /// answer or an answer is not written, further bytes stay unparsed in the inbox.
-    /// `previous_poll_at` is the time of the previous poll, which reported no event for this
-    /// socket.
+    /// `previous_poll_at` is the time of the previous poll; see [`ClientInput::earliest_arrival`].
     pub fn read(&mut self, now: Nanos, previous_poll_at: Nanos) -> ReadEvent {
         let arrived_at = self.input.earliest_arrival(now, previous_poll_at);
         let mut has_read = false;
@@ -312,9 +311,9 @@
     /// Shuts down the sending side and then discards received bytes, before the socket is closed.
     /// Closing a socket with unread bytes resets the connection, which discards what the kernel has
     /// not yet sent of an answer. The end of the stream is sent before the bytes are read: a
-    /// request that arrives at this moment then meets a closed connection, and its client retries
-    /// elsewhere; read first, it would look accepted. Does nothing on an open connection without a
-    /// complete message.
+    /// request that arrives in between then arrives on a closed connection, and its client retries
+    /// elsewhere; if the end of the stream were sent last, the client would take the request for
+    /// accepted. Does nothing on an open connection without a complete message.
     pub fn close_gracefully(&mut self) {
         if !self.has_sent_message() && self.state == ConnectionState::Open {
             return;
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -35,12 +35,13 @@
 }
 
 /// A connection that may be closed to free its descriptor for another one. The smallest candidate
-/// is closed first: the lowest rank, then the longest time in the present state.
+/// is closed first: the lowest rank, then the longest time in the current state, then the lowest
+/// number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionCandidate {
     /// How readily the connection is closed.
     pub rank: EvictionRank,
-    /// When the present state of the connection began, in nanoseconds on the node's clock.
+    /// When the current state of the connection began, in nanoseconds on the node's clock.
     pub state_since: Nanos,
     /// The number of the connection in the table of client connections.
     pub number: u32,
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -32,7 +32,7 @@
     QueueEmpty,
     /// The queued client has disconnected, or the call was interrupted: accept again.
     ClientDisconnected,
-    /// This machine has a temporary shortage of a resource.
+    /// The machine temporarily lacks resources: accept again after a short delay.
     RetryLater(Errno),
     /// The process has no free descriptor, or the call itself is invalid.
     Failed(Errno),
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -1,5 +1,5 @@
-//! Routes a message by its path and headers. Invalid requests are found here, before the decision
-//! module or a backend sees them.
+//! Routes a message by its path and headers. Invalid requests are detected here, before the
+//! decision module or a backend sees them.
 
 use kitefork_balancer::{Idempotency, Nanos};
 use kitefork_settings::Deployment;
@@ -14,7 +14,7 @@
 const API_PATH: &str = "/api";
 /// The path of requests for the health of the node itself.
 const HEALTH_PATH: &str = "/_health";
-/// Longest name of a request (`X-Txn`), in bytes.
+/// Maximum length of the transaction ID of a request (`X-Txn`), in bytes.
 const MAX_TXN_BYTES: usize = 256;
 
 /// What a message requests, or why it can't be served.
@@ -118,8 +118,8 @@
             txn: txn.into(),
             class,
             tenant,
-            // The client's time counts from when it sent the request, so the time since the first
-            // byte arrived has already passed.
+            // The client's timeout counts from when it sent the request, so the time since the
+            // first byte arrived is subtracted.
             client_timeout: (remaining_ms * MS).saturating_sub(elapsed),
             work_hint: estimate_us.map(|us| us * 1_000),
             client_retry: self.header("x-resent")? == Some("1"),
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -75,7 +75,7 @@
         self.answered.push_back(number);
     }
 
-    /// Takes the next connection whose answer is to be written from the queue.
+    /// Removes and returns the number of the next queued connection; `None` if the queue is empty.
     pub fn pop_answered(&mut self) -> Option<u32> {
         self.answered.pop_front()
     }
@@ -86,15 +86,15 @@
             .filter_map(move |(number, connection)| connection.eviction_candidate(number, now))
     }
 
-    /// The connection that is closed first; `None` if no connection may be closed.
+    /// The connection that is to be closed first; `None` if no connection may be closed.
     pub fn eviction_candidate(&self, now: Nanos) -> Option<EvictionCandidate> {
         self.eviction_candidates(now).min()
     }
 
     /// Returns the connections to close when the trim timer has fired. If more than `max_active`
     /// clients have sent a request, these are the expendable ones among them, at most as many as
-    /// exceed that number. Clients that keep their connections indefinitely would otherwise leave
-    /// none to others, which the node can't observe.
+    /// exceed that number. Otherwise clients that keep idle connections indefinitely could use all
+    /// that the platform allows, and the next request would get none, which the node can't observe.
     pub fn trim(&mut self, now: Nanos, max_active: usize) -> Vec<EvictionCandidate> {
         self.is_trim_scheduled = false;
         let has_sent = |number| {
--- a/crates/node/src/errno.rs
+++ b/crates/node/src/errno.rs
@@ -8,18 +8,19 @@
 /// How the caller must handle an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// The call was interrupted, or the error belongs to another connection: call again.
+    /// The call was interrupted, or the error concerns only the connection that was to be accepted:
+    /// call again.
     RetryNow,
     /// The call can't proceed until the socket is ready.
     WouldBlock,
-    /// The machine temporarily lacks a resource: call again after a short delay. Says nothing about
-    /// the peer.
+    /// The machine temporarily lacks a resource: call again after a short delay. The error says
+    /// nothing about the peer.
     RetryLater,
     /// The process has reached its limit of open descriptors.
     OutOfDescriptors,
     /// This connection is broken, or the peer can't be reached.
     ConnectionLost,
-    /// The call itself is invalid, which is a bug of the program.
+    /// The call itself is invalid, which is a bug in the program.
     Fatal,
 }
 
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -27,10 +27,11 @@
 /// Events of a poll that took longer than this, in nanoseconds, may be stale; polling again costs
 /// one system call.
 const MAX_EVENT_AGE: Nanos = 20 * MS;
-/// Maximum number of repeated polls in one iteration, for a process that is delayed in each of
-/// them.
+/// Maximum number of repeated polls in one iteration, so that a process that is delayed in each of
+/// them still handles events.
 const MAX_REPEATED_POLLS: u32 = 4;
-/// A longer gap between two polls, in nanoseconds, shows that the process was stopped.
+/// A gap between two polls that is longer than this, in nanoseconds, shows that the process was
+/// stopped.
 const STALL_THRESHOLD: Nanos = 250 * MS;
 /// Delay before an operation is retried that failed because the machine lacked resources, in
 /// nanoseconds: short, but long enough to avoid a busy loop.
@@ -139,10 +140,10 @@
     epoll: OwnedFd,
     timers: TimerWheel<TimerEvent>,
     now: Nanos,
-    /// When the poll before this iteration's was made, in nanoseconds on the node's clock. It found
-    /// no event on the sockets that have one now.
+    /// When the previous poll was made, in nanoseconds on the node's clock. Its events have been
+    /// handled, so bytes that are reported now arrived later, unless some were left unread.
     previous_poll_at: Nanos,
-    /// When this iteration's poll was made.
+    /// When the poll of this iteration was made.
     last_poll_at: Nanos,
 }
 
@@ -175,8 +176,8 @@
         &self.clock
     }
 
-    /// When the poll before this iteration's was made, in nanoseconds on the node's clock. It found
-    /// no event on the sockets that have one now.
+    /// When the previous poll was made, in nanoseconds on the node's clock. Its events have been
+    /// handled, so bytes that are reported now arrived later, unless some were left unread.
     pub fn previous_poll_at(&self) -> Nanos {
         self.previous_poll_at
     }
@@ -209,7 +210,7 @@
         deadline.is_due(self.now, &mut self.timers, event)
     }
 
-    /// Removes and returns the timers that are due, in order.
+    /// Removes and returns the timers that are due, in the order of their ticks.
     pub fn expire_timers(&mut self) -> Vec<TimerEvent> {
         self.timers.expire(self.now)
     }
@@ -218,7 +219,7 @@
     ///
     /// # Errors
     ///
-    /// As `epoll_ctl(2)`, after several retries.
+    /// Those of `epoll_ctl(2)`, after several retries.
     pub fn add_at_start(&self, source: impl AsFd, token: Token) -> Result<(), Errno> {
         net::retry_at_start(|| epoll::add(&self.epoll, &source, token.encode(), EventFlags::IN))
     }
@@ -227,7 +228,7 @@
     ///
     /// # Errors
     ///
-    /// As `epoll_ctl(2)`.
+    /// Those of `epoll_ctl(2)`.
     pub fn modify(
         &self,
         source: impl AsFd,
@@ -237,11 +238,11 @@
         epoll::modify(&self.epoll, source, token.encode(), interest)
     }
 
-    /// Registers the wanted events of a socket, unless it already has them.
+    /// Registers a socket for the events `interest`, unless exactly these are registered already.
     ///
     /// # Errors
     ///
-    /// As [`Registration::set`].
+    /// Those of [`Registration::set`].
     pub fn register(
         &self,
         registration: &mut Registration,
@@ -253,12 +254,12 @@
     }
 
     /// Waits until a socket has an event or a timer is due, and starts an iteration. One poll
-    /// returns everything that is ready, at most `capacity` events; a poll whose events are stale
-    /// when it returns is repeated.
+    /// returns everything that is ready, if that is no more than `capacity` events. A poll whose
+    /// events may be stale when it returns is repeated, at most [`MAX_REPEATED_POLLS`] times.
     ///
     /// # Errors
     ///
-    /// As `epoll_wait(2)`, except for an interruption, which is retried.
+    /// Those of `epoll_wait(2)`, except for an interruption, which is retried.
     pub fn poll(&mut self, events: &mut Vec<epoll::Event>, capacity: usize) -> Result<(), Errno> {
         self.previous_poll_at = self.last_poll_at;
         let mut repeated_polls = 0;
--- a/crates/node/src/http1.rs
+++ b/crates/node/src/http1.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 codec: an incremental parser and a writer. No sockets, no clock.
+//! HTTP/1.1 codec: an incremental parser and a writer. It uses no sockets and no clock.
 //!
 //! The parser is strict where a lenient one would let two implementations see two different
 //! messages, which is how requests are smuggled past a proxy.
@@ -26,12 +26,13 @@
 pub use parser::Parser;
 pub use writer::write;
 
-/// Longest head of a message, in bytes, the empty line included. Trailers have the same limit.
+/// Maximum length of the head of a message, in bytes, including the empty line. Trailers have the
+/// same limit.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Longest body of a request, in bytes, as the protocol defines it.
+/// Maximum length of the body of a request, in bytes, as the protocol defines it.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// Longest body of a response, in bytes. Some responses are several times as long as the 64 KiB
-/// that the protocol defines.
+/// Maximum length of the body of a response, in bytes. Some responses are several times as long as
+/// the 64 KiB that the protocol defines.
 pub const MAX_RESPONSE_BODY: usize = 2 * 1024 * 1024;
 
 #[cfg(test)]
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -48,9 +48,9 @@
 /// One header.
 #[derive(Debug, Clone)]
 struct Header {
-    /// In lower case.
+    /// The name, in lower case.
     name: String,
-    /// Without surrounding white space.
+    /// The value, without surrounding white space.
     value: String,
 }
 
@@ -114,8 +114,8 @@
         self.has_token("expect", "100-continue")
     }
 
-    /// Names, in lower case, and values of the headers that a proxy forwards: those that don't
-    /// apply to one connection only.
+    /// Names, in lower case, and values of the headers that the proxy forwards: all except
+    /// [`NEVER_FORWARDED`] and those that `Connection` lists.
     pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &str)> {
         self.headers
             .iter()
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -93,9 +93,9 @@
         Parser { max_body, ..self }
     }
 
-    /// Accepts responses whose body ends when the connection closes. The end of such a response
-    /// can't be distinguished from a broken connection, so this is only for content that shows by
-    /// itself whether it is complete.
+    /// Accepts responses whose body ends when the connection closes. If the peer closes it early,
+    /// that can't be distinguished from the end of the body: a truncated body counts as complete,
+    /// unless its content shows that it is not.
     pub fn allow_close_delimited(self) -> Parser {
         Parser {
             allow_close_delimited: true,
@@ -151,7 +151,8 @@
         self.is_done()
     }
 
-    /// Takes the message out and prepares for the next one; `None` if it is not complete.
+    /// Removes and returns the message, and prepares for the next one; `None` if it is not
+    /// complete.
     pub fn take_message(&mut self) -> Option<(Head, Body)> {
         if !self.is_done() {
             return None;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,6 +1,6 @@
-//! The log on standard error: each line has one stable word for the kind of event, then its
-//! details. The number of lines of each kind is limited, so that a burst of events neither fills
-//! the disk nor takes the CPU time that requests need.
+//! The log and the trace, on standard error. Each log line has a word for its kind, which must not
+//! change, and then details. The number of log lines of each kind is limited, so that a burst of
+//! events neither fills the disk nor takes the CPU time that requests need.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Starts a new window if this one has ended; returns how many lines were suppressed in the old
-    /// one.
+    /// Starts a new window if this one has ended; returns how many lines were suppressed in the
+    /// window that has ended, 0 if none has.
     fn roll_over(&mut self, now: Nanos) -> u32 {
         if now < self.started_at + WINDOW {
             return 0;
@@ -55,8 +55,7 @@
 
 impl Log {
     /// Writes the line `kitefork: KIND DETAILS`, unless the limit of its kind is reached in this
-    /// window. The first line of a window after one with suppressed lines ends with
-    /// `held_back=COUNT`.
+    /// window. The first line after a window with suppressed lines ends with `held_back=COUNT`.
     pub fn line(&mut self, now: Nanos, kind: &'static str, details: impl fmt::Display) {
         let Some(suppressed) = self.admit(now, kind) else {
             return;
@@ -69,8 +68,8 @@
         write(&format!("kitefork: {kind} {details}{suffix}\n"));
     }
 
-    /// Counts a line. If it may be written, returns how many of its kind were suppressed in the
-    /// window before.
+    /// Counts a line. If it may be written, returns how many lines of its kind were suppressed in
+    /// the previous window; that is 0 unless this line starts a window.
     fn admit(&mut self, now: Nanos, kind: &'static str) -> Option<u32> {
         let window = self
             .kinds
@@ -86,7 +85,7 @@
 /// blocking (`PIPE_BUF`, see pipe(7)).
 const MAX_LINE: usize = 4096;
 
-/// Lines that were dropped since standard error was last ready.
+/// Number of lines that were dropped and are not reported yet.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Writes a line if standard error is ready now; otherwise the line is dropped and counted. A log
@@ -119,8 +118,8 @@
 }
 
 /// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
-/// ...`, without a rate limit. Used for replays. It is off unless `BALANCER_TRACE` is 1, and then
-/// no line is formatted.
+/// ...`, without a rate limit, from which runs are replayed. It is on only if `BALANCER_TRACE` is
+/// 1; while it is off, no line is formatted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trace {
     /// Unix time at the clock's zero, in nanoseconds; `None` if the trace is off.
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -174,7 +174,7 @@
         self.registered.unwrap_or(EventFlags::empty())
     }
 
-    /// Registers the wanted events, unless exactly these are registered already.
+    /// Registers the events `interest`, unless exactly these are registered already.
     ///
     /// # Errors
     ///
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -37,7 +37,7 @@
 pub use error::NodeError;
 
 /// Events that one poll has capacity for beside those of connections and discovery calls: one for
-/// the listener, one for each of the two signals, and one extra.
+/// the listener, one for each of the two kinds of signals, and a margin of one.
 const NON_CONNECTION_EVENTS: usize = 4;
 
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list may
@@ -101,8 +101,8 @@
 
     /// Handles events that may forbid a send (a client has closed its side, the endpoint list
     /// changes) before all others, and executes commands only after the last of these events.
-    /// Socket events are handled before timers, so that an answer that has arrived wins over its
-    /// timeout.
+    /// Socket events are handled before timers, so that an answer that has arrived takes precedence
+    /// over its timeout.
     fn handle_socket_events(&mut self, events: &[epoll::Event]) {
         for event in events.iter().filter(|event| may_forbid_send(event)) {
             self.on_socket_event(event);
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -132,14 +132,14 @@
         self.clients.eviction_candidate(self.event_loop.now())
     }
 
-    /// Closes an expendable connection to free its descriptor, unless it has unread input: that may
-    /// be a request, and its client would see the connection close without an answer. Returns
-    /// whether the connection was closed.
+    /// Closes a connection to free its descriptor, unless an answer is pending on it, or it has
+    /// unread input: that input may be a request, whose client would see the connection close
+    /// without an answer. Returns whether the connection was closed.
     pub(super) fn evict(&mut self, number: u32) -> bool {
         self.close_if_allowed(number, CloseReason::Evicted)
     }
 
-    /// Closes a connection at the node's own initiative if the protocol rules allow it; otherwise
+    /// Closes a connection on the node's own initiative if the protocol rules allow it; otherwise
     /// counts the denial and reads the connection's input. Returns whether the connection is closed
     /// afterwards.
     pub(super) fn close_if_allowed(&mut self, number: u32, reason: CloseReason) -> bool {
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -88,8 +88,8 @@
         if flags.intersects(PEER_CLOSED) {
             connection.note_peer_closed();
         }
-        // With a full input buffer the end of the stream can't be read, and epoll would report it
-        // again in every iteration without a pause.
+        // With a full inbox the end of the stream can't be read, and every poll would report it
+        // again.
         if connection.is_peer_closed() && connection.is_input_full() {
             self.handle_client_eof(number);
         } else {
@@ -182,7 +182,7 @@
         self.reply(number, reply);
     }
 
-    /// Handles the end of a client's input. A full close can't be distinguished from a half close,
+    /// Handles the end of a client's input. A full close can't be distinguished from a half-close,
     /// so the client's request is abandoned; but a client that has closed only its sending side
     /// waits for an answer, and gets one.
     fn handle_client_eof(&mut self, number: u32) {
@@ -220,8 +220,8 @@
             if now >= last_answers_at {
                 return self.reply(number, Reply::closing(503, b"the node ends\n"));
             }
-            // No attempt may outlive the node: it would be cut off, and its request would have
-            // failed.
+            // No attempt may still be in flight when the process ends: it would be cut off, and its
+            // request would have failed.
             spec.client_timeout = spec.client_timeout.min(last_answers_at - now);
         }
         let opened = match self.requests.open(now, number, spec, payload) {
@@ -235,7 +235,7 @@
         if let Some(connection) = self.clients.get_mut(number) {
             connection.set_request(request);
         }
-        // Finding the key requires a search of the headers, so it is done only for a trace.
+        // Finding the key requires a search of the headers, so it is done only if the trace is on.
         if self.diagnostics.is_tracing()
             && let Some(payload) = self.requests.payload(request)
         {
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -128,7 +128,7 @@
     /// Passes an applied update to the decision module and closes the idle connections to backends
     /// that must be disconnected. Attempts whose connection to such a backend is not established
     /// end too: each would write its first byte at some later time, and the rule on draining
-    /// backends counts that byte. They were not executed, so they can be retried elsewhere.
+    /// backends applies to that byte. They were not executed, so they can be retried elsewhere.
     fn handle_applied_update(&mut self, applied: AppliedUpdate) {
         self.requests.feed(self.event_loop.now(), applied.event);
         for backend in applied.disconnect {
--- a/crates/node/src/node/error.rs
+++ b/crates/node/src/node/error.rs
@@ -12,7 +12,7 @@
     /// The decision module does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The listening address can't be bound.
+    /// The node can't listen on its address.
     #[error("listen on {address}: {error}")]
     Listen {
         /// The configured address.
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -46,7 +46,7 @@
         }
         self.listener.close();
         if !self.close_idle_clients() && !is_answering_last {
-            // Tries again to close the idle connections that could not be read for the moment.
+            // Tries again later to close the idle connections that could not be closed now.
             self.event_loop
                 .schedule(now + MIN_RETRY, TimerEvent::StopAccepting);
         }
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -42,7 +42,8 @@
 const MIN_MEMORY_MIB: usize = 4;
 
 impl Node {
-    /// Starts listening, and applies the cached endpoint list of the configuration.
+    /// Creates a node that listens, applies the cached endpoint list of the configuration, and
+    /// starts discovery.
     ///
     /// # Errors
     ///
--- a/crates/node/src/request_table/command.rs
+++ b/crates/node/src/request_table/command.rs
@@ -66,8 +66,7 @@
         backend: BackendId,
         /// When the attempt must be abandoned.
         abandon_at: Nanos,
-        /// Latest time at which the attempt may be completely written; after it, nothing may be
-        /// written.
+        /// Latest time at which bytes of the attempt may be written.
         write_by: Nanos,
     },
     /// Close the connection of an attempt.
@@ -101,6 +100,6 @@
     PollEndpoints,
     /// Write a line of the decision module to the log.
     Log(LogEvent),
-    /// The decision module wanted to send a gossip message, which this node does not support.
+    /// Send a gossip message, which this node does not support.
     GossipUnsupported,
 }
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -130,7 +130,8 @@
             id: RequestId(id),
             class: ClassId(spec.class),
             tenant: TenantId(spec.tenant),
-            // No request of the node has a subject, and no decision uses one.
+            // A request of the node names no object that it concerns, and no decision depends on
+            // one.
             key: 0,
             client_timeout: spec.client_timeout,
             work_hint: spec.work_hint,
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -56,7 +56,7 @@
     }
 
     /// The time at which an attempt must be abandoned: the decided `abandon_at`, but not after the
-    /// client's deadline. 0 stands for the deadline.
+    /// client's deadline. An `abandon_at` of 0 stands for the deadline.
     pub fn bound_to_deadline(&self, abandon_at: Nanos) -> Nanos {
         match abandon_at {
             0 => self.deadline,
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -37,7 +37,7 @@
     WouldBlock,
     /// The buffer is full and at its maximum size.
     BufferFull,
-    /// This machine has a temporary shortage of a resource; retry a little later.
+    /// The machine temporarily lacks resources: retry after a short delay.
     RetryLater,
     /// The peer has closed its sending side.
     EndOfStream,
@@ -52,7 +52,7 @@
     Done,
     /// The socket accepts no more bytes now.
     Blocked,
-    /// This machine has a temporary shortage of a resource; retry a little later.
+    /// The machine temporarily lacks resources: retry after a short delay.
     RetryLater,
     /// The connection is broken.
     Broken,
@@ -71,7 +71,7 @@
     }
 
     /// Counts the buffer against `budget`. The buffer grows even when the budget is exhausted,
-    /// because its content is bounded by received data or derived from it.
+    /// because its content is received data of limited length, or derived from such data.
     pub fn with_budget(mut self, budget: &BufferBudget) -> RingBuffer {
         self.budget = budget.clone();
         self
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -224,7 +224,7 @@
     }
 }
 
-/// The facts that decide whether a client connection may be closed at the node's own initiative.
+/// The facts that decide whether a client connection may be closed on the node's own initiative.
 #[derive(Debug, Clone, Copy)]
 pub struct CloseFacts {
     /// Whether a request on the connection waits for its answer, or an answer is not completely
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -19,7 +19,7 @@
 /// Time allowed for writing the last answers, in nanoseconds.
 const LAST_ANSWERS_FLUSH: Nanos = 150 * MS;
 
-/// Phase of the node's life, as far as the shutdown is concerned.
+/// Phase of the graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ShutdownPhase {
     /// No shutdown was requested.
@@ -58,7 +58,8 @@
         event_loop.schedule(last_answers_at + LAST_ANSWERS_FLUSH, TimerEvent::ForceClose);
     }
 
-    /// The process ends regardless of open connections, because no time is left.
+    /// Lets the process end regardless of open connections, because no time is left. Does nothing
+    /// before a shutdown is requested.
     pub fn force(&mut self) {
         if let Some(last_answers_at) = self.last_answers_at() {
             self.phase = ShutdownPhase::Forced { last_answers_at };
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Signal::register`].
+    /// Those of [`Signal::register`].
     pub fn register() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: Signal::register(&[SIGTERM, SIGINT])?,
@@ -58,7 +58,8 @@
     ///
     /// # Errors
     ///
-    /// The errors of `socketpair(2)`, of setting up its two sockets, and of installing a handler.
+    /// Those of `socketpair(2)`, of the setup of its two sockets, and of the installation of a
+    /// handler.
     pub fn register(signals: &[i32]) -> std::io::Result<Signal> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -18,9 +18,9 @@
 
 use crate::clock::{self, Clock, MS, SECOND};
 
-/// How long after a change in discovery it counts as notified at the latest, in nanoseconds
-/// (protocol page). So a start that is new on a list is at most this much older than the last
-/// confirmation of the list without it.
+/// Maximum time from a change in discovery until it counts as notified, in nanoseconds (protocol
+/// page). So a start that is new on a list is at most this much older than the last confirmation of
+/// the list without it.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
 /// A start on the first list that is older than this by the wall clock, in nanoseconds, counts as
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -41,7 +41,7 @@
 }
 
 impl AttemptLimits {
-    /// The earlier of both limits; an attempt that is not completely written by then is ended.
+    /// The earlier of the two limits; an attempt that is not completely written by then is ended.
     pub fn write_deadline(self) -> Nanos {
         self.abandon_at.min(self.write_by)
     }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// Capacity of the inbox in addition to a head of maximum length, in bytes.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// The state of an upstream connection.
@@ -22,8 +22,8 @@
 pub enum UpstreamState {
     /// The connection is not established.
     Connecting,
-    /// Established, with no byte of the request written yet: writing requires a permit from
-    /// `rules::may_write`.
+    /// Established, with no byte of the request written yet. The caller must check
+    /// `rules::may_write` before it queues the request; the connection does not enforce that.
     Connected,
     /// The request is being written and is not complete yet.
     Sending,
@@ -38,7 +38,8 @@
 pub enum Reuse {
     /// The connection can carry another request.
     Yes,
-    /// The connection has ended, or closes after this answer.
+    /// The connection must be closed: it has ended or closes after this answer, the answer came
+    /// before the request was completely written, or the kernel can't tell what is unread.
     No,
     /// Bytes were received that belong to no expected answer.
     UnexpectedBytes,
@@ -90,7 +91,7 @@
 
 impl UpstreamConnection {
     /// Creates a connection to `backend` that is being established and has no attempt yet. Its
-    /// buffers count on `budget`.
+    /// buffers are counted against `budget`.
     pub fn new(socket: OwnedFd, backend: BackendId, budget: &BufferBudget) -> UpstreamConnection {
         UpstreamConnection {
             socket,
@@ -102,7 +103,8 @@
                 write_by: Nanos::MAX,
             },
             waited_for_discovery: false,
-            // A head as long as a client may send, and the headers that the node adds to it.
+            // Space for a body and a head as long as a client may send, and for the headers that
+            // the node adds.
             outbox: RingBuffer::new(MAX_REQUEST_BODY + 2 * MAX_HEAD).with_budget(budget),
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
             // An answer may have neither a Content-Length nor chunks: an orderly close of the
@@ -120,7 +122,7 @@
         self.backend
     }
 
-    /// The present state; in [`UpstreamState::Waiting`], the request is completely written.
+    /// The current state; in [`UpstreamState::Waiting`], the request is completely written.
     pub fn state(&self) -> UpstreamState {
         self.state
     }
@@ -311,7 +313,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Registration::set`].
+    /// Those of [`Registration::set`].
     pub fn register(&mut self, number: u32, event_loop: &EventLoop) -> Result<(), Errno> {
         let interest = match self.state {
             UpstreamState::Connecting | UpstreamState::Connected | UpstreamState::Sending => {
@@ -334,10 +336,10 @@
 
     /// Pauses the connection `number` and resumes it after [`MIN_RETRY`], because the machine
     /// temporarily lacks resources or updates of the endpoint list must be read first. Until then
-    /// its events are deregistered, as they would be reported in every loop iteration.
+    /// its events are deregistered, as every poll would report them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // If this fails as well, events arrive early and the connection meets the same condition
-        // again.
+        // If this fails too, events are still reported during the pause, and the connection
+        // continues early.
         let _ = self.set_events(number, event_loop, EventFlags::empty());
         let at = event_loop.now() + MIN_RETRY;
         event_loop.schedule(at, TimerEvent::ResumeUpstream(number));
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -20,7 +20,7 @@
     idle_since: Nanos,
 }
 
-/// The idle connections of each backend by connection number, the most recently used last.
+/// The idle connections of each backend, the most recently used last.
 #[derive(Default)]
 pub struct Pool {
     idle: BTreeMap<BackendId, Vec<IdleConnection>>,
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Delays an attempt until discovery has been read, at most once for each attempt; returns
-    /// whether the attempt is delayed.
+    /// Delays an attempt so that updates of the endpoint list are read first, at most once for each
+    /// attempt; returns whether the attempt is delayed.
     pub fn delay_for_discovery(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         let Some(connection) = self.table.get_mut(number) else {
             return false;
