--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -72,7 +72,7 @@
             "Ready" => EndpointState::Ready,
             "Terminating" => EndpointState::Draining,
             "Gone" => EndpointState::Removed,
-            _ => return Err(state_value.invalid("unknown state")),
+            _ => return Err(state_value.invalid("must be `Ready`, `Terminating` or `Gone`")),
         };
         let address = value
             .find("endpoint")
@@ -80,7 +80,7 @@
                 endpoint
                     .string()?
                     .parse()
-                    .map_err(|_| endpoint.invalid("not an address"))
+                    .map_err(|_| endpoint.invalid("must be an IP address with a port"))
             })
             .transpose()?;
         if address.is_none() && state == EndpointState::Ready {
