--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -11,8 +11,8 @@
 use crate::ring_buffer::WriteOutcome;
 
 impl ClientConnection {
-    /// The events that the present state of the connection needs.
-    fn wanted_events(&self) -> EventFlags {
+    /// The events that the current state of the connection needs.
+    fn interest(&self) -> EventFlags {
         match (self.is_outbox_empty(), self.is_input_full()) {
             // The end of the client's stream is already known, and every poll would report it
             // again.
@@ -28,12 +28,12 @@
         &mut self,
         number: u32,
         event_loop: &EventLoop,
-        wanted: EventFlags,
+        interest: EventFlags,
     ) -> Result<(), Errno> {
         let was_watched = self.registration.flags().contains(EventFlags::IN);
         let token = Token::Client(number);
-        event_loop.register(&mut self.registration, &self.socket, token, wanted)?;
-        if wanted.contains(EventFlags::IN) && !was_watched {
+        event_loop.register(&mut self.registration, &self.socket, token, interest)?;
+        if interest.contains(EventFlags::IN) && !was_watched {
             self.input.note_watched(event_loop.now());
         }
         Ok(())
@@ -44,16 +44,18 @@
         event_loop.set_deadline(&mut self.deadline, at, TimerEvent::ClientDeadline(number));
     }
 
-    /// Whether the deadline whose timer has fired is due; one that has moved is scheduled again.
+    /// Returns whether the deadline of the connection `number` has passed, after its timer has
+    /// fired.
     pub fn is_due(&mut self, number: u32, event_loop: &mut EventLoop) -> bool {
         event_loop.is_due(&mut self.deadline, TimerEvent::ClientDeadline(number))
     }
 
-    /// Suspends the events of the connection `number` and schedules its resumption after
-    /// [`MIN_RETRY`]. During a temporary shortage of resources every poll would otherwise report
-    /// them again.
+    /// Pauses the connection `number` and resumes it after [`MIN_RETRY`], because the machine
+    /// temporarily lacks resources. Until then its events are deregistered, as every poll would
+    /// report them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // If this fails too, events arrive before the resumption and meet the same shortage.
+        // If this fails too, events are still reported during the pause, and handling them may fail
+        // again.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
         let resume_at = event_loop.now() + MIN_RETRY;
@@ -86,7 +88,7 @@
             self.pause(number, event_loop);
             return Ok(());
         }
-        if let Err(error) = self.register(number, event_loop, self.wanted_events()) {
+        if let Err(error) = self.register(number, event_loop, self.interest()) {
             diagnostics.log(now, "epoll-failed", error);
             if errno::of_register(error) != ErrorClass::RetryLater {
                 return Err(CloseReason::Broken);
