--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -24,7 +24,7 @@
 
 /// Whether a link passes bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Health {
+pub enum LinkState {
     /// Bytes pass in both directions, and connections are accepted.
     #[default]
     Healthy,
@@ -32,7 +32,7 @@
     /// TCP, which retransmits what was not acknowledged.
     Cut,
     /// Bytes from the node pass, bytes to the node do not; they arrive when the cut is over.
-    CutOut,
+    OutboundCut,
     /// New connections are refused (`ECONNREFUSED`); bytes pass on open ones.
     Refused,
 }
@@ -71,23 +71,23 @@
 /// A link; its health and write behaviour apply to all its connections.
 #[derive(Debug, Default)]
 pub struct Link {
-    health: Mutex<Health>,
+    state: Mutex<LinkState>,
     write_behaviour: Mutex<WriteBehaviour>,
     /// Wakers to call when the link changes, by number of the connection.
     wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
     /// Wakes the accept loop after a change of the health.
-    health_changed: Notify,
+    state_changed: Notify,
     /// Number of resets so far; a connection is reset if this grows after it was accepted.
     resets: AtomicU64,
     open_connections: AtomicUsize,
-    accepted: AtomicUsize,
+    accepted_connections: AtomicUsize,
 }
 
 impl Link {
     /// Sets the health, also for connections that are already open.
-    pub fn set(&self, health: Health) {
-        *locked(&self.health) = health;
-        self.health_changed.notify_one();
+    pub fn set_state(&self, state: LinkState) {
+        *locked(&self.state) = state;
+        self.state_changed.notify_one();
         self.wake_all();
     }
 
@@ -118,17 +118,17 @@
     }
 
     /// Number of connections accepted since the link was created.
-    pub fn accepted(&self) -> usize {
-        self.accepted.load(Ordering::SeqCst)
+    pub fn accepted_connections(&self) -> usize {
+        self.accepted_connections.load(Ordering::SeqCst)
     }
 
     /// Whether bytes from the stand-in reach the node now, that is, no cut holds them back.
     pub fn delivers_to_node(&self) -> bool {
-        !matches!(self.health(), Health::Cut | Health::CutOut)
+        !matches!(self.state(), LinkState::Cut | LinkState::OutboundCut)
     }
 
-    fn health(&self) -> Health {
-        *locked(&self.health)
+    fn state(&self) -> LinkState {
+        *locked(&self.state)
     }
 
     /// Listens on a newly reserved port and hands each connection to `on_connection`. Returns the
@@ -164,10 +164,10 @@
     ) {
         let mut open_listener = Some(listener);
         loop {
-            if self.health() == Health::Refused {
+            if self.state() == LinkState::Refused {
                 // Without a listener the kernel refuses connections; `port` stays reserved.
                 open_listener = None;
-                self.health_changed.notified().await;
+                self.state_changed.notified().await;
                 continue;
             }
             let listener = match open_listener.take() {
@@ -178,7 +178,7 @@
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                     on_connection(self.clone().wrap_stream(stream));
                 },
-                () = self.health_changed.notified() => {}
+                () = self.state_changed.notified() => {}
             }
             open_listener = Some(listener);
         }
@@ -188,7 +188,7 @@
     fn wrap_stream(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
         let _ = stream.set_nodelay(true);
         self.open_connections.fetch_add(1, Ordering::SeqCst);
-        let connection_number = self.accepted.fetch_add(1, Ordering::SeqCst);
+        let connection_number = self.accepted_connections.fetch_add(1, Ordering::SeqCst);
         let resets_before = self.resets.load(Ordering::SeqCst);
         LinkedStream {
             stream,
@@ -279,10 +279,10 @@
             let _ = self.stream.set_zero_linger();
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        match self.link.health() {
-            Health::Cut => Poll::Pending,
-            Health::CutOut if direction == Direction::Write => Poll::Pending,
-            Health::Healthy | Health::CutOut | Health::Refused => Poll::Ready(Ok(())),
+        match self.link.state() {
+            LinkState::Cut => Poll::Pending,
+            LinkState::OutboundCut if direction == Direction::Write => Poll::Pending,
+            LinkState::Healthy | LinkState::OutboundCut | LinkState::Refused => Poll::Ready(Ok(())),
         }
     }
 }
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -27,24 +27,24 @@
     let mut byte = [0];
     stream.write_all(b"a").await.unwrap();
     stream.read_exact(&mut byte).await.unwrap();
-    for cut in [Health::Cut, Health::CutOut] {
-        link.set(cut);
+    for cut in [LinkState::Cut, LinkState::OutboundCut] {
+        link.set_state(cut);
         stream.write_all(b"b").await.unwrap();
         let read = tokio::time::timeout(
             std::time::Duration::from_millis(50),
             stream.read_exact(&mut byte),
         );
         assert!(read.await.is_err(), "{cut:?}");
-        link.set(Health::Healthy);
+        link.set_state(LinkState::Healthy);
         stream.read_exact(&mut byte).await.unwrap();
         assert_eq!(byte, *b"b");
     }
     link.reset();
     let error = stream.read_exact(&mut byte).await.unwrap_err().kind();
     assert_eq!(error, io::ErrorKind::ConnectionReset);
-    link.set(Health::Refused);
+    link.set_state(LinkState::Refused);
     while TcpStream::connect(address).await.is_ok() {}
-    link.set(Health::Healthy);
+    link.set_state(LinkState::Healthy);
     while TcpStream::connect(address).await.is_err() {}
 }
 
@@ -88,7 +88,7 @@
     let mut links = Vec::new();
     for _ in 0..100 {
         let (link, address) = echo_server().await;
-        link.set(Health::Refused);
+        link.set_state(LinkState::Refused);
         while TcpStream::connect(address).await.is_ok() {}
         links.push((link, address));
     }
@@ -104,7 +104,7 @@
             io::ErrorKind::AddrInUse,
             "{address}"
         );
-        link.set(Health::Healthy);
+        link.set_state(LinkState::Healthy);
         while TcpStream::connect(address).await.is_err() {}
     }
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -202,7 +202,9 @@
             run_start,
             discovery_calls: self.discovery.calls(),
             discovery_bytes: self.discovery.bytes_written(),
-            accepted_connections: backends().map(|backend| backend.link.accepted()).collect(),
+            accepted_connections: backends()
+                .map(|backend| backend.link.accepted_connections())
+                .collect(),
             rejected_attempts: backends().map(|backend| backend.rejected()).sum(),
             usage: locked(&self.usage).clone(),
             log_lines: self.log_lines(),
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -6,7 +6,7 @@
 
 use kitefork_standin::backend::{self, Backend};
 use kitefork_standin::discovery::{Endpoint, EndpointState, Mode};
-use kitefork_standin::link::{self, WriteBehaviour};
+use kitefork_standin::link::{LinkState, WriteBehaviour};
 use kitefork_standin::locked;
 use rustix::process::Signal;
 
@@ -58,7 +58,7 @@
                 let _ = locked(&self.nodes[number]).remove_config();
                 self.signal(number, Signal::HUP);
             }
-            Action::DiscoveryCut => self.discovery_links[number].set(link::Health::Cut),
+            Action::DiscoveryCut => self.discovery_links[number].set_state(LinkState::Cut),
             _ => unreachable!("{action:?} is not an action on nodes"),
         }
         Ok(())
@@ -111,13 +111,13 @@
         match action {
             Action::DiscoveryUp => {
                 self.discovery.set(Mode::Up);
-                all_links().for_each(|link| link.set(link::Health::Healthy));
+                all_links().for_each(|link| link.set_state(LinkState::Healthy));
             }
             Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
             Action::DiscoverySilent => self.discovery.set(Mode::Silent),
             Action::DiscoveryTruncates => self.discovery.set(Mode::Truncates),
             Action::DiscoveryDown => all_links().for_each(|link| {
-                link.set(link::Health::Refused);
+                link.set_state(LinkState::Refused);
                 link.reset();
             }),
             Action::DiscoveryRestart => {
@@ -137,7 +137,7 @@
                 self.schedule_removal(event.number);
             }
             Action::BackendKill => {
-                link.set(link::Health::Refused);
+                link.set_state(LinkState::Refused);
                 link.reset();
                 self.schedule_removal(event.number);
             }
@@ -146,13 +146,13 @@
             Action::BackendFails => backend.set(backend::Health::Fails),
             Action::BackendWorks => {
                 backend.set(backend::Health::Works(event.size));
-                link.set(link::Health::Healthy);
+                link.set_state(LinkState::Healthy);
                 link.set_write_behaviour(WriteBehaviour::Unchanged);
             }
             Action::AnswerTwice => link.set_write_behaviour(WriteBehaviour::Duplicated),
             Action::AnswerInPieces => link.set_write_behaviour(WriteBehaviour::InPieces),
-            Action::BackendCut => link.set(link::Health::Cut),
-            Action::BackendCutOut => link.set(link::Health::CutOut),
+            Action::BackendCut => link.set_state(LinkState::Cut),
+            Action::BackendCutOut => link.set_state(LinkState::OutboundCut),
             Action::BackendReset => link.reset(),
             action => unreachable!("{action:?} is not an action on backends"),
         }
@@ -175,7 +175,7 @@
 
     fn start_backend(&self, number: usize, backend: &Backend) {
         backend.restart();
-        backend.link.set(link::Health::Healthy);
+        backend.link.set_state(LinkState::Healthy);
         locked(&self.backend_starts).push(BackendStart {
             uid: backend.uid.clone(),
             at: self.clock.now(),
