--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -27,26 +27,26 @@
 pub struct BackendSettings {
     /// Mean execution time of a request at full speed; that of each request is drawn from an
     /// exponential distribution.
-    pub work: Duration,
+    pub mean_execution_time: Duration,
     /// Time that the core spends on each new connection; requests that arrive later wait for it.
-    pub handshake: Duration,
+    pub connection_setup_time: Duration,
     /// Maximum number of requests in flight; further requests are rejected unexecuted.
-    pub capacity: usize,
+    pub max_in_flight: usize,
     /// Maximum number of connections; requests on further ones are rejected unexecuted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Fraction of the full speed right after a restart.
-    pub slow_start_from: f64,
+    pub slow_start_initial_speed: f64,
     /// Time from a restart to full speed; zero means that there is no slow start.
-    pub slow_start: Duration,
+    pub slow_start_duration: Duration,
     /// Seed of the random execution times.
     pub seed: u64,
 }
 
 /// How a backend treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub enum Health {
+pub enum BackendMode {
     /// It executes them at this fraction of its speed and answers 200.
-    Works(f64),
+    Serves(f64),
     /// It reads them and never answers.
     #[default]
     Silent,
@@ -109,7 +109,7 @@
 }
 
 struct State {
-    health: Health,
+    mode: BackendMode,
     /// When the core will have finished all work queued so far.
     idle_at: Duration,
     /// Requests that are being executed or wait for the core.
@@ -160,7 +160,7 @@
 
 /// What a backend does with a request that has arrived.
 struct Decision {
-    treatment: Health,
+    treatment: BackendMode,
     /// When the core finishes the request; unused if the request is not executed.
     finished_at: Duration,
 }
@@ -175,7 +175,7 @@
         attempt_log: Arc<AttemptLog>,
     ) -> Arc<Backend> {
         let state = State {
-            health: Health::Works(1.0),
+            mode: BackendMode::Serves(1.0),
             idle_at: Duration::ZERO,
             in_flight: 0,
             restarted_at: Duration::ZERO,
@@ -198,8 +198,8 @@
     }
 
     /// Sets how requests that arrive from now on are treated.
-    pub fn set(&self, health: Health) {
-        self.state().health = health;
+    pub fn set_mode(&self, mode: BackendMode) {
+        self.state().mode = mode;
     }
 
     /// Restarts the backend: its queue is empty and it is in slow start. The caller resets the
@@ -209,11 +209,11 @@
         let mut state = self.state();
         state.idle_at = now;
         state.restarted_at = now;
-        state.health = Health::Works(1.0);
+        state.mode = BackendMode::Serves(1.0);
     }
 
     /// Number of attempts rejected unexecuted so far, over all restarts.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_attempts(&self) -> u64 {
         self.rejected_attempts.load(Ordering::SeqCst)
     }
 
@@ -229,11 +229,11 @@
     }
 
     fn handle_connection(self: Arc<Self>, stream: LinkedStream) {
-        let over_connection_limit = self.link.open_connections() > self.settings.connections;
+        let over_connection_limit = self.link.open_connections() > self.settings.max_connections;
         {
             let now = self.clock.now();
             let mut state = self.state();
-            state.idle_at = state.idle_at.max(now) + self.settings.handshake;
+            state.idle_at = state.idle_at.max(now) + self.settings.connection_setup_time;
         }
         tokio::spawn(async move {
             let request_handler = service_fn(|request| {
@@ -251,12 +251,13 @@
     /// Current speed as a fraction of the full speed; it grows linearly in slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
         let settings = &self.settings;
-        if state.restarted_at.is_zero() || settings.slow_start.is_zero() {
+        if state.restarted_at.is_zero() || settings.slow_start_duration.is_zero() {
             return 1.0;
         }
         let progress = now.saturating_sub(state.restarted_at).as_secs_f64()
-            / settings.slow_start.as_secs_f64();
-        (settings.slow_start_from + (1.0 - settings.slow_start_from) * progress).min(1.0)
+            / settings.slow_start_duration.as_secs_f64();
+        (settings.slow_start_initial_speed + (1.0 - settings.slow_start_initial_speed) * progress)
+            .min(1.0)
     }
 
     async fn handle_request(
@@ -272,17 +273,17 @@
         let mut attempt = self.record_attempt(&head.headers, txn, arrived);
         let decision = self.decide(&mut attempt, arrived, is_complete && !over_connection_limit);
         match decision.treatment {
-            Health::Works(_) => {
+            BackendMode::Serves(_) => {
                 tokio::time::sleep_until(self.clock.at(decision.finished_at)).await;
                 attempt.outcome = AttemptOutcome::Served;
                 Ok(response(StatusCode::OK, response_body))
             }
-            Health::Silent => std::future::pending().await,
-            Health::Fails => {
+            BackendMode::Silent => std::future::pending().await,
+            BackendMode::Fails => {
                 attempt.outcome = AttemptOutcome::Failed;
                 Ok(response(StatusCode::INTERNAL_SERVER_ERROR, response_body))
             }
-            Health::Rejects => {
+            BackendMode::Rejects => {
                 self.rejected_attempts.fetch_add(1, Ordering::SeqCst);
                 attempt.outcome = AttemptOutcome::Overloaded;
                 let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, response_body);
@@ -329,13 +330,13 @@
     /// rejected if `may_accept` is false or the maximum number in flight is reached.
     fn decide(&self, attempt: &mut AttemptGuard, now: Duration, may_accept: bool) -> Decision {
         let mut state = self.state();
-        let treatment = if may_accept && state.in_flight < self.settings.capacity {
-            state.health
+        let treatment = if may_accept && state.in_flight < self.settings.max_in_flight {
+            state.mode
         } else {
-            Health::Rejects
+            BackendMode::Rejects
         };
-        if let Health::Works(speed_fraction) = treatment {
-            let work = self.settings.work.as_secs_f64() * state.random.exponential();
+        if let BackendMode::Serves(speed_fraction) = treatment {
+            let work = self.settings.mean_execution_time.as_secs_f64() * state.random.exponential();
             let speed = speed_fraction * self.slow_start_fraction(&state, now);
             state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(work / speed);
             state.in_flight += 1;
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -205,7 +205,7 @@
             accepted_connections: backends()
                 .map(|backend| backend.link.accepted_connections())
                 .collect(),
-            rejected_attempts: backends().map(|backend| backend.rejected()).sum(),
+            rejected_attempts: backends().map(|backend| backend.rejected_attempts()).sum(),
             usage: locked(&self.usage).clone(),
             log_lines: self.log_lines(),
         }
@@ -226,12 +226,12 @@
 fn new_backends(scenario: &Scenario, clock: Clock, log: &Arc<AttemptLog>) -> Vec<Arc<Backend>> {
     let parameters = &scenario.backend;
     let settings = BackendSettings {
-        work: duration_from_millis(parameters.work_ms),
-        handshake: duration_from_millis(parameters.handshake_ms),
-        capacity: parameters.capacity,
-        connections: parameters.connections,
-        slow_start_from: parameters.slow_start_from,
-        slow_start: duration_from_secs(parameters.slow_start_s),
+        mean_execution_time: duration_from_millis(parameters.work_ms),
+        connection_setup_time: duration_from_millis(parameters.handshake_ms),
+        max_in_flight: parameters.capacity,
+        max_connections: parameters.connections,
+        slow_start_initial_speed: parameters.slow_start_from,
+        slow_start_duration: duration_from_secs(parameters.slow_start_s),
         seed: 0,
     };
     let new_backend = |number: usize| {
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use kitefork_standin::backend::{self, Backend};
+use kitefork_standin::backend::{Backend, BackendMode};
 use kitefork_standin::discovery::{Endpoint, EndpointState, Mode};
 use kitefork_standin::link::{LinkState, WriteBehaviour};
 use kitefork_standin::locked;
@@ -142,10 +142,10 @@
                 self.schedule_removal(event.number);
             }
             Action::BackendStart => self.start_backend(event.number, backend),
-            Action::BackendSilent => backend.set(backend::Health::Silent),
-            Action::BackendFails => backend.set(backend::Health::Fails),
+            Action::BackendSilent => backend.set_mode(BackendMode::Silent),
+            Action::BackendFails => backend.set_mode(BackendMode::Fails),
             Action::BackendWorks => {
-                backend.set(backend::Health::Works(event.size));
+                backend.set_mode(BackendMode::Serves(event.size));
                 link.set_state(LinkState::Healthy);
                 link.set_write_behaviour(WriteBehaviour::Unchanged);
             }
