--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -37,7 +37,7 @@
     mode: Mode,
     revision: u64,
     endpoints: BTreeMap<String, Endpoint>,
-    /// The latest changes, bounded by the capacity's `history`.
+    /// The latest changes, bounded by the capacity's `max_history`.
     history: VecDeque<EndpointChange>,
     /// When all calls queued so far will have been served.
     idle_at: Duration,
@@ -150,7 +150,7 @@
     }
 
     /// Sets how calls that arrive from now on are treated.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Publishes a change: adds, replaces or removes an endpoint, at a new revision.
-    pub fn change(&self, endpoint: Endpoint) {
+    pub fn publish_change(&self, endpoint: Endpoint) {
         let mut state = self.state();
         state.revision += 1;
         let revision = state.revision;
@@ -175,12 +175,12 @@
         }
         let change = EndpointChange {
             revision,
-            at: self.clock.now(),
+            published_at: self.clock.now(),
             endpoint,
         };
         state.changes.push(change.clone());
         state.history.push_back(change);
-        while state.history.len() > self.capacity.history {
+        while state.history.len() > self.capacity.max_history {
             state.history.pop_front();
         }
         drop(state);
@@ -228,9 +228,9 @@
                 .history
                 .iter()
                 .filter(|change| change.revision > after)
-                .map(|change| change.endpoint.json())
+                .map(|change| change.endpoint.to_json())
                 .collect(),
-            None => state.endpoints.values().map(Endpoint::json).collect(),
+            None => state.endpoints.values().map(Endpoint::to_json).collect(),
         };
         let endpoint_count = endpoints.len();
         let message = json!({"rev": revision, "all": resume_after.is_none(), "targets": endpoints});
@@ -244,9 +244,13 @@
     /// Records a notification, unless the link is cut: then it reaches the node at the earliest
     /// after the cut.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
-        let at = self.clock.now();
+        let written_at = self.clock.now();
         if link.delivers_to_node() {
-            let notification = Notification { node, at, revision };
+            let notification = Notification {
+                node,
+                written_at,
+                revision,
+            };
             self.state().notifications.push(notification);
         }
     }
@@ -320,8 +324,9 @@
             let service_start = state.idle_at.max(arrived);
             let wait = service_start.saturating_sub(arrived);
             if wait <= self.capacity.max_wait {
-                state.idle_at =
-                    service_start + self.capacity.call + self.capacity.endpoint * endpoint_count;
+                state.idle_at = service_start
+                    + self.capacity.call_time
+                    + self.capacity.endpoint_time * endpoint_count;
             }
             (arrived, wait, state.idle_at)
         };
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Time that the service spends on each call; calls are served one after the other.
-    pub call: Duration,
+    pub call_time: Duration,
     /// Time that the service spends on each endpoint of an answer.
-    pub endpoint: Duration,
+    pub endpoint_time: Duration,
     /// Maximum time that a call waits in the queue; a call that would wait longer gets 503 after
     /// this time.
     pub max_wait: Duration,
     /// Maximum number of changes that are kept for watches that resume after a revision.
-    pub history: usize,
+    pub max_history: usize,
 }
 
 /// How the discovery service treats calls.
@@ -60,7 +60,7 @@
     /// Number of the node that it was written to.
     pub node: usize,
     /// When the service wrote it.
-    pub at: Duration,
+    pub written_at: Duration,
     /// Revision of the endpoint list that the node has with it.
     pub revision: u64,
 }
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -46,7 +46,7 @@
 
 impl Endpoint {
     /// The endpoint as a JSON object of the discovery protocol.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         json!({
             "uid": self.uid,
             "endpoint": self.address.to_string(),
@@ -66,7 +66,7 @@
     /// The revision of the list that the change created.
     pub revision: u64,
     /// When the change was published.
-    pub at: Duration,
+    pub published_at: Duration,
     /// The endpoint after the change.
     pub endpoint: Endpoint,
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -266,10 +266,10 @@
 fn discovery_capacity(scenario: &Scenario) -> Capacity {
     let parameters = &scenario.discovery;
     Capacity {
-        call: duration_from_millis(parameters.call_ms),
-        endpoint: duration_from_millis(parameters.endpoint_us / 1_000.0),
+        call_time: duration_from_millis(parameters.call_ms),
+        endpoint_time: duration_from_millis(parameters.endpoint_us / 1_000.0),
         max_wait: duration_from_millis(parameters.max_wait_ms),
-        history: parameters.history,
+        max_history: parameters.history,
     }
 }
 
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -110,12 +110,12 @@
         let all_links = || self.discovery_links.iter();
         match action {
             Action::DiscoveryUp => {
-                self.discovery.set(Mode::Up);
+                self.discovery.set_mode(Mode::Up);
                 all_links().for_each(|link| link.set_state(LinkState::Healthy));
             }
-            Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
-            Action::DiscoverySilent => self.discovery.set(Mode::Silent),
-            Action::DiscoveryTruncates => self.discovery.set(Mode::Truncates),
+            Action::DiscoveryOverloaded => self.discovery.set_mode(Mode::Overloaded),
+            Action::DiscoverySilent => self.discovery.set_mode(Mode::Silent),
+            Action::DiscoveryTruncates => self.discovery.set_mode(Mode::Truncates),
             Action::DiscoveryDown => all_links().for_each(|link| {
                 link.set_state(LinkState::Refused);
                 link.reset();
@@ -159,7 +159,7 @@
     }
 
     fn set_listed_state(&self, number: usize, state: EndpointState) {
-        self.discovery.change(Endpoint {
+        self.discovery.publish_change(Endpoint {
             state,
             ..self.endpoints[number].clone()
         });
@@ -181,7 +181,7 @@
             at: self.clock.now(),
         });
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        self.discovery.change(Endpoint {
+        self.discovery.publish_change(Endpoint {
             boot_ms: since_epoch.unwrap_or_default().as_millis() as u64,
             ..self.endpoints[number].clone()
         });
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -49,7 +49,7 @@
             .seed
             .wrapping_mul(NODE_SEED_MULTIPLIER)
             .wrapping_add(number as u64);
-        let targets: Vec<Value> = known.iter().map(Endpoint::json).collect();
+        let targets: Vec<Value> = known.iter().map(Endpoint::to_json).collect();
         json!({
             "name": format!("n{number}"),
             "discovery": self.discovery_addresses[number].to_string(),
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -42,7 +42,7 @@
     fn revision(&self, node: usize, at: Duration) -> Option<u64> {
         let notifications = self.notifications.get(&node).into_iter().flatten();
         notifications
-            .filter(|notification| notification.at <= at)
+            .filter(|notification| notification.written_at <= at)
             .map(|notification| notification.revision)
             .max()
     }
@@ -58,7 +58,7 @@
         let known = latest_first().find(|change| Some(change.revision) <= revision)?;
         // The backend may have become ready again since then, and the node may know it. Changes
         // after the attempt do not count.
-        let last = latest_first().find(|change| change.at <= attempt.arrived);
+        let last = latest_first().find(|change| change.published_at <= attempt.arrived);
         let is_ready_again =
             last.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
         let is_violation = known.endpoint.state != EndpointState::Ready && !is_ready_again;
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -342,7 +342,7 @@
 fn change(revision: u64, at: u64, state: EndpointState) -> EndpointChange {
     EndpointChange {
         revision,
-        at: MS(at),
+        published_at: MS(at),
         endpoint: Endpoint {
             uid: "a".into(),
             address: "127.0.0.1:1".parse().unwrap(),
@@ -362,7 +362,7 @@
         attempts: vec![attempt("a", 1, at, at + 9, Served)],
         notifications: vec![Notification {
             node: 3,
-            at: MS(notified),
+            written_at: MS(notified),
             revision: 2,
         }],
         endpoint_changes: changes.to_vec(),
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -100,8 +100,10 @@
     let started = incarnation.started;
     let notifications = measurements.records.notifications.iter();
     let first = notifications
-        .filter(|notification| notification.node == incarnation.node && notification.at >= started)
-        .map(|notification| notification.at)
+        .filter(|notification| {
+            notification.node == incarnation.node && notification.written_at >= started
+        })
+        .map(|notification| notification.written_at)
         .min()?;
     Some(first.checked_sub(started).unwrap().as_secs_f64())
 }
--- a/crates/testbed/src/report/timeline.rs
+++ b/crates/testbed/src/report/timeline.rs
@@ -69,8 +69,8 @@
             && incarnation.exit.is_none_or(|exit| exit.at >= time)
             && records.notifications.iter().any(|notification| {
                 notification.node == incarnation.node
-                    && notification.at >= incarnation.started
-                    && notification.at < time
+                    && notification.written_at >= incarnation.started
+                    && notification.written_at < time
             })
     };
     records.incarnations.iter().filter(has_list).count()
