--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -274,7 +274,7 @@
         let decision = self.decide(&mut attempt, arrived, is_complete && !over_connection_limit);
         match decision.treatment {
             BackendMode::Serves(_) => {
-                tokio::time::sleep_until(self.clock.at(decision.finished_at)).await;
+                tokio::time::sleep_until(self.clock.instant_at(decision.finished_at)).await;
                 attempt.outcome = AttemptOutcome::Served;
                 Ok(response(StatusCode::OK, response_body))
             }
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -118,7 +118,9 @@
 
     /// Sends one request to a node at once, waits until it has ended and records its outcome.
     pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
-        let deadline = self.clock.at(request.planned + request.client_timeout);
+        let deadline = self
+            .clock
+            .instant_at(request.planned + request.client_timeout);
         let result =
             tokio::time::timeout_at(deadline, self.exchange(&request, node, address)).await;
         let outcome = result.unwrap_or(ClientOutcome::TimedOut);
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -336,7 +336,7 @@
         } else {
             arrived + self.capacity.max_wait
         };
-        tokio::time::sleep_until(self.clock.at(wait_until)).await;
+        tokio::time::sleep_until(self.clock.instant_at(wait_until)).await;
         is_served
     }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -45,7 +45,7 @@
     }
 
     /// Converts a time since the start into an instant of the Tokio runtime.
-    pub fn at(&self, time: Duration) -> tokio::time::Instant {
+    pub fn instant_at(&self, time: Duration) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + time)
     }
 }
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -29,7 +29,7 @@
 }
 
 /// The behaviours that have no parameter.
-pub const BEHAVIOURS: [Behaviour; 5] = [
+pub const PARAMETERLESS_BEHAVIOURS: [Behaviour; 5] = [
     Behaviour::HalfCloses,
     Behaviour::Trickles,
     Behaviour::StopsMidway,
@@ -103,7 +103,7 @@
     }
 
     /// Runs one client until it has ended, and records the result.
-    pub async fn play(
+    pub async fn run(
         self: Arc<Self>,
         request: MisbehavingRequest,
         node: usize,
--- a/crates/standin/src/random.rs
+++ b/crates/standin/src/random.rs
@@ -27,7 +27,7 @@
     }
 
     /// Draws an integer from `0..count`, uniformly; returns 0 if `count` is 0.
-    pub fn below(&mut self, count: usize) -> usize {
+    pub fn integer_below(&mut self, count: usize) -> usize {
         (self.unit() * count as f64) as usize
     }
 
@@ -37,6 +37,6 @@
     ///
     /// If `values` is empty.
     pub fn choose<T: Copy>(&mut self, values: &[T]) -> T {
-        values[self.below(values.len())]
+        values[self.integer_below(values.len())]
     }
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -99,10 +99,11 @@
         run_start,
     ));
     for event in timeline::events(scenario) {
-        tokio::time::sleep_until(clock.at(run_start + event.at)).await;
+        tokio::time::sleep_until(clock.instant_at(run_start + event.at)).await;
         cluster.apply(&event)?;
     }
-    tokio::time::sleep_until(clock.at(run_start + duration_from_secs(scenario.length_s))).await;
+    tokio::time::sleep_until(clock.instant_at(run_start + duration_from_secs(scenario.length_s)))
+        .await;
     // No new requests are sent any more; those in flight get the time for their final answers.
     let _ = traffic_task.await;
     let _ = misbehaving_task.await;
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -8,7 +8,7 @@
 use kitefork_standin::clients::{ClientRequest, Clients, Idempotency};
 use kitefork_standin::locked;
 use kitefork_standin::misbehaving::{
-    BEHAVIOURS, Behaviour, MisbehavingClients, MisbehavingRequest,
+    Behaviour, MisbehavingClients, MisbehavingRequest, PARAMETERLESS_BEHAVIOURS,
 };
 use kitefork_standin::random::RandomSource;
 use tokio::task::JoinSet;
@@ -53,7 +53,9 @@
     /// Draws an admitted node; `None` if there is none, or if its address is not known yet.
     fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
         let admitted = self.admitted_nodes();
-        let number = admitted.get(random.below(admitted.len())).copied()?;
+        let number = admitted
+            .get(random.integer_below(admitted.len()))
+            .copied()?;
         let address = locked(&self.nodes[number]).address()?;
         Some(AdmittedNode { number, address })
     }
@@ -75,7 +77,7 @@
         let Some(planned) = arrivals.next(&mut random) else {
             return;
         };
-        tokio::time::sleep_until(cluster.clock.at(planned)).await;
+        tokio::time::sleep_until(cluster.clock.instant_at(planned)).await;
         let Some(class) = draw_class(traffic, &mut random) else {
             return;
         };
@@ -125,7 +127,7 @@
         let Some(at) = arrivals.next(&mut random) else {
             break;
         };
-        tokio::time::sleep_until(cluster.clock.at(at)).await;
+        tokio::time::sleep_until(cluster.clock.instant_at(at)).await;
         let class = random.choose(&classes);
         let behaviour = draw_behaviour(class, &mut random);
         let Some(node) = cluster.draw_node(&mut random) else {
@@ -138,7 +140,7 @@
             client_timeout: class.client_timeout(),
             behaviour,
         };
-        tasks.spawn(clients.clone().play(request, node.number, node.address));
+        tasks.spawn(clients.clone().run(request, node.number, node.address));
     }
     while tasks.join_next().await.is_some() {}
 }
@@ -147,7 +149,7 @@
 /// one of the other behaviours.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
     let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
-    let index = random.below(2 * BEHAVIOURS.len());
-    let behaviour = BEHAVIOURS.get(index).copied();
+    let index = random.integer_below(2 * PARAMETERLESS_BEHAVIOURS.len());
+    let behaviour = PARAMETERLESS_BEHAVIOURS.get(index).copied();
     behaviour.unwrap_or(Behaviour::Disconnects(wait))
 }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -66,7 +66,7 @@
         at: vec![start],
         expect: Vec::new(),
     };
-    let count = 2 + random.below(2);
+    let count = 2 + random.integer_below(2);
     let faults = (0..count).map(|_| draw_fault(&mut random)).collect();
     Plan {
         seed,
@@ -77,8 +77,8 @@
 }
 
 fn draw_fleet(random: &mut RandomSource, nodes: usize) -> Fleet {
-    let zones = 1 + random.below(4);
-    let backends = (nodes / 2 + random.below(nodes + 1)).max(MIN_BACKENDS);
+    let zones = 1 + random.integer_below(4);
+    let backends = (nodes / 2 + random.integer_below(nodes + 1)).max(MIN_BACKENDS);
     Fleet {
         nodes,
         backends,
@@ -104,7 +104,7 @@
 }
 
 fn draw_traffic(random: &mut RandomSource, nodes: usize) -> Traffic {
-    let count = 1 + random.below(3);
+    let count = 1 + random.integer_below(3);
     let class = (0..count)
         .map(|number| draw_class(random, number))
         .collect();
