--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -336,9 +336,10 @@
             BackendMode::Rejects
         };
         if let BackendMode::Serves(speed_fraction) = treatment {
-            let work = self.settings.mean_execution_time.as_secs_f64() * state.random.exponential();
+            let execution_s =
+                self.settings.mean_execution_time.as_secs_f64() * state.random.exponential();
             let speed = speed_fraction * self.slow_start_fraction(&state, now);
-            state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(work / speed);
+            state.idle_at = state.idle_at.max(now) + Duration::from_secs_f64(execution_s / speed);
             state.in_flight += 1;
             attempt.counted_in_flight = true;
         }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -20,7 +20,7 @@
 /// Backlog of the listener: connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 /// Delay before another attempt to listen on a port that still has a listener.
-const LISTEN_RETRY: Duration = Duration::from_millis(5);
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Whether a link passes bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -231,7 +231,7 @@
             if let Ok(listener) = self.listen() {
                 return listener;
             }
-            tokio::time::sleep(LISTEN_RETRY).await;
+            tokio::time::sleep(LISTEN_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn cut_delays_bytes_and_reset_and_refusal_reach_the_client() {
+async fn client_observes_cuts_resets_and_refusals() {
     let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let mut byte = [0];
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -201,15 +201,15 @@
     let txn = format!("{}{suffix}", request.txn);
     let class = &request.class;
     let remaining_ms = request.client_timeout.as_millis();
-    let (method, key_headers, body) = if request.has_key {
-        let key_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
-        ("POST", key_headers, "body")
+    let (method, post_headers, body) = if request.has_key {
+        let post_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
+        ("POST", post_headers, "body")
     } else {
         ("GET", String::new(), "")
     };
     format!(
         "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
-         X-Remaining-Ms: {remaining_ms}\r\n{key_headers}\r\n{body}"
+         X-Remaining-Ms: {remaining_ms}\r\n{post_headers}\r\n{body}"
     )
     .into_bytes()
 }
