--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -281,8 +281,8 @@
         key_window: KEY_WINDOW,
         overload_multiple: OVERLOAD_MULTIPLE,
         overload_duration: OVERLOAD_DURATION,
-        slow_start_from: scenario.backend.slow_start_from,
-        slow_start: duration_from_secs(scenario.backend.slow_start_s),
-        work: duration_from_millis(scenario.backend.work_ms),
+        slow_start_initial_speed: scenario.backend.slow_start_from,
+        slow_start_duration: duration_from_secs(scenario.backend.slow_start_s),
+        mean_execution_time: duration_from_millis(scenario.backend.work_ms),
     }
 }
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -17,7 +17,7 @@
 use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
 /// Makes the draws for misbehaving clients differ from those for well-behaved ones.
-const MISBEHAVING_SEED: u64 = 0x0dd;
+const MISBEHAVING_SEED_MASK: u64 = 0x0dd;
 
 /// Arrival times of a Poisson process within the traffic period of a scenario.
 struct PoissonProcess {
@@ -97,8 +97,8 @@
 
 /// Draws a class in proportion to the shares; `None` if there are no classes.
 fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
-    let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
-    let mut remaining = random.unit() * shares;
+    let total_share: f64 = traffic.class.iter().map(|class| class.share).sum();
+    let mut remaining = random.unit() * total_share;
     let drawn = traffic.class.iter().find(|class| {
         remaining -= class.share;
         remaining < 0.0
@@ -120,14 +120,14 @@
     if rate <= 0.0 || classes.is_empty() {
         return;
     }
-    let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED);
+    let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED_MASK);
     let mut arrivals = PoissonProcess::new(rate, scenario, run_start);
     let mut tasks = JoinSet::new();
     for number in 0u64.. {
-        let Some(at) = arrivals.next(&mut random) else {
+        let Some(arrival) = arrivals.next(&mut random) else {
             break;
         };
-        tokio::time::sleep_until(cluster.clock.instant_at(at)).await;
+        tokio::time::sleep_until(cluster.clock.instant_at(arrival)).await;
         let class = random.choose(&classes);
         let behaviour = draw_behaviour(class, &mut random);
         let Some(node) = cluster.draw_node(&mut random) else {
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -43,13 +43,13 @@
     }
 
     /// Configuration of a node that is given this endpoint list.
-    pub(super) fn node_config(&self, number: usize, known: &[Endpoint]) -> Value {
+    pub(super) fn node_config(&self, number: usize, endpoints: &[Endpoint]) -> Value {
         let scenario = &self.scenario;
         let seed = scenario
             .seed
             .wrapping_mul(NODE_SEED_MULTIPLIER)
             .wrapping_add(number as u64);
-        let targets: Vec<Value> = known.iter().map(Endpoint::to_json).collect();
+        let targets: Vec<Value> = endpoints.iter().map(Endpoint::to_json).collect();
         json!({
             "name": format!("n{number}"),
             "discovery": self.discovery_addresses[number].to_string(),
@@ -109,7 +109,7 @@
         let backend = &self.scenario.backend;
         json!({
             "coldFrom": backend.slow_start_from,
-            "coldNs": nanoseconds(backend.slow_start_s * 1e3).max(1),
+            "coldNs": nanoseconds_from_millis(backend.slow_start_s * 1e3).max(1),
             "drainGraceNs": DRAIN_GRACE.as_nanos() as u64,
             "fallNs": OVERLOAD_DURATION.as_nanos() as u64,
             "tipMultiple": OVERLOAD_MULTIPLE,
@@ -141,12 +141,12 @@
         "effect": idempotency,
         "keyScope": "cell",
         "windowNs": KEY_WINDOW.as_nanos() as u64,
-        "goalTimeNs": nanoseconds(class.latency_objective_ms),
-        "giveUpNs": nanoseconds(class.client_timeout_ms),
+        "goalTimeNs": nanoseconds_from_millis(class.latency_objective_ms),
+        "giveUpNs": nanoseconds_from_millis(class.client_timeout_ms),
         "importance": class.priority_weight,
     })
 }
 
-fn nanoseconds(ms: f64) -> u64 {
+fn nanoseconds_from_millis(ms: f64) -> u64 {
     (ms * 1e6) as u64
 }
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -38,11 +38,11 @@
     let [from, to] = step.part.map(|end| (end * count as f64).round() as usize);
     let in_zone = |number: &usize| {
         step.zone
-            .is_none_or(|wanted| zone(scenario, *number) == wanted)
+            .is_none_or(|step_zone| zone(scenario, *number) == step_zone)
     };
-    let chosen: Vec<usize> = (from..to).filter(in_zone).collect();
+    let numbers: Vec<usize> = (from..to).filter(in_zone).collect();
     let event = |(index, number): (usize, &usize)| {
-        let delay_s = step.over_s * index as f64 / chosen.len() as f64;
+        let delay_s = step.over_s * index as f64 / numbers.len() as f64;
         Event {
             at: duration_from_secs(step.at_s + delay_s),
             action: step.action,
@@ -50,5 +50,5 @@
             size: step.size,
         }
     };
-    chosen.iter().enumerate().map(event).collect()
+    numbers.iter().enumerate().map(event).collect()
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -16,9 +16,9 @@
 /// Maximum number of log lines that are kept for a node.
 const MAX_LOG_LINES: usize = 20_000;
 /// Listening address at the first start of a node; later starts use the port assigned then.
-const ANY_PORT: &str = "127.0.0.1:0";
+const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
 /// Start of the line that a node logs when it begins to listen.
-const START_LINE_PREFIX: &str = "kitefork: start ";
+const START_LINE_MARKER: &str = "kitefork: start ";
 
 /// Signals that were sent to end a process.
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +83,7 @@
 
 impl ObservedState {
     fn add_line(&mut self, line: String, now: Duration) {
-        if line.contains(START_LINE_PREFIX)
+        if line.contains(START_LINE_MARKER)
             && let Some(rest) = line.split(" listen=").nth(1)
         {
             self.address = rest
@@ -145,7 +145,7 @@
     pub fn write_config(&self, mut config: Value) -> io::Result<()> {
         let address = self
             .address()
-            .map_or(ANY_PORT.to_string(), |address| address.to_string());
+            .map_or(ANY_PORT_ADDRESS.to_string(), |address| address.to_string());
         config["listen"] = Value::from(address);
         std::fs::write(&self.config_path, config.to_string())
     }
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -35,11 +35,11 @@
     /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
     /// Fraction of the full speed at which a backend starts.
-    pub slow_start_from: f64,
+    pub slow_start_initial_speed: f64,
     /// Time from the start of a backend to its full speed.
-    pub slow_start: Duration,
+    pub slow_start_duration: Duration,
     /// Mean processing time of a request at full speed.
-    pub work: Duration,
+    pub mean_execution_time: Duration,
 }
 
 /// A period in which a node was stopped, including the time that it had to catch up.
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -39,7 +39,7 @@
     }
 
     /// Latest revision of which a node had been notified at this time.
-    fn revision(&self, node: usize, at: Duration) -> Option<u64> {
+    fn notified_revision(&self, node: usize, at: Duration) -> Option<u64> {
         let notifications = self.notifications.get(&node).into_iter().flatten();
         notifications
             .filter(|notification| notification.written_at <= at)
@@ -53,15 +53,16 @@
         let node = *self.node_by_request.get(attempt.txn.as_str())?;
         let changes = self.changes.get(attempt.uid.as_str())?;
         let grace = rules.drain_grace + OBSERVATION_DELAY;
-        let revision = self.revision(node, attempt.arrived.saturating_sub(grace));
+        let revision = self.notified_revision(node, attempt.arrived.saturating_sub(grace));
         let latest_first = || changes.iter().rev();
-        let known = latest_first().find(|change| Some(change.revision) <= revision)?;
+        let notified_change = latest_first().find(|change| Some(change.revision) <= revision)?;
         // The backend may have become ready again since then, and the node may know it. Changes
         // after the attempt do not count.
-        let last = latest_first().find(|change| change.published_at <= attempt.arrived);
+        let last_change = latest_first().find(|change| change.published_at <= attempt.arrived);
         let is_ready_again =
-            last.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
-        let is_violation = known.endpoint.state != EndpointState::Ready && !is_ready_again;
+            last_change.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
+        let is_violation =
+            notified_change.endpoint.state != EndpointState::Ready && !is_ready_again;
         is_violation.then_some(node)
     }
 }
@@ -93,7 +94,7 @@
     start: &BackendStart,
 ) -> Option<Violation> {
     let arrivals = arrivals_since(records, start);
-    let within_slow_start = |from: &Duration| *from < rules.slow_start;
+    let within_slow_start = |from: &Duration| *from < rules.slow_start_duration;
     let window_starts = arrivals.iter().copied().take_while(within_slow_start);
     for (index, from) in window_starts.enumerate() {
         let capacity = slow_start_capacity(rules, from);
@@ -128,9 +129,9 @@
 /// Number of attempts that a backend can take in a window of the overload duration. `from` is the
 /// start of the window, relative to the restart of the backend.
 fn slow_start_capacity(rules: &Rules, from: Duration) -> f64 {
-    let slow_start_s = rules.slow_start.as_secs_f64().max(1e-9);
-    let fraction =
-        rules.slow_start_from + (1.0 - rules.slow_start_from) * from.as_secs_f64() / slow_start_s;
+    let slow_start_s = rules.slow_start_duration.as_secs_f64().max(1e-9);
+    let fraction = rules.slow_start_initial_speed
+        + (1.0 - rules.slow_start_initial_speed) * from.as_secs_f64() / slow_start_s;
     rules.overload_multiple * fraction * rules.overload_duration.as_secs_f64()
-        / rules.work.as_secs_f64()
+        / rules.mean_execution_time.as_secs_f64()
 }
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -23,7 +23,7 @@
     let mut broken = Vec::new();
     let deadline = record.request.planned + record.request.client_timeout;
     broken.extend(wrong_answer(record, attempts));
-    broken.extend(missing_answer(rules, records, record));
+    broken.extend(missing_or_late_answer(rules, records, record));
     broken.extend(concurrent_attempts(attempts));
     broken.extend(forbidden_repeats(
         rules,
@@ -63,16 +63,20 @@
 }
 
 /// Checks that a final answer arrives in time, unless an event at the node excuses its absence.
-fn missing_answer(rules: &Rules, records: &Records, record: &RequestRecord) -> Option<Rule> {
+fn missing_or_late_answer(
+    rules: &Rules,
+    records: &Records,
+    record: &RequestRecord,
+) -> Option<Rule> {
     let end = record.request.planned + record.request.client_timeout + rules.answer_slack;
-    let broken = match record.outcome {
+    let broken_rule = match record.outcome {
         ClientOutcome::Answered { .. } if record.ended > end + OBSERVATION_DELAY => {
             Rule::AnsweredTooLate
         }
         ClientOutcome::ConnectionLost | ClientOutcome::TimedOut => Rule::NeverAnswered,
         ClientOutcome::Answered { .. } | ClientOutcome::Unreachable => return None,
     };
-    (!is_excused(records, record, end)).then_some(broken)
+    (!is_excused(records, record, end)).then_some(broken_rule)
 }
 
 /// Whether the request's node was killed or stopped during the request, or ended during it some
@@ -118,10 +122,10 @@
 /// Checks that the attempts after one that may have been executed are allowed by the idempotency of
 /// the request.
 fn forbidden_repeats(rules: &Rules, idempotency: Idempotency, attempts: &[&Attempt]) -> Vec<Rule> {
-    let first = attempts
+    let first_position = attempts
         .iter()
         .position(|attempt| may_have_executed(attempt));
-    let Some(index) = first else {
+    let Some(index) = first_position else {
         return Vec::new();
     };
     let (first, later) = (attempts[index], &attempts[index + 1..]);
@@ -149,8 +153,8 @@
 /// Checks that the remaining time that a backend is sent is at most that of the client, with slack.
 fn excessive_remaining_time(deadline: Duration, attempts: &[&Attempt]) -> Option<Rule> {
     let is_excessive = |attempt: &&Attempt| {
-        let left = deadline.saturating_sub(attempt.arrived);
-        let limit = left + REMAINING_TIME_SLACK + OBSERVATION_DELAY;
+        let client_remaining = deadline.saturating_sub(attempt.arrived);
+        let limit = client_remaining + REMAINING_TIME_SLACK + OBSERVATION_DELAY;
         attempt
             .remaining_time
             .is_some_and(|remaining| remaining > limit)
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -19,9 +19,9 @@
         key_window: MS(3_000),
         overload_multiple: 3.0,
         overload_duration: MS(2_000),
-        slow_start_from: 0.3,
-        slow_start: MS(4_000),
-        work: MS(10),
+        slow_start_initial_speed: 0.3,
+        slow_start_duration: MS(4_000),
+        mean_execution_time: MS(10),
     }
 }
 
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn exactly_the_planted_answer_and_repeat_violations_are_reported() {
+fn answer_and_repeat_violations_are_reported_exactly() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn killed_or_paused_node_excuses_only_its_requests_at_the_time() {
+fn killed_or_paused_node_excuses_only_its_own_requests_at_that_time() {
     const NEVER_ANSWERED: &[&str] = &["never answered"];
     const BAD_EXIT: &[&str] = &[
         "never answered",
@@ -396,9 +396,15 @@
     assert_eq!(rules_broken_by_send(1_100, 600, &changes), [""; 0]);
     // A change after the attempt, to ready or to draining, does not matter.
     for state in [EndpointState::Ready, EndpointState::Draining] {
-        let again = [&changes[..], &[change(4, 5_000, state)]].concat();
-        assert_eq!(rules_broken_by_send(1_100, 600, &again), [""; 0]);
-        assert_eq!(rules_broken_by_send(950, 450, &again), AFTER_DRAIN);
+        let with_later_change = [&changes[..], &[change(4, 5_000, state)]].concat();
+        assert_eq!(
+            rules_broken_by_send(1_100, 600, &with_later_change),
+            [""; 0]
+        );
+        assert_eq!(
+            rules_broken_by_send(950, 450, &with_later_change),
+            AFTER_DRAIN
+        );
     }
     // The capacity of 100 attempts a second, times 0.3 at the start, times the overload multiple of
     // 3, is 180 in two seconds; some more are tolerated.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -91,7 +91,7 @@
     pub fn new(measurements: &Measurements) -> Report {
         let mut violations = referee::find_violations(&measurements.rules, measurements.records);
         let panics = measurements.log_lines_containing(PANIC_MARKER);
-        let mut figures = figures::count(measurements);
+        let mut figures = figures::compute(measurements);
         figures.insert("broken_rules".into(), violations.len() as f64);
         figures.insert("panics".into(), panics.len() as f64);
         let node_violations = measurements
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -23,7 +23,7 @@
 }
 
 /// Computes all figures from the records of a run.
-pub(super) fn count(measurements: &Measurements) -> BTreeMap<String, f64> {
+pub(super) fn compute(measurements: &Measurements) -> BTreeMap<String, f64> {
     let mut figures = FigureMap::default();
     put_calls(&mut figures, measurements);
     put_list_delays(&mut figures, measurements);
@@ -34,8 +34,8 @@
 }
 
 /// `part / count`; 0 if nothing was counted.
-fn ratio(part: f64, count: usize) -> f64 {
-    part / count.max(1) as f64
+fn ratio(numerator: f64, denominator: usize) -> f64 {
+    numerator / denominator.max(1) as f64
 }
 
 /// Adds the figures of the calls to discovery.
@@ -47,8 +47,8 @@
         .filter(|call| call.outcome != CallOutcome::Answered)
         .count();
     let starts = measurements.records.incarnations.len();
-    let mut times: Vec<Duration> = calls.iter().map(|call| call.arrived).collect();
-    times.sort_unstable();
+    let mut arrivals: Vec<Duration> = calls.iter().map(|call| call.arrived).collect();
+    arrivals.sort_unstable();
     figures.put("calls", count);
     figures.put(
         "calls_per_node",
@@ -56,16 +56,16 @@
     );
     figures.put("calls_per_start", ratio(count, starts));
     figures.put("calls_failed", ratio(failed as f64, calls.len()));
-    figures.put("calls_worst_100ms", largest_burst(&times) as f64);
+    figures.put("calls_worst_100ms", largest_burst(&arrivals) as f64);
 }
 
-/// Maximum number of calls within [`BURST_INTERVAL`]; `times` must be in ascending order.
-fn largest_burst(times: &[Duration]) -> usize {
+/// Maximum number of calls within [`BURST_INTERVAL`]; `arrivals` must be in ascending order.
+fn largest_burst(arrivals: &[Duration]) -> usize {
     let calls_within = |(index, from): (usize, &Duration)| {
         let end = *from + BURST_INTERVAL;
-        times[index..].iter().take_while(|at| **at < end).count()
+        arrivals[index..].iter().take_while(|at| **at < end).count()
     };
-    times
+    arrivals
         .iter()
         .enumerate()
         .map(calls_within)
@@ -125,12 +125,15 @@
     let records = measurements.records;
     let requests = &records.requests;
     let fraction_since = |from: Duration, matches: &dyn Fn(&RequestRecord) -> bool| {
-        let all: Vec<&RequestRecord> = requests
+        let planned_since: Vec<&RequestRecord> = requests
             .iter()
             .filter(|record| record.request.planned >= from)
             .collect();
-        let count = all.iter().filter(|record| matches(record)).count();
-        ratio(count as f64, all.len())
+        let count = planned_since
+            .iter()
+            .filter(|record| matches(record))
+            .count();
+        ratio(count as f64, planned_since.len())
     };
     let fraction =
         |matches: &dyn Fn(&RequestRecord) -> bool| fraction_since(Duration::ZERO, matches);
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -16,7 +16,7 @@
 /// Minimum of the served fraction with the large list, relative to that with the baseline list.
 pub const MIN_SERVED_RATIO: f64 = 0.85;
 /// Requests per second.
-const RATE: f64 = 40.0;
+const REQUEST_RATE: f64 = 40.0;
 /// Length of the run, in seconds.
 const LENGTH_S: f64 = 25.0;
 /// Number of proxies that the node's settings state.
@@ -138,7 +138,7 @@
 
 fn traffic() -> Traffic {
     Traffic {
-        rate: RATE,
+        rate: REQUEST_RATE,
         from_s: 1.0,
         class: vec![Class {
             name: "check".into(),
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -105,7 +105,7 @@
     nodes_start_with_empty_lists_and_a_slow_discovery "cold-start-slow",
     nodes_start_with_stale_lists "stale-start",
     nodes_start_during_a_discovery_outage "outage-at-start",
-    discovery_overloads_then_hangs_then_truncates_answers "busy-silent-half",
+    discovery_is_overloaded_then_silent_then_truncates_answers "busy-silent-half",
     discovery_restarts_without_its_history "list-restart",
     most_nodes_are_killed_in_a_release "release-kill",
     nodes_are_restarted_in_groups_by_sigterm "rolling-restart",
@@ -115,5 +115,5 @@
     nodes_are_paused_and_resumed "stall",
     nodes_are_killed_repeatedly "crash-loop",
     all_nodes_reload_their_configuration "reload-all",
-    backends_hang_fail_and_reset_connections "swallow-and-reset",
+    backends_are_silent_fail_and_reset_connections "swallow-and-reset",
 }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -77,15 +77,15 @@
         (base.length_s + 60.0, base.traffic.from_s + 60.0)
     );
     assert_eq!(delayed.at.len(), base.at.len());
-    for (step, moved) in base.at.iter().zip(&delayed.at) {
+    for (step, delayed_step) in base.at.iter().zip(&delayed.at) {
         let expected_delay = if step.action == Action::Start && step.at_s == 0.0 {
             0.0
         } else {
             60.0
         };
         assert!(
-            (moved.at_s - step.at_s - expected_delay).abs() < 1e-9,
-            "{step:?} {moved:?}"
+            (delayed_step.at_s - step.at_s - expected_delay).abs() < 1e-9,
+            "{step:?} {delayed_step:?}"
         );
     }
 }
