--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -93,7 +93,7 @@
     pub outcome: AttemptOutcome,
 }
 
-/// The attempts that the backends of a run received; all of them share the log.
+/// Log of the attempts that all backends of a run received; the backends share it.
 #[derive(Default)]
 pub struct AttemptLog(Mutex<Vec<Attempt>>);
 
@@ -102,7 +102,7 @@
         locked(&self.0)
     }
 
-    /// All attempts so far, in order of arrival.
+    /// All attempts so far, in the order in which they were recorded.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.lock().clone()
     }
@@ -202,8 +202,8 @@
         self.state().mode = mode;
     }
 
-    /// Restarts the backend: its queue is empty and it is in slow start. The caller resets the
-    /// link, which closes the connections.
+    /// Restarts the backend: its queue is empty, it serves requests, and it is in slow start. The
+    /// caller resets the link, which closes the connections.
     pub fn restart(&self) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -248,7 +248,7 @@
         });
     }
 
-    /// Current speed as a fraction of the full speed; it grows linearly in slow start.
+    /// Current speed as a fraction of the full speed; grows linearly during slow start.
     fn slow_start_fraction(&self, state: &State, now: Duration) -> f64 {
         let settings = &self.settings;
         if state.restarted_at.is_zero() || settings.slow_start_duration.is_zero() {
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -66,7 +66,7 @@
         matches!(self, ClientOutcome::Answered { status: 200, .. })
     }
 
-    /// Whether the answer was 429 or 503: the request was not executed, and a retry is harmless.
+    /// Whether the answer was 429 or 503, by which the node states that a retry is harmless.
     pub fn is_rejected(&self) -> bool {
         matches!(
             self,
@@ -83,7 +83,7 @@
 pub struct RequestRecord {
     /// The request as it was planned.
     pub request: ClientRequest,
-    /// Number of the node that the request was sent to.
+    /// Number of the node to which the request was sent, or that could not be reached.
     pub node: usize,
     /// When the request ended for its client.
     pub ended: Duration,
@@ -171,7 +171,7 @@
         node: usize,
         address: SocketAddr,
     ) -> ClientOutcome {
-        // Set on a new connection, or when the request has been sent once more.
+        // Set if this try uses a new connection, or is the second one.
         let mut is_last_try = false;
         loop {
             let reused = self.take_idle_connection(node);
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -30,14 +30,14 @@
 
 /// Interval at which a watch without changes writes an empty line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Capacity of a body's channel: chunks that may wait to be written.
+/// Maximum number of chunks of a response body that wait to be written.
 const BODY_BUFFER_CHUNKS: usize = 4;
 
 struct State {
     mode: Mode,
     revision: u64,
     endpoints: BTreeMap<String, Endpoint>,
-    /// The latest changes, bounded by the capacity's `max_history`.
+    /// The latest changes, at most [`Capacity::max_history`] of them.
     history: VecDeque<EndpointChange>,
     /// When all calls queued so far will have been served.
     idle_at: Duration,
@@ -50,7 +50,7 @@
 
 /// A message that brings a node up to the current revision.
 struct Update {
-    /// The revision that the node has with it.
+    /// The revision of the node's endpoint list after the update.
     revision: u64,
     endpoint_count: usize,
     /// The message as one line of JSON, with its line feed.
@@ -139,8 +139,8 @@
                     let (service, connection_link) = (service.clone(), connection_link.clone());
                     async move { service.handle_request(node, connection_link, request).await }
                 });
-                // The result is not needed: the outcomes of the calls show how the connection
-                // ended.
+                // The result is not needed: the calls on the connection are recorded with their
+                // outcomes.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), request_handler)
                     .await;
@@ -187,7 +187,7 @@
         self.published_revision.send_replace(revision);
     }
 
-    /// The current endpoint list, by backend name.
+    /// The endpoints that are listed now, sorted by the names of the backends.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.state().endpoints.values().cloned().collect()
     }
@@ -203,17 +203,18 @@
     }
 
     /// Number of bytes of lists, watch events and keep-alive lines written to nodes so far.
+    /// Truncated lists are not counted.
     pub fn bytes_written(&self) -> u64 {
         self.state().bytes_written
     }
 
-    /// All changes so far, by revision.
+    /// All changes so far, in order of revision.
     pub fn changes(&self) -> Vec<EndpointChange> {
         self.state().changes.clone()
     }
 
-    /// The changes after a revision, or the whole list if there is no such revision or the history
-    /// does not reach back to it.
+    /// The changes after the revision `after`. The whole list if `after` is `None` or 0, is greater
+    /// than the current revision, or is too old for the history.
     fn update_since(&self, after: Option<u64>) -> Update {
         let state = self.state();
         let revision = state.revision;
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Records a notification, unless the link is cut: then it reaches the node at the earliest
-    /// after the cut.
+    /// Records a notification. While the link is cut, none is recorded, as the bytes reach the node
+    /// only after the cut.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
         let written_at = self.clock.now();
         if link.delivers_to_node() {
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -54,13 +54,13 @@
     pub outcome: CallOutcome,
 }
 
-/// A list, or a line of changes of a watch, that was written to a node.
+/// A list, or a watch event (a line with changes), that was written to a node.
 #[derive(Clone, Debug)]
 pub struct Notification {
     /// Number of the node that it was written to.
     pub node: usize,
-    /// When the service wrote it.
+    /// When the service began to write it.
     pub written_at: Duration,
-    /// Revision of the endpoint list that the node has with it.
+    /// Revision of the node's endpoint list after it.
     pub revision: u64,
 }
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-/// State of an endpoint on the list.
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// The backend accepts requests.
@@ -60,7 +60,7 @@
     }
 }
 
-/// A change of one endpoint.
+/// A change of one endpoint on the list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     /// The revision of the list that the change created.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -18,7 +18,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Locks a mutex whose poisoning ends the run.
+/// Locks a mutex; there is no recovery from a poisoned one.
 ///
 /// # Panics
 ///
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -31,7 +31,7 @@
     /// No bytes pass in either direction. What was written arrives when the cut is over, as with
     /// TCP, which retransmits what was not acknowledged.
     Cut,
-    /// Bytes from the node pass, bytes to the node do not; they arrive when the cut is over.
+    /// Bytes from the node pass; bytes to the node arrive when the cut is over.
     OutboundCut,
     /// New connections are refused (`ECONNREFUSED`); bytes pass on open ones.
     Refused,
@@ -68,14 +68,14 @@
     Write,
 }
 
-/// A link; its health and write behaviour apply to all its connections.
+/// A link; its state and write behaviour apply to all its connections.
 #[derive(Debug, Default)]
 pub struct Link {
     state: Mutex<LinkState>,
     write_behaviour: Mutex<WriteBehaviour>,
     /// Wakers to call when the link changes, by number of the connection.
     wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
-    /// Wakes the accept loop after a change of the health.
+    /// Wakes the accept loop after a change of the state.
     state_changed: Notify,
     /// Number of resets so far; a connection is reset if this grows after it was accepted.
     resets: AtomicU64,
@@ -84,7 +84,7 @@
 }
 
 impl Link {
-    /// Sets the health, also for connections that are already open.
+    /// Sets the state, also for connections that are already open.
     pub fn set_state(&self, state: LinkState) {
         *locked(&self.state) = state;
         self.state_changed.notify_one();
@@ -200,10 +200,10 @@
     }
 }
 
-/// A port that one link keeps as long as it exists, reserved by a socket that is bound and never
-/// listens. With the listener alone, the port could go to another socket between closing it and
-/// binding again: a process that is being started holds a copy of the listener until `exec`, and
-/// the link can't bind until then.
+/// A port that is reserved for one link by a socket that is bound and never listens. Without this
+/// socket, another socket could get the port between the close of a listener and the bind of the
+/// next: a process that is being started holds a copy of the closed listener until `exec`, and the
+/// link can't bind until then.
 struct Port {
     address: SocketAddr,
     _reserving_socket: TcpSocket,
@@ -244,7 +244,7 @@
     Ok(socket)
 }
 
-/// A connection that was accepted from a link.
+/// A connection that was accepted on a link.
 pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
@@ -266,7 +266,7 @@
     /// Ready if bytes pass now, an error if the connection has been reset. If bytes don't pass, the
     /// task is woken at the next change of the link.
     fn poll_permitted(&self, context: &Context<'_>, direction: Direction) -> Poll<io::Result<()>> {
-        // The waker is registered before the health is read, so that no change is missed.
+        // The waker is registered before resets and state are read, so that no change is missed.
         let mut wakers = locked(&self.link.wakers);
         let connection_wakers = wakers.entry(self.connection_number).or_default();
         let waker = Some(context.waker().clone());
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// Threads that start processes until `stop` is set. A process that is being started holds copies
-/// of all descriptors of its parent until `exec`.
+/// Spawns threads that start processes until `stop` is set. A process that is being started holds
+/// copies of all descriptors of its parent until `exec`.
 fn start_processes(stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
     let spawn_starter = |stop: Arc<AtomicBool>| {
         std::thread::spawn(move || {
