--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -42,11 +42,11 @@
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// Time after which a backend in slow start breaks down if it is overloaded.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
-/// Multiple of its capacity at the time above which a backend in slow start is overloaded.
+/// Multiple of its current capacity above which a backend in slow start is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// Time that the referee allows nodes beyond their own grace and slack.
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which the run continues after the longest client timeout.
+/// Time for which the run continues after the last time at which a final answer may arrive.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
@@ -104,7 +104,7 @@
     }
     tokio::time::sleep_until(clock.instant_at(run_start + duration_from_secs(scenario.length_s)))
         .await;
-    // No new requests are sent any more; those in flight get the time for their final answers.
+    // After the last request is sent, the run continues until all final answers can have arrived.
     let _ = traffic_task.await;
     let _ = misbehaving_task.await;
     tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING_TIME).await;
@@ -127,7 +127,7 @@
     duration_from_secs(ms / 1_000.0)
 }
 
-/// Zone of the node or backend with this number; they are assigned to the zones in turn.
+/// Zone of the node or backend with this number; numbers are assigned to the zones in turn.
 fn zone(scenario: &Scenario, number: usize) -> usize {
     number % scenario.fleet.zones
 }
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -74,7 +74,7 @@
         node.start(&self.process_settings, self.clock)
     }
 
-    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list of
+    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list at
     /// this time.
     fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         self.write_config_with_current_list(number)?;
--- a/crates/testbed/src/cluster/front.rs
+++ b/crates/testbed/src/cluster/front.rs
@@ -1,4 +1,5 @@
-//! Front that admits nodes to the clients, as a load balancer in front of the nodes would.
+//! Front that chooses the nodes to which clients are sent, as a load balancer in front of the nodes
+//! would.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -53,7 +54,7 @@
         self.admitted[number].load(Ordering::SeqCst)
     }
 
-    /// Withdraws an admitted node that has been down for `notice_s`, and checks the health of a
+    /// Ends the admission of a node that has been down for `notice_s`, and checks the health of a
     /// listening node that is not admitted. `down_since` has the time at which a node was first
     /// seen down, by node number.
     fn update_admission(
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -145,8 +145,8 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Draws a behaviour: half of the clients disconnect within half of their timeout, the others have
-/// one of the other behaviours.
+/// Draws a behaviour: with probability one half, a disconnect within half of the client timeout;
+/// otherwise one of the other behaviours.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
     let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
     let index = random.integer_below(2 * PARAMETERLESS_BEHAVIOURS.len());
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -1,4 +1,4 @@
-//! Expands the steps of a scenario into events on single nodes or backends.
+//! Expands the steps of a scenario into events on discovery, single nodes or single backends.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub action: Action,
     /// Number of the node or backend; 0 for discovery.
     pub number: usize,
-    /// Fraction of the full speed, for actions that take one.
+    /// Fraction of the full speed at which a backend serves, for [`Action::BackendWorks`].
     pub size: f64,
 }
 
--- a/crates/testbed/src/cluster/usage.rs
+++ b/crates/testbed/src/cluster/usage.rs
@@ -9,7 +9,7 @@
 /// Resource usage of the node processes in a run.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceUsage {
-    /// Maximum resident memory of a node's processes, in MB, by node number.
+    /// Maximum resident memory of a node's processes, in MiB, by node number.
     pub max_memory_mb: BTreeMap<usize, f64>,
     /// CPU time of the latest process of a node, in seconds, by node number.
     pub cpu_s: BTreeMap<usize, f64>,
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -29,8 +29,8 @@
     for round in 0..arguments.rounds {
         scenario.seed += 1;
         for position in 0..programs.len() {
-            // Each round starts with another program, so that no program always runs on the warmer
-            // machine.
+            // Each round starts with another program, so that no program always runs last, when the
+            // machine is warmest.
             let index = (position + round as usize) % programs.len();
             let report = run_scenario(&scenario, &Programs::with_adjacent_shim(&programs[index]))?;
             series[index].add(report.figures);
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -17,7 +17,7 @@
 const MAX_LOG_LINES: usize = 20_000;
 /// Listening address at the first start of a node; later starts use the port assigned then.
 const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
-/// Start of the line that a node logs when it begins to listen.
+/// Part of the line that a node logs when it begins to listen.
 const START_LINE_MARKER: &str = "kitefork: start ";
 
 /// Signals that were sent to end a process.
@@ -234,7 +234,7 @@
         let Some(child) = self.child.as_ref() else {
             return;
         };
-        // A child that was waited for has no id any more, as another process may get it.
+        // A child that was waited for has no id: another process may have got the same one.
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Maximum resident memory of the process so far, in MB; `None` if the process has ended.
+    /// Maximum resident memory of the process so far, in MiB; `None` if the process has ended.
     pub fn peak_memory_mb(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -30,7 +30,7 @@
     pub drain_grace: Duration,
     /// Time in which the backends of a cell drop repeats of an idempotency key.
     pub key_window: Duration,
-    /// Multiple of its capacity at the time above which a backend in slow start breaks down.
+    /// Multiple of its current capacity above which a backend in slow start breaks down.
     pub overload_multiple: f64,
     /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
@@ -38,7 +38,7 @@
     pub slow_start_initial_speed: f64,
     /// Time from the start of a backend to its full speed.
     pub slow_start_duration: Duration,
-    /// Mean processing time of a request at full speed.
+    /// Mean execution time of a request at full speed.
     pub mean_execution_time: Duration,
 }
 
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -56,8 +56,8 @@
         let revision = self.notified_revision(node, attempt.arrived.saturating_sub(grace));
         let latest_first = || changes.iter().rev();
         let notified_change = latest_first().find(|change| Some(change.revision) <= revision)?;
-        // The backend may have become ready again since then, and the node may know it. Changes
-        // after the attempt do not count.
+        // The backend may have become ready again since then, and the node may have been notified
+        // of it. Changes after the attempt do not count.
         let last_change = latest_first().find(|change| change.published_at <= attempt.arrived);
         let is_ready_again =
             last_change.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
--- a/crates/testbed/src/referee/misbehaving.rs
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -9,7 +9,8 @@
 
 /// Time after a client's disconnect in which an attempt for it may still begin.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// Time within which a client that stops in the middle of a request gets an error or a close.
+/// Time within which a client that stops in the middle of a request must get an error, or its
+/// connection must be closed.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Returns the rules that were broken for a misbehaving client.
@@ -35,7 +36,7 @@
     broken
 }
 
-/// Whether the client's node was killed, shut down, ended or was stopped around the time of the
+/// Whether the client's node got SIGTERM or SIGKILL, ended, or was stopped around the time of the
 /// client's connection.
 fn is_excused(records: &Records, record: &MisbehavingRecord, connected: Duration) -> bool {
     let wait = record.request.client_timeout.max(PARTIAL_REQUEST_TIMEOUT);
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -8,9 +8,9 @@
 use super::{OBSERVATION_DELAY, Records, Rule, Rules};
 use crate::node::Incarnation;
 
-/// Maximum excess of the remaining time that a backend is sent over that of the client.
+/// Maximum by which the remaining time that a backend is sent may exceed the client's.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
-/// Time after SIGTERM from which a request may find that the process has ended.
+/// A request that is sent this long after SIGTERM may get no answer because the process ends.
 const SHUTDOWN_NOTICE_TIME: Duration = Duration::from_millis(700);
 
 /// Returns the rules that the outcome and the attempts of a request break.
@@ -62,7 +62,8 @@
     }
 }
 
-/// Checks that a final answer arrives in time, unless an event at the node excuses its absence.
+/// Checks that a final answer arrives in time, unless an event at the node excuses its absence or
+/// delay.
 fn missing_or_late_answer(
     rules: &Rules,
     records: &Records,
@@ -79,8 +80,8 @@
     (!is_excused(records, record, end)).then_some(broken_rule)
 }
 
-/// Whether the request's node was killed or stopped during the request, or ended during it some
-/// time after SIGTERM.
+/// Whether the request's node was killed or stopped during the request, or ended during a request
+/// that was sent [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later.
 fn is_excused(records: &Records, record: &RequestRecord, end: Duration) -> bool {
     let planned = record.request.planned;
     let node_ended = records
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -406,8 +406,8 @@
             AFTER_DRAIN
         );
     }
-    // The capacity of 100 attempts a second, times 0.3 at the start, times the overload multiple of
-    // 3, is 180 in two seconds; some more are tolerated.
+    // The capacity of 100 attempts per second, times 0.3 at the start, times the overload multiple
+    // of 3, is 180 in two seconds; some more are tolerated.
     assert_eq!(
         (slow_start_violations(180), slow_start_violations(300)),
         (0, 1)
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -34,7 +34,7 @@
     pub run_start: Duration,
     /// Calls that discovery received.
     pub discovery_calls: Vec<DiscoveryCall>,
-    /// Number of bytes of lists and watch events that discovery wrote to nodes.
+    /// Number of bytes of lists, watch events and keep-alive lines that discovery wrote to nodes.
     pub discovery_bytes: u64,
     /// Number of connections that each backend accepted.
     pub accepted_connections: Vec<usize>,
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -33,7 +33,7 @@
     figures.0
 }
 
-/// `part / count`; 0 if nothing was counted.
+/// `numerator / denominator`; a denominator of 0 counts as 1.
 fn ratio(numerator: f64, denominator: usize) -> f64 {
     numerator / denominator.max(1) as f64
 }
--- a/crates/testbed/src/report/timeline.rs
+++ b/crates/testbed/src/report/timeline.rs
@@ -13,10 +13,11 @@
 pub struct Second {
     /// Number of calls that discovery received.
     pub calls: usize,
-    /// Number of calls that discovery did not answer.
+    /// Number of these calls that failed or were never answered.
     #[serde(rename = "failed")]
     pub failed_calls: usize,
-    /// Number of nodes that discovery has notified in their current incarnation.
+    /// Number of nodes that discovery has notified in their current incarnation, at the end of the
+    /// second.
     #[serde(rename = "fresh")]
     pub nodes_with_list: usize,
     /// Number of requests that were planned for this second.
@@ -61,7 +62,7 @@
     seconds
 }
 
-/// Number of nodes that run at this time and were notified by discovery before it.
+/// Number of nodes that run at this time and were notified by discovery since they started.
 fn nodes_with_list(measurements: &Measurements, time: Duration) -> usize {
     let records = measurements.records;
     let has_list = |incarnation: &&Incarnation| {
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -1,4 +1,4 @@
-//! Resource usage of one node with a short list of backends and with a long one, under the same
+//! Resource usage of one node with a baseline list of backends and with a large one, under the same
 //! traffic, compared with the allowances that the operators require.
 
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Allowances that the operators require. CPU time is in seconds, memory in MB, lists in kB.
+/// Allowances that the operators require. CPU time is in seconds, memory in MiB, lists in kB.
 pub const ALLOWANCES: [Allowance; 5] = [
     Allowance {
         figure: "cpu_s_mean",
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -81,7 +81,7 @@
 }
 
 /// Endpoint list that a node is given at its first start. Each later incarnation is given the list
-/// of the time at which the one before was signalled to end.
+/// that was current when the node last got SIGTERM, SIGKILL or a valid configuration to reload.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Known {
@@ -129,9 +129,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendParameters {
-    /// Mean processing time of a request at full speed, in milliseconds.
+    /// Mean execution time of a request at full speed, in milliseconds.
     pub work_ms: f64,
-    /// Processing time of a new connection, in milliseconds.
+    /// Time that a backend spends on each new connection, in milliseconds.
     pub handshake_ms: f64,
     /// Maximum number of requests in flight.
     #[serde(alias = "room")]
@@ -252,7 +252,7 @@
     /// Seconds over which the action is spread evenly.
     #[serde(default)]
     pub over_s: f64,
-    /// Fraction of the full speed, for actions that take one.
+    /// Fraction of the full speed at which backends serve, for [`Action::BackendWorks`].
     #[serde(default = "default_size")]
     pub size: f64,
 }
@@ -300,7 +300,7 @@
     /// Resets the connections to discovery and refuses new ones, as if its process had died.
     #[serde(alias = "list-down")]
     DiscoveryDown,
-    /// Restarts discovery without its history of changes; watches are reset.
+    /// Restarts discovery without its history of changes; its connections are reset.
     #[serde(alias = "list-restart")]
     DiscoveryRestart,
     /// Cuts the links from nodes to discovery in both directions.
@@ -318,7 +318,7 @@
     /// Makes backends answer 500.
     #[serde(alias = "fail")]
     BackendFails,
-    /// Makes backends work at the fraction `size` of their speed, over healthy links.
+    /// Makes backends serve at the fraction `size` of their full speed, over healthy links.
     #[serde(alias = "work")]
     BackendWorks,
     /// Delivers all bytes from backends twice.
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -104,22 +104,22 @@
 /// Steps of the wall clock, in seconds.
 const CLOCK_STEPS: [i64; 6] = [-3_600, -3, 3, 3_600, 6, -6];
 
-/// Plans of the fault shim with delays, in milliseconds, that are shorter than the protocol's rules
-/// allow.
+/// Plans of the fault shim with delays, in milliseconds, that stay below the time limits of the
+/// protocol's rules.
 const DELAYS: [&str; 3] = [
     "send=sleep:120,chance:0.01",
     "recv=sleep:120,chance:0.005",
     "epoll_wait=late:120,chance:0.02",
 ];
 
-/// Seconds after SIGTERM at which a node that has not ended is killed, as the platform does it.
+/// Seconds after SIGTERM at which a node that has not ended is killed, as the platform does.
 const KILL_AFTER_S: f64 = 6.5;
 /// Seconds after SIGTERM at which a node that was shut down is started again.
 const START_AFTER_S: f64 = 6.8;
 /// Maximum time for which a node is stopped, in seconds.
 const MAX_STOP_S: f64 = 1.0;
 /// Seconds after the end of the fault at which a dead backend is restarted. This is more than the
-/// second after which a dead backend is removed from the list.
+/// second after which a dead backend is removed from the list, so that the restart lists it again.
 const BACKEND_START_AFTER_S: f64 = 1.2;
 /// Seconds over which each step of a fault is spread.
 const STEP_SPREAD_S: f64 = 0.2;
