--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -21,6 +21,7 @@
 
 /// Arrival times of a Poisson process within the traffic period of a scenario.
 struct PoissonProcess {
+    /// Mean number of arrivals per second.
     rate: f64,
     last_arrival: Duration,
     end: Duration,
