--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -30,14 +30,14 @@
 
 /// Interval at which a watch without changes writes an empty line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Capacity of a body's channel: chunks that may wait to be written.
+/// Maximum number of chunks of a response body that wait to be written.
 const BODY_BUFFER_CHUNKS: usize = 4;
 
 struct State {
     mode: Mode,
     revision: u64,
     endpoints: BTreeMap<String, Endpoint>,
-    /// The latest changes, bounded by the capacity's `history`.
+    /// The latest changes, at most [`Capacity::max_history`] of them.
     history: VecDeque<EndpointChange>,
     /// When all calls queued so far will have been served.
     idle_at: Duration,
@@ -50,7 +50,7 @@
 
 /// A message that brings a node up to the current revision.
 struct Update {
-    /// The revision that the node has with it.
+    /// The revision of the node's endpoint list after the update.
     revision: u64,
     endpoint_count: usize,
     /// The message as one line of JSON, with its line feed.
@@ -139,8 +139,8 @@
                     let (service, connection_link) = (service.clone(), connection_link.clone());
                     async move { service.handle_request(node, connection_link, request).await }
                 });
-                // The result is not needed: the outcomes of the calls show how the connection
-                // ended.
+                // The result is not needed: the calls on the connection are recorded with their
+                // outcomes.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), request_handler)
                     .await;
@@ -150,7 +150,7 @@
     }
 
     /// Sets how calls that arrive from now on are treated.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Publishes a change: adds, replaces or removes an endpoint, at a new revision.
-    pub fn change(&self, endpoint: Endpoint) {
+    pub fn publish_change(&self, endpoint: Endpoint) {
         let mut state = self.state();
         state.revision += 1;
         let revision = state.revision;
@@ -175,19 +175,19 @@
         }
         let change = EndpointChange {
             revision,
-            at: self.clock.now(),
+            published_at: self.clock.now(),
             endpoint,
         };
         state.changes.push(change.clone());
         state.history.push_back(change);
-        while state.history.len() > self.capacity.history {
+        while state.history.len() > self.capacity.max_history {
             state.history.pop_front();
         }
         drop(state);
         self.published_revision.send_replace(revision);
     }
 
-    /// The current endpoint list, by backend name.
+    /// The endpoints that are listed now, sorted by the names of the backends.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.state().endpoints.values().cloned().collect()
     }
@@ -203,17 +203,18 @@
     }
 
     /// Number of bytes of lists, watch events and keep-alive lines written to nodes so far.
+    /// Truncated lists are not counted.
     pub fn bytes_written(&self) -> u64 {
         self.state().bytes_written
     }
 
-    /// All changes so far, by revision.
+    /// All changes so far, in order of revision.
     pub fn changes(&self) -> Vec<EndpointChange> {
         self.state().changes.clone()
     }
 
-    /// The changes after a revision, or the whole list if there is no such revision or the history
-    /// does not reach back to it.
+    /// The changes after the revision `after`. The whole list if `after` is `None` or 0, is greater
+    /// than the current revision, or is too old for the history.
     fn update_since(&self, after: Option<u64>) -> Update {
         let state = self.state();
         let revision = state.revision;
@@ -228,9 +229,9 @@
                 .history
                 .iter()
                 .filter(|change| change.revision > after)
-                .map(|change| change.endpoint.json())
+                .map(|change| change.endpoint.to_json())
                 .collect(),
-            None => state.endpoints.values().map(Endpoint::json).collect(),
+            None => state.endpoints.values().map(Endpoint::to_json).collect(),
         };
         let endpoint_count = endpoints.len();
         let message = json!({"rev": revision, "all": resume_after.is_none(), "targets": endpoints});
@@ -241,12 +242,16 @@
         }
     }
 
-    /// Records a notification, unless the link is cut: then it reaches the node at the earliest
-    /// after the cut.
+    /// Records a notification. While the link is cut, none is recorded, as the bytes reach the node
+    /// only after the cut.
     fn record_notification(&self, node: usize, link: &Link, revision: u64) {
-        let at = self.clock.now();
+        let written_at = self.clock.now();
         if link.delivers_to_node() {
-            let notification = Notification { node, at, revision };
+            let notification = Notification {
+                node,
+                written_at,
+                revision,
+            };
             self.state().notifications.push(notification);
         }
     }
@@ -320,8 +325,9 @@
             let service_start = state.idle_at.max(arrived);
             let wait = service_start.saturating_sub(arrived);
             if wait <= self.capacity.max_wait {
-                state.idle_at =
-                    service_start + self.capacity.call + self.capacity.endpoint * endpoint_count;
+                state.idle_at = service_start
+                    + self.capacity.call_time
+                    + self.capacity.endpoint_time * endpoint_count;
             }
             (arrived, wait, state.idle_at)
         };
@@ -331,7 +337,7 @@
         } else {
             arrived + self.capacity.max_wait
         };
-        tokio::time::sleep_until(self.clock.at(wait_until)).await;
+        tokio::time::sleep_until(self.clock.instant_at(wait_until)).await;
         is_served
     }
 
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-/// State of an endpoint on the list.
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// The backend accepts requests.
@@ -46,7 +46,7 @@
 
 impl Endpoint {
     /// The endpoint as a JSON object of the discovery protocol.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         json!({
             "uid": self.uid,
             "endpoint": self.address.to_string(),
@@ -60,13 +60,13 @@
     }
 }
 
-/// A change of one endpoint.
+/// A change of one endpoint on the list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     /// The revision of the list that the change created.
     pub revision: u64,
     /// When the change was published.
-    pub at: Duration,
+    pub published_at: Duration,
     /// The endpoint after the change.
     pub endpoint: Endpoint,
 }
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -29,7 +29,7 @@
 }
 
 /// The behaviours that have no parameter.
-pub const BEHAVIOURS: [Behaviour; 5] = [
+pub const PARAMETERLESS_BEHAVIOURS: [Behaviour; 5] = [
     Behaviour::HalfCloses,
     Behaviour::Trickles,
     Behaviour::StopsMidway,
@@ -103,7 +103,7 @@
     }
 
     /// Runs one client until it has ended, and records the result.
-    pub async fn play(
+    pub async fn run(
         self: Arc<Self>,
         request: MisbehavingRequest,
         node: usize,
@@ -201,15 +201,15 @@
     let txn = format!("{}{suffix}", request.txn);
     let class = &request.class;
     let remaining_ms = request.client_timeout.as_millis();
-    let (method, key_headers, body) = if request.has_key {
-        let key_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
-        ("POST", key_headers, "body")
+    let (method, post_headers, body) = if request.has_key {
+        let post_headers = format!("Idempotency-Key: k{txn}\r\nContent-Length: 4\r\n");
+        ("POST", post_headers, "body")
     } else {
         ("GET", String::new(), "")
     };
     format!(
         "{method} /api HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
-         X-Remaining-Ms: {remaining_ms}\r\n{key_headers}\r\n{body}"
+         X-Remaining-Ms: {remaining_ms}\r\n{post_headers}\r\n{body}"
     )
     .into_bytes()
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -42,11 +42,11 @@
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// Time after which a backend in slow start breaks down if it is overloaded.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
-/// Multiple of its capacity at the time above which a backend in slow start is overloaded.
+/// Multiple of its current capacity above which a backend in slow start is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// Time that the referee allows nodes beyond their own grace and slack.
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which the run continues after the longest client timeout.
+/// Time for which the run continues after the last time at which a final answer may arrive.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
@@ -99,11 +99,12 @@
         run_start,
     ));
     for event in timeline::events(scenario) {
-        tokio::time::sleep_until(clock.at(run_start + event.at)).await;
+        tokio::time::sleep_until(clock.instant_at(run_start + event.at)).await;
         cluster.apply(&event)?;
     }
-    tokio::time::sleep_until(clock.at(run_start + duration_from_secs(scenario.length_s))).await;
-    // No new requests are sent any more; those in flight get the time for their final answers.
+    tokio::time::sleep_until(clock.instant_at(run_start + duration_from_secs(scenario.length_s)))
+        .await;
+    // After the last request is sent, the run continues until all final answers can have arrived.
     let _ = traffic_task.await;
     let _ = misbehaving_task.await;
     tokio::time::sleep(longest_client_timeout(scenario) + ANSWER_SLACK + SETTLING_TIME).await;
@@ -126,7 +127,7 @@
     duration_from_secs(ms / 1_000.0)
 }
 
-/// Zone of the node or backend with this number; they are assigned to the zones in turn.
+/// Zone of the node or backend with this number; numbers are assigned to the zones in turn.
 fn zone(scenario: &Scenario, number: usize) -> usize {
     number % scenario.fleet.zones
 }
@@ -202,8 +203,10 @@
             run_start,
             discovery_calls: self.discovery.calls(),
             discovery_bytes: self.discovery.bytes_written(),
-            accepted_connections: backends().map(|backend| backend.link.accepted()).collect(),
-            rejected_attempts: backends().map(|backend| backend.rejected()).sum(),
+            accepted_connections: backends()
+                .map(|backend| backend.link.accepted_connections())
+                .collect(),
+            rejected_attempts: backends().map(|backend| backend.rejected_attempts()).sum(),
             usage: locked(&self.usage).clone(),
             log_lines: self.log_lines(),
         }
@@ -224,12 +227,12 @@
 fn new_backends(scenario: &Scenario, clock: Clock, log: &Arc<AttemptLog>) -> Vec<Arc<Backend>> {
     let parameters = &scenario.backend;
     let settings = BackendSettings {
-        work: duration_from_millis(parameters.work_ms),
-        handshake: duration_from_millis(parameters.handshake_ms),
-        capacity: parameters.capacity,
-        connections: parameters.connections,
-        slow_start_from: parameters.slow_start_from,
-        slow_start: duration_from_secs(parameters.slow_start_s),
+        mean_execution_time: duration_from_millis(parameters.work_ms),
+        connection_setup_time: duration_from_millis(parameters.handshake_ms),
+        max_in_flight: parameters.capacity,
+        max_connections: parameters.connections,
+        slow_start_initial_speed: parameters.slow_start_from,
+        slow_start_duration: duration_from_secs(parameters.slow_start_s),
         seed: 0,
     };
     let new_backend = |number: usize| {
@@ -264,10 +267,10 @@
 fn discovery_capacity(scenario: &Scenario) -> Capacity {
     let parameters = &scenario.discovery;
     Capacity {
-        call: duration_from_millis(parameters.call_ms),
-        endpoint: duration_from_millis(parameters.endpoint_us / 1_000.0),
+        call_time: duration_from_millis(parameters.call_ms),
+        endpoint_time: duration_from_millis(parameters.endpoint_us / 1_000.0),
         max_wait: duration_from_millis(parameters.max_wait_ms),
-        history: parameters.history,
+        max_history: parameters.history,
     }
 }
 
@@ -278,8 +281,8 @@
         key_window: KEY_WINDOW,
         overload_multiple: OVERLOAD_MULTIPLE,
         overload_duration: OVERLOAD_DURATION,
-        slow_start_from: scenario.backend.slow_start_from,
-        slow_start: duration_from_secs(scenario.backend.slow_start_s),
-        work: duration_from_millis(scenario.backend.work_ms),
+        slow_start_initial_speed: scenario.backend.slow_start_from,
+        slow_start_duration: duration_from_secs(scenario.backend.slow_start_s),
+        mean_execution_time: duration_from_millis(scenario.backend.work_ms),
     }
 }
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use kitefork_standin::backend::{self, Backend};
+use kitefork_standin::backend::{Backend, BackendMode};
 use kitefork_standin::discovery::{Endpoint, EndpointState, Mode};
-use kitefork_standin::link::{self, WriteBehaviour};
+use kitefork_standin::link::{LinkState, WriteBehaviour};
 use kitefork_standin::locked;
 use rustix::process::Signal;
 
@@ -58,7 +58,7 @@
                 let _ = locked(&self.nodes[number]).remove_config();
                 self.signal(number, Signal::HUP);
             }
-            Action::DiscoveryCut => self.discovery_links[number].set(link::Health::Cut),
+            Action::DiscoveryCut => self.discovery_links[number].set_state(LinkState::Cut),
             _ => unreachable!("{action:?} is not an action on nodes"),
         }
         Ok(())
@@ -74,7 +74,7 @@
         node.start(&self.process_settings, self.clock)
     }
 
-    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list of
+    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list at
     /// this time.
     fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         self.write_config_with_current_list(number)?;
@@ -110,14 +110,14 @@
         let all_links = || self.discovery_links.iter();
         match action {
             Action::DiscoveryUp => {
-                self.discovery.set(Mode::Up);
-                all_links().for_each(|link| link.set(link::Health::Healthy));
+                self.discovery.set_mode(Mode::Up);
+                all_links().for_each(|link| link.set_state(LinkState::Healthy));
             }
-            Action::DiscoveryOverloaded => self.discovery.set(Mode::Overloaded),
-            Action::DiscoverySilent => self.discovery.set(Mode::Silent),
-            Action::DiscoveryTruncates => self.discovery.set(Mode::Truncates),
+            Action::DiscoveryOverloaded => self.discovery.set_mode(Mode::Overloaded),
+            Action::DiscoverySilent => self.discovery.set_mode(Mode::Silent),
+            Action::DiscoveryTruncates => self.discovery.set_mode(Mode::Truncates),
             Action::DiscoveryDown => all_links().for_each(|link| {
-                link.set(link::Health::Refused);
+                link.set_state(LinkState::Refused);
                 link.reset();
             }),
             Action::DiscoveryRestart => {
@@ -137,29 +137,29 @@
                 self.schedule_removal(event.number);
             }
             Action::BackendKill => {
-                link.set(link::Health::Refused);
+                link.set_state(LinkState::Refused);
                 link.reset();
                 self.schedule_removal(event.number);
             }
             Action::BackendStart => self.start_backend(event.number, backend),
-            Action::BackendSilent => backend.set(backend::Health::Silent),
-            Action::BackendFails => backend.set(backend::Health::Fails),
+            Action::BackendSilent => backend.set_mode(BackendMode::Silent),
+            Action::BackendFails => backend.set_mode(BackendMode::Fails),
             Action::BackendWorks => {
-                backend.set(backend::Health::Works(event.size));
-                link.set(link::Health::Healthy);
+                backend.set_mode(BackendMode::Serves(event.size));
+                link.set_state(LinkState::Healthy);
                 link.set_write_behaviour(WriteBehaviour::Unchanged);
             }
             Action::AnswerTwice => link.set_write_behaviour(WriteBehaviour::Duplicated),
             Action::AnswerInPieces => link.set_write_behaviour(WriteBehaviour::InPieces),
-            Action::BackendCut => link.set(link::Health::Cut),
-            Action::BackendCutOut => link.set(link::Health::CutOut),
+            Action::BackendCut => link.set_state(LinkState::Cut),
+            Action::BackendCutOut => link.set_state(LinkState::OutboundCut),
             Action::BackendReset => link.reset(),
             action => unreachable!("{action:?} is not an action on backends"),
         }
     }
 
     fn set_listed_state(&self, number: usize, state: EndpointState) {
-        self.discovery.change(Endpoint {
+        self.discovery.publish_change(Endpoint {
             state,
             ..self.endpoints[number].clone()
         });
@@ -175,13 +175,13 @@
 
     fn start_backend(&self, number: usize, backend: &Backend) {
         backend.restart();
-        backend.link.set(link::Health::Healthy);
+        backend.link.set_state(LinkState::Healthy);
         locked(&self.backend_starts).push(BackendStart {
             uid: backend.uid.clone(),
             at: self.clock.now(),
         });
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        self.discovery.change(Endpoint {
+        self.discovery.publish_change(Endpoint {
             boot_ms: since_epoch.unwrap_or_default().as_millis() as u64,
             ..self.endpoints[number].clone()
         });
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -8,7 +8,7 @@
 use kitefork_standin::clients::{ClientRequest, Clients, Idempotency};
 use kitefork_standin::locked;
 use kitefork_standin::misbehaving::{
-    BEHAVIOURS, Behaviour, MisbehavingClients, MisbehavingRequest,
+    Behaviour, MisbehavingClients, MisbehavingRequest, PARAMETERLESS_BEHAVIOURS,
 };
 use kitefork_standin::random::RandomSource;
 use tokio::task::JoinSet;
@@ -17,10 +17,11 @@
 use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
 /// Makes the draws for misbehaving clients differ from those for well-behaved ones.
-const MISBEHAVING_SEED: u64 = 0x0dd;
+const MISBEHAVING_SEED_MASK: u64 = 0x0dd;
 
 /// Arrival times of a Poisson process within the traffic period of a scenario.
 struct PoissonProcess {
+    /// Mean number of arrivals per second.
     rate: f64,
     last_arrival: Duration,
     end: Duration,
@@ -53,7 +54,9 @@
     /// Draws an admitted node; `None` if there is none, or if its address is not known yet.
     fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
         let admitted = self.admitted_nodes();
-        let number = admitted.get(random.below(admitted.len())).copied()?;
+        let number = admitted
+            .get(random.integer_below(admitted.len()))
+            .copied()?;
         let address = locked(&self.nodes[number]).address()?;
         Some(AdmittedNode { number, address })
     }
@@ -75,7 +78,7 @@
         let Some(planned) = arrivals.next(&mut random) else {
             return;
         };
-        tokio::time::sleep_until(cluster.clock.at(planned)).await;
+        tokio::time::sleep_until(cluster.clock.instant_at(planned)).await;
         let Some(class) = draw_class(traffic, &mut random) else {
             return;
         };
@@ -95,8 +98,8 @@
 
 /// Draws a class in proportion to the shares; `None` if there are no classes.
 fn draw_class<'a>(traffic: &'a Traffic, random: &mut RandomSource) -> Option<&'a Class> {
-    let shares: f64 = traffic.class.iter().map(|class| class.share).sum();
-    let mut remaining = random.unit() * shares;
+    let total_share: f64 = traffic.class.iter().map(|class| class.share).sum();
+    let mut remaining = random.unit() * total_share;
     let drawn = traffic.class.iter().find(|class| {
         remaining -= class.share;
         remaining < 0.0
@@ -118,14 +121,14 @@
     if rate <= 0.0 || classes.is_empty() {
         return;
     }
-    let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED);
+    let mut random = RandomSource::from_seed(scenario.seed ^ MISBEHAVING_SEED_MASK);
     let mut arrivals = PoissonProcess::new(rate, scenario, run_start);
     let mut tasks = JoinSet::new();
     for number in 0u64.. {
-        let Some(at) = arrivals.next(&mut random) else {
+        let Some(arrival) = arrivals.next(&mut random) else {
             break;
         };
-        tokio::time::sleep_until(cluster.clock.at(at)).await;
+        tokio::time::sleep_until(cluster.clock.instant_at(arrival)).await;
         let class = random.choose(&classes);
         let behaviour = draw_behaviour(class, &mut random);
         let Some(node) = cluster.draw_node(&mut random) else {
@@ -138,16 +141,16 @@
             client_timeout: class.client_timeout(),
             behaviour,
         };
-        tasks.spawn(clients.clone().play(request, node.number, node.address));
+        tasks.spawn(clients.clone().run(request, node.number, node.address));
     }
     while tasks.join_next().await.is_some() {}
 }
 
-/// Draws a behaviour: half of the clients disconnect within half of their timeout, the others have
-/// one of the other behaviours.
+/// Draws a behaviour: with probability one half, a disconnect within half of the client timeout;
+/// otherwise one of the other behaviours.
 fn draw_behaviour(class: &Class, random: &mut RandomSource) -> Behaviour {
     let wait = duration_from_secs(random.unit() * class.client_timeout_ms / 2_000.0);
-    let index = random.below(2 * BEHAVIOURS.len());
-    let behaviour = BEHAVIOURS.get(index).copied();
+    let index = random.integer_below(2 * PARAMETERLESS_BEHAVIOURS.len());
+    let behaviour = PARAMETERLESS_BEHAVIOURS.get(index).copied();
     behaviour.unwrap_or(Behaviour::Disconnects(wait))
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -16,9 +16,9 @@
 /// Maximum number of log lines that are kept for a node.
 const MAX_LOG_LINES: usize = 20_000;
 /// Listening address at the first start of a node; later starts use the port assigned then.
-const ANY_PORT: &str = "127.0.0.1:0";
-/// Start of the line that a node logs when it begins to listen.
-const START_LINE_PREFIX: &str = "kitefork: start ";
+const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
+/// Part of the line that a node logs when it begins to listen.
+const START_LINE_MARKER: &str = "kitefork: start ";
 
 /// Signals that were sent to end a process.
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +83,7 @@
 
 impl ObservedState {
     fn add_line(&mut self, line: String, now: Duration) {
-        if line.contains(START_LINE_PREFIX)
+        if line.contains(START_LINE_MARKER)
             && let Some(rest) = line.split(" listen=").nth(1)
         {
             self.address = rest
@@ -145,7 +145,7 @@
     pub fn write_config(&self, mut config: Value) -> io::Result<()> {
         let address = self
             .address()
-            .map_or(ANY_PORT.to_string(), |address| address.to_string());
+            .map_or(ANY_PORT_ADDRESS.to_string(), |address| address.to_string());
         config["listen"] = Value::from(address);
         std::fs::write(&self.config_path, config.to_string())
     }
@@ -234,7 +234,7 @@
         let Some(child) = self.child.as_ref() else {
             return;
         };
-        // A child that was waited for has no id any more, as another process may get it.
+        // A child that was waited for has no id: another process may have got the same one.
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Maximum resident memory of the process so far, in MB; `None` if the process has ended.
+    /// Maximum resident memory of the process so far, in MiB; `None` if the process has ended.
     pub fn peak_memory_mb(&self) -> Option<f64> {
         let id = self.child.as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -30,16 +30,16 @@
     pub drain_grace: Duration,
     /// Time in which the backends of a cell drop repeats of an idempotency key.
     pub key_window: Duration,
-    /// Multiple of its capacity at the time above which a backend in slow start breaks down.
+    /// Multiple of its current capacity above which a backend in slow start breaks down.
     pub overload_multiple: f64,
     /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
     /// Fraction of the full speed at which a backend starts.
-    pub slow_start_from: f64,
+    pub slow_start_initial_speed: f64,
     /// Time from the start of a backend to its full speed.
-    pub slow_start: Duration,
-    /// Mean processing time of a request at full speed.
-    pub work: Duration,
+    pub slow_start_duration: Duration,
+    /// Mean execution time of a request at full speed.
+    pub mean_execution_time: Duration,
 }
 
 /// A period in which a node was stopped, including the time that it had to catch up.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -34,7 +34,7 @@
     pub run_start: Duration,
     /// Calls that discovery received.
     pub discovery_calls: Vec<DiscoveryCall>,
-    /// Number of bytes of lists and watch events that discovery wrote to nodes.
+    /// Number of bytes of lists, watch events and keep-alive lines that discovery wrote to nodes.
     pub discovery_bytes: u64,
     /// Number of connections that each backend accepted.
     pub accepted_connections: Vec<usize>,
@@ -91,7 +91,7 @@
     pub fn new(measurements: &Measurements) -> Report {
         let mut violations = referee::find_violations(&measurements.rules, measurements.records);
         let panics = measurements.log_lines_containing(PANIC_MARKER);
-        let mut figures = figures::count(measurements);
+        let mut figures = figures::compute(measurements);
         figures.insert("broken_rules".into(), violations.len() as f64);
         figures.insert("panics".into(), panics.len() as f64);
         let node_violations = measurements
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -1,4 +1,4 @@
-//! Resource usage of one node with a short list of backends and with a long one, under the same
+//! Resource usage of one node with a baseline list of backends and with a large one, under the same
 //! traffic, compared with the allowances that the operators require.
 
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// Minimum of the served fraction with the large list, relative to that with the baseline list.
 pub const MIN_SERVED_RATIO: f64 = 0.85;
 /// Requests per second.
-const RATE: f64 = 40.0;
+const REQUEST_RATE: f64 = 40.0;
 /// Length of the run, in seconds.
 const LENGTH_S: f64 = 25.0;
 /// Number of proxies that the node's settings state.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Allowances that the operators require. CPU time is in seconds, memory in MB, lists in kB.
+/// Allowances that the operators require. CPU time is in seconds, memory in MiB, lists in kB.
 pub const ALLOWANCES: [Allowance; 5] = [
     Allowance {
         figure: "cpu_s_mean",
@@ -138,7 +138,7 @@
 
 fn traffic() -> Traffic {
     Traffic {
-        rate: RATE,
+        rate: REQUEST_RATE,
         from_s: 1.0,
         class: vec![Class {
             name: "check".into(),
