--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -182,12 +182,12 @@
 fn marked_client_retry_is_admitted_after_a_first_try() {
     let mut harness = Harness::new(settings(), vec![backend(1)]);
     let (first, _) = harness.submit(0);
-    let Event::Request(marked) = request(900, 0) else {
+    let Event::Request(retry) = request(900, 0) else {
         unreachable!()
     };
     harness.handle(Event::Request(Request {
         client_retry: true,
-        ..marked
+        ..retry
     }));
     let (first_try, _) = harness.submit(0);
     harness.wait(10 * MS);
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -109,8 +109,9 @@
         request: RequestId,
         backend: BackendId,
     ) {
-        let open = self.open_requests.get_mut(&request);
-        let (class, deadline, attempts) = open.expect("rule 1: no attempt after the final answer");
+        let open_request = self.open_requests.get_mut(&request);
+        let (class, deadline, attempts) =
+            open_request.expect("rule 1: no attempt after the final answer");
         assert!(now < *deadline);
         assert_eq!(
             self.endpoint_states[&backend],
@@ -152,8 +153,8 @@
     }
 
     fn check_rejection(&mut self, now: Nanos, settings: &Settings, request: RequestId) {
-        let open = self.open_requests.remove(&request);
-        let (class, deadline, attempts) = open.expect("rule 1: at most one final answer");
+        let open_request = self.open_requests.remove(&request);
+        let (class, deadline, attempts) = open_request.expect("rule 1: at most one final answer");
         assert!(now <= deadline);
         let was_possibly_executed = attempts.iter().any(ObservedAttempt::may_have_executed);
         let class = settings.classes.get(usize::from(class));
@@ -307,9 +308,9 @@
             let actions = self.harness.wait(MS);
             self.check(actions);
             let now = self.harness.now;
-            let mut open = self.checker.open_requests.values();
+            let mut open_requests = self.checker.open_requests.values();
             assert!(
-                open.all(|(_, deadline, _)| now < *deadline + MS),
+                open_requests.all(|(_, deadline, _)| now < *deadline + MS),
                 "rule 1: a final answer by the deadline"
             );
         }
@@ -421,7 +422,7 @@
             let mut harness = Harness::new(settings(), (1..=5).map(backend).collect());
             harness.serve(10, |_| 10 * MS);
             let ids: Vec<RequestId> = request_plans.iter().map(|_| harness.submit(3).0).collect();
-            let mut executed = BTreeMap::new();
+            let mut possibly_executed = BTreeMap::new();
             // The requests advance alternately, so that the outcome of one affects the decisions on
             // the others.
             for step in 0..6 {
@@ -436,14 +437,14 @@
                             harness.handle(Event::ClientDisconnected { request: *id });
                         }
                         if !outcome.not_executed() {
-                            executed.insert(*id, sent_count);
+                            possibly_executed.insert(*id, sent_count);
                         }
                         harness.end_attempt(*id, sent_count - 1, outcome);
                     }
                 }
             }
             harness.wait(2_000 * MS);
-            for (id, sent_count) in &executed {
+            for (id, sent_count) in &possibly_executed {
                 prop_assert_eq!(
                     harness.sent[id].len(),
                     *sent_count,
@@ -451,12 +452,7 @@
                     id
                 );
             }
-            prop_assert!(
-                harness
-                    .sent
-                    .values()
-                    .all(|sent_count| sent_count.len() <= 3)
-            );
+            prop_assert!(harness.sent.values().all(|attempts| attempts.len() <= 3));
             Ok(())
         })
         .unwrap();
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -277,11 +277,11 @@
             ..backend(id)
         })
         .collect();
-    let work = [24, 15]
+    let mean_work = [24, 15]
         .map(|ms| (scale * (ms * MS) as f64) as Nanos)
         .to_vec();
     let mut simulation =
-        Simulation::with_settings(two_class_settings(2, scale), work, 2, &backends, seed);
+        Simulation::with_settings(two_class_settings(2, scale), mean_work, 2, &backends, seed);
     simulation.last_class_share = 0.41;
     (simulation, backends)
 }
@@ -343,11 +343,11 @@
         );
         // One proxy stops and the other gets the requests of its clients; later it restarts with
         // its cached list.
-        simulation.stopped = Some(1);
+        simulation.stopped_proxy = Some(1);
         simulation.run(2 * SECOND, 0.8 * capacity(1.0) * 12.0);
         let in_time_with_one = simulation.fraction_in_time(START + 6 * SECOND);
         simulation.restart(1, &backends);
-        simulation.stopped = None;
+        simulation.stopped_proxy = None;
         simulation.run(4 * SECOND, 0.8 * capacity(1.0) * 12.0);
         let in_time_after_restart = simulation.fraction_in_time(START + 8 * SECOND);
         assert!(
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -419,7 +419,7 @@
 }
 
 fn backend(setup: Setup, id: u32, state: EndpointState, started_at: Option<Nanos>) -> Endpoint {
-    let label = |count: u32| {
+    let group_index = |count: u32| {
         if setup.extended {
             (id % count) as u16
         } else {
@@ -429,9 +429,9 @@
     Endpoint {
         id: BackendId(id),
         hash: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        zone: ZoneId(label(3)),
+        zone: ZoneId(group_index(3)),
         cell: CellId((id / 4) as u16),
-        kind: KindId(label(2)),
+        kind: KindId(group_index(2)),
         state,
         weight: 1.0,
         started_at,
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -86,7 +86,7 @@
     pub proxies: Vec<Balancer>,
     pub settings: Settings,
     /// Mean work of each class.
-    pub work: Vec<Nanos>,
+    pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
     /// Work held by a backend above which its backlog counts as long.
@@ -98,7 +98,7 @@
     /// Number of requests that were not started at once although some backend was idle.
     pub queued_despite_idle_backend: usize,
     /// Index of the proxy that is stopped, if any.
-    pub stopped: Option<usize>,
+    pub stopped_proxy: Option<usize>,
     /// When each backend has finished the attempts that it holds.
     pub free_at: BTreeMap<BackendId, Nanos>,
     pub health: fn(BackendId, Nanos) -> Health,
@@ -187,7 +187,7 @@
     /// `work` is the mean work of each class; `seed` is used as by `with_seed`.
     pub fn with_settings(
         settings: Settings,
-        work: Vec<Nanos>,
+        mean_work: Vec<Nanos>,
         proxy_count: usize,
         backends: &[Endpoint],
         seed: u64,
@@ -205,13 +205,13 @@
         let mut simulation = Simulation {
             proxies,
             settings,
-            work,
+            mean_work,
             last_class_share: 0.0,
             backlog_threshold: Nanos::MAX,
             above_threshold: BTreeMap::new(),
             longest_above_threshold: 0,
             queued_despite_idle_backend: 0,
-            stopped: None,
+            stopped_proxy: None,
             free_at: backends.iter().map(|backend| (backend.id, START)).collect(),
             health: |_, _| Health::Works(1.0),
             now: START,
@@ -293,8 +293,8 @@
         abandon_at: Nanos,
     ) {
         let class = self.records[&request].class;
-        let work = self.exponential(self.work[class] as f64);
-        let max_backlog = MAX_QUEUE_LENGTH * self.work.iter().max().expect("there is a class");
+        let work = self.exponential(self.mean_work[class] as f64);
+        let max_backlog = MAX_QUEUE_LENGTH * self.mean_work.iter().max().expect("there is a class");
         let now = self.now;
         let record = self
             .records
@@ -428,14 +428,14 @@
         let draw = self.rng.next_u64() % (self.proxies.len() as u64 + self.extra_load);
         let proxy_index = draw.saturating_sub(self.extra_load) as usize;
         // The front sends the requests for a stopped proxy to the next one.
-        let proxy_index = if self.stopped == Some(proxy_index) {
+        let proxy_index = if self.stopped_proxy == Some(proxy_index) {
             (proxy_index + 1) % self.proxies.len()
         } else {
             proxy_index
         };
         let is_last_class = self.last_class_share > 0.0 && self.uniform() < self.last_class_share;
         let class = if is_last_class {
-            self.work.len() - 1
+            self.mean_work.len() - 1
         } else {
             0
         };
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -139,11 +139,11 @@
     /// first one is returned.
     pub fn inject(&mut self, call: Call, elapsed_ms: u64) -> Option<Fault> {
         let random_state = &mut self.random_state;
-        let in_force = |rule: &&mut Rule| {
+        let applies = |rule: &&mut Rule| {
             rule.call == call && (rule.from_ms..rule.to_ms).contains(&elapsed_ms)
         };
         let mut injected = None;
-        for rule in self.rules.iter_mut().filter(in_force) {
+        for rule in self.rules.iter_mut().filter(applies) {
             if rule.should_inject(random_state) {
                 injected = injected.or(Some(rule.fault));
             }
--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -34,8 +34,8 @@
     /// Reads until `pattern` is received; returns all text up to its end. Panics if the connection
     /// closes before.
     pub fn expect(&mut self, pattern: &str) -> String {
-        let has_byte = self.expect_or_close(pattern);
-        has_byte.unwrap_or_else(|| {
+        let received_text = self.expect_or_close(pattern);
+        received_text.unwrap_or_else(|| {
             panic!(
                 "connection closed before {pattern:?}; received {:?}",
                 String::from_utf8_lossy(&self.received)
@@ -50,7 +50,7 @@
             let start = self
                 .received
                 .windows(pattern.len())
-                .position(|w| w == pattern.as_bytes());
+                .position(|window| window == pattern.as_bytes());
             if let Some(end) = start.map(|start| start + pattern.len()) {
                 return Some(String::from_utf8(self.received.drain(..end).collect()).unwrap());
             }
--- a/crates/node/tests/common/stand_in.rs
+++ b/crates/node/tests/common/stand_in.rs
@@ -37,9 +37,9 @@
     /// Accepts the next connection from the node, if one is queued.
     pub fn try_accept(&self) -> Option<Connection> {
         self.0.set_nonblocking(true).unwrap();
-        let found = self.0.accept().ok();
+        let accepted = self.0.accept().ok();
         self.0.set_nonblocking(false).unwrap();
-        found.map(|(stream, _)| {
+        accepted.map(|(stream, _)| {
             stream.set_nonblocking(false).unwrap();
             Connection::new(stream)
         })
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -277,12 +277,12 @@
 /// Path of the test's configuration file; unique, as each test runs in its own thread.
 fn config_path() -> std::path::PathBuf {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let unique = format!(
+    let file_name = format!(
         "{}-{:?}.json",
         std::process::id(),
         std::thread::current().id()
     );
-    folder.join(unique.replace(['(', ')'], ""))
+    folder.join(file_name.replace(['(', ')'], ""))
 }
 
 /// Writes the configuration file and runs the program with it; `variables` are added to its
--- a/crates/node/tests/common/waiting.rs
+++ b/crates/node/tests/common/waiting.rs
@@ -9,8 +9,8 @@
 pub fn wait_for<T>(find: impl Fn() -> Option<T>) -> T {
     let started_at = std::time::Instant::now();
     loop {
-        if let Some(found) = find() {
-            return found;
+        if let Some(value) = find() {
+            return value;
         }
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -66,8 +66,11 @@
     // back by an hour while the node runs.
     for (plan, machine_offset_ms) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
         let (mut node, mut watch) = node_with_watch(plan);
-        let boot = unix_ms() + machine_offset_ms - 500;
-        watch.send(&watch_update(9, &[endpoint_started_at(&node, "s-2", boot)]));
+        let boot_ms = unix_ms() + machine_offset_ms - 500;
+        watch.send(&watch_update(
+            9,
+            &[endpoint_started_at(&node, "s-2", boot_ms)],
+        ));
         let age = age_ms(&mut node, "s-2");
         assert!(
             (0..=6_000).contains(&age),
@@ -102,8 +105,11 @@
         let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step},from:200"));
         sleep_ms(400);
         // The clock of the backend's machine is stepped too.
-        let boot = unix_ms() + step * 1_000 - 1_000;
-        watch.send(&watch_update(9, &[endpoint_started_at(&node, "s-2", boot)]));
+        let boot_ms = unix_ms() + step * 1_000 - 1_000;
+        watch.send(&watch_update(
+            9,
+            &[endpoint_started_at(&node, "s-2", boot_ms)],
+        ));
         let age = age_ms(&mut node, "s-2");
         assert!((0..=1_500).contains(&age), "{step}: {age} ms");
     }
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -13,9 +13,9 @@
 
 /// Reads a request from a backend's connection and checks that the remaining time in it is not
 /// longer than that of its client, which sent it at `sent`.
-fn check_remaining_time(backend: &mut Connection, sent: Instant) {
+fn check_remaining_time(backend: &mut Connection, sent_at: Instant) {
     let head = backend.expect("body");
-    let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent.elapsed());
+    let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed());
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
         remaining <= client_remaining + REMAINING_TIME_SLACK,
@@ -29,14 +29,14 @@
     let node =
         TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut client = node.client();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send(&report_request("late", CLIENT_TIMEOUT_MS));
     sleep_ms(300);
     // The kernel of the backend's machine accepts the connection once its backlog is no longer
     // full.
     drop(queued);
     full_backend.accept();
-    check_remaining_time(&mut full_backend.accept(), sent);
+    check_remaining_time(&mut full_backend.accept(), sent_at);
 }
 
 #[test]
@@ -48,17 +48,17 @@
             report_request("first", 5_000),
             report_request("second", CLIENT_TIMEOUT_MS),
         );
-        let mut sent = Instant::now();
+        let mut sent_at = Instant::now();
         client.send(&if pipelined { first + &second } else { first });
         let mut backend = node.backend.accept();
         backend.expect("body");
         if !pipelined {
-            sent = Instant::now();
+            sent_at = Instant::now();
             client.send(&second);
         }
         sleep_ms(600);
         backend.serve("200 OK", "first");
-        check_remaining_time(&mut backend, sent);
+        check_remaining_time(&mut backend, sent_at);
     }
 }
 
@@ -69,7 +69,7 @@
         let mut accepted = node.client();
         accepted.send(HEALTH_CHECK).expect("ok\n");
         node.stall();
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let mut client = if in_accept_queue {
             node.client()
         } else {
@@ -78,7 +78,7 @@
         client.send(&report_request("stalled", CLIENT_TIMEOUT_MS));
         sleep_ms(800);
         node.resume();
-        check_remaining_time(&mut node.backend.accept(), sent);
+        check_remaining_time(&mut node.backend.accept(), sent_at);
     }
 }
 
@@ -102,11 +102,11 @@
             CLIENT_TIMEOUT_MS,
         ));
     }
-    let sent = Instant::now();
-    check_remaining_time(&mut backend, sent);
+    let sent_at = Instant::now();
+    check_remaining_time(&mut backend, sent_at);
     sleep_ms(400);
     backend.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
-    check_remaining_time(&mut backend, sent);
+    check_remaining_time(&mut backend, sent_at);
 }
 
 #[test]
@@ -115,12 +115,12 @@
     let mut client = node.client();
     client.send(HEALTH_CHECK).expect("ok\n");
     sleep_ms(1_500);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send(&report_request("idle", CLIENT_TIMEOUT_MS));
     let head = node.backend.accept().expect("body");
     let remaining = Duration::from_millis(header(&head, "x-remaining-ms").parse().unwrap());
     assert!(
-        remaining + REMAINING_TIME_SLACK >= CLIENT_TIMEOUT.saturating_sub(sent.elapsed()),
+        remaining + REMAINING_TIME_SLACK >= CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed()),
         "forwarded only {remaining:?}"
     );
 }
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -240,7 +240,7 @@
 #[test]
 fn temporarily_unreadable_request_at_shutdown_is_answered() {
     // The node stops accepting 0.6 s after SIGTERM, during the period in which all reads fail.
-    let started = Instant::now();
+    let started_at = Instant::now();
     let (node, _backend) = node_with_faults("recv=ENOMEM,from:1500,to:1900");
     let mut client = node.client();
     client
@@ -248,9 +248,9 @@
         .expect("\r\n\r\nfirst");
     let mut idle = node.client();
     idle.send(crate::common::HEALTH_CHECK).expect("ok\n");
-    sleep_until(started, Duration::from_millis(1_150));
+    sleep_until(started_at, Duration::from_millis(1_150));
     node.terminate();
-    sleep_until(started, Duration::from_millis(1_650));
+    sleep_until(started_at, Duration::from_millis(1_650));
     client.send(&report_request("second", 3_000));
     let head = client
         .expect_or_close("\r\n\r\n")
@@ -261,13 +261,13 @@
     idle.expect_close();
     client.expect_close();
     assert!(
-        started.elapsed() < Duration::from_secs(3),
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        started.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(node.wait_exit().code(), Some(0));
 }
 
-fn sleep_until(started: Instant, time: Duration) {
-    crate::common::sleep_ms(time.saturating_sub(started.elapsed()).as_millis() as u64);
+fn sleep_until(started_at: Instant, time: Duration) {
+    crate::common::sleep_ms(time.saturating_sub(started_at.elapsed()).as_millis() as u64);
 }
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn request_read_together_with_a_drain_avoids_the_idle_connection() {
-    let other = StandIn::new();
+    let other_backend = StandIn::new();
     let node = TestNode::start();
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD);
@@ -18,11 +18,14 @@
     let draining = endpoint_json("s-1", node.backend.address(), "Terminating");
     watch.send(&watch_update(
         8,
-        &[draining, endpoint_json("s-2", other.address(), "Ready")],
+        &[
+            draining,
+            endpoint_json("s-2", other_backend.address(), "Ready"),
+        ],
     ));
     node.resume();
     assert_eq!(backend.expect_close(), "");
-    let mut other_connection = other.accept();
+    let mut other_connection = other_backend.accept();
     other_connection.expect("x-txn: after\r\n");
 }
 
@@ -66,16 +69,16 @@
     let node =
         TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     let mut client = node.client();
-    let mut others: Vec<Connection> = (0..300).map(|_| node.client()).collect();
-    for other in &mut others {
-        other.send(HEALTH_CHECK).expect("ok\n");
+    let mut other_clients: Vec<Connection> = (0..300).map(|_| node.client()).collect();
+    for other_client in &mut other_clients {
+        other_client.send(HEALTH_CHECK).expect("ok\n");
     }
     client.send(&report_request("slow", 400));
     let mut backend = node.backend.accept();
     backend.expect("body");
     node.stall();
-    for other in &mut others {
-        other.send(HEALTH_CHECK);
+    for other_client in &mut other_clients {
+        other_client.send(HEALTH_CHECK);
     }
     backend.serve("200 OK", "there");
     sleep_ms(450);
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -130,7 +130,7 @@
     backends.sleep_until(IN_FAULT_WINDOW);
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
     sleep_ms(50);
-    let draining_endpoint = |uid, at| endpoint_json(uid, at, "Terminating");
+    let draining_endpoint = |uid, address| endpoint_json(uid, address, "Terminating");
     watch.send(&watch_response(
         8,
         &[
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -58,8 +58,8 @@
     backend.serve("200 OK", "served");
     client.close();
     node.resume();
-    let mut other = node.client();
-    other.send(&report_request("other", 5000));
+    let mut other_client = node.client();
+    other_client.send(&report_request("other", 5000));
     // The upstream connection is closed with the client's; if the node reads the answer before the
     // disconnect, the connection is reused for the other client's request.
     let head = backend
@@ -71,8 +71,8 @@
 
 #[test]
 fn disconnect_between_two_attempts_prevents_the_second() {
-    let other = StandIn::new();
-    let node = TestNode::with_config(|config| with_backend(config, "s-0", other.address()));
+    let other_backend = StandIn::new();
+    let node = TestNode::with_config(|config| with_backend(config, "s-0", other_backend.address()));
     let mut client = node.client();
     client.send(&report_request("left", 5000));
     // The backend that receives the request rejects it.
@@ -80,9 +80,9 @@
         let at_default_backend = node
             .backend
             .try_accept()
-            .map(|connection| (connection, &other));
+            .map(|connection| (connection, &other_backend));
         at_default_backend.or_else(|| {
-            other
+            other_backend
                 .try_accept()
                 .map(|connection| (connection, &node.backend))
         })
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -211,7 +211,7 @@
 #[test]
 fn sighup_discards_a_partially_received_watch_object() {
     let mut node = TestNode::start();
-    let (new_discovery, other) = (StandIn::new(), StandIn::new());
+    let (new_discovery, other_backend) = (StandIn::new(), StandIn::new());
     let mut watch = node.discovery.accept();
     let complete = watch_response(
         8,
@@ -228,13 +228,17 @@
     // The incomplete object of the old watch must not be joined with this one.
     new_watch.send(&watch_response(
         9,
-        &[endpoint_json("s-2", other.address(), "Ready")],
+        &[endpoint_json("s-2", other_backend.address(), "Ready")],
     ));
     node.expect_log("reload discovery=");
     let mut client = node.client();
     for id in ["h1", "h2"] {
         client.send(&report_request(id, 5000));
-        let mut connection = wait_for(|| node.backend.try_accept().or_else(|| other.try_accept()));
+        let mut connection = wait_for(|| {
+            node.backend
+                .try_accept()
+                .or_else(|| other_backend.try_accept())
+        });
         connection.expect("body");
         connection.serve("200 OK\r\nConnection: close", id);
         client.expect(&format!("\r\n\r\n{id}"));
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -17,15 +17,18 @@
         .expect("discovery has not spoken\n");
     let mut watch = node.discovery.accept();
     watch.expect("watch=1&after=7 ");
-    let other = StandIn::new();
+    let other_backend = StandIn::new();
     let draining = endpoint_json("s-1", node.backend.address(), "Terminating");
     watch.send(&watch_response(
         8,
-        &[draining, endpoint_json("s-2", other.address(), "Ready")],
+        &[
+            draining,
+            endpoint_json("s-2", other_backend.address(), "Ready"),
+        ],
     ));
     client.request_until(HEALTH_CHECK, "ok\n");
     client.send(&report_request("pushed", 5000));
-    other.accept().expect("x-txn: pushed\r\n");
+    other_backend.accept().expect("x-txn: pushed\r\n");
     assert!(node.backend.has_no_pending_connection());
 }
 
@@ -110,13 +113,16 @@
 #[test]
 fn indented_watch_objects_are_parsed_across_chunk_boundaries() {
     let mut node = TestNode::start();
-    let (second, third) = (StandIn::new(), StandIn::new());
+    let (second_backend, third_backend) = (StandIn::new(), StandIn::new());
     let mut watch = node.discovery.accept();
     let first_update = indented_update(
         8,
         &[endpoint_json("s-1", node.backend.address(), "Terminating")],
     );
-    let second_update = indented_update(9, &[endpoint_json("s-2", second.address(), "Ready")]);
+    let second_update = indented_update(
+        9,
+        &[endpoint_json("s-2", second_backend.address(), "Ready")],
+    );
     watch.send(WATCH_RESPONSE_HEAD).send(&chunk("\n"));
     // One byte per chunk; then one chunk with an object and the start of the next.
     for byte in first_update.chars() {
@@ -125,23 +131,26 @@
     watch.send(&chunk(&(second_update.clone() + &second_update[..40])));
     let mut client = node.client();
     client.send(&report_request("moved", 5000));
-    second.accept().expect("x-txn: moved\r\n");
+    second_backend.accept().expect("x-txn: moved\r\n");
     // A reset in the middle of an object: the complete objects stay applied, and the new watch
     // resumes after them.
     watch.reset();
     node.expect_log("discovery-failed the connection ended");
     let mut second_watch = node.discovery.accept();
     second_watch.expect("after=9 ");
-    let draining = endpoint_json("s-2", second.address(), "Terminating");
+    let draining = endpoint_json("s-2", second_backend.address(), "Terminating");
     second_watch
         .send(WATCH_RESPONSE_HEAD)
         .send(&chunk(&indented_update(
             10,
-            &[draining, endpoint_json("s-3", third.address(), "Ready")],
+            &[
+                draining,
+                endpoint_json("s-3", third_backend.address(), "Ready"),
+            ],
         )));
-    let mut other = node.client();
-    other.send(&report_request("again", 5000));
-    third.accept().expect("x-txn: again\r\n");
+    let mut other_client = node.client();
+    other_client.send(&report_request("again", 5000));
+    third_backend.accept().expect("x-txn: again\r\n");
 }
 
 #[test]
@@ -195,10 +204,10 @@
 #[test]
 fn drained_backend_returns_only_with_a_newer_list_or_start() {
     let mut node = TestNode::start();
-    let other = StandIn::new();
+    let other_backend = StandIn::new();
     let address = node.backend.address();
     let first_endpoint = |state| endpoint_json("s-1", address, state);
-    let second_endpoint = |state| endpoint_json("s-2", other.address(), state);
+    let second_endpoint = |state| endpoint_json("s-2", other_backend.address(), state);
     let mut watch = node.discovery.accept();
     watch.send(&watch_response(
         9,
@@ -213,7 +222,7 @@
     stale_watch.send(&older_list);
     node.expect_log("older-list rev=8 known=9");
     let mut client = node.client();
-    let mut backend = serve_eight(&mut client, &other);
+    let mut backend = serve_eight(&mut client, &other_backend);
     assert!(node.backend.has_no_pending_connection());
     // This replica's next update counts, with its own next revision. Idle connections close once a
     // drain is applied.
@@ -235,5 +244,5 @@
     ));
     backend.expect_close();
     client.send(&report_request("started", 5000));
-    wait_for(|| other.try_accept()).expect("x-txn: started\r\n");
+    wait_for(|| other_backend.try_accept()).expect("x-txn: started\r\n");
 }
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -103,18 +103,18 @@
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD);
     let mut client = node.client();
-    for (revision, old, new) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
-        client.send(&report_request(new, 5000));
+    for (revision, old_uid, new_uid) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
+        client.send(&report_request(new_uid, 5000));
         let mut backend = node.backend.accept();
         backend.expect("body");
-        backend.serve("200 OK", new);
-        client.expect(new);
+        backend.serve("200 OK", new_uid);
+        client.expect(new_uid);
         let address = node.backend.address();
         watch.send(&watch_update(
             revision,
             &[
-                endpoint_json(old, address, "Gone"),
-                endpoint_json(new, address, "Ready"),
+                endpoint_json(old_uid, address, "Gone"),
+                endpoint_json(new_uid, address, "Ready"),
             ],
         ));
         backend.expect_close();
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -23,13 +23,13 @@
             .expect("\r\n\r\n")
             .starts_with("GET /catalog/members?watch=1&after=7 HTTP/1.1\r\n")
     );
-    let other = StandIn::new();
-    let change = endpoint_json("s-1", node.backend.address(), "Terminating")
+    let other_backend = StandIn::new();
+    let endpoints = endpoint_json("s-1", node.backend.address(), "Terminating")
         + ","
-        + &endpoint_json("s-2", other.address(), "Ready");
+        + &endpoint_json("s-2", other_backend.address(), "Ready");
     let line = format!(
         "{{\"rev\":9,\"all\":false,\"targets\":[{}]}}\n",
-        change.replace('\n', "")
+        endpoints.replace('\n', "")
     );
     // Split in the middle: a line is parsed when it is complete.
     let (first_part, second_part) = line.split_at(60);
@@ -45,7 +45,7 @@
     assert!(second_watch.expect("\r\n\r\n").contains("after=9 "));
     let mut client = node.client();
     client.send(&report_request("i", 5000));
-    let mut backend = other.accept();
+    let mut backend = other_backend.accept();
     backend.expect("body");
     backend.serve("200 OK", "elsewhere");
     client.expect("elsewhere");
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -55,10 +55,10 @@
 
 #[test]
 fn a_malformed_frame_is_an_error_with_batch_and_offset() {
-    let outside = "batch 9, offset 0: records run past the end of the frame";
-    assert_frame_error(2, &record(16, &[]), outside);
-    let code = "batch 9, offset 20: unknown event code 99";
-    assert_frame_error(1, &record(99, &[]), code);
+    let records_text = "batch 9, offset 0: records run past the end of the frame";
+    assert_frame_error(2, &record(16, &[]), records_text);
+    let code_text = "batch 9, offset 20: unknown event code 99";
+    assert_frame_error(1, &record(99, &[]), code_text);
     let settings = record(22, &[(15, &1u32.to_le_bytes())]);
     assert_frame_error(1, &settings, "batch 9, offset 31: data outside the tail");
     let list = record(23, &[(7, &u32::MAX.to_le_bytes())]);
@@ -69,8 +69,8 @@
     assert_frame_error(1, &mode, "batch 9, offset 29: unknown update mode 3");
     let outcome = record(17, &[(20, &[77])]);
     assert_frame_error(1, &outcome, "batch 9, offset 40: unknown outcome 77");
-    let state = "batch 9, offset 23: unknown endpoint state 9";
-    assert_frame_error(1, &unknown_endpoint_state(), state);
+    let state_text = "batch 9, offset 23: unknown endpoint state 9";
+    assert_frame_error(1, &unknown_endpoint_state(), state_text);
 }
 
 /// Returns the body of a batch with an endpoint list whose only entry has an unknown state.
