--- a/crates/balancer/tests/balancer/main.rs
+++ b/crates/balancer/tests/balancer/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the balancer through its public interface. Each fault that was found has a small test
-//! here.
+//! Tests of the balancer through its public interface. Each bug that was found has a small
+//! regression test here.
 
 mod admission;
 mod discovery;
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -13,6 +13,7 @@
 /// requests, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request of this class arrives. The settings have classes 0 to 4 only; class 5 is unknown.
     Submit(u16),
     End(usize, Outcome),
     DisconnectClient(usize),
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -107,7 +107,8 @@
             let Health::Works(capacity) = second_half_in_slow_start(id, *window_start) else {
                 unreachable!()
             };
-            // Rule 4: less than three times the capacity at that moment, within two seconds.
+            // Rule 4: in two seconds, fewer attempts than three times as many as the backend can
+            // serve at its capacity at the start of the window.
             let max_attempts = 3.0 * capacity * (2 * SECOND / WORK) as f64;
             let sent = times[index..]
                 .iter()
@@ -332,8 +333,8 @@
 fn overload_at_two_proxies_leaves_no_backend_with_a_lasting_backlog() {
     for seed in 1..4 {
         let (mut simulation, backends) = two_proxies(12, seed, 1.0);
-        // Backends of the kind that withstands the least become slow when more than four requests
-        // wait there for 1.5 s.
+        // Backends of the kind with the lowest tolerance of overload become slow when more than
+        // four requests wait there for 1.5 s.
         simulation.backlog_threshold = 5 * 24 * MS;
         simulation.run(5 * SECOND, 1.4 * capacity(1.0) * 12.0);
         assert!(
@@ -364,7 +365,8 @@
 
 #[test]
 fn under_one_percent_of_requests_wait_while_a_backend_is_idle() {
-    // Mean work of 50 us, 5 ms and 1 s, with latency objectives and timeouts in proportion.
+    // Mean work of 50 us, 5 ms and 1 s, with latency objectives and timeouts in proportion. It is
+    // 20.3 ms at a scale of 1.
     for mean_work_seconds in [50e-6, 5e-3, 1.0] {
         let scale = mean_work_seconds / 0.0203;
         for backend_count in [2, 12, 50] {
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -18,8 +18,8 @@
 pub const PROXY_COUNTS: [usize; 4] = [2, 10, 100, 300];
 /// Mean time that a request takes at an idle backend of full capacity.
 pub const WORK: Nanos = 40 * MS;
-/// Attempts that a backend holds before it rejects further ones, each counted with the longest mean
-/// work of a class.
+/// Number of unfinished attempts above which a backend rejects further ones, each counted with the
+/// longest mean work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
 /// An event that the simulation has scheduled.
@@ -89,7 +89,7 @@
     pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
-    /// Work held by a backend above which its backlog counts as long.
+    /// Unfinished work at a backend above which its backlog counts as long.
     pub backlog_threshold: Nanos,
     /// Start and end of the latest period in which the backlog of a backend is above the threshold.
     pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
@@ -99,7 +99,7 @@
     pub queued_despite_idle_backend: usize,
     /// Index of the proxy that is stopped, if any.
     pub stopped_proxy: Option<usize>,
-    /// When each backend has finished the attempts that it holds.
+    /// When each backend has finished all attempts that it has accepted so far.
     pub free_at: BTreeMap<BackendId, Nanos>,
     pub health: fn(BackendId, Nanos) -> Health,
     pub now: Nanos,
@@ -184,7 +184,7 @@
     }
 
     /// A simulation in which the proxies alternate between two zones and have `settings` otherwise.
-    /// `work` is the mean work of each class; `seed` is used as by `with_seed`.
+    /// `mean_work` is the mean work of each class; `seed` is used as by `with_seed`.
     pub fn with_settings(
         settings: Settings,
         mean_work: Vec<Nanos>,
@@ -451,6 +451,8 @@
                 attempts: Vec::new(),
             },
         );
+        // When the proxy receives a request, 160/167 of the client timeout of its class is left,
+        // 1.6 s of 1.67 s.
         let (class, client_timeout) = (ClassId(class as u16), class_timeout / 167 * 160);
         let request = Request {
             id: RequestId(id),
--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -32,7 +32,7 @@
     }
 
     /// Reads until `pattern` is received; returns all text up to its end. Panics if the connection
-    /// closes before.
+    /// closes first.
     pub fn expect(&mut self, pattern: &str) -> String {
         let received_text = self.expect_or_close(pattern);
         received_text.unwrap_or_else(|| {
@@ -44,7 +44,7 @@
     }
 
     /// Reads until `pattern` is received; returns all text up to its end, or `None` if the
-    /// connection closes before.
+    /// connection closes first.
     pub fn expect_or_close(&mut self, pattern: &str) -> Option<String> {
         loop {
             let start = self
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Waits for the peer to close the connection; returns the unconsumed text received before.
+    /// Waits for the peer to close the connection; returns the text that was received until then
+    /// and not consumed.
     pub fn expect_close(&mut self) -> String {
         match self.stream.read_to_end(&mut self.received) {
             Ok(_) => {}
@@ -79,7 +80,8 @@
         drop(self);
     }
 
-    /// Whether the peer has closed the connection; may consume one received byte.
+    /// Whether the peer has closed the connection. Also returns `true` if received bytes are
+    /// waiting to be read from the socket, and consumes one of them.
     pub fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.read(&mut [0]);
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -103,7 +103,7 @@
     pub fn expect_log(&mut self, pattern: &str) -> String {
         let mut lines = String::new();
         while !lines.contains(pattern) {
-            lines += &next_line(self.log.as_mut().expect("a log"));
+            lines += &next_line(self.log.as_mut().expect("the log is not closed"));
         }
         lines
     }
@@ -155,14 +155,14 @@
         let mut lines = String::new();
         self.log
             .take()
-            .expect("a log")
+            .expect("the log is not closed")
             .read_to_string(&mut lines)
             .unwrap();
         lines
     }
 
     /// Starts the program with a FIFO as its configuration file; returns the writing end once the
-    /// program has opened the other. By then its signal handlers are installed, but it is not
+    /// program has opened the reading end. By then its signal handlers are installed, but it is not
     /// ready.
     pub fn spawn_without_configuration(variables: &[(&str, &str)]) -> (Child, std::fs::File) {
         let path = config_path().with_extension("fifo");
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -51,7 +51,7 @@
     let age = line
         .split("age_ms=")
         .nth(1)
-        .expect("an age")
+        .expect("the line has an age")
         .split(' ')
         .next()
         .unwrap();
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -11,8 +11,8 @@
 const CLIENT_TIMEOUT_MS: u32 = 4_000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS as u64);
 
-/// Reads a request from a backend's connection and checks that the remaining time in it is not
-/// longer than that of its client, which sent it at `sent`.
+/// Reads a request from a backend's connection and checks that the remaining time in it exceeds
+/// that of its client, which sent it at `sent_at`, by at most [`REMAINING_TIME_SLACK`].
 fn check_remaining_time(backend: &mut Connection, sent_at: Instant) {
     let head = backend.expect("body");
     let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed());
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -268,6 +268,7 @@
     assert_eq!(node.wait_exit().code(), Some(0));
 }
 
+/// Sleeps until `time` has passed since `started_at`.
 fn sleep_until(started_at: Instant, time: Duration) {
     crate::common::sleep_ms(time.saturating_sub(started_at.elapsed()).as_millis() as u64);
 }
--- a/crates/node/tests/protocol_rules/mod.rs
+++ b/crates/node/tests/protocol_rules/mod.rs
@@ -53,18 +53,21 @@
     }
 }
 
-/// Starts a node by `start`, with an [`EchoBackend`] as its one backend.
+/// Starts a node with an [`EchoBackend`] as its one backend. `start` gets the function that changes
+/// the default configuration accordingly.
 fn node_with_echo_backend(
     start: impl Fn(&dyn Fn(String) -> String) -> TestNode,
 ) -> (TestNode, EchoBackend) {
     let stand_in = StandIn::new();
     let address = stand_in.address();
     let node = start(&|config: String| {
-        let from = config.find(r#""targets":["#).expect("a cached list");
+        let from = config
+            .find(r#""targets":["#)
+            .expect("the configuration has a cached list");
         let to = from
             + config[from..]
                 .find("]}")
-                .expect("the end of the cached list");
+                .expect("the cached list has an end");
         config[..from].to_string()
             + r#""targets":["#
             + &endpoint_json("s-1", address, "Ready")
--- a/crates/node/tests/protocol_rules/unframed.rs
+++ b/crates/node/tests/protocol_rules/unframed.rs
@@ -3,7 +3,8 @@
 
 use crate::common::{Connection, TestNode, report_request};
 
-/// The client's and the backend's connection with a request in flight, without an idempotency key.
+/// The connections of the client and of the backend, with a request in flight that has no
+/// idempotency key.
 fn with_attempt_in_flight(node: &TestNode) -> (Connection, Connection) {
     let mut client = node.client();
     client.send(&report_request("r1", 5_000).replace("Idempotency-Key: kr1\r\n", ""));
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -31,7 +31,8 @@
     fn start(plan: &str, change: impl Fn(String) -> String) -> TwoBackends {
         let other_backend = StandIn::new();
         let node = TestNode::with_faults(plan, |config| {
-            // After waiting for the fault window, a request still has time for a second attempt.
+            // With a long latency objective, a request that has waited for the fault window still
+            // has time for a second attempt.
             let config = config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":4000000000"#);
             change(with_backend(config, "s-0", other_backend.address()))
         });
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -81,7 +81,7 @@
     node.expect_log("client-connections-full");
     node.terminate();
     node.expect_log("late-clients");
-    // One of the served clients disconnects, which frees a descriptor.
+    // One of the connected clients disconnects, which frees a descriptor.
     drop(busy.pop());
     assert!(late.expect("\r\n\r\n").starts_with("HTTP/1.1 "));
     drop((busy, late));
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -13,7 +13,7 @@
 use crate::service::payouts::{payout_request, with_payout_and_check};
 
 /// Reads a request from this connection and returns its `X-Txn`; `None` if the connection closes
-/// before.
+/// first.
 fn request_name(connection: &mut Connection) -> Option<String> {
     connection
         .expect_or_close("body")
@@ -186,7 +186,7 @@
     node.resume();
     for _ in &connected {
         let mut connection = node.backend.accept();
-        let name = request_name(&mut connection).expect("a request");
+        let name = request_name(&mut connection).expect("a request before the connection closes");
         assert!(name.starts_with("stay"), "{name} was forwarded");
         connection.serve("200 OK\r\nConnection: close", "served");
     }
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -224,8 +224,8 @@
     let mut client = node.client();
     let mut backend = serve_eight(&mut client, &other_backend);
     assert!(node.backend.has_no_pending_connection());
-    // This replica's next update counts, with its own next revision. Idle connections close once a
-    // drain is applied.
+    // The next update of this replica makes the drained backend ready, as its revision is higher
+    // than that of the replica's own list. Idle connections close once a drain is applied.
     stale_watch.send(&watch_update(
         9,
         &[first_endpoint("Ready"), second_endpoint("Terminating")],
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -57,15 +57,15 @@
 
 #[test]
 fn connecting_attempt_moves_elsewhere_when_its_backend_drains() {
-    // The first byte of its request could arrive after the drain grace. The connect timeout is far
-    // longer than the test.
+    // If the attempt stayed, the first byte of its request could arrive after the drain grace. The
+    // connect timeout is far longer than the test.
     let (full_backend, _queued) = StandIn::with_full_backlog();
     let node =
         TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut watch = node.discovery.accept();
     let mut client = node.client();
     client.send(&report_request("r", 5000));
-    // The request has been forwarded once these later messages are answered.
+    // The attempt has begun once these later messages are answered.
     node.wait_for_iteration();
     let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
     watch.send(&watch_response(
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -1,4 +1,4 @@
-//! Limits on client connections, disconnects of clients, and clients that are idle.
+//! Limits on client connections, disconnecting clients and idle clients.
 
 use crate::common::{HEALTH_CHECK, TestNode, report_request};
 
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -115,8 +115,8 @@
     backend.expect("body");
     duplicate.send(&report_request("t", 5000));
     assert!(duplicate.expect("is open\n").starts_with("HTTP/1.1 409 "));
-    // Ten invalid requests: if they counted as failures of the backend, it would be ejected and
-    // each request retried.
+    // The backend answers ten requests with 400: if these counted as its failures, it would be
+    // ejected and each request retried.
     for id in 0..10 {
         backend.serve("400 Bad Request", "unknown");
         assert!(client.expect("unknown").starts_with("HTTP/1.1 400 "));
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -75,7 +75,7 @@
             .replace(default_text, replacement)
             .replace("subscribe", mode)
     });
-    // Discovery rejects its first call.
+    // Discovery rejects the first call of the node.
     node.discovery
         .accept()
         .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -2,7 +2,7 @@
 //! little-endian; there is no padding between fields.
 //!
 //! ```text
-//! batch: Header | event records, 40 bytes each  | tail
+//! batch: header | event records, 40 bytes each  | tail
 //! reply: header | action records, 24 bytes each | tail
 //! ```
 //!
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -115,7 +115,7 @@
     pub const CLASS: usize = 7;
     /// `u16`: index of the tenant.
     pub const TENANT: usize = 9;
-    /// `u64`: subject of the request; 0 if it has none.
+    /// `u64`: key of the object that the request concerns; 0 if there is none.
     pub const KEY: usize = 11;
     /// `u64`: time until the client stops waiting, in nanoseconds.
     pub const CLIENT_TIMEOUT: usize = 19;
@@ -139,7 +139,7 @@
     /// `u8`: meaning of the list, one of the modes below.
     pub const MODE: usize = 9;
 
-    /// Mode: the list has only the changes to the known list.
+    /// Mode: the list has only the entries that were added or have changed.
     pub const DELTA: u8 = 0;
     /// Mode: the list is complete, as known before a restart; it may be stale.
     pub const CACHED: u8 = 1;
