--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -6,7 +6,7 @@
 use crate::common::{HEALTH_CHECK, TestNode, header, report_request, sleep_ms};
 
 #[test]
-fn short_client_timeouts_get_their_last_answers_before_sigkill() {
+fn requests_with_short_client_timeouts_are_answered_before_sigkill() {
     let node = TestNode::with_config(|config| with_client_timeout(config, "150000000"));
     let (mut client, mut queued) = (node.client(), node.client());
     client.send(&report_request("silent", 5000));
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn accept_queue_after_a_stall_forwards_only_connected_clients() {
+fn requests_in_the_accept_queue_are_forwarded_only_for_connected_clients() {
     let node =
         TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     node.stall();
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -133,9 +133,9 @@
 
 /// Removes the default backend, `s-1`, from the cached list of `config`.
 fn without_default_backend(config: String) -> String {
-    let from = config.find(r#"{"uid":"s-1""#).unwrap();
-    let end = from + config[from..].find('}').unwrap();
-    config[..from].trim_end_matches(',').to_string() + &config[end + 1..]
+    let start = config.find(r#"{"uid":"s-1""#).unwrap();
+    let end = start + config[start..].find('}').unwrap();
+    config[..start].trim_end_matches(',').to_string() + &config[end + 1..]
 }
 
 /// Answers five check requests on `backend`, of which `client` has sent the first; then `client`
