--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -269,6 +269,7 @@
                 } => self.send(proxy_index, request.0, backend, abandon_at),
                 Action::CancelAttempt { request, attempt } => {
                     let attempt = usize::from(attempt);
+                    // Outcome 3 is `Cancelled`.
                     self.schedule_at(
                         self.now,
                         Scheduled::AttemptEnds {
@@ -306,6 +307,7 @@
             .free_at
             .get_mut(&backend)
             .expect("the backend is listed");
+        // `outcome` is an index in `OUTCOMES`: 0 success, 1 overloaded, 2 timeout.
         let (at, outcome) = match (self.health)(backend, now) {
             Health::Works(capacity) if *free_at <= now + max_backlog => {
                 *free_at = (*free_at).max(now) + (work as f64 / capacity) as Nanos;
