--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -18,8 +18,8 @@
 pub const PROXY_COUNTS: [usize; 4] = [2, 10, 100, 300];
 /// Mean time that a request takes at an idle backend of full capacity.
 pub const WORK: Nanos = 40 * MS;
-/// Attempts that a backend holds before it rejects further ones, each counted with the longest mean
-/// work of a class.
+/// Number of unfinished attempts above which a backend rejects further ones, each counted with the
+/// longest mean work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
 /// An event that the simulation has scheduled.
@@ -86,10 +86,10 @@
     pub proxies: Vec<Balancer>,
     pub settings: Settings,
     /// Mean work of each class.
-    pub work: Vec<Nanos>,
+    pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
-    /// Work held by a backend above which its backlog counts as long.
+    /// Unfinished work at a backend above which its backlog counts as long.
     pub backlog_threshold: Nanos,
     /// Start and end of the latest period in which the backlog of a backend is above the threshold.
     pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
@@ -98,8 +98,8 @@
     /// Number of requests that were not started at once although some backend was idle.
     pub queued_despite_idle_backend: usize,
     /// Index of the proxy that is stopped, if any.
-    pub stopped: Option<usize>,
-    /// When each backend has finished the attempts that it holds.
+    pub stopped_proxy: Option<usize>,
+    /// When each backend has finished all attempts that it has accepted so far.
     pub free_at: BTreeMap<BackendId, Nanos>,
     pub health: fn(BackendId, Nanos) -> Health,
     pub now: Nanos,
@@ -184,10 +184,10 @@
     }
 
     /// A simulation in which the proxies alternate between two zones and have `settings` otherwise.
-    /// `work` is the mean work of each class; `seed` is used as by `with_seed`.
+    /// `mean_work` is the mean work of each class; `seed` is used as by `with_seed`.
     pub fn with_settings(
         settings: Settings,
-        work: Vec<Nanos>,
+        mean_work: Vec<Nanos>,
         proxy_count: usize,
         backends: &[Endpoint],
         seed: u64,
@@ -205,13 +205,13 @@
         let mut simulation = Simulation {
             proxies,
             settings,
-            work,
+            mean_work,
             last_class_share: 0.0,
             backlog_threshold: Nanos::MAX,
             above_threshold: BTreeMap::new(),
             longest_above_threshold: 0,
             queued_despite_idle_backend: 0,
-            stopped: None,
+            stopped_proxy: None,
             free_at: backends.iter().map(|backend| (backend.id, START)).collect(),
             health: |_, _| Health::Works(1.0),
             now: START,
@@ -269,6 +269,7 @@
                 } => self.send(proxy_index, request.0, backend, abandon_at),
                 Action::CancelAttempt { request, attempt } => {
                     let attempt = usize::from(attempt);
+                    // Outcome 3 is `Cancelled`.
                     self.schedule_at(
                         self.now,
                         Scheduled::AttemptEnds {
@@ -293,8 +294,8 @@
         abandon_at: Nanos,
     ) {
         let class = self.records[&request].class;
-        let work = self.exponential(self.work[class] as f64);
-        let max_backlog = MAX_QUEUE_LENGTH * self.work.iter().max().expect("there is a class");
+        let work = self.exponential(self.mean_work[class] as f64);
+        let max_backlog = MAX_QUEUE_LENGTH * self.mean_work.iter().max().expect("there is a class");
         let now = self.now;
         let record = self
             .records
@@ -306,6 +307,7 @@
             .free_at
             .get_mut(&backend)
             .expect("the backend is listed");
+        // `outcome` is an index in `OUTCOMES`: 0 success, 1 overloaded, 2 timeout.
         let (at, outcome) = match (self.health)(backend, now) {
             Health::Works(capacity) if *free_at <= now + max_backlog => {
                 *free_at = (*free_at).max(now) + (work as f64 / capacity) as Nanos;
@@ -428,14 +430,14 @@
         let draw = self.rng.next_u64() % (self.proxies.len() as u64 + self.extra_load);
         let proxy_index = draw.saturating_sub(self.extra_load) as usize;
         // The front sends the requests for a stopped proxy to the next one.
-        let proxy_index = if self.stopped == Some(proxy_index) {
+        let proxy_index = if self.stopped_proxy == Some(proxy_index) {
             (proxy_index + 1) % self.proxies.len()
         } else {
             proxy_index
         };
         let is_last_class = self.last_class_share > 0.0 && self.uniform() < self.last_class_share;
         let class = if is_last_class {
-            self.work.len() - 1
+            self.mean_work.len() - 1
         } else {
             0
         };
@@ -451,6 +453,8 @@
                 attempts: Vec::new(),
             },
         );
+        // When the proxy receives a request, 160/167 of the client timeout of its class is left,
+        // 1.6 s of 1.67 s.
         let (class, client_timeout) = (ClassId(class as u16), class_timeout / 167 * 160);
         let request = Request {
             id: RequestId(id),
--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -32,10 +32,10 @@
     }
 
     /// Reads until `pattern` is received; returns all text up to its end. Panics if the connection
-    /// closes before.
+    /// closes first.
     pub fn expect(&mut self, pattern: &str) -> String {
-        let has_byte = self.expect_or_close(pattern);
-        has_byte.unwrap_or_else(|| {
+        let received_text = self.expect_or_close(pattern);
+        received_text.unwrap_or_else(|| {
             panic!(
                 "connection closed before {pattern:?}; received {:?}",
                 String::from_utf8_lossy(&self.received)
@@ -44,13 +44,13 @@
     }
 
     /// Reads until `pattern` is received; returns all text up to its end, or `None` if the
-    /// connection closes before.
+    /// connection closes first.
     pub fn expect_or_close(&mut self, pattern: &str) -> Option<String> {
         loop {
             let start = self
                 .received
                 .windows(pattern.len())
-                .position(|w| w == pattern.as_bytes());
+                .position(|window| window == pattern.as_bytes());
             if let Some(end) = start.map(|start| start + pattern.len()) {
                 return Some(String::from_utf8(self.received.drain(..end).collect()).unwrap());
             }
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Waits for the peer to close the connection; returns the unconsumed text received before.
+    /// Waits for the peer to close the connection; returns the text that was received until then
+    /// and not consumed.
     pub fn expect_close(&mut self) -> String {
         match self.stream.read_to_end(&mut self.received) {
             Ok(_) => {}
@@ -79,7 +80,8 @@
         drop(self);
     }
 
-    /// Whether the peer has closed the connection; may consume one received byte.
+    /// Whether the peer has closed the connection. Also returns `true` if received bytes are
+    /// waiting to be read from the socket, and consumes one of them.
     pub fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.read(&mut [0]);
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -31,7 +31,8 @@
     fn start(plan: &str, change: impl Fn(String) -> String) -> TwoBackends {
         let other_backend = StandIn::new();
         let node = TestNode::with_faults(plan, |config| {
-            // After waiting for the fault window, a request still has time for a second attempt.
+            // With a long latency objective, a request that has waited for the fault window still
+            // has time for a second attempt.
             let config = config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":4000000000"#);
             change(with_backend(config, "s-0", other_backend.address()))
         });
@@ -130,7 +131,7 @@
     backends.sleep_until(IN_FAULT_WINDOW);
     busy.serve("503 Service Unavailable\r\nX-Turned-Away: 1", "");
     sleep_ms(50);
-    let draining_endpoint = |uid, at| endpoint_json(uid, at, "Terminating");
+    let draining_endpoint = |uid, address| endpoint_json(uid, address, "Terminating");
     watch.send(&watch_response(
         8,
         &[
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -6,7 +6,7 @@
 use crate::common::{HEALTH_CHECK, TestNode, header, report_request, sleep_ms};
 
 #[test]
-fn short_client_timeouts_get_their_last_answers_before_sigkill() {
+fn requests_with_short_client_timeouts_are_answered_before_sigkill() {
     let node = TestNode::with_config(|config| with_client_timeout(config, "150000000"));
     let (mut client, mut queued) = (node.client(), node.client());
     client.send(&report_request("silent", 5000));
@@ -81,7 +81,7 @@
     node.expect_log("client-connections-full");
     node.terminate();
     node.expect_log("late-clients");
-    // One of the served clients disconnects, which frees a descriptor.
+    // One of the connected clients disconnects, which frees a descriptor.
     drop(busy.pop());
     assert!(late.expect("\r\n\r\n").starts_with("HTTP/1.1 "));
     drop((busy, late));
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -13,7 +13,7 @@
 use crate::service::payouts::{payout_request, with_payout_and_check};
 
 /// Reads a request from this connection and returns its `X-Txn`; `None` if the connection closes
-/// before.
+/// first.
 fn request_name(connection: &mut Connection) -> Option<String> {
     connection
         .expect_or_close("body")
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn accept_queue_after_a_stall_forwards_only_connected_clients() {
+fn requests_in_the_accept_queue_are_forwarded_only_for_connected_clients() {
     let node =
         TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     node.stall();
@@ -186,7 +186,7 @@
     node.resume();
     for _ in &connected {
         let mut connection = node.backend.accept();
-        let name = request_name(&mut connection).expect("a request");
+        let name = request_name(&mut connection).expect("a request before the connection closes");
         assert!(name.starts_with("stay"), "{name} was forwarded");
         connection.serve("200 OK\r\nConnection: close", "served");
     }
@@ -211,7 +211,7 @@
 #[test]
 fn sighup_discards_a_partially_received_watch_object() {
     let mut node = TestNode::start();
-    let (new_discovery, other) = (StandIn::new(), StandIn::new());
+    let (new_discovery, other_backend) = (StandIn::new(), StandIn::new());
     let mut watch = node.discovery.accept();
     let complete = watch_response(
         8,
@@ -228,13 +228,17 @@
     // The incomplete object of the old watch must not be joined with this one.
     new_watch.send(&watch_response(
         9,
-        &[endpoint_json("s-2", other.address(), "Ready")],
+        &[endpoint_json("s-2", other_backend.address(), "Ready")],
     ));
     node.expect_log("reload discovery=");
     let mut client = node.client();
     for id in ["h1", "h2"] {
         client.send(&report_request(id, 5000));
-        let mut connection = wait_for(|| node.backend.try_accept().or_else(|| other.try_accept()));
+        let mut connection = wait_for(|| {
+            node.backend
+                .try_accept()
+                .or_else(|| other_backend.try_accept())
+        });
         connection.expect("body");
         connection.serve("200 OK\r\nConnection: close", id);
         client.expect(&format!("\r\n\r\n{id}"));
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -57,15 +57,15 @@
 
 #[test]
 fn connecting_attempt_moves_elsewhere_when_its_backend_drains() {
-    // The first byte of its request could arrive after the drain grace. The connect timeout is far
-    // longer than the test.
+    // If the attempt stayed, the first byte of its request could arrive after the drain grace. The
+    // connect timeout is far longer than the test.
     let (full_backend, _queued) = StandIn::with_full_backlog();
     let node =
         TestNode::with_config(|config| with_long_connect_timeout(config, full_backend.address()));
     let mut watch = node.discovery.accept();
     let mut client = node.client();
     client.send(&report_request("r", 5000));
-    // The request has been forwarded once these later messages are answered.
+    // The attempt has begun once these later messages are answered.
     node.wait_for_iteration();
     let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
     watch.send(&watch_response(
@@ -103,18 +103,18 @@
     let mut watch = node.discovery.accept();
     watch.send(WATCH_RESPONSE_HEAD);
     let mut client = node.client();
-    for (revision, old, new) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
-        client.send(&report_request(new, 5000));
+    for (revision, old_uid, new_uid) in [(8, "s-1", "s-2"), (9, "s-2", "s-3")] {
+        client.send(&report_request(new_uid, 5000));
         let mut backend = node.backend.accept();
         backend.expect("body");
-        backend.serve("200 OK", new);
-        client.expect(new);
+        backend.serve("200 OK", new_uid);
+        client.expect(new_uid);
         let address = node.backend.address();
         watch.send(&watch_update(
             revision,
             &[
-                endpoint_json(old, address, "Gone"),
-                endpoint_json(new, address, "Ready"),
+                endpoint_json(old_uid, address, "Gone"),
+                endpoint_json(new_uid, address, "Ready"),
             ],
         ));
         backend.expect_close();
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -115,8 +115,8 @@
     backend.expect("body");
     duplicate.send(&report_request("t", 5000));
     assert!(duplicate.expect("is open\n").starts_with("HTTP/1.1 409 "));
-    // Ten invalid requests: if they counted as failures of the backend, it would be ejected and
-    // each request retried.
+    // The backend answers ten requests with 400: if these counted as its failures, it would be
+    // ejected and each request retried.
     for id in 0..10 {
         backend.serve("400 Bad Request", "unknown");
         assert!(client.expect("unknown").starts_with("HTTP/1.1 400 "));
@@ -133,9 +133,9 @@
 
 /// Removes the default backend, `s-1`, from the cached list of `config`.
 fn without_default_backend(config: String) -> String {
-    let from = config.find(r#"{"uid":"s-1""#).unwrap();
-    let end = from + config[from..].find('}').unwrap();
-    config[..from].trim_end_matches(',').to_string() + &config[end + 1..]
+    let start = config.find(r#"{"uid":"s-1""#).unwrap();
+    let end = start + config[start..].find('}').unwrap();
+    config[..start].trim_end_matches(',').to_string() + &config[end + 1..]
 }
 
 /// Answers five check requests on `backend`, of which `client` has sent the first; then `client`
