--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -10,8 +10,8 @@
 pub const SECOND: Nanos = 1_000 * MS;
 
 /// The first reading of the clock, in nanoseconds. It is not 0, so that backends that started
-/// before the node can be given a start time. Any earlier start counts as "long ago"; a backend in
-/// slow start is far younger than this.
+/// before the node can be given a start time. A start before the clock's zero counts as "long ago";
+/// a backend in slow start is far younger than that.
 const FIRST_READING: Nanos = 3_600 * SECOND;
 
 /// Monotonic time that is related to Unix time once, at the start: stepping the system's clock
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -52,7 +52,7 @@
     pub memory_mb: usize,
     /// The cached endpoint list from the file, which may be stale; empty if the file has none.
     pub cached_endpoints: EndpointUpdate,
-    /// The settings of the deployment.
+    /// Settings of the decision module, and the names and limits that only the node uses.
     pub deployment: Deployment,
     /// Whether the trace is on, which writes events and decisions to standard error.
     pub trace: bool,
--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `config`.
+//! Unit tests of reading the configuration file and the environment.
 
 use super::*;
 
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -11,13 +11,13 @@
 /// Why a client connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// Its client closed it.
+    /// The client closed the connection.
     ClientDisconnected,
     /// The connection failed: a reset, or another error that can't be retried.
     Broken,
-    /// Its last answer has been written, and its client has closed its side.
+    /// The last answer has been written, and the client has closed its side.
     Answered,
-    /// Its descriptor was needed for another connection.
+    /// The descriptor of the connection was needed for another one.
     Evicted,
     /// The client sent nothing for too long, took too long to send a message or to read an answer,
     /// or did not close the connection after its last answer.
--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -50,15 +50,16 @@
         self.counters.add_closed(reason);
     }
 
-    /// Counts and traces an action that the protocol rules did not allow.
+    /// Counts and traces an action that the protocol rules did not allow; `subject` is the
+    /// `key=value` that the trace line ends with.
     pub fn count_denial(&mut self, now: Nanos, denial: Denial, subject: fmt::Arguments) {
         self.counters.add("denied", denial.name());
         self.trace
             .line(now, format_args!("denied why={denial} {subject}"));
     }
 
-    /// Counts and logs a violation of a protocol rule that was detected after the action, which is
-    /// a bug in the program.
+    /// Counts and logs that the node has violated a protocol rule, which is a bug in the program;
+    /// `subject` is the `key=value` that the log line ends with.
     pub fn count_violation(&mut self, now: Nanos, violation: Violation, subject: fmt::Arguments) {
         self.counters.add("violation", violation.name());
         self.log.line(
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -120,7 +120,7 @@
     BalancerTimer(TimerId),
     /// Accept clients again after a pause.
     ResumeAccepting,
-    /// Close expendable client connections if too many have sent a request.
+    /// Close expendable client connections if too many connected clients have sent a request.
     TrimClients,
     /// Graceful shutdown: accept no more clients.
     StopAccepting,
@@ -199,7 +199,7 @@
         self.timers.schedule(at, event);
     }
 
-    /// Moves a deadline to `at`.
+    /// Moves a deadline to `at`, when `event` fires; see [`Deadline::set`].
     pub fn set_deadline(&mut self, deadline: &mut Deadline, at: Nanos, event: TimerEvent) {
         deadline.set(at, &mut self.timers, event);
     }
@@ -273,7 +273,7 @@
             events.clear();
             events.reserve(capacity);
             // The wait of a stopped process is interrupted when the process continues. Its sockets
-            // may have much unread data, and no deadline may fire before that is read.
+            // may have much unread data, and no deadline may fire before this data is read.
             if !self.wait(events, wake_at.saturating_sub(started_at))? {
                 continue;
             }
@@ -282,9 +282,9 @@
             // stop.
             let was_stopped = self.now > wake_at.saturating_add(MAX_WAKE_DELAY);
             self.last_poll_at = if was_stopped { started_at } else { self.now };
-            // If the process was delayed between the wait and the clock reading, the events may be
-            // from before that. Others may have arrived since, and some of those must be handled
-            // first.
+            // If the process was delayed between the wait and the clock reading, the events may
+            // date from before the delay. Others may have arrived since then, and some of them must
+            // be handled first.
             let is_stale =
                 !events.is_empty() && self.now > started_at.saturating_add(MAX_EVENT_AGE);
             if !(was_stopped || is_stale) || repeated_polls == MAX_REPEATED_POLLS {
--- a/crates/node/src/log_tests.rs
+++ b/crates/node/src/log_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `log`.
+//! Unit tests of the format of trace lines and of the rate limit of log lines.
 
 use super::*;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -36,14 +36,14 @@
 
 pub use error::NodeError;
 
-/// Events that one poll has capacity for beside those of connections and discovery calls: one for
-/// the listener, one for each of the two kinds of signals, and a margin of one.
+/// Number of events that one poll has capacity for besides those of connections and discovery
+/// calls: one for the listener, one for each of the two kinds of signals, and a margin of one.
 const NON_CONNECTION_EVENTS: usize = 4;
 
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list may
 /// change.
 fn may_forbid_send(event: &epoll::Event) -> bool {
-    // The fields of a packed struct are copied before they are used.
+    // The struct is packed, so its fields are copied: they can't be referenced.
     let (data, flags) = (event.data, event.flags);
     match Token::decode(data) {
         Some(Token::Discovery(_)) => true,
@@ -122,9 +122,9 @@
         self.diagnostics.log(now, "end", "all answered");
     }
 
-    /// Counts and logs a violation of a protocol rule that was detected after the action, which is
-    /// a bug in the program. Panics in a debug build, unless the process was stopped and could not
-    /// act in time.
+    /// Counts and logs that the node has violated a protocol rule; `subject` is the `key=value`
+    /// that the log line ends with. A violation is a bug in the program, so a debug build panics,
+    /// unless the process was stopped and could not act in time.
     fn report_violation(&mut self, violation: Violation, subject: fmt::Arguments) {
         let now = self.event_loop.now();
         self.diagnostics.count_violation(now, violation, subject);
--- a/crates/node/src/node/accept.rs
+++ b/crates/node/src/node/accept.rs
@@ -20,7 +20,7 @@
                 return;
             }
         }
-        // It is unknown how long the remaining clients have waited.
+        // Clients may remain in the queue, and it is unknown how long they have waited.
         self.listener.note_queue_not_emptied();
     }
 
@@ -76,8 +76,9 @@
             AcceptOutcome::Failed(error) => {
                 self.diagnostics.log(now, "accept-failed", error);
                 // Out of descriptors: closes an idle connection to free one, but only if a client
-                // is waiting, since the call also fails when none is. Accepting then pauses, so
-                // that the loop does not spin on a client that it can't accept.
+                // is waiting, since accept(2) also fails for lack of descriptors when none is.
+                // Accepting then pauses, so that the loop does not spin on a client that it can't
+                // accept.
                 if matches!(self.listener.has_waiting_client(), Ok(true))
                     && let Some(candidate) = self.eviction_candidate()
                 {
@@ -162,8 +163,8 @@
             .count_denial(now, denial, format_args!("connection={number}"));
     }
 
-    /// Closes expendable connections if more than `DescriptorBudget::max_active_clients`
-    /// connections have sent a request, and schedules the next check.
+    /// Closes expendable connections if more than `DescriptorBudget::max_active_clients` connected
+    /// clients have sent a request, and schedules the next check.
     pub(super) fn trim_clients(&mut self) {
         let max_active = self.descriptor_budget.max_active_clients();
         for candidate in self.clients.trim(self.event_loop.now(), max_active) {
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -16,13 +16,14 @@
 /// Body of the answer to a client that has closed its side after sending a request, if the request
 /// was not executed.
 const CLIENT_DISCONNECTED_REJECTED: &[u8] = b"refused: the client has left, nothing ran\n";
-/// Body of the answer to such a client if the request may have been executed.
+/// Body of the answer to a client that has closed its side after sending a request, if the request
+/// may have been executed.
 const CLIENT_DISCONNECTED_FAILED: &[u8] = b"failed: the client has left\n";
 
 impl Node {
-    /// Closes a connection. If a request is pending on it, reports that its client has disconnected
-    /// and ends its attempt unless that is completely written. Returns whether the connection was
-    /// open.
+    /// Closes a client connection; `_permit` shows that the rules allow this. If a request on the
+    /// connection waits for its answer, reports that its client has disconnected, and ends its
+    /// attempt unless the attempt is completely written. Returns whether the connection was open.
     pub(super) fn close_client(
         &mut self,
         number: u32,
@@ -69,7 +70,8 @@
             self.reply(number, reply);
             return self.clients.push_answered(number);
         }
-        // On an idle connection, a request may have arrived since this iteration's poll.
+        // On an idle connection, a request may have arrived since this iteration's poll, so the
+        // rules decide whether the connection may be closed.
         if connection.is_idle() {
             self.close_if_allowed(number, CloseReason::TimedOut);
         } else {
@@ -139,8 +141,8 @@
             .get(number)
             .is_some_and(|connection| connection.is_peer_closed());
         match downstream::route(message.head, message.body, &self.deployment, elapsed) {
-            // The client may have disconnected, so its request must not be executed. It may also
-            // have closed only its sending side, and then it waits for an answer.
+            // The client may have disconnected, so its request must not be executed. If the client
+            // has closed only its sending side, it still waits for an answer.
             Route::Request { .. } if is_peer_closed => {
                 self.diagnostics
                     .trace(now, format_args!("client-closed connection={number}"));
@@ -220,8 +222,8 @@
             if now >= last_answers_at {
                 return self.reply(number, Reply::closing(503, b"the node ends\n"));
             }
-            // No attempt may still be in flight when the process ends: it would be cut off, and its
-            // request would have failed.
+            // An attempt that is in flight when the process ends is cut off, so its request fails.
+            // The timeout of the request therefore ends no later than the last answers are sent.
             spec.client_timeout = spec.client_timeout.min(last_answers_at - now);
         }
         let opened = match self.requests.open(now, number, spec, payload) {
@@ -263,8 +265,8 @@
         self.reply(number, reply);
     }
 
-    /// Queues an answer on a connection. The connection closes after it if the node is shutting
-    /// down or the client has closed its side.
+    /// Queues an answer on a connection. The connection closes after the answer if `reply` says so,
+    /// the node is shutting down, or the client has closed its side.
     pub(super) fn reply(&mut self, number: u32, reply: Reply) {
         let is_draining = self.shutdown.is_draining();
         if let Some(connection) = self.clients.get_mut(number) {
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -9,12 +9,13 @@
 use crate::request_table::Command;
 use crate::upstream::{AttemptLimits, UpstreamAttempt};
 
-/// Timeout of a health check, in nanoseconds.
+/// Time within which a health check must be connected, written and answered, in nanoseconds.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
 
 impl Node {
     /// Handles all consequences of an event: executes the commands, then flushes the connections
-    /// that have an answer to send, until neither is left.
+    /// that have an answer to send, and repeats this until no command and no such connection is
+    /// left.
     pub(super) fn flush_pending(&mut self) {
         loop {
             self.execute_commands();
--- a/crates/node/src/node/discovery.rs
+++ b/crates/node/src/node/discovery.rs
@@ -23,7 +23,7 @@
                 for _ in 0..self.discovery.switch_address(address) {
                     self.open_discovery_call(CallKind::Poll);
                 }
-                // Resumes the watch, or opens it before its backoff ends.
+                // Opens the watch again, even if its backoff has not ended.
                 self.open_discovery_call(CallKind::Watch);
             }
             Err(error) => self.diagnostics.log(now, "reload-failed", error),
@@ -127,8 +127,9 @@
 
     /// Passes an applied update to the decision module and closes the idle connections to backends
     /// that must be disconnected. Attempts whose connection to such a backend is not established
-    /// end too: each would write its first byte at some later time, and the rule on draining
-    /// backends applies to that byte. They were not executed, so they can be retried elsewhere.
+    /// end too: each would write its first byte when the connection is established, and the rule
+    /// that draining backends are sent no new attempts applies to that time. These attempts were
+    /// not executed, so they can be retried elsewhere.
     fn handle_applied_update(&mut self, applied: AppliedUpdate) {
         self.requests.feed(self.event_loop.now(), applied.event);
         for backend in applied.disconnect {
--- a/crates/node/src/node/error.rs
+++ b/crates/node/src/node/error.rs
@@ -17,7 +17,7 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the system call.
+        /// Error of socket(2), setsockopt(2), bind(2) or listen(2).
         error: Errno,
     },
     /// The address of the listening socket can't be read.
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -36,7 +36,7 @@
         let now = self.event_loop.now();
         self.resume_accepting();
         let is_answering_last = self.shutdown.is_answering_last(now);
-        // Closing the listener would reset the clients that wait for a descriptor.
+        // Closing the listener would reset the connections that wait for a descriptor.
         if self.listener.is_paused() && !is_answering_last {
             self.diagnostics
                 .log(now, "late-clients", "wait for a connection to end");
@@ -83,8 +83,8 @@
             .log(now, "last-answers", format_args!("connections={open}"));
     }
 
-    /// Closes all connections, because no time is left. Closing a socket with unread bytes resets
-    /// its connection, and the part of an answer that the kernel has not yet sent is lost.
+    /// Closes all connections, because SIGKILL is imminent. Closing a socket with unread bytes
+    /// resets its connection, and the part of an answer that the kernel has not yet sent is lost.
     pub(super) fn force_close(&mut self) {
         self.shutdown.force();
         for number in self.clients.numbers() {
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -27,14 +27,14 @@
 const MIN_TICK: Nanos = MS;
 /// Coarsest timer granularity, in nanoseconds; a longer tick in the settings is lowered to this.
 const MAX_TICK: Nanos = 10 * MS;
-/// Fraction of a request's client timeout after which rejecting it has a cost although no backend
-/// has received it (set by the platform).
+/// Fraction of its client timeout until which a request that no backend has received can be
+/// rejected at no cost (set by the platform).
 const NEVER_ATTEMPTED_TIMEOUT_FRACTION: f64 = 0.5;
 /// Connections per mebibyte of configured memory. Bodies are limited by the buffer budget; besides
 /// them a connection holds at most one message head, and this many heads fit in a third of the
 /// memory.
 const CONNECTIONS_PER_MIB: usize = 16;
-/// Minimum of the descriptor limit that follows from the configured memory.
+/// The descriptor limit that follows from the configured memory is raised to this if it is lower.
 const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
 /// Bytes of the buffer budget per mebibyte of configured memory: a quarter of it.
 const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
@@ -147,8 +147,8 @@
     Discovery::new(address, mode, revision, endpoints)
 }
 
-/// Number of descriptors that the process may use: the configured limit, reduced to the process's
-/// resource limit and to what its memory allows.
+/// Number of descriptors that the process may use: the configured limit, but not more than the
+/// resource limit of the process or than the configured memory allows.
 fn usable_descriptors(configured: usize, memory_mib: usize) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let allowed = limit.map_or(configured, |limit| configured.min(limit as usize));
--- a/crates/node/src/node/upstream.rs
+++ b/crates/node/src/node/upstream.rs
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Starts writing the request on an established connection if the rules still allow it. The
-    /// clock is read again for that and, in a long iteration, the client's connection is checked
-    /// again.
+    /// Starts writing the request on an established connection if the rules still allow the write.
+    /// For this check, the clock is read again and, in a long iteration, the state of the client's
+    /// connection too.
     fn begin_request(&mut self, number: u32) {
         let now = self.event_loop.clock().read();
         if self.must_wait_for_discovery(number, now) {
@@ -171,7 +171,7 @@
     }
 
     /// Whether an attempt must wait for unread updates of the endpoint list; if so, delays it. In a
-    /// long iteration such updates may have arrived since its poll, and they are applied before the
+    /// long iteration, updates may have arrived since its poll, and they must be applied before the
     /// attempt is sent.
     fn must_wait_for_discovery(&mut self, number: u32, now: Nanos) -> bool {
         self.event_loop
@@ -198,8 +198,8 @@
         })
     }
 
-    /// Whether the client of a request has disconnected. In a long iteration its socket is checked
-    /// again.
+    /// Whether the client of a request has disconnected, or its connection is already closed. In a
+    /// long iteration, the socket of the client is checked again.
     fn is_client_disconnected(&self, request: u32, now: Nanos) -> bool {
         let connection = self
             .requests
@@ -281,8 +281,8 @@
     }
 
     /// Ends the attempt of a request whose client has disconnected, unless the attempt is
-    /// completely written; the rest of it is never written, even where the deployment does not
-    /// allow cancelling attempts.
+    /// completely written; the rest of an incomplete attempt is never written, even where the
+    /// deployment does not allow cancelling attempts.
     pub(super) fn cancel_unwritten(&mut self, request: u32) {
         if let Some(number) = self.upstreams.find_unwritten(request) {
             self.end_attempt(number, Outcome::NotSent);
--- a/crates/node/src/request_table/command.rs
+++ b/crates/node/src/request_table/command.rs
@@ -7,9 +7,9 @@
 pub struct RequestSpec {
     /// The transaction ID that the client chose (header `X-Txn`).
     pub txn: Box<str>,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: u16,
-    /// Index of its tenant in the settings.
+    /// Index of the request's tenant in the settings.
     pub tenant: u16,
     /// How long the client will still wait, in nanoseconds.
     pub client_timeout: Nanos,
@@ -22,16 +22,17 @@
 /// A request that was added to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenedRequest {
-    /// Its number in the table.
+    /// Number of the request in the request table.
     pub id: u32,
-    /// When the deadline guard answers it, in nanoseconds on the node's clock.
+    /// When the deadline guard answers the request if it still waits then, in nanoseconds on the
+    /// node's clock.
     pub guard_at: Nanos,
 }
 
 /// Why a request can't be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenError {
-    /// The table is full.
+    /// The table already has the maximum number of requests.
     TableFull,
     /// The table has a request with the same transaction ID.
     DuplicateId,
@@ -56,40 +57,41 @@
 /// nanoseconds on the node's clock.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Start an attempt.
+    /// Send a request to a backend, on an idle connection or on a new one.
     StartAttempt {
-        /// The request's number.
+        /// Number of the request in the request table.
         request: u32,
         /// Index of the attempt among those of its request, from 0.
         attempt: u8,
         /// The backend that the attempt is sent to.
         backend: BackendId,
-        /// When the attempt must be abandoned.
+        /// When to abandon the attempt if it has not been answered.
         abandon_at: Nanos,
-        /// Latest time at which bytes of the attempt may be written.
+        /// Latest time at which bytes of the attempt may be written; [`Nanos::MAX`] without a
+        /// limit.
         write_by: Nanos,
     },
     /// Close the connection of an attempt.
     CancelAttempt {
-        /// The request's number.
+        /// Number of the request in the request table.
         request: u32,
         /// Index of the attempt among those of its request, from 0.
         attempt: u8,
     },
     /// Send a client its final answer.
     Reply {
-        /// The client connection's number.
+        /// Number of the client connection that sent the request.
         connection: u32,
-        /// The answer.
+        /// The final answer that the history of the request permits.
         reply: LocalReply,
     },
     /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Send a health check to a backend.
+    /// Send a health check to a backend, and report its outcome to the decision module.
     CheckHealth(BackendId),
     /// Set a timer of the decision module.
     SetTimer {
-        /// When it fires.
+        /// The earliest time at which the timer fires.
         at: Nanos,
         /// The timer, as the decision module identifies it.
         timer: TimerId,
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -80,19 +80,20 @@
         })
     }
 
-    /// Removes and returns the next command, in the order of the decisions.
+    /// Removes and returns the next command, in the order of the decisions; `None` if there is
+    /// none.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// Removes and returns the reason for which the rules denied an attempt that the decision
-    /// module had started, so that the caller can count it.
+    /// Removes and returns the reason why the rules denied an attempt that the decision module had
+    /// started, so that the caller can count the denial; `None` if no denial is left.
     pub fn pop_denial(&mut self) -> Option<Denial> {
         self.denials.pop()
     }
 
-    /// Removes and returns a rule violation that was detected after the action, so that the caller
-    /// can count it.
+    /// Removes and returns a violation that was found when a request got its final answer (the
+    /// answer was late), so that the caller can count it; `None` if no violation is left.
     pub fn pop_violation(&mut self) -> Option<Violation> {
         self.violations.pop()
     }
@@ -102,7 +103,8 @@
     /// # Errors
     ///
     /// If the table is full, or another request with the same transaction ID is open or has an
-    /// attempt in flight: an attempt of this request would be a second copy of that one.
+    /// attempt in flight: an attempt of the new request would then be a second copy of the other
+    /// one.
     pub fn open(
         &mut self,
         now: Nanos,
@@ -130,8 +132,8 @@
             id: RequestId(id),
             class: ClassId(spec.class),
             tenant: TenantId(spec.tenant),
-            // A request of the node names no object that it concerns, and no decision depends on
-            // one.
+            // Clients of the node do not name an object that a request concerns, and no decision
+            // depends on this key.
             key: 0,
             client_timeout: spec.client_timeout,
             work_hint: spec.work_hint,
@@ -172,9 +174,9 @@
             .filter(|pending| !pending.is_finished)
     }
 
-    /// Records the end of an attempt and reports it to the decision module. Returns the client
-    /// connection that is to be sent the answer, if the outcome is the request's first final answer
-    /// and the client still waits.
+    /// Records the end of an attempt and reports it to the decision module. Returns the number of
+    /// the client connection to forward the answer to. `None` if the outcome is not a final answer,
+    /// if the request already has one, or if its client has disconnected.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -247,9 +249,9 @@
         self.force_reply(now, id, LocalReply::TimedOut)
     }
 
-    /// Answers a request because the node shuts down first. A request that was not executed is
-    /// rejected, so that the client may retry at another node at once; one that may have been
-    /// executed fails.
+    /// Answers a request that is still pending when the node must end. If a retry is harmless, the
+    /// request is rejected, so that the client may retry at another node at once; otherwise the
+    /// answer is a failure, or a timeout if the attempt that ended last timed out.
     pub fn fail_for_shutdown(&mut self, now: Nanos, id: u32) {
         self.force_reply(now, id, LocalReply::Rejected { retry_after: 0 });
     }
@@ -328,8 +330,8 @@
         self.remove_if_finished(request.0);
     }
 
-    /// Starts an attempt, or returns it if the protocol rules deny it; they are checked here too,
-    /// in case a decision is wrong.
+    /// Queues the command that starts an attempt. If the protocol rules deny the attempt, because
+    /// the decision was wrong, records the denial and returns the attempt instead.
     fn start_attempt(
         &mut self,
         now: Nanos,
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -8,9 +8,9 @@
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// When it was started, in nanoseconds on the node's clock.
+    /// When the attempt was started, in nanoseconds on the node's clock.
     pub started_at: Nanos,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -26,9 +26,9 @@
     pub idempotency: Idempotency,
     /// When the client stops waiting, in nanoseconds on the node's clock.
     pub deadline: Nanos,
-    /// Its attempts, oldest first.
+    /// The attempts of the request, oldest first, including those that the rules denied.
     pub attempts: Vec<Attempt>,
-    /// Whether it has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer, or its client has disconnected.
     pub is_finished: bool,
     /// Outcome of the attempt that ended last; `None` before any has ended.
     pub last_outcome: Option<Outcome>,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The time at which an attempt must be abandoned: the decided `abandon_at`, but not after the
-    /// client's deadline. An `abandon_at` of 0 stands for the deadline.
+    /// The time at which to abandon an attempt: the `abandon_at` that the decision module chose,
+    /// but not after the client's deadline. An `abandon_at` of 0 stands for the deadline.
     pub fn bound_to_deadline(&self, abandon_at: Nanos) -> Nanos {
         match abandon_at {
             0 => self.deadline,
@@ -91,7 +91,7 @@
         })
     }
 
-    /// The history of its attempts, for the protocol rules.
+    /// The history of the request's attempts, for the protocol rules.
     pub fn history(&self) -> AttemptHistory {
         AttemptHistory {
             idempotency: self.idempotency,
@@ -115,7 +115,8 @@
     }
 
     /// Whether the request may be rejected, which promises the client that a retry is harmless. If
-    /// `in_flight_unwritten` is set, attempts in flight count as not executed.
+    /// `in_flight_unwritten` is set, the attempts in flight are not completely written, so they
+    /// count as not executed.
     pub fn is_rejectable(&self, in_flight_unwritten: bool) -> bool {
         let may_have_been_executed = self
             .maybe_executed_attempts()
@@ -124,8 +125,8 @@
     }
 
     /// Replaces a reply that the history of the request contradicts. A rejection promises that a
-    /// retry is harmless; where it is not, the reply becomes a failure, and a failure after an
-    /// attempt that timed out becomes a timeout.
+    /// retry is harmless; if a retry could do harm, the reply becomes a failure. A failure becomes
+    /// a timeout if the attempt that ended last timed out.
     pub fn permitted_reply(&self, reply: LocalReply) -> LocalReply {
         let reply = match reply {
             LocalReply::Rejected { .. } if !self.is_rejectable(false) => LocalReply::Failed,
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `request_table`.
+//! Unit tests of the request table: final answers, denied attempts, and when requests are removed.
 
 use super::*;
 use crate::clock::{MS, SECOND};
@@ -154,7 +154,8 @@
     ] {
         let mut requests = table_with_backends(idempotency);
         let id = open(&mut requests);
-        // Once a request is answered, nothing more is decided, so the test calls `reply` directly.
+        // The decision module is not informed of the outcome, because it would choose an answer
+        // itself; the test calls `reply` directly.
         let pending = requests.table.get_mut(id).unwrap();
         pending.attempts[0].outcome = Some(outcome);
         pending.last_outcome = Some(outcome);
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -4,9 +4,9 @@
 //!
 //! This module does no I/O and reads no clock: each function takes facts and returns a [`Denial`]
 //! if a rule forbids the action. For a write or a close it otherwise returns a permit, which can
-//! only be created here. Closing a client connection consumes a permit, so that a close without one
-//! does not compile; the timeout that is sent with an attempt comes from its permit. Actions are
-//! checked against the same rules afterwards; see [`Violation`].
+//! only be created in this module. Closing a client connection consumes a permit, so that a close
+//! without one does not compile; the timeout that is sent with an attempt comes from its permit. If
+//! the node has broken a rule nevertheless, this is a [`Violation`].
 
 use std::fmt;
 
@@ -80,7 +80,7 @@
     /// Whether some attempt may have been executed, or may still be.
     pub may_have_been_executed: bool,
     /// Latest time at which a retry may be written: the earliest end of the deduplication windows
-    /// of those attempts that may have been executed.
+    /// of those attempts that may have been executed; [`Nanos::MAX`] if no window limits the retry.
     pub write_by: Nanos,
 }
 
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// The first rule that forbids it.
+/// The [`Denial`] by the first rule that forbids the attempt.
 pub fn may_start(now: Nanos, facts: &StartFacts) -> Result<(), Denial> {
     let history = &facts.history;
     if facts.answered {
@@ -132,7 +132,7 @@
     pub backend_ready: bool,
     /// When the attempt is abandoned.
     pub abandon_at: Nanos,
-    /// Latest time at which the attempt may be written.
+    /// Latest time at which the attempt may be written; [`Nanos::MAX`] without a limit.
     pub write_by: Nanos,
 }
 
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// The rule that was violated.
+    /// [`Violation::WrittenLate`], if the attempt was written too late.
     pub fn check(self, now: Nanos) -> Result<(), Violation> {
         if now > self.write_by.saturating_add(MAX_WRITE_DELAY) {
             Err(Violation::WrittenLate)
@@ -164,16 +164,16 @@
     }
 }
 
-/// How long after the end of its window an attempt may still be written without a violation, in
-/// nanoseconds: the protocol allows for a process that is delayed this long between its clock
-/// reading and its write.
+/// How long after the end of its deduplication window an attempt may still be written without a
+/// violation, in nanoseconds: the protocol allows for a process that is delayed this long between
+/// its clock reading and its write.
 const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
 /// Whether the first byte of an attempt may be written now; `now` is a fresh reading of the clock.
 ///
 /// # Errors
 ///
-/// The first rule that forbids it.
+/// The [`Denial`] by the first rule that forbids the write.
 pub fn may_write(now: Nanos, facts: &WriteFacts) -> Result<WritePermit, Denial> {
     if facts.answered {
         Err(Denial::Answered)
@@ -208,14 +208,14 @@
 }
 
 /// How long after its client's timeout a final answer may still be given, in nanoseconds; a later
-/// one counts as lost (protocol page).
+/// answer counts as lost (protocol page).
 const ANSWER_GRACE: Nanos = 500 * MS;
 
 /// Checks whether a final answer that is given now is in time.
 ///
 /// # Errors
 ///
-/// The rule that was violated.
+/// [`Violation::AnsweredLate`], if the answer is too late.
 pub fn check_answer(now: Nanos, deadline: Nanos) -> Result<(), Violation> {
     if now > deadline.saturating_add(ANSWER_GRACE) {
         Err(Violation::AnsweredLate)
@@ -239,8 +239,8 @@
 pub struct ClosePermit(());
 
 impl ClosePermit {
-    /// Permits closing a connection whose client has closed it, that has failed, or that ends with
-    /// the process. An answer may still be pending on it.
+    /// Permits closing a connection because its client has closed it, it has failed, or the process
+    /// ends. An answer may still be pending on the connection.
     pub fn client_or_process_ended() -> ClosePermit {
         ClosePermit(())
     }
@@ -256,7 +256,7 @@
 ///
 /// # Errors
 ///
-/// The first rule that forbids it.
+/// The [`Denial`] by the first rule that forbids the close.
 pub fn may_close(facts: CloseFacts) -> Result<ClosePermit, Denial> {
     if facts.answer_pending {
         Err(Denial::AnswerPending)
@@ -267,15 +267,15 @@
     }
 }
 
-/// A violation of a rule that was detected after the action. It is counted and logged; a debug
-/// build panics, unless the process was stalled.
+/// A violation of a protocol rule by an action that the node has already taken. The violation is
+/// counted and logged; a debug build panics, unless the process was stalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An attempt was written too long after the end of its deduplication window.
     WrittenLate,
     /// The node closed a connection although a request on it waited for its answer.
     ClosedUnanswered,
-    /// A request was answered more than the grace period after its client's timeout.
+    /// A request was answered more than [`ANSWER_GRACE`] after its client's timeout.
     AnsweredLate,
 }
 
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -1,4 +1,4 @@
-//! Table-driven tests of the rules: each case changes one fact.
+//! Table-driven tests of the rules: each case changes the facts of an action that is allowed.
 
 use kitefork_balancer::{DeduplicationScope, Idempotency};
 
@@ -10,7 +10,7 @@
     window: 300 * MS,
 };
 
-/// Changes one fact.
+/// Changes the facts so that a rule forbids the action.
 type Change<Facts> = fn(&mut Facts);
 
 fn start_facts() -> StartFacts {
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -8,8 +8,8 @@
 /// How long new connections are still accepted after SIGTERM, in nanoseconds: the front does not
 /// know of the shutdown yet.
 const ACCEPT_AFTER_SIGTERM: Nanos = 600 * MS;
-/// Accepting ends at least this long before the last answers, in nanoseconds; this applies where
-/// every client timeout is short.
+/// Accepting ends at least this long before the last answers, in nanoseconds; this takes effect
+/// only if every client timeout is short.
 const LAST_ACCEPT_BEFORE_ANSWERS: Nanos = 100 * MS;
 /// The last answers are sent this long after the longest client timeout, in nanoseconds; SIGKILL
 /// may follow 0.2 s later.
@@ -27,7 +27,7 @@
     /// Pending requests are completed; those that still wait at `last_answers_at` are answered
     /// then.
     Draining { last_answers_at: Nanos },
-    /// The process ends regardless of open connections, because no time is left.
+    /// The process ends regardless of open connections, because SIGKILL is imminent.
     Forced { last_answers_at: Nanos },
 }
 
@@ -58,8 +58,8 @@
         event_loop.schedule(last_answers_at + LAST_ANSWERS_FLUSH, TimerEvent::ForceClose);
     }
 
-    /// Lets the process end regardless of open connections, because no time is left. Does nothing
-    /// before a shutdown is requested.
+    /// Lets the process end regardless of open connections, because SIGKILL is imminent. Does
+    /// nothing before a shutdown is requested.
     pub fn force(&mut self) {
         if let Some(last_answers_at) = self.last_answers_at() {
             self.phase = ShutdownPhase::Forced { last_answers_at };
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -1,26 +1,26 @@
 //! Determines when a backend started, on the node's own monotonic clock.
 //!
 //! Endpoint lists give start times as wall-clock time, and any wall clock may be stepped. So the
-//! node's own observations bound a start: it is not later than its first observation and, if an
-//! earlier list was confirmed without it, not much earlier than that confirmation. As no start is
-//! later than its observation, each observed start is also a lower bound of the wall-clock time at
-//! that moment. A start is estimated from the node's wall clock now, from its wall clock when the
-//! node started, and from that lower bound, and the latest estimate is used: a backend that is
-//! assumed to be younger than it is gets fewer requests for some seconds; one that is assumed to be
-//! older may be overloaded during its slow start.
+//! node's own observations bound a start: the start is not later than its first observation and, if
+//! an earlier list without the start was confirmed, not much earlier than that confirmation. As no
+//! start is later than its observation, each observed start is also a lower bound of the wall-clock
+//! time at that moment. A start is estimated from the node's wall clock now, from its wall clock
+//! when the node started, and from that lower bound, and the latest estimate is used: a backend
+//! that is assumed to be younger than it is gets fewer requests for some seconds; one that is
+//! assumed to be older may be overloaded during its slow start.
 //!
 //! The ages of the backends on the first list can't be verified: a node that starts with a wrong
-//! clock has no earlier observation. All starts on that list count as happening now, except those
-//! too old to be explained by a clock that is off by an hour. As a result, after a restart of the
-//! node, backends that started recently get fewer requests for some seconds.
+//! clock has no earlier observation. All starts on the first list count as happening now, except
+//! those too old to be explained by a clock that is off by an hour. As a result, after a restart of
+//! the node, backends that started recently get fewer requests for some seconds.
 
 use kitefork_balancer::Nanos;
 
 use crate::clock::{self, Clock, MS, SECOND};
 
-/// Maximum time from a change in discovery until it counts as notified, in nanoseconds (protocol
-/// page). So a start that is new on a list is at most this much older than the last confirmation of
-/// the list without it.
+/// Maximum time from a change in discovery until the change counts as notified, in nanoseconds
+/// (protocol page). So a start that is new on a list is at most this much older than the last
+/// confirmation of the list without this start.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
 /// A start on the first list that is older than this by the wall clock, in nanoseconds, counts as
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -1,4 +1,4 @@
-//! Start times from lists, with correct and with stepped clocks.
+//! Unit tests of the start times of backends, with correct and with stepped clocks.
 
 use super::*;
 
@@ -33,7 +33,7 @@
             ..observation()
         };
         let mut starts = StartTimes::default();
-        // Observed 0.1 s after the start. Other starts therefore can't be dated much too early.
+        // This start is observed 0.1 s after it happened, so no start can be dated much too early.
         starts.record(WALL_NOW_MS - 100, NOW);
         assert_eq!(
             starts.started_at(WALL_NOW_MS - 100, &observation),
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_later_start_is_used_if_two_clocks_differ() {
-    // Steps of all machines' clocks or of this node's alone, forward and back.
+    // The clocks of all machines are stepped, or only that of this node, forward and back.
     for (wall_now_ms, boot_ms, expected) in [
         (WALL_NOW_MS + 3_000, WALL_NOW_MS + 3_000 - 1_000, NOW),
         (
--- a/crates/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -73,7 +73,8 @@
 #[derive(Clone, Copy)]
 pub struct Deadline {
     at: Nanos,
-    /// Time of its timer on the wheel that applies; [`Deadline::NEVER`] if there is none.
+    /// Time of the only timer on the wheel that applies to this deadline; [`Deadline::NEVER`] if
+    /// there is none.
     scheduled_at: Nanos,
 }
 
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Moves the deadline to `at`. Schedules `event`, unless an earlier timer will reschedule it.
+    /// Moves the deadline to `at`. Schedules `event`, unless a timer of this deadline is already
+    /// scheduled for `at` or earlier: [`Deadline::is_due`] then schedules `event` again.
     pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, event: T) {
         self.at = at;
         if at < self.scheduled_at {
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `timer_wheel`.
+//! Unit tests of the timer wheel and of deadlines that are moved.
 
 use super::*;
 
