--- a/crates/node/src/config_tests.rs
+++ b/crates/node/src/config_tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_error_names_its_key() {
+fn a_configuration_error_names_its_key() {
     assert_error(r#""seed""#, r#""sead""#, "`seed`");
     assert_error("8c1f", "zz", "`seed`");
     assert_error(r#"127.0.0.1:1""#, r#"nowhere""#, "`discovery`");
--- a/crates/node/src/log_tests.rs
+++ b/crates/node/src/log_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_trace_is_off_unless_enabled_and_has_unix_time() {
+fn a_trace_line_has_unix_time_and_is_none_if_the_trace_is_off() {
     assert_eq!(Trace::new(false, 5).format(SECOND, format_args!("x")), None);
     let line = Trace::new(true, 3 * SECOND + 250_000).format(SECOND, format_args!("send id={}", 7));
     assert_eq!(
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_retry_needs_an_open_window_and_no_attempt_in_flight() {
+fn a_retry_needs_an_open_deduplication_window_and_no_attempt_in_flight() {
     let mut requests = table_with_backends(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: 300 * MS,
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_implausible_future_start_makes_no_other_backend_old() {
+fn an_implausible_future_start_does_not_change_the_age_of_other_backends() {
     let mut starts = StartTimes::default();
     starts.record(u64::MAX, NOW);
     starts.record(WALL_NOW_MS + 3_600_000, NOW);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_new_start_on_a_list_is_not_much_older_than_the_last_list() {
+fn a_new_start_dated_long_before_the_last_list_counts_as_observed_now() {
     for boot_ms in [1, WALL_NOW_MS - 3_600_000, WALL_NOW_MS - 7_001] {
         assert_eq!(started_at(boot_ms, &observation()), Some(NOW), "{boot_ms}");
     }
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_later_start_is_used_if_two_clocks_differ() {
+fn the_latest_estimate_of_a_start_is_used_if_the_clocks_differ() {
     // The clocks of all machines are stepped, or only that of this node, forward and back.
     for (wall_now_ms, boot_ms, expected) in [
         (WALL_NOW_MS + 3_000, WALL_NOW_MS + 3_000 - 1_000, NOW),
--- a/crates/node/src/timer_wheel_tests.rs
+++ b/crates/node/src/timer_wheel_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn moved_deadline_is_due_once_at_its_last_time() {
+fn moved_deadline_is_due_once_at_the_time_set_last() {
     let (mut wheel, mut deadline) = (TimerWheel::new(1, 0), Deadline::new());
     deadline.set(5, &mut wheel, ());
     deadline.set(9, &mut wheel, ());
