--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -13,9 +13,10 @@
     Upstream,
 }
 
-/// Descriptors that are not connections of either kind: the standard streams (3), epoll, the
-/// listener, the signals' wake-up sockets (2) and a copy of the other end for each signal (3),
-/// discovery calls (4), one for a file that is being read, and a margin.
+/// Number of descriptors that are kept for other uses than client and upstream connections: the
+/// standard streams (3), epoll, the listener, the signals' wake-up sockets (2) and a copy of the
+/// other end for each signal (3), discovery calls (4), one for a file that is being read, and a
+/// margin.
 pub const OTHER_DESCRIPTORS: usize = 20;
 /// Minimum number of connections, even if the process may hold fewer descriptors.
 const MIN_CONNECTIONS: usize = 4;
@@ -28,7 +29,7 @@
 /// The maximum number of connected clients that have sent a request is the descriptor limit divided
 /// by this. The platform allows such clients a third of a node's descriptors (elsewhere, the
 /// connection pool of a front has such a bound). At that bound the next request gets no connection,
-/// which the node can't observe, so idle connections are closed before it is reached.
+/// which the node can't observe, so idle connections are closed before the bound is reached.
 const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
 /// How many connections of each kind may be open.
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Maximum number of open connections for `purpose`.
+    /// Maximum number of open connections for `purpose`, while the other kind uses no more than its
+    /// reserve.
     pub fn max(&self, purpose: Purpose) -> usize {
         self.max_connections - self.reserve(purpose.other())
     }
--- a/crates/node/src/descriptor_budget_tests.rs
+++ b/crates/node/src/descriptor_budget_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `descriptor_budget`.
+//! Unit tests of the limits on client and upstream connections.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -17,8 +17,8 @@
 /// The backoff is at most the grace of draining backends divided by this: a node that has lost its
 /// watch must have opened another one well within that grace.
 const BACKOFF_GRACE_DIVISOR: Nanos = 4;
-/// The connect timeout is at most the grace of draining backends divided by this, for the same
-/// reason.
+/// The connect timeout is at most the grace of draining backends divided by this, so that another
+/// watch can be open well within that grace.
 const CONNECT_GRACE_DIVISOR: Nanos = 2;
 
 /// How the endpoint list is kept up to date.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Whether a backoff is in progress, after which the next call follows.
+/// Whether a backoff is in progress; the next call is made when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BackoffState {
     Ready,
@@ -90,9 +90,9 @@
         self.failed_calls = 0;
     }
 
-    /// Counts a failed call and returns the delay before the next one where lists are pushed, in
-    /// nanoseconds. The agent serves only this node, so calls of other nodes don't add up at it:
-    /// the first retry is immediate, then the backoff doubles.
+    /// Counts a failed call and returns the delay before the next call, in nanoseconds; used only
+    /// where lists are pushed. The first retry is immediate, because the agent serves only this
+    /// node and so gets no retries of other nodes at the same time; then the delay doubles.
     pub fn next_delay(&mut self, drain_grace: Nanos) -> Nanos {
         let previous_failures = self.failed_calls;
         self.failed_calls += 1;
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -24,9 +24,10 @@
 /// within 3 s. The limit is short enough that missed updates are requested again within the 6 s
 /// after which they count as notified.
 const IDLE_TIMEOUT: Nanos = 4_200 * MS;
-/// The same limit, in nanoseconds, for a watch that has received an object or an empty line: it
-/// receives data every 2 s, and the watch that replaces it may at first be rejected, which takes up
-/// to 3 s more.
+/// A watch that has received an object or an empty line is closed if it receives nothing more for
+/// this long, in nanoseconds. Such a watch receives data every 2 s. The limit is shorter than
+/// [`IDLE_TIMEOUT`] because the watch that replaces it may at first be rejected, which takes up to
+/// 3 s more.
 const WATCH_IDLE_TIMEOUT: Nanos = 3_200 * MS;
 /// Maximum time to receive a complete object or list, in nanoseconds. A call whose sender is slower
 /// is closed like an idle one, as the updates that it delays count as notified 6 s after they were
@@ -93,7 +94,8 @@
     pub received_object: bool,
     /// Why the call has ended; `None` while it is open.
     pub end: Option<CallEnd>,
-    /// The machine temporarily lacks resources: read again after a short delay.
+    /// Whether the machine temporarily lacks resources, so that the call must be read again after a
+    /// short delay.
     pub retry_later: bool,
 }
 
@@ -115,7 +117,7 @@
 /// Result of writing the request of a call: whether the call can be read now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// Continue and read.
+    /// The call can be read now, even if its request is not completely written.
     Continue,
     /// The machine temporarily lacks resources: continue after a short delay.
     RetryLater,
@@ -211,7 +213,8 @@
         self.set_events(number, event_loop, interest)
     }
 
-    /// Deregisters all events of the call `number`, as every poll would report them again.
+    /// Deregisters all events of the call `number` until [`DiscoveryCall::register`] ends the
+    /// pause, as every poll would report them again.
     ///
     /// # Errors
     ///
@@ -236,8 +239,8 @@
         event_loop.set_deadline(&mut self.deadline, at, event);
     }
 
-    /// Sets the deadline of the call `number` by the time limits for receiving data, once the
-    /// request is completely written.
+    /// Sets the deadline of the call `number` by the time limits for receiving data; does nothing
+    /// before the request is completely written.
     pub fn set_receive_deadline(&mut self, number: u32, event_loop: &mut EventLoop) {
         if self.outbox.is_empty() {
             self.set_deadline(self.receive_deadline(), number, event_loop);
@@ -302,8 +305,8 @@
         progress
     }
 
-    /// Handles the end of the connection, which completes a list whose response gives no length;
-    /// any other response is truncated by it.
+    /// Handles the end of the connection. It completes a list whose response gives no length; any
+    /// other response is truncated.
     fn end_of_stream(&mut self, progress: &mut CallProgress) -> CallEnd {
         if !self.parser.end_of_input() || self.kind == CallKind::Watch {
             return CallEnd::Disconnected;
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -54,8 +54,8 @@
 pub enum WatchChange {
     /// Open the watch.
     Open,
-    /// Open nothing, and report this update, in which nothing has changed: each call that the
-    /// decision module requests gets one event.
+    /// Open nothing, and report this update, which has no entries: the decision module gets one
+    /// event for each call that it requests.
     Unchanged(EndpointUpdate),
 }
 
@@ -171,7 +171,7 @@
             .map(|(number, _)| number)
     }
 
-    /// Handles a decision to have a watch open, or to have none.
+    /// Handles a decision of the decision module whether a watch is to be open.
     pub fn change_watch(&mut self, should_be_open: bool) -> WatchChange {
         self.backoff.end();
         let open = self.open_watch();
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -12,8 +12,9 @@
 use crate::clock::{MS, SECOND};
 use crate::start_time::{StartObservation, StartTimes};
 
-/// How long a removed backend is remembered, in nanoseconds: an older list may contain it again,
-/// and what is known about it must still apply then. No attempt at it is in flight for that long.
+/// How long a removed backend is remembered, in nanoseconds: an older list may contain the backend
+/// again, and what is known about the backend must still apply then. No attempt at a removed
+/// backend is in flight for that long.
 const REMOVED_ENDPOINT_RETENTION: Nanos = 60 * SECOND;
 /// Maximum number of names of zones, and of kinds; any further name counts as the last of them.
 const MAX_NAMES: usize = 1_000;
@@ -25,8 +26,8 @@
     Cached,
     /// The revision is not lower than the known one.
     Current,
-    /// The revision is lower than the known one: it comes from another replica or, after a reload,
-    /// from another discovery service.
+    /// The revision is lower than the known one: the update comes from another replica or, after a
+    /// reload, from another discovery service.
     Older,
 }
 
@@ -55,9 +56,11 @@
 struct StoredEndpoint {
     address: Option<SocketAddr>,
     state: EndpointState,
-    /// The last start as listed, in Unix milliseconds; 0 if unknown.
+    /// When the backend last started, as listed, in Unix milliseconds by its own clock; 0 if
+    /// unknown.
     boot_ms: u64,
-    /// The last start in nanoseconds on the node's clock; `None` if it was long ago.
+    /// When the backend last started, in nanoseconds on the node's clock; `None` if that was long
+    /// ago or is unknown.
     started_at: Option<Nanos>,
     /// When an update last listed the backend, or a full list first omitted it.
     last_update_at: Nanos,
@@ -92,9 +95,9 @@
             .any(|stored| stored.state == EndpointState::Ready)
     }
 
-    /// Applies an update. An older one is applied too, as its sender may have restarted its
-    /// revisions; but it makes a draining or removed backend ready only if it lists a newer start
-    /// of that backend.
+    /// Applies an update. An older update is applied too, as its sender may have restarted its
+    /// revisions; but such an update makes a draining or removed backend ready only if it lists a
+    /// newer start of that backend.
     pub fn apply(
         &mut self,
         observation: &StartObservation,
--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -125,7 +125,8 @@
     }
     assigned_ids.dedup();
     assert!(assigned_ids.is_sorted() && assigned_ids.len() == 1000);
-    // A uid that is listed again within the retention time keeps its ID; a later one gets a new ID.
+    // A uid that is listed again within the retention time keeps its ID; a uid that is listed again
+    // after that gets a new ID.
     let mut relist = |uid| {
         backend_ids(
             endpoint_list
--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -12,15 +12,15 @@
     pub uid: String,
     /// The address on which the backend listens; always present if it is ready.
     pub address: Option<SocketAddr>,
-    /// Its availability zone (`az`); may be empty.
+    /// Availability zone of the backend (key `az`); empty if the key is absent.
     pub zone: String,
-    /// Its kind of machine (`model`); may be empty.
+    /// Kind of machine of the backend (key `model`); empty if the key is absent.
     pub kind: String,
-    /// Its cell (`pod_group`).
+    /// Cell of the backend (key `pod_group`); 0 if the key is absent.
     pub cell: u16,
     /// Ready, draining or removed.
     pub state: EndpointState,
-    /// Its relative capacity (`capacity_hint`).
+    /// Capacity of the backend relative to others (key `capacity_hint`); 1 if the key is absent.
     pub weight: f32,
     /// When the backend started, in Unix milliseconds by its own clock; 0 if unknown.
     pub boot_ms: u64,
--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -1,5 +1,5 @@
-//! The earliest arrival time of a client's bytes, from which the time limit that a backend gets is
-//! counted.
+//! Determines the earliest time at which a client's bytes can have arrived. The time limit that a
+//! backend gets for a request counts from that time.
 
 use kitefork_balancer::Nanos;
 
@@ -13,11 +13,12 @@
 
 /// Tracks the earliest time at which the bytes of a connection can have arrived. The kernel doesn't
 /// report arrival times, so this is the last time at which the socket was known to be empty. Bytes
-/// that arrive while the process is stopped count from there too. All times are in nanoseconds on
-/// the node's clock.
+/// that arrive while the process is stopped also count from that time. All times are in nanoseconds
+/// on the node's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalTracker {
-    /// When a read last found the socket empty.
+    /// When a read last found the socket empty; before the first such read, the earliest time at
+    /// which the connection can have been established.
     empty_at: Nanos,
     /// Since when the socket is registered for readable events; earlier polls don't cover it.
     watched_since: Nanos,
@@ -28,8 +29,8 @@
 }
 
 impl ArrivalTracker {
-    /// The tracker of a connection that was accepted at `now` and established at `queued_at` at the
-    /// earliest.
+    /// The tracker of a connection that was accepted at `now` and was not established before
+    /// `queued_at`.
     pub fn new(now: Nanos, queued_at: Nanos) -> ArrivalTracker {
         ArrivalTracker {
             empty_at: queued_at,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Records that a read found the socket empty.
+    /// Records that a read at `now` found the socket empty.
     pub fn note_empty(&mut self, now: Nanos) {
         self.empty_at = now;
         self.has_unread = false;
@@ -66,7 +67,7 @@
     }
 
     /// Earliest arrival time of bytes that are read at `now`. `previous_poll_at` is the time of the
-    /// previous poll, whose event for this socket, if any, has been handled.
+    /// previous poll; if that poll reported an event for this socket, the event has been handled.
     pub fn earliest_arrival(&self, now: Nanos, previous_poll_at: Nanos) -> Nanos {
         let poll_covers_socket = !self.has_unread && previous_poll_at >= self.watched_since;
         let last_empty_at = if poll_covers_socket {
--- a/crates/node/src/downstream/connection/events.rs
+++ b/crates/node/src/downstream/connection/events.rs
@@ -54,8 +54,8 @@
     /// temporarily lacks resources. Until then its events are deregistered, as every poll would
     /// report them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // If this fails too, events are still reported during the pause, and handling them may fail
-        // again.
+        // If deregistering fails, events are still reported during the pause, and handling them may
+        // fail again.
         let _ = self.register(number, event_loop, EventFlags::empty());
         self.update_deadline(number, event_loop);
         let resume_at = event_loop.now() + MIN_RETRY;
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -68,11 +68,11 @@
     Invalid(ParseError),
     /// The client has closed its sending side.
     EndOfStream,
-    /// The connection is broken.
+    /// The connection was reset or failed in another way.
     Broken,
 }
 
-/// A connection from a client.
+/// A connection from a client, which carries one request at a time.
 pub struct ClientConnection {
     socket: OwnedFd,
     outbox: RingBuffer,
@@ -83,16 +83,17 @@
     /// The client has closed its side, or the connection is broken. A half-close can't be
     /// distinguished from a full close.
     peer_closed: bool,
-    /// When the current state began, in nanoseconds on the node's clock. The time limits of a
-    /// client count from here, so that a client that sends or reads one byte now and then doesn't
-    /// keep its connection forever.
+    /// When the connection was accepted, a message after the first one began, an answer was queued,
+    /// or lingering began, whichever is the latest, in nanoseconds on the node's clock. The time
+    /// limits of a client count from this time, so that a client that sends or reads one byte now
+    /// and then doesn't keep its connection forever.
     state_since: Nanos,
     deadline: Deadline,
     registration: Registration,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted at `now`, and was established at `queued_at` at the earliest.
+    /// A connection that was accepted at `now` and was not established before `queued_at`.
     pub fn new(
         socket: OwnedFd,
         now: Nanos,
@@ -286,7 +287,8 @@
             return Some(ReadEvent::Invalid(error));
         }
         if self.input.awaits_continue() {
-            // It is small and precedes any answer, so it always fits.
+            // The interim response is short and precedes any answer, so it always fits in the
+            // outbox.
             let is_sent = self.outbox.push(CONTINUE_RESPONSE);
             self.input.set_continue_sent(is_sent);
         }
@@ -310,10 +312,10 @@
 
     /// Shuts down the sending side and then discards received bytes, before the socket is closed.
     /// Closing a socket with unread bytes resets the connection, which discards what the kernel has
-    /// not yet sent of an answer. The end of the stream is sent before the bytes are read: a
-    /// request that arrives in between then arrives on a closed connection, and its client retries
-    /// elsewhere; if the end of the stream were sent last, the client would take the request for
-    /// accepted. Does nothing on an open connection without a complete message.
+    /// not yet sent of an answer. The end of the stream is sent before the bytes are read: the
+    /// client of a request that arrives later sees that the connection was closed before, and
+    /// retries elsewhere. If the end of the stream were sent last, the client would take such a
+    /// request for accepted. Does nothing on an open connection without a complete message.
     pub fn close_gracefully(&mut self) {
         if !self.has_sent_message() && self.state == ConnectionState::Open {
             return;
@@ -326,8 +328,8 @@
         }
     }
 
-    /// Puts an answer into the outbox. The connection closes after it if the answer or the last
-    /// message requires that.
+    /// Puts an answer into the outbox. The connection closes after the answer if the answer or the
+    /// last message requires that.
     pub fn queue_reply(&mut self, now: Nanos, reply: Reply) {
         self.request = None;
         self.state_since = now;
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -2,7 +2,7 @@
 //!
 //! Some clients send one request and then keep their idle connection open indefinitely, others send
 //! nothing at all; connections that carry further requests are useful. An eviction by age alone
-//! would close useful connections in favour of a flood of the others.
+//! would close useful connections to make space for a flood of idle ones.
 
 use kitefork_balancer::Nanos;
 
@@ -27,8 +27,8 @@
 }
 
 impl EvictionRank {
-    /// Whether closing the connection does little harm: its client has sent no message within the
-    /// grace period.
+    /// Whether closing the connection does little harm: it has been idle for longer than the grace
+    /// period of its rank.
     pub fn is_expendable(self) -> bool {
         self <= EvictionRank::Returned
     }
--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -3,20 +3,21 @@
 use crate::http1::{self, Head, Start};
 use crate::ring_buffer::Body;
 
-/// The payload that the request table stores for a request.
+/// A client's message, which the request table stores as the payload of the request and which is
+/// encoded for each attempt.
 pub struct ForwardedRequest {
     head: Head,
     body: Body,
 }
 
 impl ForwardedRequest {
-    /// The request with the head and the body of a client's message.
+    /// Creates the payload from the parsed message of a client.
     pub fn new(head: Head, body: Body) -> ForwardedRequest {
         ForwardedRequest { head, body }
     }
 
-    /// The idempotency key, which the client's own retries share, for the trace; `-` if it is
-    /// absent or occurs more than once.
+    /// The idempotency key, for the trace: a client's retries of a request have the same key. `-`
+    /// if the header is absent or occurs more than once.
     pub fn idempotency_key(&self) -> &str {
         self.head
             .unique("idempotency-key")
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -9,12 +9,13 @@
 use crate::net;
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer};
 
-/// Capacity of the inbox in addition to a head of the maximum length, in bytes.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without it, a
+/// longer head would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// A complete message.
 pub struct Message {
-    /// The head of the message.
+    /// The request line and the headers, including those that are not forwarded.
     pub head: Head,
     /// The body of the message; may be empty.
     pub body: Body,
@@ -40,8 +41,8 @@
 }
 
 impl ClientInput {
-    /// The input of a connection that was accepted at `now`, and was established at `queued_at` at
-    /// the earliest.
+    /// The input of a connection that was accepted at `now` and was not established before
+    /// `queued_at`.
     pub fn new(now: Nanos, queued_at: Nanos, budget: &BufferBudget) -> ClientInput {
         ClientInput {
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
@@ -71,12 +72,13 @@
         self.keep_alive
     }
 
-    /// Whether no byte of a message is buffered and no message has begun.
+    /// Whether the connection is between two messages: the inbox is empty and no message has been
+    /// received in part.
     pub fn is_between_messages(&self) -> bool {
         self.inbox.is_empty() && self.message_started_at.is_none()
     }
 
-    /// Whether at least a part of the next message is buffered and the parser has not begun it.
+    /// Whether the inbox holds bytes of a message that the parser has not begun to read.
     pub fn has_next_message(&self) -> bool {
         self.parser.is_at_start() && !self.inbox.is_empty()
     }
@@ -86,13 +88,13 @@
         self.parser.head.is_some()
     }
 
-    /// Whether the inbox is empty.
+    /// Whether the inbox holds no unparsed bytes.
     pub fn is_empty(&self) -> bool {
         self.inbox.is_empty()
     }
 
-    /// Whether the inbox contains more bytes than a head of the maximum length. It then counts as
-    /// full until the current request is answered.
+    /// Whether the inbox counts as full: it holds more bytes than a head of the maximum length. The
+    /// socket is then not watched for further bytes until the current request is answered.
     pub fn is_full(&self) -> bool {
         self.inbox.len() > MAX_HEAD
     }
@@ -120,8 +122,8 @@
         self.arrival.earliest_arrival(now, previous_poll_at)
     }
 
-    /// Sets the earliest possible arrival time of the bytes that follow a message, after the read
-    /// that has completed the message: they can have arrived with its end, at `arrived_at`.
+    /// Sets the earliest possible arrival time of the bytes in the inbox that follow a complete
+    /// message. They may have arrived together with the end of that message, at `arrived_at`.
     pub fn set_first_byte_at(&mut self, arrived_at: Nanos) {
         self.arrival.set_first_byte_at(arrived_at);
     }
@@ -145,9 +147,9 @@
         outcome
     }
 
-    /// Reads on after a complete message; returns whether the client has closed its sending side or
-    /// the connection is broken. The client may have done so while its message waited in the accept
-    /// queue, in a buffer or during a stall of the process.
+    /// Reads the socket again after a complete message, and returns whether the client has closed
+    /// its sending side or the connection is broken. Either may have happened while the message
+    /// waited in the accept queue, in a buffer or during a stall of the process.
     pub fn has_peer_closed_after_message(
         &mut self,
         socket: &OwnedFd,
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -12,7 +12,7 @@
 use crate::net;
 
 /// How long accepting is paused, in nanoseconds, when no client can be accepted; also the maximum
-/// delay after a shortage of resources.
+/// delay between two retries during a shortage of resources.
 pub const ACCEPT_PAUSE: Nanos = 50 * MS;
 
 enum ListenerState {
@@ -38,7 +38,7 @@
     Failed(Errno),
 }
 
-/// The listening socket.
+/// The listening socket, and what is known about how long clients have waited in its accept queue.
 pub struct Listener {
     state: ListenerState,
     /// When the accept queue was last found empty.
@@ -81,7 +81,7 @@
         self.state = ListenerState::Closed;
     }
 
-    /// Whether a client waits to be accepted.
+    /// Whether a client waits to be accepted; `false` once the socket is closed.
     ///
     /// # Errors
     ///
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Accepts the next queued client.
+    /// Accepts the next queued client, unless accepting is paused or the socket is closed.
     pub fn accept(&mut self) -> AcceptOutcome {
         let ListenerState::Accepting(socket) = &self.state else {
             return AcceptOutcome::QueueEmpty;
@@ -174,8 +174,8 @@
         self.watched_since = Nanos::MAX;
     }
 
-    /// When the accept queue was last known to be empty, in nanoseconds on the node's clock: it was
-    /// found empty, or the previous poll reported no client while it covered the socket.
+    /// When the accept queue was last known to be empty, in nanoseconds on the node's clock: the
+    /// queue was found empty, or the previous poll watched the socket and reported no client.
     pub fn queue_empty_at(&self, previous_poll_at: Nanos) -> Nanos {
         let polled_empty_at = if self.watched_since <= previous_poll_at {
             previous_poll_at
--- a/crates/node/src/downstream/reply.rs
+++ b/crates/node/src/downstream/reply.rs
@@ -7,18 +7,18 @@
 /// An answer to a client, before it is encoded.
 #[derive(Debug, Clone, Copy)]
 pub struct Reply<'a> {
-    /// The HTTP status.
+    /// The HTTP status, which also determines the reason phrase.
     pub status: u16,
     /// Headers other than `content-length` and `connection`.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body.
+    /// The body; may be empty. Its length is always sent as `content-length`.
     pub body: &'a [u8],
-    /// Whether the connection closes after the answer.
+    /// Whether the connection closes after the answer; the header `connection` then says `close`.
     pub close: bool,
 }
 
 impl<'a> Reply<'a> {
-    /// An answer without headers, after which the connection stays open.
+    /// An answer without additional headers, which does not itself require the connection to close.
     pub fn new(status: u16, body: &'a [u8]) -> Reply<'a> {
         Reply {
             status,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An answer without headers, after which the connection closes.
+    /// An answer without additional headers, after which the connection closes.
     pub fn closing(status: u16, body: &'a [u8]) -> Reply<'a> {
         Reply {
             close: true,
@@ -67,17 +67,17 @@
     }
 }
 
-/// The status and the header of an answer that the node itself makes.
+/// The status of an answer that the node itself makes, and the value of its header `Retry-After`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalReplyHead {
-    /// The HTTP status.
+    /// The HTTP status: 502, 503 or 504.
     pub status: u16,
     /// The value of `Retry-After`, in seconds; `None` for an answer without the header.
     pub retry_after: Option<String>,
 }
 
 impl LocalReplyHead {
-    /// The status and the header for `reply`.
+    /// The status and the value of `Retry-After` for `reply`.
     pub fn new(reply: LocalReply) -> LocalReplyHead {
         let (status, retry_after) = match reply {
             LocalReply::Rejected { retry_after: 0 } => (503, None),
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -37,7 +37,8 @@
 pub struct InvalidRequest {
     /// The HTTP status of the answer.
     pub status: u16,
-    /// The body of the answer; for 405 the methods that are allowed.
+    /// The body of the answer; for status 405, the allowed methods, which are also the value of the
+    /// header `allow`.
     pub reason: &'static str,
 }
 
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -12,7 +12,7 @@
 use crate::ring_buffer::BufferBudget;
 use crate::slab::Slab;
 
-/// All client connections.
+/// All open client connections, and the queue of those whose answer is still to be written.
 pub struct ClientConnections {
     table: Slab<ClientConnection>,
     /// Numbers of connections whose answer is still to be written and whose next message may
@@ -52,7 +52,7 @@
         self.table.get_mut(number)
     }
 
-    /// Adds a connection that was accepted at `now` and established at `queued_at` at the earliest.
+    /// Adds a connection that was accepted at `now` and was not established before `queued_at`.
     /// Returns its number, or `None` if the table is full.
     pub fn add(
         &mut self,
@@ -92,9 +92,10 @@
     }
 
     /// Returns the connections to close when the trim timer has fired. If more than `max_active`
-    /// clients have sent a request, these are the expendable ones among them, at most as many as
-    /// exceed that number. Otherwise clients that keep idle connections indefinitely could use all
-    /// that the platform allows, and the next request would get none, which the node can't observe.
+    /// clients have sent a request, these are expendable connections of such clients, at most as
+    /// many as exceed `max_active`. Without this, clients that keep idle connections indefinitely
+    /// could use all connections that the platform allows, and the next request would get no
+    /// connection, which the node can't observe.
     pub fn trim(&mut self, now: Nanos, max_active: usize) -> Vec<EvictionCandidate> {
         self.is_trim_scheduled = false;
         let has_sent = |number| {
@@ -115,8 +116,8 @@
         expendable
     }
 
-    /// Schedules the next trim while more than `max_active` connections are open, so that too many
-    /// clients may have sent a request.
+    /// Schedules the next trim while more than `max_active` connections are open, as more than
+    /// `max_active` clients may then have sent a request.
     pub fn schedule_trim(&mut self, max_active: usize, event_loop: &mut EventLoop) {
         if !self.is_trim_scheduled && self.len() > max_active {
             self.is_trim_scheduled = true;
--- a/crates/node/src/errno.rs
+++ b/crates/node/src/errno.rs
@@ -57,7 +57,8 @@
         Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::AGAIN => {
             RetryLater
         }
-        // The limit on descriptors watched by epoll, where a new connection is registered at once.
+        // The limit on descriptors that epoll watches: a caller that registers a new connection at
+        // once also gets its error class from here.
         Errno::NOSPC => RetryLater,
         // Temporarily no route: a problem of this machine, not of one backend.
         Errno::NETUNREACH | Errno::NETDOWN => RetryLater,
--- a/crates/node/src/http1/chunked.rs
+++ b/crates/node/src/http1/chunked.rs
@@ -2,8 +2,8 @@
 
 use super::ParseError;
 
-/// Maximum length of the line with a chunk's size, in bytes. It includes chunk extensions, which
-/// are ignored: without a limit a line that never ends would be buffered.
+/// Maximum length of the line with a chunk's size, in bytes. The line includes chunk extensions,
+/// which are ignored; without a limit, a line that never ends would be buffered.
 pub(super) const MAX_CHUNK_LINE: usize = 256;
 
 /// Maximum number of hexadecimal digits in a chunk's size. Sizes of up to 4 GiB are far above any
@@ -14,8 +14,8 @@
 ///
 /// # Errors
 ///
-/// [`ParseError::Malformed`] if the line does not begin with a hexadecimal number, or if that has
-/// more than [`MAX_CHUNK_SIZE_DIGITS`] digits.
+/// [`ParseError::Malformed`] if the line does not begin with a hexadecimal number, or if the number
+/// has more than [`MAX_CHUNK_SIZE_DIGITS`] digits.
 pub(super) fn chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let digits = line
         .split(|byte| *byte == b';')
--- a/crates/node/src/http1/head.rs
+++ b/crates/node/src/http1/head.rs
@@ -45,7 +45,6 @@
     },
 }
 
-/// One header.
 #[derive(Debug, Clone)]
 struct Header {
     /// The name, in lower case.
@@ -54,10 +53,10 @@
     value: String,
 }
 
-/// The head of a message.
+/// The start line and the headers of a message, the headers in the order of their receipt.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// The start line.
+    /// The start line: a request line or a status line.
     pub start: Start,
     headers: Vec<Header>,
     /// Whether the connection may carry another message after this one.
@@ -99,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if it occurs more than once.
+    /// [`ParseError::Malformed`] if the header occurs more than once.
     pub fn unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
         let mut values = self.values(name);
         let first = values.next();
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -59,19 +59,20 @@
     allow_close_delimited: bool,
     interim_responses: u32,
     state: State,
-    /// The head of the message that is being read, once it is complete.
+    /// The head of the current message; `None` while the head is incomplete.
     pub head: Option<Head>,
     /// The part of the body that has been received and not been removed.
     pub body: Body,
 }
 
 impl Parser {
-    /// A parser of requests.
+    /// A parser of requests whose bodies have up to [`MAX_REQUEST_BODY`] bytes.
     pub fn requests() -> Parser {
         Parser::new(MessageKind::Request, MAX_REQUEST_BODY)
     }
 
-    /// A parser of responses.
+    /// A parser of responses whose bodies have up to [`MAX_RESPONSE_BODY`] bytes. Responses whose
+    /// body ends when the connection closes are rejected.
     pub fn responses() -> Parser {
         Parser::new(MessageKind::Response, MAX_RESPONSE_BODY)
     }
@@ -93,9 +94,9 @@
         Parser { max_body, ..self }
     }
 
-    /// Accepts responses whose body ends when the connection closes. If the peer closes it early,
-    /// that can't be distinguished from the end of the body: a truncated body counts as complete,
-    /// unless its content shows that it is not.
+    /// Accepts responses whose body ends when the connection closes. If the peer closes the
+    /// connection early, that can't be distinguished from the end of the body: a truncated body
+    /// counts as complete, and only its content can show that it is not.
     pub fn allow_close_delimited(self) -> Parser {
         Parser {
             allow_close_delimited: true,
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `http1`.
+//! Unit tests of the HTTP parser and the writer.
 
 use super::head::MAX_HEADERS;
 use super::*;
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -99,7 +99,7 @@
     Unknown,
 }
 
-/// Checks what can be read from a connection, without consuming it.
+/// Checks what can be read from a connection, without consuming any bytes.
 pub fn unread(socket: &OwnedFd) -> Unread {
     loop {
         return match rustix::net::recv(socket, &mut [0], RecvFlags::PEEK) {
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -31,7 +31,7 @@
 /// The result of a read from a socket.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes were read.
+    /// At least one byte was read.
     Data,
     /// No bytes are available now.
     WouldBlock,
@@ -41,7 +41,7 @@
     RetryLater,
     /// The peer has closed its sending side.
     EndOfStream,
-    /// The connection is broken.
+    /// The connection was reset or failed with another permanent error.
     Broken,
 }
 
@@ -54,7 +54,7 @@
     Blocked,
     /// The machine temporarily lacks resources: retry after a short delay.
     RetryLater,
-    /// The connection is broken.
+    /// The connection was reset or failed with another permanent error.
     Broken,
 }
 
@@ -70,8 +70,9 @@
         }
     }
 
-    /// Counts the buffer against `budget`. The buffer grows even when the budget is exhausted,
-    /// because its content is received data of limited length, or derived from such data.
+    /// Counts the buffer's memory against `budget`. The buffer may grow even if the budget is
+    /// exhausted: it holds received data, or messages made from received data, and the length of
+    /// received data is limited.
     pub fn with_budget(mut self, budget: &BufferBudget) -> RingBuffer {
         self.budget = budget.clone();
         self
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `ring_buffer`.
+//! Unit tests of ring buffers, bodies and their memory budget.
 
 use super::*;
 
--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -1,5 +1,5 @@
 //! A table of numbered entries. A number is not reused (before the counter wraps): its low bits
-//! select the slot, the others are the generation, so that an event for a removed entry finds
+//! select the slot, the other bits are the generation, so that an event for a removed entry finds
 //! nothing. Numbers increase, so requests that the decision module orders by number stay first in,
 //! first out.
 
@@ -7,7 +7,8 @@
 pub struct Slab<T> {
     /// The number of slots is a power of two.
     slots: Vec<Option<Entry<T>>>,
-    /// The first candidate for the number of the next entry.
+    /// The number of the next entry, unless its slot is occupied; then the next number with a free
+    /// slot is used.
     next_number: u32,
     len: usize,
     capacity: usize,
--- a/crates/node/src/slab_tests.rs
+++ b/crates/node/src/slab_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `slab`.
+//! Unit tests of the table of numbered entries.
 
 use super::*;
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -48,7 +48,7 @@
 }
 
 /// An attempt whose connection could not be started because this machine temporarily lacks
-/// resources. It counts neither as failed nor against the backend.
+/// resources. The attempt does not count as failed, nor does the delay count against the backend.
 #[derive(Debug, Clone, Copy)]
 pub struct PostponedDial {
     /// The backend to connect to.
@@ -57,7 +57,7 @@
     pub attempt: UpstreamAttempt,
     /// The time limits of the attempt.
     pub limits: AttemptLimits,
-    /// When the attempt stops being retried and ends as not sent, which does not count against the
-    /// backend.
+    /// When the node stops trying to connect and the attempt ends as not sent, which does not count
+    /// against the backend.
     pub give_up_at: Nanos,
 }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,7 +14,8 @@
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// Capacity of the inbox in addition to a head of the maximum length, in bytes.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without it, a
+/// longer head would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// The state of an upstream connection.
@@ -67,11 +68,11 @@
     Answered(Answer),
     /// The attempt has failed with this outcome.
     Failed(Outcome),
-    /// An idle connection can't be reused and must be closed.
+    /// An idle connection can't be reused, for this reason, and must be closed.
     Stale(Reuse),
 }
 
-/// A connection to a backend.
+/// A connection to a backend, and the attempt that it carries.
 pub struct UpstreamConnection {
     socket: OwnedFd,
     backend: BackendId,
@@ -158,7 +159,8 @@
     /// Prepares an idle connection for another attempt; returns `false` if it is too old to be
     /// reused.
     pub fn leave_pool(&mut self, now: Nanos) -> bool {
-        // After a stall of the process, the timer that closes it may not have fired yet.
+        // After a stall of the process, the timer that closes the idle connection may not have
+        // fired yet.
         let is_fresh = now < self.limits.abandon_at;
         if is_fresh {
             self.state = UpstreamState::Connected;
@@ -180,8 +182,8 @@
         !is_written && (now > self.limits.write_by || now >= self.limits.abandon_at)
     }
 
-    /// Returns whether the attempt must now wait until updates of the endpoint list are read, and
-    /// records that it has. An attempt waits only once, as discovery may send data without end.
+    /// Returns whether the attempt must now wait until updates of the endpoint list are read:
+    /// `true` only the first time for each attempt, as discovery may send data without end.
     pub fn begin_discovery_wait(&mut self) -> bool {
         !std::mem::replace(&mut self.waited_for_discovery, true)
     }
@@ -203,7 +205,8 @@
         self.outbox.push(bytes)
     }
 
-    /// Continues after the socket has become ready, or a request has been put in the outbox.
+    /// Continues after the socket has become ready (`is_ready`), or a request has been put in the
+    /// outbox. A connection that is being established continues only once the socket is ready.
     pub fn advance(&mut self, is_ready: bool) -> Progress {
         if self.state == UpstreamState::Connecting {
             if !is_ready {
@@ -338,7 +341,7 @@
     /// temporarily lacks resources or updates of the endpoint list must be read first. Until then
     /// its events are deregistered, as every poll would report them again.
     pub fn pause(&mut self, number: u32, event_loop: &mut EventLoop) {
-        // If this fails too, events are still reported during the pause, and the connection
+        // If deregistering fails, events are still reported during the pause, and the connection
         // continues early.
         let _ = self.set_events(number, event_loop, EventFlags::empty());
         let at = event_loop.now() + MIN_RETRY;
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Removes and returns the most recently used connection to a backend that may be reused now.
-    /// The older ones are left to reach their idle timeout.
+    /// Removes and returns the most recently used connection to a backend that may be reused now;
+    /// `None` if there is none. The older connections stay idle until their timeout closes them.
     pub fn take(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         let delay = if now < self.delay_reuse_until {
             REUSE_DELAY
@@ -59,7 +59,7 @@
         Some(idle.remove(position).number)
     }
 
-    /// Removes a connection, if it is idle.
+    /// Removes a connection from the pool; does nothing if the connection is not idle.
     pub fn remove(&mut self, backend: BackendId, number: u32) {
         if let Some(idle) = self.idle.get_mut(&backend) {
             idle.retain(|connection| connection.number != number);
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -109,7 +109,7 @@
     }
 
     /// Takes the most recently used idle connection to a backend that can be reused, and returns
-    /// its number. Closes the ones before it that can't be reused.
+    /// its number. Closes the more recently used ones that can't be reused.
     pub fn take_idle(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         while let Some(number) = self.pool.take(backend, now) {
             let Some(connection) = self.table.get_mut(number) else {
@@ -199,8 +199,8 @@
         true
     }
 
-    /// Advances a connection as far as its socket allows; `None` if the node need not act on it
-    /// now.
+    /// Advances a connection as far as its socket allows (`is_ready`: the socket has become ready);
+    /// `None` if the node need not act on it now.
     pub fn advance(
         &mut self,
         number: u32,
@@ -301,7 +301,8 @@
         Some(connection.outcome_if_closed(Outcome::Timeout))
     }
 
-    /// Closes a connection and returns the attempt that it carried.
+    /// Closes a connection and returns the attempt that it carried; `None` if it carried none or is
+    /// already closed.
     pub fn close(&mut self, number: u32) -> Option<UpstreamAttempt> {
         self.table.remove(number)?.take_attempt()
     }
