--- a/crates/node/src/discovery/object_scanner_tests.rs
+++ b/crates/node/src/discovery/object_scanner_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_object_may_arrive_byte_by_byte() {
+fn end_of_an_object_is_found_if_the_object_arrives_byte_by_byte() {
     let object = b"{\"a\":\"\\n\n\"}\n";
     let mut scanner = ObjectScanner::default();
     for count in 0..object.len() {
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn polls_are_ignored_for_an_unwatched_or_unread_socket() {
+fn previous_poll_does_not_count_if_the_socket_was_unwatched_or_has_unread_bytes() {
     let (empty_at, previous_poll_at) = (READ_AT - 700 * MS, READ_AT - 10 * MS);
     assert_eq!(
         tracker(empty_at, READ_AT - 5 * MS).earliest_arrival(READ_AT, previous_poll_at),
--- a/crates/node/src/downstream/reply_tests.rs
+++ b/crates/node/src/downstream/reply_tests.rs
@@ -4,7 +4,7 @@
 use crate::clock::MS;
 
 #[test]
-fn only_rejections_have_retry_after_and_it_is_in_whole_seconds() {
+fn retry_after_is_in_whole_seconds_and_only_in_rejections_with_a_delay() {
     let head = |status, retry_after: Option<&str>| LocalReplyHead {
         status,
         retry_after: retry_after.map(str::to_string),
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -19,7 +19,7 @@
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn forwards_client_headers_and_counts_time_from_the_first_byte() {
+fn forwarded_request_keeps_client_headers_and_its_timeout_counts_from_the_first_byte() {
     let Route::Request { spec, payload } = route_text(REQUEST) else {
         panic!("not a request")
     };
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn rejects_request_lines_that_break_the_grammar() {
+fn rejects_request_lines_with_an_invalid_grammar_or_version() {
     for (start_line, error) in [
         ("GET /api HTTP/2.0", ParseError::UnsupportedVersion),
         ("GET /api", ParseError::Malformed),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn forwards_only_end_to_end_headers() {
+fn only_end_to_end_headers_are_forwarded_and_only_a_body_gets_a_length() {
     let (head, _) = parse_request(
         "GET / HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nConnection: close, X-Hop\r\n\
          X-Hop: 1\r\nTE: x\r\n\r\n",
