--- a/crates/node/src/http1/error.rs
+++ b/crates/node/src/http1/error.rs
@@ -19,7 +19,7 @@
     #[error("unsupported HTTP version")]
     UnsupportedVersion,
     /// The memory budget that all buffers share is exhausted; the message itself may be valid.
-    #[error("buffer budget spent")]
+    #[error("the memory budget of all buffers is exhausted")]
     BufferBudgetSpent,
 }
 
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -27,7 +27,7 @@
     let result = match connection.advance(true) {
         Progress::Answered(answer) => Ok((outcome(&answer.head), answer.reuse)),
         Progress::Failed(outcome) => Err(outcome),
-        _ => panic!("not ended"),
+        _ => panic!("the attempt has not ended"),
     };
     drop(backend);
     result
@@ -131,7 +131,7 @@
                 reuse: Reuse::Yes,
                 ..
             }) => break body,
-            _ => panic!("not answered"),
+            _ => panic!("no complete answer was received"),
         }
     };
     assert_eq!(body.len(), 400_000);
@@ -148,7 +148,7 @@
     assert!(backend.read(&mut [0; 64]).unwrap() > 0);
     drop(backend);
     let Progress::Answered(Answer { head, body, reuse }) = connection.advance(true) else {
-        panic!("not answered")
+        panic!("no complete answer was received")
     };
     assert_eq!(
         (outcome(&head), &*body, reuse),
