--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -4,7 +4,7 @@
 //! available to both. A fixed split would reject one kind while the descriptors of the other are
 //! idle. This module does no I/O.
 
-/// The kind of a connection.
+/// What a connection is for; clients and backends each have a reserve of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
     /// A connection from a client.
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -123,7 +123,7 @@
     RetryLater,
 }
 
-/// An open call to discovery.
+/// An open call to discovery, on a connection of its own.
 pub struct DiscoveryCall {
     socket: OwnedFd,
     kind: CallKind,
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Number of open calls.
+    /// Number of open calls, watches and polls, including those that are not connected yet.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
--- a/crates/node/src/discovery/update.rs
+++ b/crates/node/src/discovery/update.rs
@@ -8,9 +8,10 @@
 /// The entry of one backend in an update.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
-    /// The backend's name, which is never reused.
+    /// The backend's name (key `uid`), which is never reused.
     pub uid: String,
-    /// The address on which the backend listens; always present if it is ready.
+    /// The address on which the backend listens (key `endpoint`); `None` only if the backend is not
+    /// ready.
     pub address: Option<SocketAddr>,
     /// Availability zone of the backend (key `az`); empty if the key is absent.
     pub zone: String,
@@ -18,7 +19,7 @@
     pub kind: String,
     /// Cell of the backend (key `pod_group`); 0 if the key is absent.
     pub cell: u16,
-    /// Ready, draining or removed.
+    /// Whether the backend is ready, draining or removed (key `state`).
     pub state: EndpointState,
     /// Capacity of the backend relative to others (key `capacity_hint`); 1 if the key is absent.
     pub weight: f32,
@@ -38,7 +39,7 @@
 }
 
 impl EndpointUpdate {
-    /// Parses one JSON object.
+    /// Parses the JSON text of one update.
     ///
     /// # Errors
     ///
@@ -47,7 +48,7 @@
         EndpointUpdate::read(&Document::parse(text)?.root())
     }
 
-    /// Reads an update from a JSON value.
+    /// Reads an update from JSON that is parsed already, such as the cached list.
     ///
     /// # Errors
     ///
--- a/crates/node/src/downstream/arrival.rs
+++ b/crates/node/src/downstream/arrival.rs
@@ -56,12 +56,13 @@
         self.watched_since = now;
     }
 
-    /// Earliest arrival time of the first byte in the inbox.
+    /// Earliest arrival time of the first byte in the inbox; before any byte is received, the time
+    /// at which the connection was accepted.
     pub fn first_byte_at(&self) -> Nanos {
         self.first_byte_at
     }
 
-    /// Sets the earliest arrival time of the first byte in the inbox.
+    /// Sets the earliest arrival time of the first byte in the inbox, when that byte has changed.
     pub fn set_first_byte_at(&mut self, at: Nanos) {
         self.first_byte_at = at;
     }
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -44,7 +44,7 @@
 /// The interim response for a client that expects it before it sends its body.
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The state of a client connection.
+/// How far a client connection has come, from reading messages to its close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// Messages are read and answered.
@@ -62,7 +62,7 @@
     Incomplete,
     /// The machine temporarily lacks resources: read again after a short delay.
     RetryLater,
-    /// A complete message.
+    /// One complete message; bytes of further messages may have been received.
     Message(Message),
     /// The received bytes can't be parsed as a message.
     Invalid(ParseError),
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -13,7 +13,7 @@
 /// longer head would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
-/// A complete message.
+/// A complete message from a client, and the earliest time at which it can have begun to arrive.
 pub struct Message {
     /// The request line and the headers, including those that are not forwarded.
     pub head: Head,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Number of complete messages so far.
+    /// Number of complete messages so far, including the one that is being answered.
     pub fn message_count(&self) -> u32 {
         self.message_count
     }
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -51,7 +51,8 @@
 }
 
 impl Listener {
-    /// A listener whose socket is registered and accepting at `now`.
+    /// A listener whose socket is registered for events at `now`; its accept queue is taken to be
+    /// empty until then.
     pub fn new(socket: OwnedFd, now: Nanos) -> Listener {
         Listener {
             state: ListenerState::Accepting(socket),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether clients are accepted now.
+    /// Whether clients are accepted now: accepting is not paused and the socket is not closed.
     pub fn is_accepting(&self) -> bool {
         matches!(self.state, ListenerState::Accepting(_))
     }
@@ -71,7 +72,7 @@
         matches!(self.state, ListenerState::Paused(_))
     }
 
-    /// Whether no more clients can connect.
+    /// Whether the socket is closed, so that no more clients can connect.
     pub fn is_closed(&self) -> bool {
         matches!(self.state, ListenerState::Closed)
     }
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -35,7 +35,7 @@
 /// Why a message can't be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidRequest {
-    /// The HTTP status of the answer.
+    /// The HTTP status of the answer: 400, 404 or 405.
     pub status: u16,
     /// The body of the answer; for status 405, the allowed methods, which are also the value of the
     /// header `allow`.
--- a/crates/node/src/http1/framing.rs
+++ b/crates/node/src/http1/framing.rs
@@ -9,7 +9,7 @@
     Empty,
     /// `Content-Length` gives the length in bytes, at least one.
     Length(usize),
-    /// `Transfer-Encoding: chunked`.
+    /// The body consists of chunks (`Transfer-Encoding: chunked`).
     Chunked,
     /// A response without either header: the body ends when the connection closes.
     UntilClose,
--- a/crates/node/src/http1/lines.rs
+++ b/crates/node/src/http1/lines.rs
@@ -2,7 +2,6 @@
 
 use super::ParseError;
 
-/// The line terminator.
 pub(super) const CRLF: &[u8] = b"\r\n";
 
 /// Index of the first occurrence of `needle`; `None` if there is none.
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Limits bodies to `max_body` bytes.
+    /// Limits bodies to `max_body` bytes instead of the default limit for requests or responses.
     pub fn with_max_body(self, max_body: usize) -> Parser {
         Parser { max_body, ..self }
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether the message is complete.
+    /// Whether the current message is complete, so that it can be taken.
     pub fn is_done(&self) -> bool {
         matches!(self.state, State::Done)
     }
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -67,7 +67,7 @@
     call()
 }
 
-/// Accepts the next client connection.
+/// Accepts the next queued client connection; never waits for one.
 ///
 /// # Errors
 ///
--- a/crates/node/src/ring_buffer/budget.rs
+++ b/crates/node/src/ring_buffer/budget.rs
@@ -22,7 +22,7 @@
 }
 
 impl BufferBudget {
-    /// A budget of `bytes` bytes.
+    /// A budget of `bytes` bytes, which all clones share.
     pub fn new(bytes: usize) -> BufferBudget {
         // Half of the range of `isize`, so that no change of the count overflows it.
         let bytes = bytes.min(isize::MAX as usize / 2);
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -18,7 +18,7 @@
 /// longer head would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
-/// The state of an upstream connection.
+/// How far an upstream connection and the request on it have come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
     /// The connection is not established.
@@ -138,7 +138,8 @@
         self.limits
     }
 
-    /// Assigns an attempt and its time limits to the connection.
+    /// Assigns an attempt and its time limits to the connection. The request itself is queued
+    /// later, with [`UpstreamConnection::queue_request`].
     pub fn assign(&mut self, attempt: UpstreamAttempt, limits: AttemptLimits) {
         self.attempt = Some(attempt);
         self.limits = limits;
