--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -67,7 +67,7 @@
     call()
 }
 
-/// Accepts the next client connection.
+/// Accepts the next queued client connection; never waits for one.
 ///
 /// # Errors
 ///
@@ -99,7 +99,7 @@
     Unknown,
 }
 
-/// Checks what can be read from a connection, without consuming it.
+/// Checks what can be read from a connection, without consuming any bytes.
 pub fn unread(socket: &OwnedFd) -> Unread {
     loop {
         return match rustix::net::recv(socket, &mut [0], RecvFlags::PEEK) {
