--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn over_quota_tenants_and_late_retries_come_last() {
+fn late_requests_and_client_retries_come_after_others_and_over_quota_ones_last() {
     let mut fixture = Fixture::new();
     fixture.add(&tenant_request(1, 0, 0), false);
     fixture.add(&tenant_request(2, 0, 1), true);
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn rate_is_unlimited_during_the_first_arrival_window() {
+fn rate_is_one_attempt_a_tick_during_the_first_arrival_window() {
     let (rate, _) = rate_after_first_window();
     assert_eq!(rate.attempts_per_second(500 * MS), 1_000.0);
     assert!(rate.attempts_per_second(700 * MS) < 2.0);
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn limit_keeps_the_shortest_objective_behind_the_longest_work() {
+fn limit_lets_attempts_behind_the_longest_ones_meet_the_shortest_objective() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn limit_is_below_one_with_eleven_or_more_proxies() {
+fn proxy_share_of_a_backend_is_below_one_attempt_with_eleven_or_more_proxies() {
     for (proxy_count, is_below_one) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
         assert_eq!(
             ConcurrencyLimiter::new(proxy_count, 0.3).is_below_one(),
--- a/crates/balancer/src/legality_tests.rs
+++ b/crates/balancer/src/legality_tests.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn repeat_after_cancel_is_allowed_by_idempotency_and_window() {
+fn repeat_after_cancel_is_allowed_if_idempotent_or_within_the_key_window() {
     let window_end = SENT_AT + WINDOW;
     for (idempotency, now, allowed) in [
         (Idempotency::Idempotent, window_end, true),
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn tokens_refill_at_half_the_safe_rate_up_to_the_overload_duration() {
+fn tokens_refill_at_half_the_safe_rate_up_to_those_of_one_overload_duration() {
     let mut slow_start = slow_start(1.0);
     slow_start.set_completions(40.0, 4.0);
     // Half of the safe rate, which is three times a fifth of 10 completions per second: 3 per
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn empty_sum_has_the_prior_mean() {
+fn prior_weighted_mean_is_one_without_terms_and_follows_added_terms() {
     let mut sum = DecayedSum::default();
     assert_eq!(sum.prior_weighted_mean(2.0), 1.0);
     sum.add(2.0, 6.0);
--- a/crates/balancer/src/timer_queue_tests.rs
+++ b/crates/balancer/src/timer_queue_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn tasks_come_by_time_then_value_and_only_once() {
+fn tasks_are_popped_by_time_then_value_and_only_once() {
     let mut queue = TimerQueue::default();
     for (at, task) in [(5, 'b'), (5, 'a'), (3, 'c'), (5, 'b')] {
         queue.schedule(at, task);
--- a/crates/balancer/src/timescale_tests.rs
+++ b/crates/balancer/src/timescale_tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn rate_is_correct_before_the_window_is_full() {
+fn rate_is_correct_before_the_arrival_window_is_full() {
     let timescale = Timescale::new(&settings(Idempotency::Idempotent), 0);
     let window = timescale.arrival_window();
     for age in [0.5, 1.0, 10.0] {
