--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -9,7 +9,7 @@
 pub enum Action {
     /// Start an attempt of a request at a backend.
     StartAttempt {
-        /// Id of the request.
+        /// Request to start an attempt of.
         request: RequestId,
         /// Backend to send the attempt to.
         backend: BackendId,
@@ -18,19 +18,19 @@
     },
     /// Final answer: the request is rejected, and a retry by the client is harmless.
     Reject {
-        /// Id of the request.
+        /// Request that gets this answer.
         request: RequestId,
         /// How long the client should wait before it retries; 0 if it gets no advice.
         retry_after: Nanos,
     },
     /// Final answer: the request failed and may have been executed.
     Fail {
-        /// Id of the request.
+        /// Request that gets this answer.
         request: RequestId,
     },
     /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// Id of the request.
+        /// Request that the attempt belongs to.
         request: RequestId,
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
@@ -40,10 +40,11 @@
     SetTimer {
         /// When the timer is due.
         at: Nanos,
-        /// Id of the timer.
+        /// Id that [`Event::Timer`](crate::Event::Timer) must carry when the timer is due.
         timer: TimerId,
     },
-    /// Send a health check to a backend.
+    /// Send a health check to a backend;
+    /// [`Event::HealthCheckEnded`](crate::Event::HealthCheckEnded) reports its end.
     CheckHealth {
         /// Backend to check.
         backend: BackendId,
@@ -57,7 +58,7 @@
     Gossip {
         /// Index of the receiving proxy; `None` for all.
         to: Option<u16>,
-        /// Content of the message.
+        /// Content of the message, to be passed on unchanged.
         bytes: Vec<u8>,
     },
     /// Start (`true`) or stop (`false`) watching the endpoint list for changes.
@@ -73,14 +74,14 @@
 pub enum LogEvent {
     /// An outlier was ejected: it receives no attempts for a while.
     BackendEjected {
-        /// Backend that is ejected.
+        /// The outlier: a backend that failed far more often than the others.
         backend: BackendId,
         /// Duration of the ejection, in seconds.
         seconds: f64,
     },
     /// The endpoint list has no ready backend.
     NoBackendReady,
-    /// The endpoint list could not be read; the known one stays in use.
+    /// The endpoint list could not be read; the last known list stays in use.
     DiscoveryUnreachable,
 }
 
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -43,7 +43,7 @@
 }
 
 impl QueueEntry {
-    /// Sorts before every other entry.
+    /// Entry that sorts before every other one.
     pub(crate) const FIRST: QueueEntry = QueueEntry {
         position: QueuePosition {
             inverted_weight: 0,
@@ -52,7 +52,7 @@
         request: RequestId(0),
     };
 
-    /// Sorts directly after this entry, before all later ones.
+    /// Returns an entry that sorts directly after this one and before all later ones.
     pub(crate) fn successor(self) -> QueueEntry {
         QueueEntry {
             request: RequestId(self.request.0.saturating_add(1)),
@@ -94,8 +94,8 @@
 
     /// Returns the queue position of a request that is received now, and its admission cost; the
     /// request counts against the quota of its tenant. A request of low weight must leave the
-    /// reserved tokens to others. `is_late` tells whether its latency objective, counted from the
-    /// first try of its client, has already passed.
+    /// reserved tokens to others. `is_late` tells whether the latency objective of the request,
+    /// counted from the client's first try, has already passed.
     pub(crate) fn position_and_cost(
         &mut self,
         request: &Request,
@@ -114,8 +114,9 @@
             weight *= settings.over_quota_weight;
         }
         // A retry by the client usually comes when its first try has used up most of the latency
-        // objective; no capacity is spent on answers that no longer count. This could also hold
-        // back retries after a fast failure, but only during an overload.
+        // objective; its lower weight keeps capacity from being spent on answers that no longer
+        // count. A retry after a fast failure has the lower weight too, and waits behind others
+        // during an overload.
         if request.client_retry || is_late {
             weight *= settings.classes[class].late_priority_weight.clamp(0.0, 1.0);
         }
@@ -145,17 +146,16 @@
         true
     }
 
-    /// Queues a request.
+    /// Queues a request at a position that [`position_and_cost`](Self::position_and_cost) returned.
     pub(crate) fn insert(&mut self, position: QueuePosition, request: RequestId) {
         self.entries.insert(QueueEntry { position, request });
     }
 
-    /// Removes a request from the queue.
+    /// Removes a request from the queue; does nothing if it is not queued.
     pub(crate) fn remove(&mut self, position: QueuePosition, request: RequestId) {
         self.entries.remove(&QueueEntry { position, request });
     }
 
-    /// Whether no request is queued.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -166,8 +166,8 @@
     }
 }
 
-/// Weight of a class divided by its usual work, which is its unloaded latency in seconds. Weights
-/// that already count by unit of work are not divided.
+/// Weight of a class divided by its usual work, which is its unloaded latency in seconds. Not
+/// divided if [`Settings::weight_per_unit_of_work`] is set.
 fn work_adjusted_weight(class: usize, settings: &Settings, classes: &[ClassStatistics]) -> f64 {
     let is_per_unit = settings.weight_per_unit_of_work;
     let usual_work = if is_per_unit {
--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -94,7 +94,8 @@
         false,
     );
     fixture.add(&tenant_request(4, 0, 1), false);
-    // Request 1 is beyond the quota of tenant 0; requests 2 and 3 are late retries.
+    // Request 1 is beyond the quota of tenant 0, request 2 is late, and request 3 is a client
+    // retry.
     assert_eq!(fixture.order(), [4, 3, 2, 1]);
 }
 
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -1,6 +1,6 @@
-//! The admission rate: how many attempts per second this proxy may start. It replaces concurrency
-//! limits where they are too coarse because this proxy's share at a backend is less than one
-//! attempt.
+//! The admission rate: how many attempts per second this proxy may start. It replaces the
+//! concurrency limits if this proxy's share of a backend's limit is less than one attempt: the
+//! limits are too coarse then.
 //!
 //! The rate is the rate of completions, multiplied by the ratio of the target latency (a fraction
 //! of the latency objective) to the mean latency. This keeps many proxies from jointly overloading
@@ -14,8 +14,8 @@
 
 /// Maximum of the admission rate as a multiple of the completion rate. The minimum of the admission
 /// rate is the rate of received requests divided by this: once answers are fast, the rate then
-/// recovers to all received requests within one arrival window. With only a few attempts, chance
-/// could keep a proxy from recovering.
+/// recovers to all received requests within one arrival window. A proxy with only a few attempts
+/// could fail to recover by chance.
 const MAX_GROWTH: f64 = 5.0;
 
 /// Target for the mean latency, as a fraction of the latency objective. With an exponential tail, a
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Counts a received request.
+    /// Counts a received request; the minimum of the admission rate depends on the count.
     pub(crate) fn on_received(&mut self) {
         self.received += 1.0;
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Multiplies the counts by `decay_factor`.
+    /// Multiplies the weight of past requests and completions by `decay_factor`, from 0 to 1.
     pub(crate) fn decay(&mut self, decay_factor: f64) {
         self.received *= decay_factor;
         self.completions.decay(decay_factor);
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -31,12 +31,12 @@
     rate.set_completions(12.0, 0.01);
     assert!(
         (rate.attempts_per_second(now) - 100.0).abs() < 1e-9,
-        "five times 12 in 0.6 s"
+        "the rate is five times 12 completions in 0.6 s"
     );
     rate.set_completions(12.0, 0.39);
     assert!(
         (rate.attempts_per_second(now) - 10.0).abs() < 1e-9,
-        "half of 12 in 0.6 s"
+        "the rate is half of 12 completions in 0.6 s"
     );
 }
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -40,7 +40,8 @@
 /// A task scheduled for later. Tasks due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Task {
-    /// Start watching the endpoint list. Scheduled only if the list is polled.
+    /// Watch the endpoint list: at the start, and again after a failed poll. Scheduled only if
+    /// [`Settings::poll_endpoints`] is set.
     WatchEndpoints,
     /// Check whether a queued request can no longer be answered in time, or whether the attempt of
     /// a request is overdue.
@@ -51,11 +52,11 @@
     AdmitQueued,
 }
 
-/// The decisions of one proxy.
+/// Decides for one proxy which backend gets each request, when to retry and when to reject.
 ///
-/// It receives [`Event`]s with their times and returns [`Action`]s. It does no I/O and reads no
-/// clock; equal settings, seeds and events give equal actions. Times must not decrease: an event
-/// with an earlier time decays no counts and refills no tokens.
+/// A balancer receives [`Event`]s with their times and returns [`Action`]s. It does no I/O and
+/// reads no clock; equal settings, seeds and events give equal actions. Times must not decrease: an
+/// event with an earlier time decays no counts and refills no tokens.
 pub struct Balancer {
     settings: Settings,
     timescale: Timescale,
@@ -219,8 +220,8 @@
         self.decayed_at = now;
     }
 
-    /// Whether no further attempt may be started at this admission cost. Where the share of this
-    /// proxy at a backend is less than one attempt, the admission rate decides instead of the
+    /// Whether no further attempt may be started at this admission cost. If this proxy's share of a
+    /// backend's limit is less than one attempt, the admission rate decides, otherwise the
     /// concurrency limits.
     fn is_full(&self, cost: AdmissionCost) -> bool {
         if self.limiter.is_below_one() {
@@ -253,8 +254,8 @@
         self.schedule_admission(now);
     }
 
-    /// Where the admission rate decides, schedules a wake-up for when the first queued request can
-    /// be admitted.
+    /// Schedules a wake-up for when the first queued request can be admitted, if the admission rate
+    /// decides about it rather than the concurrency limits.
     fn schedule_admission(&mut self, now: Nanos) {
         if !self.limiter.is_below_one() {
             return;
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -19,7 +19,7 @@
     pub(super) attempt: u8,
     pub(super) latency: Nanos,
     pub(super) outcome: Outcome,
-    /// Whether the request has its final answer.
+    /// Whether the caller has given the request its final answer, so that no other attempt follows.
     pub(super) finished: bool,
 }
 
@@ -93,8 +93,8 @@
         picked
     }
 
-    /// Counts an attempt sent to `backend` as in flight, spends its tokens, and returns its entry
-    /// for the request.
+    /// Counts an attempt sent to `backend` as in flight, spends the tokens for it, and returns it
+    /// to be stored with its request.
     fn count_sent(&mut self, now: Nanos, backend: BackendId) -> Attempt {
         let record = self
             .endpoints
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: queues them, checks their timeouts, retries them and gives their final answers.
+//! Requests: how they are queued, time out, are retried and get their final answers.
 
 use crate::action::Action;
 use crate::event::{Outcome, Request};
@@ -180,7 +180,7 @@
     }
 
     /// Closes a request: removes it from the queue and, if permitted, cancels its attempts in
-    /// flight. It is removed from the table once no attempt is in flight.
+    /// flight. The request stays in the table until no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
@@ -203,7 +203,7 @@
 }
 
 /// Time within which an answer to a request has its full weight: the latency objective of its class
-/// plus the time added for its own work.
+/// plus the time added for the expected work of the request.
 fn request_objective(class: &Class, request: &Request) -> Nanos {
     let per_unit = class.latency_objective_per_unit_of_work.max(0.0);
     let added_for_work = per_unit * request.work_hint.unwrap_or(0) as f64;
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -88,7 +88,7 @@
         );
     }
     let rate = balancer.admission.rate.attempts_per_second(2_000 * MS);
-    assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
+    assert!((4.0..8.0).contains(&rate), "{rate} attempts per second");
     // Once answers are fast, the completions of one arrival window at that rate bring the rate back
     // to nearly all received requests.
     balancer.admission.rate.set_completions(rate * 0.6, 0.035);
@@ -110,7 +110,8 @@
     }
 }
 
-/// A full list of ten new backends. Their cells and kinds are numbered modulo 1000.
+/// A full list of ten new backends with ids from `first`. Their cells and kinds are numbered modulo
+/// 1000.
 fn ten_new_backends(first: u32) -> Event {
     let label = |id: u32| (id % 1_000) as u16;
     let endpoint = |id| Endpoint {
@@ -304,6 +305,6 @@
     let completion_rate = balancer.slow_start.completion_rate() * 3.0;
     assert!(
         (20.0..30.0).contains(&completion_rate),
-        "{completion_rate} a second"
+        "{completion_rate} completions per second"
     );
 }
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -64,8 +64,8 @@
             .map_or(0.0, |last| last.cumulative_weight)
     }
 
-    /// The backend at `fraction`, from 0 to 1, of the summed exploration weights. `None` if no
-    /// backend has an exploration weight.
+    /// Selects the backend at which the running sum of the exploration weights exceeds `fraction`
+    /// (0 to 1) of the total, or the last one. `None` if no backend has an exploration weight.
     pub(crate) fn explored_at(&self, fraction: f64) -> Option<BackendId> {
         let target_weight = fraction * self.exploration_sum();
         let index = self
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -23,7 +23,8 @@
 /// Statistics of one class. Latencies are in seconds.
 #[derive(Clone, Default)]
 pub(crate) struct ClassStatistics {
-    /// Client timeouts of its requests, as fractions of the client timeout of the class.
+    /// Client timeouts of the requests of this class, as fractions of the client timeout of the
+    /// class.
     client_timeouts: FractionHistogram,
     latencies: MovingMean,
     zone_latencies: BTreeMap<ZoneId, MovingMean>,
@@ -40,7 +41,7 @@
         self.latencies.minimum
     }
 
-    /// Whether any latency is known.
+    /// Whether the latency of an answer or of a timeout was added yet.
     pub(crate) fn has_latency(&self) -> bool {
         self.latencies.count > 0.0
     }
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -7,8 +7,8 @@
 //! overload, against backends that stop answering and against the collapse of a whole fleet. A
 //! limit that is too small wastes capacity, so it grows with each success.
 //!
-//! Where that share is less than one attempt, limits are too coarse and the
-//! [admission rate](crate::admission_rate) takes their place.
+//! If this proxy's share is less than one attempt, the limits are too coarse, and the [admission
+//! rate](crate::admission_rate) takes their place.
 
 use crate::estimator::ServiceTimes;
 use crate::event::Outcome;
@@ -27,20 +27,21 @@
 /// Multiple of the unloaded latency up to which a backend counts as not overloaded.
 pub(crate) const TOLERANCE: f64 = 1.3;
 
-/// Latency ratio from which a backend is clearly overloaded.
+/// Multiple of the unloaded latency from which a backend is clearly overloaded.
 pub(crate) const OVERLOAD_RATIO: f64 = TOLERANCE * TOLERANCE;
 
 /// Gain of the limit: its relative change at an answer is this multiple of the relative distance
 /// between the tolerance and the mean latency ratio.
 const LIMIT_GAIN: f64 = 0.2;
 
-/// Number of answers in the moving mean of a backend's latency ratio.
+/// Number of answers in the moving mean of a backend's latency ratio, its latency as a multiple of
+/// the unloaded latency.
 const LATENCY_RATIO_SAMPLES: f64 = 12.0;
 
 /// Latency ratios above this value count as this value.
 const MAX_LATENCY_RATIO: f64 = 10.0;
 
-/// Minimum of a backend's limit, as a fraction of this proxy's share.
+/// Minimum of a backend's limit, as a fraction of this proxy's share of [`SHARED_LIMIT`].
 const MIN_LIMIT_FRACTION: f64 = 0.25;
 
 /// Attempts in flight at one backend, its limit and its latest latencies.
@@ -98,7 +99,7 @@
         self.concurrency_limit
     }
 
-    /// Sets the limit to that of a backend without known latencies.
+    /// Sets the limit to `concurrency_limit`, whatever the latencies of past attempts.
     pub(crate) fn reset_limit(&mut self, concurrency_limit: f64) {
         self.concurrency_limit = concurrency_limit;
     }
@@ -113,7 +114,8 @@
         self.last_ratio_to_mean < 1.0 && self.last_answer_at >= since
     }
 
-    /// Summed time, in seconds, that the attempts in flight have waited, limited for each backend.
+    /// Summed time, in seconds, that the attempts of this proxy in flight at the backend have
+    /// waited.
     pub(crate) fn summed_wait_seconds(&self, now_seconds: f64) -> f64 {
         self.in_flight * now_seconds - self.in_flight_sent_at_sum
     }
@@ -174,31 +176,31 @@
         self.share.min(1.0)
     }
 
-    /// Whether this proxy's share of a backend is less than one attempt. The square root of the
-    /// share is added, as not all other proxies use their whole shares at the same time.
+    /// Whether this proxy's share of [`SHARED_LIMIT`] is less than one attempt. The square root of
+    /// the share is added, as not all other proxies use their whole shares at the same time.
     pub(crate) fn is_below_one(&self) -> bool {
         self.share + self.share.sqrt() < 1.0
     }
 
-    /// Whether no further attempt may be sent to any backend. One attempt may always be in flight.
+    /// Whether the attempts in flight at all backends have reached their joint limit. One attempt
+    /// may always be in flight.
     pub(crate) fn is_full(&self) -> bool {
         self.in_flight >= self.limit.max(1.0) && self.in_flight > 0.0
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts an attempt that is sent to any backend.
     pub(crate) fn on_sent(&mut self) {
         self.in_flight += 1.0;
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt at any backend.
     pub(crate) fn on_ended(&mut self) {
         self.in_flight -= 1.0;
     }
 
     /// Sets the limit of all backends together to their summed limits. If the pressure exceeds
-    /// [`OVERLOAD_RATIO`], the limit is divided by the square of the pressure as a multiple of that
-    /// ratio. Where this proxy's share of a backend is below one attempt, the limits don't apply
-    /// and are not reduced.
+    /// [`OVERLOAD_RATIO`], the limit is divided by the square of `pressure / OVERLOAD_RATIO`. If
+    /// [`is_below_one`](Self::is_below_one), the limits don't apply and are not reduced.
     pub(crate) fn set_total(&mut self, summed_limits: f64, pressure: f64) {
         self.limit = summed_limits;
         if !self.is_below_one() {
@@ -206,8 +208,9 @@
         }
     }
 
-    /// Changes the limit of a backend so that its mean latency ratio approaches the tolerance.
-    /// `longest_unloaded_latency` is the longest one of all classes, in seconds.
+    /// Changes the limit of a backend so that its mean latency ratio approaches the tolerance. A
+    /// limit that the attempts in flight do not reach is not raised. `longest_unloaded_latency` is
+    /// the longest one of all classes, in seconds.
     pub(crate) fn adjust(
         &self,
         load: &mut BackendLoad,
@@ -258,7 +261,7 @@
 pub(crate) struct Pressure {
     /// Sum of the decayed latency sums of the backends, in seconds.
     latency_sum: f64,
-    /// Summed time, in seconds, that the attempts in flight have waited.
+    /// Summed time, in seconds, that the attempts in flight have waited, limited for each backend.
     summed_wait: f64,
     /// Sum of the latency ratios of the backends, weighted by their completions.
     weighted_ratio_sum: f64,
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -94,7 +94,7 @@
         assert_eq!(
             ConcurrencyLimiter::new(proxy_count, 0.3).is_below_one(),
             is_below_one,
-            "{proxy_count}"
+            "{proxy_count} proxies"
         );
     }
 }
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -44,12 +44,11 @@
         }
     }
 
-    /// Its entry in the list.
+    /// Entry of the backend in the endpoint list.
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Id of the backend.
     pub(crate) fn id(&self) -> BackendId {
         self.endpoint.id
     }
@@ -86,12 +85,10 @@
 }
 
 impl EndpointList {
-    /// The record of a backend, if it is known.
     pub(crate) fn get(&self, id: BackendId) -> Option<&EndpointRecord> {
         self.records.get(&id)
     }
 
-    /// The record of a backend for changes, if it is known.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut EndpointRecord> {
         self.records.get_mut(&id)
     }
@@ -101,7 +98,7 @@
         self.records.values()
     }
 
-    /// All records in the order of the ids, for changes.
+    /// All records in the order of the ids, to be changed in place.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointRecord> {
         self.records.values_mut()
     }
@@ -116,7 +113,7 @@
         self.get(id).is_some_and(EndpointRecord::is_ready)
     }
 
-    /// Number of known backends.
+    /// Number of backends that this proxy knows, in any state.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -62,7 +62,7 @@
         self.completions > 0.0
     }
 
-    /// Whether there are enough completions for an estimate of this backend's own: more than half
+    /// Whether there are enough completions for an estimate from this backend alone: more than half
     /// of [`TARGET_COMPLETIONS`].
     pub(crate) fn has_enough_completions(&self) -> bool {
         self.completions > 0.5 * TARGET_COMPLETIONS
@@ -141,7 +141,7 @@
     }
 
     /// Counts a completion in `latency` seconds on a machine of this kind. `mean_latency` is the
-    /// mean of the class in seconds; 0 if it is unknown.
+    /// mean of the class in seconds, or 0 if it is unknown: the completion then counts as average.
     pub(crate) fn on_completion(&mut self, kind: KindId, latency: f64, mean_latency: f64) {
         let pool = self.kinds.entry(kind).or_default();
         pool.decay(1.0 - 1.0 / KIND_SAMPLES);
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -18,22 +18,24 @@
 /// An entry of the endpoint list: the data that discovery has on one backend.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Id of the backend.
+    /// Backend that this entry describes.
     pub id: BackendId,
     /// Hash of the name of the backend. It is the same at every proxy, so that all proxies put the
     /// backends in the same order.
     pub hash: u64,
-    /// Zone in which the backend runs.
+    /// Availability zone in which the backend runs.
     pub zone: ZoneId,
     /// Cell of the backend; the backends of a cell share the idempotency keys they have seen.
     pub cell: CellId,
-    /// Kind of machine on which the backend runs.
+    /// Kind of machine on which the backend runs; the latencies of one kind are pooled.
     pub kind: KindId,
-    /// State that the endpoint list gives.
+    /// Whether the backend accepts requests, according to the endpoint list.
     pub state: EndpointState,
-    /// Weight in the endpoint list, relative to the weights of the other backends.
+    /// Weight in the endpoint list, relative to the weights of the other backends. The balancer
+    /// does not use it.
     pub weight: f32,
-    /// When the process of the backend last started; `None` if that was long ago.
+    /// When the process of the backend last started; `None` if that was so long ago that slow start
+    /// is over.
     pub started_at: Option<Nanos>,
 }
 
@@ -57,7 +59,8 @@
     pub class: ClassId,
     /// Tenant that sent the request, as an index in the settings.
     pub tenant: TenantId,
-    /// Key of the object that the request concerns; 0 if there is none.
+    /// Key of the object that the request concerns; 0 if there is none. The balancer does not use
+    /// it.
     pub key: u64,
     /// Time from the receipt of the request until its client stops waiting for it.
     pub client_timeout: Nanos,
@@ -65,7 +68,8 @@
     pub work_hint: Option<Nanos>,
     /// Whether the client marked the request as a retry of its own.
     pub client_retry: bool,
-    /// Whether the request changes state at the backend.
+    /// Whether the request changes state at the backend. The balancer does not use it: the
+    /// [`Idempotency`](crate::Idempotency) of the class says whether the request may be repeated.
     pub is_write: bool,
 }
 
@@ -76,8 +80,8 @@
     Success,
     /// The backend answered with an error.
     Error,
-    /// The backend rejected the attempt without executing it, as its queue is full or it is
-    /// draining.
+    /// The backend rejected the attempt without executing it, because the queue of the backend is
+    /// full or the backend is draining.
     Overloaded,
     /// The backend did not answer in time.
     Timeout,
@@ -85,9 +89,9 @@
     ConnectFailed,
     /// The connection broke during the attempt.
     Reset,
-    /// The balancer cancelled the attempt.
+    /// The attempt was cancelled because it was overdue or its request was closed.
     Cancelled,
-    /// The attempt was never sent to the backend.
+    /// The attempt ended before any byte of it was written to a connection.
     NotSent,
     /// The backend reported that the request itself is invalid. Other backends would report the
     /// same, so this does not count against the backend.
@@ -111,62 +115,63 @@
     EndpointUpdate {
         /// Whether `endpoints` is the whole list or only changes.
         kind: UpdateKind,
-        /// The listed or changed entries.
+        /// All entries of the list, or only the added and changed ones, as `kind` says.
         endpoints: Vec<Endpoint>,
     },
     /// A poll of the endpoint list failed, or the watch broke off.
     DiscoveryFailed,
     /// A client sent a request.
     Request(Request),
-    /// The first byte of a streamed answer arrived.
+    /// The first byte of a streamed answer arrived; the request is not retried from then on.
     FirstByte {
-        /// Id of the request.
+        /// Request whose answer is streamed.
         request: RequestId,
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Id of the request.
+        /// Request that the attempt belongs to.
         request: RequestId,
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
-        /// Time since the attempt was sent.
+        /// Time from sending the attempt until its end.
         latency: Nanos,
-        /// How the attempt ended.
+        /// Answer of the backend, or why there is none.
         outcome: Outcome,
-        /// Whether the request has its final answer.
+        /// Whether the caller has given the request its final answer, so that no other attempt
+        /// follows.
         finished: bool,
         /// Values of the load report that the backend sent along; empty without a report. The
-        /// settings name its fields.
+        /// balancer does not use them.
         load_report: Vec<f32>,
     },
     /// The client closed its connection, which ends the request.
     ClientDisconnected {
-        /// Id of the request.
+        /// Request whose client has disconnected.
         request: RequestId,
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) is due.
     Timer {
-        /// Id of the timer.
+        /// Id in the [`Action::SetTimer`](crate::Action::SetTimer) that set the timer.
         timer: TimerId,
     },
-    /// A health check ended.
+    /// A health check ended. The balancer does not evaluate the result.
     HealthCheckEnded {
         /// Backend that was checked.
         backend: BackendId,
-        /// Time since the health check was sent.
+        /// Time from sending the health check until its end.
         latency: Nanos,
-        /// How the health check ended.
+        /// Answer of the backend, or why there is none.
         outcome: Outcome,
         /// Values of the load report that the backend sent along; empty without a report.
         load_report: Vec<f32>,
     },
-    /// Another proxy sent a gossip message.
+    /// Another proxy sent a gossip message. The balancer does not evaluate it.
     GossipReceived {
         /// Index of the proxy that sent the message.
         from: u16,
-        /// Content of the message.
+        /// Content of the message, as in [`Action::Gossip`](crate::Action::Gossip) of the sender.
         bytes: Vec<u8>,
     },
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
-/// Id of a request, unique at one proxy.
+/// Id of a request, unique among the pending requests of one proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 
-/// Id of an availability zone.
+/// Id of an availability zone; each proxy and each backend runs in one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u16);
 
-/// Id of a kind of machine.
+/// Id of a kind of machine; the latencies of backends on machines of one kind are pooled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u16);
 
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -18,8 +18,8 @@
 /// overloaded, so that its latency stays known.
 const MIN_SPILLOVER: f64 = 0.05;
 
-/// Maximum number of renewals within the shortest latency objective. Estimates change little within
-/// a small part of it, and a renewal costs CPU time.
+/// Maximum number of renewals within the shortest latency objective. Estimates change little
+/// between two renewals at this rate, and a renewal costs CPU time.
 const MAX_RENEWALS_PER_OBJECTIVE: f64 = 64.0;
 
 /// Number of backends up to which weights are renewed at the full rate.
@@ -30,7 +30,8 @@
 pub(crate) struct PickWeights {
     /// Estimated service rate, in completions per slot; 0 if the backend is not part of the split.
     service_rate: f64,
-    /// Share by formula (9), from 0 to 1; multiplied by the spillover fraction in other zones.
+    /// Share by formula (9), from 0 to 1; for a backend outside the local zone, multiplied by the
+    /// spillover fraction.
     share: f64,
     /// Exploration weight K ln t / t, multiplied by the capacity fraction and divided by 1 plus the
     /// number of consecutive failures.
@@ -53,7 +54,8 @@
         self.service_rate
     }
 
-    /// Share by formula (9), from 0 to 1; multiplied by the spillover fraction in other zones.
+    /// Share by formula (9), from 0 to 1; for a backend outside the local zone, multiplied by the
+    /// spillover fraction.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
@@ -87,7 +89,8 @@
     /// Service rate of each backend, in completions per slot and in the order of the endpoint list;
     /// 0 for backends that are not part of the split.
     pub(crate) service_rates: Vec<f64>,
-    /// Capacity fraction of each usable backend, in the same order; 0 for the others.
+    /// Capacity fraction of each usable backend, in the order of the endpoint list; 0 for the
+    /// others.
     pub(crate) capacity_fractions: Vec<f64>,
     /// Number of backends in the subset.
     pub(crate) member_count: usize,
@@ -252,8 +255,9 @@
 /// rate is positive.
 ///
 /// The slowest backends are removed from the support set until all shares are positive. If the
-/// arrivals reach the summed rates, formula (9) has no solution, and the shares are proportional to
-/// the rates, which is its limit from below. A backend with a rate of 0 gets no share.
+/// arrivals reach the summed rates, formula (9) has no solution. The shares are then proportional
+/// to the rates; formula (9) approaches these shares as the arrivals rise to the summed rates. A
+/// backend with a rate of 0 gets no share.
 pub(crate) fn optimal_split(arrivals: f64, rates: &[f64]) -> Vec<f64> {
     let mut rate_sum: f64 = rates.iter().sum();
     let mut shares = vec![0.0; rates.len()];
--- a/crates/balancer/src/optimal_split_tests.rs
+++ b/crates/balancer/src/optimal_split_tests.rs
@@ -20,8 +20,8 @@
         &optimal_split(0.01, &[0.5, 0.1, 0.0, 0.2]),
         &[1.0, 0.0, 0.0, 0.0],
     );
-    // At and above the summed rates, the shares are proportional to the rates: the limit from
-    // below.
+    // If the arrivals reach the summed rates, or nearly do, the shares are proportional to the
+    // rates.
     assert_near(&optimal_split(0.9, &[0.2, 0.4]), &[1.0 / 3.0, 2.0 / 3.0]);
     assert_near(
         &optimal_split(0.6 - 1e-12, &[0.2, 0.4]),
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -5,9 +5,9 @@
 //! errors at once, has stopped or is unreachable fails too quickly for its latency to show the
 //! fault. The duration of an ejection doubles with each consecutive ejection, up to a maximum. At
 //! most half of the ready backends are ejected; if more appear faulty, the backends alone can't be
-//! the cause. If the list changes so that more than half of them are ejected, ejection fails open:
-//! attempts go to ejected backends as well. A fault in a single class of requests ejects a backend
-//! for all classes.
+//! the cause. If the list changes so that more than half of the ready backends are ejected,
+//! ejection fails open: attempts go to ejected backends as well. A fault in a single class of
+//! requests ejects a backend for all classes.
 //!
 //! This module does not reject requests and does not decide whether an attempt is legal.
 
@@ -19,7 +19,8 @@
 pub(crate) const OUTLIER_FAILURES: f64 = 3.0;
 
 /// The failure rate of an outlier exceeds that of the other backends by more than this. A backend
-/// below that still has capacity, which an overloaded fleet needs; its service rate shows how much.
+/// with a smaller excess still has capacity, which an overloaded fleet needs; its service rate
+/// shows how much.
 const OUTLIER_FAILURE_RATE_EXCESS: f64 = 0.5;
 
 /// Consecutive failures that make an outlier regardless of earlier completions; they are rare at a
@@ -37,7 +38,7 @@
 pub(crate) struct FailureHistory {
     /// Decayed number of failures.
     failures: f64,
-    /// Failures since its last completion.
+    /// Failures since the backend's last completion.
     consecutive_failures: f64,
     ejected_until: Nanos,
     /// Consecutive ejections, which determine the duration of the next one.
@@ -50,12 +51,12 @@
         self.failures
     }
 
-    /// Failures since its last completion.
+    /// Failures since the backend's last completion.
     pub(crate) fn consecutive_failures(&self) -> f64 {
         self.consecutive_failures
     }
 
-    /// Whether it has had no failure since its last completion.
+    /// Whether the backend has had no failure since its last completion.
     pub(crate) fn is_not_failing(&self) -> bool {
         self.consecutive_failures == 0.0
     }
@@ -84,7 +85,7 @@
 /// A new ejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
-    /// When it ends.
+    /// When the ejection ends.
     pub(crate) until: Nanos,
     /// Duration in seconds.
     pub(crate) seconds: f64,
@@ -112,14 +113,16 @@
         history.is_ejected(now) && !self.fails_open
     }
 
-    /// Decides again whether ejection fails open.
+    /// Updates whether ejection fails open: whether more than half of the ready backends are
+    /// ejected.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &EndpointList) {
         let ejected = ejected_count(now, endpoints);
         self.fails_open = ejected > MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
     }
 
-    /// Counts a failure, and returns the ejection if the backend becomes an outlier by it.
-    /// `jitter_draw` is a draw from [0, 1) that determines the jitter of the ejection's duration.
+    /// Counts a failure of a backend, and ejects the backend if the failure makes it an outlier.
+    /// `None` if it is not ejected by this failure. `jitter_draw` is a draw from [0, 1) that
+    /// determines the jitter of the ejection's duration.
     pub(crate) fn on_failure(
         &self,
         now: Nanos,
@@ -167,7 +170,7 @@
     }
 }
 
-/// Failures and completions of all ready backends, without the failure being judged.
+/// Failures and completions of all ready backends, summed before a new failure is counted.
 struct FleetFailures {
     failures: f64,
     completions: f64,
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -62,7 +62,7 @@
     for _ in 0..6 {
         let ejection = (0..6)
             .find_map(|_| fail(&detector, now, 0, &mut list))
-            .expect("an outlier");
+            .expect("at most six failures make an outlier");
         durations.push((ejection.seconds * 10.0).round() as u32);
         now = ejection.until;
     }
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -3,8 +3,8 @@
 //! now.
 //!
 //! Random draws are passed in as arguments, so that equal draws give equal picks. Backends that are
-//! known to be idle are preferred, as an attempt does not wait there. Whether there is capacity for
-//! another attempt at all is not decided here.
+//! known to be idle are preferred, as an attempt does not wait there. The caller decides whether
+//! this proxy may start another attempt at all.
 
 use rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -36,7 +36,7 @@
 }
 
 impl CandidateDraws {
-    /// Draws in a fixed order: recorded decisions depend on it.
+    /// Draws the numbers in a fixed order, on which recorded decisions depend.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> CandidateDraws {
         let (explore, explored_fraction) = (uniform(random), uniform(random));
         CandidateDraws {
@@ -57,7 +57,7 @@
 }
 
 impl FullScanDraws {
-    /// Draws in a fixed order: recorded decisions depend on it.
+    /// Draws the numbers in a fixed order, on which recorded decisions depend.
     pub(crate) fn new(random: &mut Xoshiro256PlusPlus) -> FullScanDraws {
         FullScanDraws {
             explore: uniform(random),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Everything that the pick for one request depends on.
+/// Inputs of the pick for one request, besides the random draws.
 pub(crate) struct Picker<'a> {
     pub(crate) now: Nanos,
     pub(crate) settings: &'a Settings,
@@ -116,7 +116,8 @@
         self.by_share(&pool, draws.share_fraction)
     }
 
-    /// Picks from the whole endpoint list. `None` if no backend is usable now.
+    /// Picks from the whole endpoint list; backends to which the request was not sent before are
+    /// preferred. `None` if no backend is usable now.
     pub(crate) fn among_all(&self, draws: &FullScanDraws) -> Option<BackendId> {
         let mut pool: Vec<&EndpointRecord> = self
             .endpoints
@@ -149,8 +150,8 @@
 
     /// Whether this request avoids failing backends, those with a failure since their last
     /// completion. A request that must not be executed twice should not be the one that tests
-    /// whether such a backend has recovered. Doesn't apply if no class may be executed twice, nor
-    /// where many proxies share a backend: a timeout there indicates load.
+    /// whether such a backend has recovered. Always `false` if no class may be executed twice, or
+    /// if many proxies share each backend, as a timeout then indicates load.
     fn avoids_failing(&self) -> bool {
         let is_not_idempotent = |class: &Class| class.idempotency == Idempotency::NotIdempotent;
         let classes = &self.settings.classes;
@@ -224,8 +225,8 @@
     if condition { weight } else { 0.0 }
 }
 
-/// The backend of `pool` at `fraction`, from 0 to 1, of the summed weights. `None` if the sum is
-/// not positive.
+/// Picks the backend of `pool` at which the running sum of the weights exceeds `fraction` (0 to 1)
+/// of the total, or the last one with a weight. `None` if the total is not positive.
 fn pick_weighted(
     pool: &[&EndpointRecord],
     fraction: f64,
--- a/crates/balancer/src/pooled_latency_tests.rs
+++ b/crates/balancer/src/pooled_latency_tests.rs
@@ -37,7 +37,7 @@
     let list = two_zones();
     let latencies = priors(&list, |_| false);
     let [.., unused] = latencies.by_backend[..] else {
-        panic!("four backends")
+        panic!("the list has four backends")
     };
     assert!(unused.expected > 1.5 * unused.kind_latency, "{unused:?}");
     assert!(latencies.by_backend[0].expected < latencies.by_backend[0].kind_latency);
--- a/crates/balancer/src/request_table.rs
+++ b/crates/balancer/src/request_table.rs
@@ -12,17 +12,17 @@
     pub(crate) sent_at: Nanos,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Whether the backend may have executed it or may still do so.
+    /// Whether the backend may have executed the attempt or may still do so.
     fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.not_executed())
     }
 
-    /// Whether no byte of it was written to a backend.
+    /// Whether the attempt ended without any byte of it having been written to a backend.
     fn is_unwritten(&self) -> bool {
         matches!(
             self.outcome,
@@ -34,29 +34,29 @@
 /// A request that has no final answer yet, or has attempts in flight.
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
-    /// When its client stops waiting.
+    /// When the client stops waiting for an answer.
     pub(crate) deadline: Nanos,
     /// Time up to which an answer is within the latency objective. A later answer has less weight,
     /// or none.
     pub(crate) objective_at: Nanos,
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer, or its client has disconnected.
     pub(crate) finished: bool,
-    /// Whether its answer has begun to be streamed.
+    /// Whether the answer has begun to be streamed; no retry is possible then.
     pub(crate) streaming: bool,
-    /// Position in the admission queue.
+    /// Position in the admission queue, for all attempts of the request.
     pub(crate) position: QueuePosition,
-    /// Tokens that must be available before it is admitted.
+    /// Tokens that must be available before an attempt of the request is admitted.
     pub(crate) admission_cost: AdmissionCost,
 }
 
 impl PendingRequest {
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub(crate) fn class(&self) -> usize {
         usize::from(self.request.class.0)
     }
 
-    /// Number of attempts in flight.
+    /// Number of attempts that have not ended.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -76,12 +76,12 @@
         self.possibly_executed().next().is_some()
     }
 
-    /// Whether no byte of any attempt was written to a backend.
+    /// Whether no byte of any attempt was written to a backend; also true without attempts.
     pub(crate) fn never_written(&self) -> bool {
         self.attempts.iter().all(Attempt::is_unwritten)
     }
 
-    /// Whether an attempt was made at this backend.
+    /// Whether an attempt was sent to this backend, whatever its outcome.
     pub(crate) fn was_attempted_at(&self, backend: BackendId) -> bool {
         self.attempts
             .iter()
@@ -96,7 +96,6 @@
 }
 
 impl RequestTable {
-    /// Whether a request with this id is pending.
     pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
@@ -106,22 +105,19 @@
         self.requests.insert(pending.request.id, pending);
     }
 
-    /// The pending request with this id.
     pub(crate) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// The pending request with this id, for changes.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Removes a request; does nothing if it is not pending.
+    /// Removes a request; does nothing if there is none with this id.
     pub(crate) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 
-    /// Number of pending requests.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -27,12 +27,12 @@
 }
 
 impl RetryPolicy {
-    /// Adds to the budget for a first attempt that was sent.
+    /// Adds [`RETRY_RATIO`] of a retry to the budget for a first attempt that was sent.
     pub(crate) fn on_first_attempt(&mut self) {
         self.tokens = (self.tokens + RETRY_RATIO).min(MAX_TOKENS);
     }
 
-    /// Whether the budget allows a retry.
+    /// Whether the budget holds a whole retry.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests: which answers its clients expect, and whether a request may be repeated.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Time within which an answer has its full weight; above 0.
@@ -68,14 +68,16 @@
     pub late_priority_weight: f64,
     /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// Whether answers are streamed.
+    /// Whether answers are streamed. The balancer does not use it:
+    /// [`Event::FirstByte`](crate::Event::FirstByte) reports each stream.
     pub streamed: bool,
 }
 
-/// A tenant.
+/// A tenant: a sender of requests that has a quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Quota of the tenant: requests per second over all proxies.
+    /// Quota of the tenant: requests per second, over all proxies, that keep their full weight.
+    /// [`Settings::over_quota_weight`] applies to requests beyond it.
     pub quota_per_second: f64,
 }
 
@@ -84,14 +86,15 @@
 pub struct Limits {
     /// Maximum number of attempts for one request, the first one included.
     pub max_attempts: u32,
-    /// Whether attempts may be cancelled.
+    /// Whether the balancer may cancel attempts in flight; otherwise each runs until it ends.
     pub can_cancel: bool,
-    /// Whether backends may be sent health checks.
+    /// Whether backends may be sent health checks. The balancer requests none.
     pub health_checks: bool,
-    /// Longest `Retry-After` that clients respect; 0 if they ignore it.
+    /// Longest `Retry-After` that clients respect; 0 if they ignore it. Each rejection gives this
+    /// value.
     pub max_retry_after: Nanos,
-    /// Fraction of its client timeout after which a request that was never written to a backend is
-    /// rejected.
+    /// Fraction of the client timeout after which a request is rejected if no byte of it was
+    /// written to a backend.
     pub never_attempted_timeout_fraction: f64,
 }
 
@@ -110,7 +113,8 @@
     /// Minimum capacity of a backend when its process starts, as a fraction of its full capacity;
     /// above 0, at most 1.
     pub slow_start_initial_capacity: f64,
-    /// Time after which a started backend has its full capacity.
+    /// Time from the start of a backend's process until the backend has its full capacity; 0
+    /// without slow start.
     pub slow_start_duration: Nanos,
     /// A backend in slow start breaks down if it gets more than this multiple of its present
     /// capacity for [`overload_duration`](Rules::overload_duration); above 0.
@@ -123,31 +127,35 @@
     pub poll_interval: Nanos,
 }
 
-/// The settings of one balancer.
+/// The settings of one balancer, fixed when the balancer is created.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of requests.
+    /// Classes of requests; a [`ClassId`](crate::ClassId) is an index of this list.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants; a [`TenantId`](crate::TenantId) is an index of this list. May be empty: a tenant
+    /// without an entry has no quota, and its requests are never limited by one.
     pub tenants: Vec<Tenant>,
-    /// Zone of this proxy.
+    /// Zone in which this proxy runs: the local zone.
     pub zone: ZoneId,
     /// Index of this proxy among all of them, from 0.
     pub proxy_index: u32,
-    /// Number of proxies in front of the same backends, this one included.
+    /// Number of proxies in front of the same backends, this one included; 0 counts as 1.
     pub proxy_count: u32,
     /// Whether the endpoint list is polled; otherwise changes are pushed.
     pub poll_endpoints: bool,
-    /// Minimum time between two events at different times; above 0.
+    /// Minimum time between two events at different times; above 0. Also the length of a slot, the
+    /// unit of time in which service rates are counted.
     pub tick: Nanos,
     /// Fraction of its weight that a request beyond the quota of its tenant keeps.
     pub over_quota_weight: f64,
     /// Whether weights count by unit of work rather than by request.
     pub weight_per_unit_of_work: bool,
-    /// Cost of an attempt in another zone, in units of the weight of a mean request.
+    /// Cost of an attempt in another zone, in units of the weight of a mean request. The balancer
+    /// treats all costs above 0 alike.
     pub cross_zone_cost: f64,
-    /// Weight of the latency tail in the goal of the site; 0 or more. Above 0, a miss costs more
-    /// than the weight of its request, and a rejection within the latency objective is not a miss.
+    /// Weight of the latency tail in the goal of the site; 0 or more. Above 0, an answer after the
+    /// latency objective is a miss, which costs more than the weight of its request; a rejection
+    /// within the latency objective is not a miss.
     pub tail_weight: f64,
     /// Limits that the operator of the site sets.
     pub limits: Limits,
@@ -191,7 +199,7 @@
 }
 
 impl Settings {
-    /// Checks the values of the settings.
+    /// Checks the ranges that the fields document, except that of [`Class::late_priority_weight`].
     ///
     /// # Errors
     ///
@@ -239,7 +247,7 @@
             Check::new(
                 rules.overload_duration > 0 && rules.overload_multiple > 0.0,
                 "rules.overload_duration",
-                "duration and multiple must be above 0",
+                "overload duration and overload multiple must be above 0",
             ),
         ]
     }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -35,7 +35,7 @@
         SlowStartTokens(random_fraction)
     }
 
-    /// Takes the token of an attempt that was sent.
+    /// Spends one token on an attempt that was sent; the tokens do not fall below 0.
     pub(crate) fn spend(&mut self) {
         self.0 = (self.0 - 1.0).max(0.0);
     }
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(
         slow_start.capacity_fraction(0, &endpoint(0)),
         1.0,
-        "started long ago"
+        "a backend without a start time has its full capacity"
     );
 }
 
@@ -51,8 +51,7 @@
 fn tokens_refill_at_half_the_safe_rate_up_to_those_of_one_overload_duration() {
     let mut slow_start = slow_start(1.0);
     slow_start.set_completions(40.0, 4.0);
-    // Half of the safe rate, which is three times a fifth of 10 completions per second: 3 per
-    // second.
+    // The safe rate is 3 * 0.2 * 10 = 6 attempts per second; half of it is 3 per second.
     let mut tokens = SlowStartTokens::default();
     slow_start.refill(&mut tokens, 0.2, 1.0);
     assert!((tokens.0 - 3.0).abs() < 1e-12);
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -5,11 +5,11 @@
 /// first full.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct MovingMean {
-    /// The moving mean.
+    /// Mean of about the last `window` values; 0 before the first value.
     pub(crate) mean: f64,
     /// Number of values in the mean, up to the window.
     pub(crate) count: f64,
-    /// Minimum of the mean.
+    /// Minimum of the mean since the window was first full; before that, the mean itself.
     pub(crate) minimum: f64,
 }
 
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -17,7 +17,8 @@
 use crate::ids::{BackendId, ZoneId};
 use crate::settings::Settings;
 
-/// Minimum number of backends of a zone in the subset: the number of failures that make an outlier.
+/// Minimum number of backends of a zone in the subset; set to the value of
+/// [`OUTLIER_FAILURES`](crate::outlier_detector::OUTLIER_FAILURES).
 const MIN_MEMBERS_PER_ZONE: f64 = crate::outlier_detector::OUTLIER_FAILURES;
 
 /// Position of one backend in this proxy's order of the backend's zone.
@@ -26,12 +27,12 @@
     /// Rank within the zone, counted from this proxy's offset, as a fraction from 0 to 1; the
     /// backends with the lowest ranks are in the subset.
     relative_rank: f64,
-    /// Whether it is in the section of the local zone that this proxy prefers.
+    /// Whether the backend is in the section of the local zone that this proxy prefers.
     is_preferred: bool,
 }
 
 impl SubsetPosition {
-    /// Whether it is in the section of the local zone that this proxy prefers.
+    /// Whether the backend is in the section of the local zone that this proxy prefers.
     pub(crate) fn is_preferred(&self) -> bool {
         self.is_preferred
     }
@@ -48,7 +49,8 @@
 }
 
 impl Subset {
-    /// Positions are calculated by [`renew`](Subset::renew) after a change of the endpoint list.
+    /// Creates a subset; [`renew`](Subset::renew) calculates the positions after a change of the
+    /// endpoint list.
     pub(crate) fn new(settings: &Settings, proxy_count: f64) -> Subset {
         Subset {
             zone: settings.zone,
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -11,7 +11,7 @@
 
 pub(crate) const MS: Nanos = 1_000_000;
 
-/// A ready endpoint.
+/// A ready endpoint, whose hash is its id.
 pub(crate) fn endpoint(id: u32) -> Endpoint {
     let state = EndpointState::Ready;
     Endpoint {
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -35,7 +35,6 @@
         self.tasks.insert((at, task));
     }
 
-    /// Number of scheduled tasks.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.tasks.len()
--- a/crates/balancer/src/timescale.rs
+++ b/crates/balancer/src/timescale.rs
@@ -19,7 +19,7 @@
 /// Start of the balancer and range of its latency objectives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timescale {
-    /// When the balancer started.
+    /// When the balancer was created, on the caller's clock.
     pub(crate) started_at: Nanos,
     /// Shortest latency objective of a class, in seconds.
     pub(crate) shortest_objective: f64,
@@ -28,8 +28,8 @@
 }
 
 impl Timescale {
-    /// Derives the objectives from the classes; both are 1 s without classes. `now` is the start of
-    /// the balancer.
+    /// Derives the objectives from the classes; both are 1 s without classes. The balancer is
+    /// created at `now`.
     pub(crate) fn new(settings: &Settings, now: Nanos) -> Timescale {
         let objectives = || {
             settings
@@ -55,8 +55,8 @@
         2.0 * self.longest_objective
     }
 
-    /// Rate per second of events whose count decays with the arrival window. Corrects for the
-    /// window not being full soon after the start.
+    /// Rate of events per second, from their count, which decays with the arrival window. Soon
+    /// after the start, the window is not full, so the count is divided by a shorter time.
     pub(crate) fn per_second(&self, now: Nanos, decayed_count: f64) -> f64 {
         let window = self.arrival_window();
         let effective_window = window * (1.0 - (-self.age(now) / window).exp());
