--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -22,9 +22,9 @@
 /// weight of a class.
 const RESERVE_WEIGHT_FRACTION: f64 = 0.5;
 
-/// Number of low bits of a weight that the order ignores, so that weights within about a fifth are
-/// equal. Otherwise a drift of the usual work, by which weights are divided, would order requests
-/// by age.
+/// Number of low bits of a weight that the order ignores, so that weights that differ by less than
+/// about a fifth count as equal. Otherwise a drift of the usual work, by which weights are divided,
+/// would order requests by age.
 const IGNORED_WEIGHT_BITS: u32 = 50;
 
 /// Position in the queue: by weight, then by age. Both are inverted, so that the highest weight and
@@ -133,8 +133,8 @@
         (position, cost)
     }
 
-    /// Takes one request from the quota of a tenant; returns whether there was one left. A tenant
-    /// that is not in the settings has no quota and is never limited.
+    /// Takes one request from the quota of a tenant; returns `false` if the quota is used up. A
+    /// tenant that is not in the settings has no quota and is never limited.
     fn take_quota_token(&mut self, tenant: TenantId) -> bool {
         let Some(tokens) = self.quota_tokens.get_mut(usize::from(tenant.0)) else {
             return true;
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -134,8 +134,8 @@
     }
 
     /// Time at which the bucket will hold enough tokens for this cost; the caller schedules a
-    /// wake-up for it. `None` if it holds enough already, or if an earlier call gave a time after
-    /// `now`.
+    /// wake-up for it. `None` if the bucket holds enough already, or if an earlier call returned a
+    /// time after `now`.
     pub(crate) fn next_wake(&mut self, now: Nanos, cost: AdmissionCost) -> Option<Nanos> {
         if self.wake_at > now || self.covers(cost) {
             return None;
--- a/crates/balancer/src/balancer/discovery.rs
+++ b/crates/balancer/src/balancer/discovery.rs
@@ -84,8 +84,8 @@
 
     /// Closes the idle connections to a backend that is draining or removed, if the rules demand
     /// it: now, and again after half of the permitted time for connections that are busy now.
-    /// Called when the backend leaves the ready state and whenever an attempt there ends after
-    /// that.
+    /// Called when the backend leaves the ready state, and then whenever an attempt at the backend
+    /// ends.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Nanos,
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -14,7 +14,8 @@
 use super::Balancer;
 
 impl Balancer {
-    /// Decays the counts of all backends and renews everything that depends on them.
+    /// Decays the counts of all backends and renews what is derived from them: the members of the
+    /// subset, the slow-start tokens, the total limit, the split, and whether ejection fails open.
     pub(super) fn renew_weights(&mut self, now: Nanos) {
         self.estimation.subset.renew(&mut self.endpoints);
         let elapsed_seconds = self.estimation.split.seconds_since_renewal(now);
@@ -124,9 +125,9 @@
     }
 
     /// Whether a backend is so clearly overloaded that it should receive nothing for a while, as a
-    /// smaller share would not relieve it. It is part of the split again once its samples have
-    /// decayed. Slow but healthy backends are left out as well, so this applies only where many
-    /// proxies share each backend.
+    /// smaller share would not relieve it. The backend is part of the split again once its samples
+    /// have decayed. Slow but healthy backends are left out as well, so this applies only where
+    /// many proxies share each backend.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -168,8 +168,8 @@
         ];
         largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
-    // At most the attempts and the scheduled connection closes of four seconds, and one entry for
-    // each possible kind.
+    // The bounds allow for the attempts and the scheduled connection closes of four seconds, and
+    // for one entry of each possible kind.
     let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
@@ -233,8 +233,8 @@
             .into_iter()
             .for_each(|id| *proxies_by_backend.entry(id).or_insert(0) += 1);
     }
-    // Three backends for each proxy make 15 proxies for each backend. With random subsets, some
-    // backends would have 7 proxies and some 24.
+    // Each of the 300 proxies uses 3 of the 60 backends, so 15 proxies use each backend. With
+    // random subsets, some backends would have 7 proxies and some 24.
     assert!(
         proxies_by_backend.len() == 60
             && proxies_by_backend
--- a/crates/balancer/src/candidates.rs
+++ b/crates/balancer/src/candidates.rs
@@ -5,7 +5,7 @@
 //! gives a small weight to every ready backend that is not ejected. Both are renewed together. A
 //! pick then iterates over the support set alone, and finds the backend to explore by a binary
 //! search in the cumulative exploration weights. If this yields no backend that is usable now, the
-//! caller scans the whole list; the distribution of picks stays the same.
+//! caller scans the whole list; the probability of picking each backend stays the same.
 
 use crate::endpoint_list::EndpointRecord;
 use crate::ids::BackendId;
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -5,7 +5,8 @@
 //! times the unloaded latency, and shrinks beyond that. Its bounds depend on this proxy's share of
 //! the attempts that all proxies together may have in flight there. The limits protect against
 //! overload, against backends that stop answering and against the collapse of a whole fleet. A
-//! limit that is too small wastes capacity, so it grows with each success.
+//! limit that is too small wastes capacity, so a limit that is in use grows with each answer while
+//! answers are fast.
 //!
 //! If this proxy's share is less than one attempt, the limits are too coarse, and the [admission
 //! rate](crate::admission_rate) takes their place.
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -29,7 +29,7 @@
         limit_after_samples(&limiter, 6, &sample(Outcome::Success, 1.0)),
         6.0
     );
-    // A limit that is not used grows no further.
+    // Without attempts in flight, the limit stops growing once it has reached 2.
     let unused = limit_after_samples(&limiter, 0, &sample(Outcome::Success, 1.0));
     assert!((2.0..2.1).contains(&unused), "{unused}");
 }
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -18,8 +18,8 @@
 use crate::statistics::DecayedSum;
 use crate::timescale::Timescale;
 
-/// Number of a backend's completions that still count after decay: the standard error of its
-/// service rate is then about a quarter.
+/// Number of a backend's completions that still count after decay: the relative standard error of
+/// the backend's service rate is then about a quarter.
 pub(crate) const TARGET_COMPLETIONS: f64 = 12.0;
 
 /// Maximum time constant with which a backend's completions decay, as a multiple of the longest
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -83,7 +83,7 @@
     /// The backend rejected the attempt without executing it, because the queue of the backend is
     /// full or the backend is draining.
     Overloaded,
-    /// The backend did not answer in time.
+    /// The backend had not answered when the attempt or the health check was abandoned.
     Timeout,
     /// The connection to the backend could not be established in time.
     ConnectFailed,
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -66,7 +66,7 @@
         self.failures *= decay_factor;
     }
 
-    /// Resets the consecutive failures after an attempt was served.
+    /// Sets the number of consecutive failures to 0 after an attempt was served.
     pub(crate) fn on_completion(&mut self) {
         self.consecutive_failures = 0.0;
     }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,11 +1,11 @@
 //! Slow start: how many attempts a backend may receive while its process warms up.
 //!
 //! Capacity rises linearly from [`Rules::slow_start_initial_capacity`] to the full capacity over
-//! [`Rules::slow_start_duration`]; the operators give this as a lower bound. A backend breaks down
-//! if it receives, from all proxies together, more than [`Rules::overload_multiple`] times its
-//! present capacity for [`Rules::overload_duration`] (the fourth protocol rule). Each proxy
-//! therefore accumulates tokens for attempts at a fraction of that rate, estimated from its own
-//! completions per backend of full capacity.
+//! [`Rules::slow_start_duration`]; the operators give this capacity as a lower bound. A backend
+//! breaks down if it receives, from all proxies together, more than [`Rules::overload_multiple`]
+//! times its present capacity for [`Rules::overload_duration`] (the fourth protocol rule). Each
+//! proxy therefore accumulates tokens for attempts at a fraction of that rate, estimated from its
+//! own completions per backend of full capacity.
 //!
 //! This module does not decide whether an attempt is otherwise legal, nor which backend is picked.
 
@@ -30,7 +30,7 @@
 impl SlowStartTokens {
     /// Tokens of a backend that is new in the list. They start at a random fraction of an attempt:
     /// many proxies, each allowed less than one attempt within [`Rules::overload_duration`], then
-    /// keep the rule statistically.
+    /// keep the fourth protocol rule statistically.
     pub(crate) fn new(random_fraction: f64) -> SlowStartTokens {
         SlowStartTokens(random_fraction)
     }
--- a/crates/balancer/src/statistics.rs
+++ b/crates/balancer/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Running statistics: a moving mean, a decayed sum and a histogram. Equal calls give equal
-//! results.
+//! Running statistics: a moving mean, a decayed sum and a histogram. They use no clock and no
+//! random numbers.
 
 /// A mean over about the last `window` values, and the minimum of the mean since the window was
 /// first full.
@@ -79,8 +79,8 @@
     /// Number of values that count after decay.
     const WINDOW: f64 = 256.0;
 
-    /// Adds a value, limited to the range from 0 to 1. Returns whether it is in the most frequent
-    /// bucket or next to it.
+    /// Adds a value, limited to the range from 0 to 1. Returns whether the value is in the most
+    /// frequent bucket or in one next to that bucket.
     pub(crate) fn add(&mut self, fraction: f64) -> bool {
         self.buckets
             .iter_mut()
