--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn over_quota_tenants_and_late_retries_come_last() {
+fn late_requests_and_client_retries_come_after_others_and_over_quota_ones_last() {
     let mut fixture = Fixture::new();
     fixture.add(&tenant_request(1, 0, 0), false);
     fixture.add(&tenant_request(2, 0, 1), true);
@@ -94,7 +94,8 @@
         false,
     );
     fixture.add(&tenant_request(4, 0, 1), false);
-    // Request 1 is beyond the quota of tenant 0; requests 2 and 3 are late retries.
+    // Request 1 is beyond the quota of tenant 0, request 2 is late, and request 3 is a client
+    // retry.
     assert_eq!(fixture.order(), [4, 3, 2, 1]);
 }
 
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn rate_is_unlimited_during_the_first_arrival_window() {
+fn rate_is_one_attempt_a_tick_during_the_first_arrival_window() {
     let (rate, _) = rate_after_first_window();
     assert_eq!(rate.attempts_per_second(500 * MS), 1_000.0);
     assert!(rate.attempts_per_second(700 * MS) < 2.0);
@@ -31,12 +31,12 @@
     rate.set_completions(12.0, 0.01);
     assert!(
         (rate.attempts_per_second(now) - 100.0).abs() < 1e-9,
-        "five times 12 in 0.6 s"
+        "the rate is five times 12 completions in 0.6 s"
     );
     rate.set_completions(12.0, 0.39);
     assert!(
         (rate.attempts_per_second(now) - 10.0).abs() < 1e-9,
-        "half of 12 in 0.6 s"
+        "the rate is half of 12 completions in 0.6 s"
     );
 }
 
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -88,7 +88,7 @@
         );
     }
     let rate = balancer.admission.rate.attempts_per_second(2_000 * MS);
-    assert!((4.0..8.0).contains(&rate), "{rate} of 30 a second");
+    assert!((4.0..8.0).contains(&rate), "{rate} attempts per second");
     // Once answers are fast, the completions of one arrival window at that rate bring the rate back
     // to nearly all received requests.
     balancer.admission.rate.set_completions(rate * 0.6, 0.035);
@@ -110,7 +110,8 @@
     }
 }
 
-/// A full list of ten new backends. Their cells and kinds are numbered modulo 1000.
+/// A full list of ten new backends with ids from `first`. Their cells and kinds are numbered modulo
+/// 1000.
 fn ten_new_backends(first: u32) -> Event {
     let label = |id: u32| (id % 1_000) as u16;
     let endpoint = |id| Endpoint {
@@ -167,8 +168,8 @@
         ];
         largest = std::array::from_fn(|index| largest[index].max(sizes[index]));
     }
-    // At most the attempts and the scheduled connection closes of four seconds, and one entry for
-    // each possible kind.
+    // The bounds allow for the attempts and the scheduled connection closes of four seconds, and
+    // for one entry of each possible kind.
     let [endpoints, requests, timers, kinds] = largest;
     assert!(
         endpoints <= 60 && requests <= 200 && timers <= 2_000 && kinds <= 1_000,
@@ -232,8 +233,8 @@
             .into_iter()
             .for_each(|id| *proxies_by_backend.entry(id).or_insert(0) += 1);
     }
-    // Three backends for each proxy make 15 proxies for each backend. With random subsets, some
-    // backends would have 7 proxies and some 24.
+    // Each of the 300 proxies uses 3 of the 60 backends, so 15 proxies use each backend. With
+    // random subsets, some backends would have 7 proxies and some 24.
     assert!(
         proxies_by_backend.len() == 60
             && proxies_by_backend
@@ -304,6 +305,6 @@
     let completion_rate = balancer.slow_start.completion_rate() * 3.0;
     assert!(
         (20.0..30.0).contains(&completion_rate),
-        "{completion_rate} a second"
+        "{completion_rate} completions per second"
     );
 }
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -29,13 +29,13 @@
         limit_after_samples(&limiter, 6, &sample(Outcome::Success, 1.0)),
         6.0
     );
-    // A limit that is not used grows no further.
+    // Without attempts in flight, the limit stops growing once it has reached 2.
     let unused = limit_after_samples(&limiter, 0, &sample(Outcome::Success, 1.0));
     assert!((2.0..2.1).contains(&unused), "{unused}");
 }
 
 #[test]
-fn limit_keeps_the_shortest_objective_behind_the_longest_work() {
+fn limit_lets_attempts_behind_the_longest_ones_meet_the_shortest_objective() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
@@ -89,12 +89,12 @@
 }
 
 #[test]
-fn limit_is_below_one_with_eleven_or_more_proxies() {
+fn proxy_share_of_a_backend_is_below_one_attempt_with_eleven_or_more_proxies() {
     for (proxy_count, is_below_one) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
         assert_eq!(
             ConcurrencyLimiter::new(proxy_count, 0.3).is_below_one(),
             is_below_one,
-            "{proxy_count}"
+            "{proxy_count} proxies"
         );
     }
 }
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -62,7 +62,7 @@
     for _ in 0..6 {
         let ejection = (0..6)
             .find_map(|_| fail(&detector, now, 0, &mut list))
-            .expect("an outlier");
+            .expect("at most six failures make an outlier");
         durations.push((ejection.seconds * 10.0).round() as u32);
         now = ejection.until;
     }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_most_half_are_ejected_and_beyond_that_ejection_fails_open() {
+fn at_most_half_are_ejected_and_none_if_only_ejected_backends_remain() {
     let (mut detector, mut list) = (detector(), endpoints(4));
     for id in 0..4 {
         for _ in 0..6 {
