--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn high_weight_requests_go_to_idle_backends_that_were_just_fast() {
+fn high_weight_requests_go_to_idle_backends_that_were_fast_recently() {
     // Load from elsewhere slows down each backend for 1 s in every 2 s; the backends are in four
     // different phases.
     let is_slow =
--- a/crates/balancer/tests/balancer/discovery.rs
+++ b/crates/balancer/tests/balancer/discovery.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn idle_connections_close_when_draining_starts_and_after_attempts() {
+fn idle_connections_close_when_draining_starts_and_after_an_attempt_ends() {
     let closes_idle = |actions: &[Action]| {
         actions.contains(&Action::CloseIdleConnections {
             backend: BackendId(1),
--- a/crates/balancer/tests/balancer/ejection.rs
+++ b/crates/balancer/tests/balancer/ejection.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn ejection_fails_open_when_all_backends_fail() {
+fn a_new_request_is_still_sent_to_a_backend_after_all_backends_have_failed() {
     let mut harness = Harness::new(settings(), (1..=2).map(backend).collect());
     for _ in 0..50 {
         let (id, _) = harness.submit(0);
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn limit_of_two_proxies_keeps_the_shortest_latency_objective() {
+fn limit_of_two_proxies_lets_attempts_meet_the_shortest_latency_objective() {
     // Three attempts of 25 ms take as long as the latency objective of 75 ms, so a backend may have
     // fewer in flight: one or two from each of the two proxies.
     let short_objective = Class {
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn possibly_executed_non_idempotent_request_gets_no_second_attempt() {
+fn possibly_executed_non_idempotent_request_gets_no_further_attempt() {
     let attempt_ends = prop::collection::vec((any_outcome(), 0u64..40), 6);
     let request_plans = prop::collection::vec((attempt_ends, any::<bool>()), 1..12);
     deterministic_runner(500)
--- a/crates/balancer/tests/balancer/retries.rs
+++ b/crates/balancer/tests/balancer/retries.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn overdue_check_is_repeated_if_latency_rose_or_the_budget_is_spent() {
+fn overdue_check_is_repeated_if_latency_rose_or_the_retry_budget_is_spent() {
     for failing_requests in [60, 0] {
         let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
         harness.serve(40, |_| 30 * MS);
--- a/crates/balancer/tests/balancer/slow_start.rs
+++ b/crates/balancer/tests/balancer/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn many_proxies_together_send_less_to_a_backend_in_slow_start() {
+fn many_proxies_together_send_less_than_an_equal_share_to_a_backend_in_slow_start() {
     let proxy_count = 200;
     let mut sent = 0;
     for seed in 0..proxy_count {
--- a/crates/balancer/tests/balancer/split.rs
+++ b/crates/balancer/tests/balancer/split.rs
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn slow_kind_of_machine_gets_less_from_a_proxy_with_little_traffic() {
+fn slow_kind_of_machine_gets_fewer_requests_from_a_proxy_with_little_traffic() {
     let endpoint = |id: u32| Endpoint {
         kind: KindId((id % 2) as u16),
         ..backend(id)
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -561,7 +561,7 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_hashes_and_other_seeds_do_not() {
+fn equal_seeds_give_equal_hashes_and_different_seeds_different_ones() {
     let setup = Setup {
         backend_count: 3,
         proxy_count: 2,
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn picks_are_distributed_as_by_a_full_scan() {
+fn picks_are_distributed_as_if_the_whole_list_was_scanned() {
     // The expected fractions are those of a scan of the whole list for each pick: means of 48 runs,
     // with standard errors up to 0.013.
     for (proxy_count, backend_count, rate, expected) in [
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn sleep_delays_the_start_and_late_the_return_of_a_call() {
+fn sleep_and_late_faults_have_the_delay_of_the_plan() {
     let mut plan = Plan::parse("send=sleep:20;epoll_wait=late:300", 1).unwrap();
     assert_eq!(plan.inject(Call::Send, 0), Some(Fault::Sleep(20)));
     assert_eq!(plan.inject(Call::EpollWait, 0), Some(Fault::Late(300)));
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -61,7 +61,7 @@
 const HOUR_MS: i64 = 3_600_000;
 
 #[test]
-fn start_on_an_open_watch_is_recent_despite_wrong_clocks() {
+fn backend_start_on_an_open_watch_is_recent_despite_wrong_clocks() {
     // First the node's clock is an hour ahead from its start; then the machines' clocks are set
     // back by an hour while the node runs.
     for (plan, machine_offset_ms) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn start_in_the_future_counts_as_observed_now() {
+fn backend_start_in_the_future_counts_as_happening_now() {
     for (plan, machine_offset_ms) in [("clock=step:-3600", 0), ("", HOUR_MS)] {
         let (mut node, mut watch) = node_with_watch(plan);
         watch.send(&watch_update(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn clock_step_while_the_node_runs_makes_no_backend_old() {
+fn clock_step_while_the_node_runs_does_not_make_a_new_backend_old() {
     for step in [3, -3, 3_600, -3_600] {
         let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step},from:200"));
         sleep_ms(400);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn clock_ahead_since_the_node_started_makes_no_backend_older() {
+fn clock_ahead_since_the_node_started_does_not_raise_the_age_of_a_backend() {
     for step in [2, 5] {
         let (mut node, mut watch) = node_with_watch(&format!("clock=step:{step}"));
         for (revision, uid, delay_ms) in [(9, "s-2", 200), (10, "s-3", 1_500)] {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn start_on_the_first_list_is_recent_despite_a_wrong_clock() {
+fn backend_start_on_the_first_list_is_recent_despite_a_wrong_clock() {
     for (plan, start_age_ms) in [
         ("", 500),
         ("clock=step:3600", 500),
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn first_attempt_is_deducted_from_the_remaining_time_of_a_retry() {
+fn time_of_the_first_attempt_is_deducted_from_the_remaining_time_of_a_retry() {
     // With a long latency objective, the attempt is not cancelled as overdue during the pause.
     let with_long_objective =
         |config: String| config.replace(r#""goalTimeNs":300000000"#, r#""goalTimeNs":3000000000"#);
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn emfile_closes_no_client_while_no_other_client_waits() {
+fn emfile_without_a_waiting_client_closes_no_client() {
     // Without descriptors, accept fails even if no client is queued; here it fails after each
     // client.
     let (node, _backend) = node_with_faults("accept=EMFILE,every:2");
--- a/crates/node/tests/protocol_rules/half_close.rs
+++ b/crates/node/tests/protocol_rules/half_close.rs
@@ -4,7 +4,7 @@
 use crate::common::{TestNode, report_request, sleep_ms};
 
 #[test]
-fn half_closed_request_is_rejected_and_not_forwarded() {
+fn request_of_a_half_closed_client_is_rejected_and_not_forwarded() {
     let node = TestNode::start();
     node.stall();
     let mut client = node.client();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn half_close_while_the_request_is_queued_rejects_it() {
+fn queued_request_is_rejected_when_its_client_half_closes() {
     let node = TestNode::with_config(|config| {
         config.replace(r#""state":"Ready""#, r#""state":"Terminating""#)
     });
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn received_answer_behind_many_events_precedes_its_timeout() {
+fn answer_received_before_the_timeout_is_forwarded_despite_many_other_events() {
     let node =
         TestNode::with_config(|config| config.replace(r#""sockets":128"#, r#""sockets":1024"#));
     let mut client = node.client();
--- a/crates/node/tests/races/ending.rs
+++ b/crates/node/tests/races/ending.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn unread_request_at_the_last_answers_is_rejected_and_not_forwarded() {
+fn request_unread_when_the_last_answers_are_sent_is_rejected_and_not_forwarded() {
     let mut node = TestNode::with_config(|config| with_client_timeout(config, "100000000"));
     let (mut accepted, mut busy) = (node.client(), node.client());
     accepted.send(HEALTH_CHECK).expect("ok\n");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn deadline_of_an_attempt_is_before_sigkill() {
+fn deadline_of_an_attempt_after_sigterm_is_before_sigkill() {
     let mut node = TestNode::with_config(|config| with_client_timeout(config, "400000000"));
     let mut client = node.client();
     client.send(HEALTH_CHECK).expect("ok\n");
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn upstream_connection_with_connection_close_is_not_reused() {
+fn upstream_connection_is_not_reused_after_an_answer_with_connection_close() {
     let node = TestNode::start();
     let mut client = node.client();
     // The test keeps them open, so that only the node's own decision leads to a new connection.
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn connecting_attempt_moves_elsewhere_when_its_backend_drains() {
+fn connecting_attempt_moves_to_another_backend_when_its_own_drains() {
     // If the attempt stayed, the first byte of its request could arrive after the drain grace. The
     // connect timeout is far longer than the test.
     let (full_backend, _queued) = StandIn::with_full_backlog();
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn idle_clients_after_one_request_are_closed_down_to_a_quarter() {
+fn clients_idle_after_one_request_are_closed_down_to_a_quarter_of_descriptors() {
     // The platform lets clients that have sent a request hold a third of the 128 descriptors;
     // beyond that, no other client can connect.
     let node = TestNode::start();
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn each_other_action_is_encoded_into_its_record() {
+fn each_timer_backend_gossip_and_discovery_action_is_encoded_into_its_record() {
     let timer = Action::SetTimer {
         at: 9,
         timer: TimerId(7),
