--- a/crates/balancer/tests/balancer/admission.rs
+++ b/crates/balancer/tests/balancer/admission.rs
@@ -87,8 +87,8 @@
 
 #[test]
 fn low_weight_requests_leave_the_reserved_tokens_to_high_weight_ones() {
-    // Each second, 40 requests of low weight, more than the admission rate permits, and five of
-    // high weight.
+    // Each second, 40 requests of low weight arrive, which is more than the admission rate permits,
+    // and five requests of high weight.
     let low_weight = (0..400).map(|n| (n * 25 * MS, 0));
     let high_weight = (0..50).map(|n| (n * 197 * MS + MS, 1));
     let records = run_submissions(
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -65,8 +65,9 @@
 }
 
 impl RuleChecker {
-    /// If a backend is draining, requires its idle connections to be closed after `now`. Called
-    /// when an update first lists it as draining, and whenever an attempt there ends.
+    /// If a backend is draining, requires its idle connections to be closed within the limit,
+    /// counted from `now`. Called when an update first lists the backend as draining, and whenever
+    /// an attempt there ends.
     fn require_close_if_draining(&mut self, now: Nanos, backend: BackendId) {
         if self.endpoint_states.get(&backend) == Some(&EndpointState::Draining) {
             self.close_since.insert(backend, now);
--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -80,7 +80,7 @@
     pub balancer: Balancer,
     pub now: Nanos,
     pub timers: BTreeSet<(Nanos, TimerId)>,
-    /// Attempts of each request: backend, time of sending, and whether it is still in flight.
+    /// Attempts of each request: backend, time of sending, and whether the attempt is in flight.
     pub sent: BTreeMap<RequestId, Vec<(BackendId, Nanos, bool)>>,
     /// Id of the last submitted request; 0 before the first.
     pub last_request_id: u32,
@@ -130,7 +130,7 @@
         actions
     }
 
-    /// Advances the clock and fires the timers that become due. Returns their actions.
+    /// Advances the clock and fires the timers that become due. Returns the resulting actions.
     pub fn wait(&mut self, duration: Nanos) -> Vec<Action> {
         let end = self.now + duration;
         let mut actions = Vec::new();
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -52,14 +52,13 @@
 #[test]
 fn backends_in_slow_start_are_used_and_none_is_overloaded() {
     for proxy_count in PROXY_COUNTS {
-        // With two proxies, single runs have between 225 and 391 attempts by chance, with a mean of
-        // 319 over five runs, so three runs are added up.
+        // The number of attempts varies by chance, so three runs are added up.
         let attempts: usize = [1, 11, 21]
             .into_iter()
             .map(|seed| attempts_in_slow_start(proxy_count, seed))
             .sum();
-        // In each run, a third of the attempts that thirty backends of this capacity could serve in
-        // the last two seconds.
+        // The minimum, 250 attempts a run, is about a third of what thirty backends in slow start
+        // could serve in the last two seconds.
         assert!(
             attempts > 3 * 250,
             "{proxy_count} proxies: {attempts} attempts at thirty backends in slow start in three runs"
@@ -84,7 +83,7 @@
         .extend(backends.iter().map(|backend| (backend.id, START)));
     simulation.health = second_half_in_slow_start;
     simulation.update_endpoints(UpdateKind::Delta, &backends);
-    // More than the thirty backends of full capacity can serve.
+    // This rate is higher than the thirty backends of full capacity can serve.
     simulation.run(4 * SECOND, 850.0);
     let send_times: BTreeMap<BackendId, Vec<Nanos>> = simulation
         .records
@@ -107,8 +106,8 @@
             let Health::Works(capacity) = second_half_in_slow_start(id, *window_start) else {
                 unreachable!()
             };
-            // Rule 4: in two seconds, fewer attempts than three times as many as the backend can
-            // serve at its capacity at the start of the window.
+            // Rule 4: in any two seconds, a backend is sent fewer than three times the attempts
+            // that it can serve at its capacity at the start of the window.
             let max_attempts = 3.0 * capacity * (2 * SECOND / WORK) as f64;
             let sent = times[index..]
                 .iter()
@@ -146,7 +145,7 @@
         simulation.update_endpoints(UpdateKind::Delta, &removed);
         simulation.run(8 * SECOND, 1_100.0);
         let fraction_in_time = simulation.fraction_in_time(START + 4 * SECOND);
-        // Each of 300 proxies can base its estimates on only about two answers in each window.
+        // With 300 proxies, each proxy gets only about two answers a second for its estimates.
         let minimum = if proxy_count > 100 { 0.08 } else { 0.15 };
         assert!(
             fraction_in_time > minimum,
@@ -211,7 +210,7 @@
     for proxy_count in [10, 100, 300] {
         let backends: Vec<Endpoint> = (0..60).map(backend).collect();
         let (mut received, mut queued) = (0, 0);
-        // One run in 25 falls behind for a second by chance, so four runs are counted together.
+        // A run may fall behind for a second by chance, so four runs are counted together.
         for seed in 1..=4 {
             let mut simulation = Simulation::with_seed(proxy_count, &backends, seed);
             simulation.extra_load = 4;
@@ -287,12 +286,12 @@
     (simulation, backends)
 }
 
-/// Requests a second, in the mix of `two_proxies`, that one backend can serve.
+/// Number of requests a second that one backend can serve, with the classes of `two_proxies`.
 fn capacity(scale: f64) -> f64 {
     1.0 / (scale * (0.59 * 0.024 + 0.41 * 0.015))
 }
 
-/// Backend 0 never answers from 3 s after `START`.
+/// From 3 s after `START`, backend 0 accepts attempts but answers none.
 fn first_never_answers(id: BackendId, now: Nanos) -> Health {
     if id.0 == 0 && now > START + 3 * SECOND {
         Health::NeverAnswers
@@ -320,7 +319,8 @@
                 .filter(|record| record.class == 1)
                 .filter(was_sent_there)
                 .count();
-            // Three for each proxy in ten seconds; an equal share would be a hundred.
+            // The maximum of six is three for each proxy in ten seconds. An equal share would be
+            // about a hundred.
             assert!(
                 sent_there <= 6,
                 "{sent_there} requests went to the one of {backend_count} that never answers, seed {seed}"
@@ -333,8 +333,9 @@
 fn overload_at_two_proxies_leaves_no_backend_with_a_lasting_backlog() {
     for seed in 1..4 {
         let (mut simulation, backends) = two_proxies(12, seed, 1.0);
-        // Backends of the kind with the lowest tolerance of overload become slow when more than
-        // four requests wait there for 1.5 s.
+        // The work of five requests of 24 ms each: one that is executed and four that wait. The
+        // backends that tolerate the least overload become slow if their unfinished work is above
+        // that for 1.5 s.
         simulation.backlog_threshold = 5 * 24 * MS;
         simulation.run(5 * SECOND, 1.4 * capacity(1.0) * 12.0);
         assert!(
@@ -342,8 +343,8 @@
             "a backlog was above the threshold for {} ms",
             simulation.longest_above_threshold / MS
         );
-        // One proxy stops and the other gets the requests of its clients; later it restarts with
-        // its cached list.
+        // One proxy stops, and the other one gets the requests of its clients. Later the stopped
+        // proxy restarts with its cached list.
         simulation.stopped_proxy = Some(1);
         simulation.run(2 * SECOND, 0.8 * capacity(1.0) * 12.0);
         let in_time_with_one = simulation.fraction_in_time(START + 6 * SECOND);
@@ -365,8 +366,8 @@
 
 #[test]
 fn under_one_percent_of_requests_wait_while_a_backend_is_idle() {
-    // Mean work of 50 us, 5 ms and 1 s, with latency objectives and timeouts in proportion. It is
-    // 20.3 ms at a scale of 1.
+    // The mean work is 50 us, 5 ms or 1 s, and latency objectives and timeouts are in proportion to
+    // it. At a scale of 1, the mean work is 20.3 ms.
     for mean_work_seconds in [50e-6, 5e-3, 1.0] {
         let scale = mean_work_seconds / 0.0203;
         for backend_count in [2, 12, 50] {
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct PendingRequest {
     attempts: Vec<AttemptState>,
-    /// Whether it has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     finished: bool,
 }
 
@@ -462,7 +462,8 @@
         })
 }
 
-/// Codes of actions in the hashed encoding. They never change, so that actions can be renamed.
+/// Codes of actions in the hashed encoding. They never change, so that the hashes stay the same
+/// when an action is renamed.
 const START_ATTEMPT: u64 = 1;
 const REJECT: u64 = 2;
 const FAIL: u64 = 3;
@@ -524,7 +525,7 @@
             *counts.entry(code).or_default() += count;
         }
     }
-    // The hashes cover a kind of action only if it occurs, so a minimum of each is required.
+    // The hashes cover a kind of action only if it occurs, so each kind must occur often enough.
     for (code, minimum) in [
         (START_ATTEMPT, 30_000),
         (REJECT, 500),
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -62,9 +62,9 @@
             .expect("there are four runs")
     };
     let (short_list, long_list) = (min_cpu_time(200), min_cpu_time(3_200));
-    // With sixteen times the backends, `make scale` allows 1.4 times the cost of the whole node, of
-    // which the decisions are a small part. A scan of the whole list for each pick took eleven
-    // times the CPU time.
+    // With sixteen times the backends, `make scale` allows 1.4 times the cost of the whole node.
+    // Decisions are a small part of that cost, so their own limit is higher. Scanning the whole
+    // list for each pick would take eleven times the CPU time.
     assert!(
         long_list < 3 * short_list,
         "{short_list:?} with 200 backends, {long_list:?} with 3,200"
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -18,7 +18,7 @@
 pub const PROXY_COUNTS: [usize; 4] = [2, 10, 100, 300];
 /// Mean time that a request takes at an idle backend of full capacity.
 pub const WORK: Nanos = 40 * MS;
-/// Number of unfinished attempts above which a backend rejects further ones, each counted with the
+/// A backend rejects further attempts while its unfinished work is above this multiple of the
 /// longest mean work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
@@ -34,7 +34,7 @@
         proxy_index: usize,
         request: u32,
         attempt: usize,
-        /// Index in `OUTCOMES`.
+        /// Index of the outcome in `OUTCOMES`.
         outcome: u8,
     },
 }
@@ -42,11 +42,11 @@
 /// Condition of a backend.
 #[derive(Clone, Copy)]
 pub enum Health {
-    /// It serves attempts at this fraction of its full capacity.
+    /// The backend serves attempts at this fraction of its full capacity.
     Works(f64),
-    /// It rejects each attempt immediately, as a draining backend does.
+    /// The backend rejects each attempt after 1 ms, unexecuted, as a draining backend does.
     Draining,
-    /// It accepts all attempts and answers none.
+    /// The backend accepts all attempts and answers none.
     NeverAnswers,
 }
 
@@ -63,12 +63,12 @@
 pub struct RequestRecord {
     /// Index of the proxy that received the request.
     pub proxy_index: usize,
-    /// Index of its class.
+    /// Index of the class of the request.
     pub class: usize,
     pub received_at: Nanos,
-    /// `None` if the request was not served.
+    /// When an attempt succeeded; `None` if the request was not served.
     pub served_at: Option<Nanos>,
-    /// Time of sending, backend, and whether the attempt is still in flight.
+    /// Attempts so far: time of sending, backend, and whether the attempt is still in flight.
     pub attempts: Vec<(Nanos, BackendId, bool)>,
 }
 
@@ -85,7 +85,7 @@
 pub struct Simulation {
     pub proxies: Vec<Balancer>,
     pub settings: Settings,
-    /// Mean work of each class.
+    /// Mean work of a request of each class: the time it takes at an idle backend of full capacity.
     pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
@@ -148,8 +148,8 @@
 /// A ready backend in one of two zones and six cells.
 pub fn backend(id: u32) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u16), CellId((id % 6) as u16));
-    // The hash does not depend on the zone, cell or age, nor does the hash that the node computes
-    // from the uid of a backend.
+    // As in the node, which hashes the uid of a backend, the hash is independent of the zone, cell
+    // and age.
     let (id, hash) = (
         BackendId(id),
         u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -184,7 +184,7 @@
     }
 
     /// A simulation in which the proxies alternate between two zones and have `settings` otherwise.
-    /// `mean_work` is the mean work of each class; `seed` is used as by `with_seed`.
+    /// `mean_work` is the mean work of each class; `seed` seeds only the proxies.
     pub fn with_settings(
         settings: Settings,
         mean_work: Vec<Nanos>,
@@ -470,7 +470,7 @@
         );
     }
 
-    /// Restarts a proxy, which then knows only this cached list.
+    /// Restarts a proxy, which then knows only `backends`, as its cached list.
     pub fn restart(&mut self, proxy_index: usize, backends: &[Endpoint]) {
         let settings = Settings {
             proxy_index: proxy_index as u32,
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -24,26 +24,26 @@
 
 use std::fmt;
 
-/// An intercepted call.
+/// A kind of intercepted call of the C library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `accept` and `accept4`.
+    /// Accepting a connection: `accept` and `accept4`.
     Accept,
-    /// `socket`.
+    /// Creating a socket, such as one for a new connection: `socket`.
     Socket,
-    /// `connect`.
+    /// Establishing a connection from this process: `connect`.
     Connect,
-    /// `send`.
+    /// Writing to a socket: `send`.
     Send,
-    /// `recv`.
+    /// Reading from a socket: `recv`.
     Recv,
-    /// `epoll_ctl`.
+    /// Adding a descriptor to an epoll instance, or changing or removing it: `epoll_ctl`.
     EpollCtl,
-    /// `epoll_wait` and `epoll_pwait2`.
+    /// Waiting for events of an epoll instance: `epoll_wait` and `epoll_pwait2`.
     EpollWait,
-    /// `poll`.
+    /// Checking whether descriptors are ready, or waiting until they are: `poll`.
     Poll,
-    /// `clock_gettime` of `CLOCK_REALTIME`.
+    /// Reading the wall clock: `clock_gettime` of `CLOCK_REALTIME`.
     Clock,
 }
 
@@ -67,15 +67,18 @@
 pub struct Rule {
     /// The call that the fault is injected into.
     pub call: Call,
-    /// The fault that is injected.
+    /// The fault that is injected into the calls that `every` or `chance` selects.
     pub fault: Fault,
-    /// The fault is injected into every call whose number is a multiple of this.
+    /// If `chance` is `None`, the fault is injected into each call whose number, counted from 1, is
+    /// a multiple of this.
     every: u64,
-    /// Probability of the fault; `None`: `every` decides.
+    /// Probability with which the fault is injected into a call; `None` if `every` decides.
     chance: Option<f64>,
-    /// Start of the time span in which the rule applies.
+    /// Start of the time span in which the rule applies, in milliseconds after the first
+    /// intercepted call of the process.
     from_ms: u64,
-    /// End of the time span, which is not part of it.
+    /// End of the time span, exclusive, on the same scale as its start; the maximum if the rule has
+    /// no `to`.
     to_ms: u64,
     /// Number of calls to which the rule has applied so far.
     call_count: u64,
@@ -112,7 +115,7 @@
 
 /// Multiplier of the linear congruential generator (LCG) of Knuth's MMIX.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
-/// Increment of the same generator.
+/// Increment of the linear congruential generator of Knuth's MMIX.
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
 impl Plan {
--- a/crates/node/tests/common/connection.rs
+++ b/crates/node/tests/common/connection.rs
@@ -31,8 +31,8 @@
         self
     }
 
-    /// Reads until `pattern` is received; returns all text up to its end. Panics if the connection
-    /// closes first.
+    /// Reads until `pattern` is received; returns all text up to the end of the pattern. Panics if
+    /// the connection closes first.
     pub fn expect(&mut self, pattern: &str) -> String {
         let received_text = self.expect_or_close(pattern);
         received_text.unwrap_or_else(|| {
@@ -43,8 +43,8 @@
         })
     }
 
-    /// Reads until `pattern` is received; returns all text up to its end, or `None` if the
-    /// connection closes first.
+    /// Reads until `pattern` is received; returns all text up to the end of the pattern, or `None`
+    /// if the connection closes first.
     pub fn expect_or_close(&mut self, pattern: &str) -> Option<String> {
         loop {
             let start = self
--- a/crates/node/tests/common/messages.rs
+++ b/crates/node/tests/common/messages.rs
@@ -4,7 +4,7 @@
 
 use super::StandIn;
 
-/// An endpoint in discovery's JSON format; `state` is written as the platform names it.
+/// An endpoint in discovery's JSON format; `state` is `Ready`, `Terminating` or `Gone`.
 pub fn endpoint_json(uid: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":1,
@@ -20,7 +20,8 @@
     WATCH_RESPONSE_HEAD.to_string() + &watch_update(revision, endpoints)
 }
 
-/// A further object, as one chunk, of a watch whose response head has been sent.
+/// One chunk with a further object, which updates `endpoints`, for a watch whose response head has
+/// been sent.
 pub fn watch_update(revision: u32, endpoints: &[String]) -> String {
     let line = format!(
         r#"{{"rev":{revision},"all":false,"targets":[{}]}}"#,
--- a/crates/node/tests/common/stand_in.rs
+++ b/crates/node/tests/common/stand_in.rs
@@ -15,7 +15,7 @@
         StandIn(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// The address that it listens on.
+    /// Address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap()
     }
@@ -29,7 +29,7 @@
         (stand_in, stream)
     }
 
-    /// Whether no connection from the node is queued. Accepts and closes one if there is.
+    /// Whether no connection from the node is queued. If one is queued, accepts and closes it.
     pub fn has_no_pending_connection(&self) -> bool {
         self.try_accept().is_none()
     }
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -12,9 +12,9 @@
 
 /// A running node, with stand-ins for its discovery and its one backend.
 pub struct TestNode {
-    /// The stand-in discovery.
+    /// Accepts the node's discovery calls.
     pub discovery: StandIn,
-    /// The stand-in backend.
+    /// Accepts the node's connections to the backend of the default configuration, `s-1`.
     pub backend: StandIn,
     process: Child,
     config: String,
@@ -66,9 +66,9 @@
         Connection::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// Waits until the node has handled everything that it read before this call. It sends two
-    /// messages: the first may be answered in the middle of a loop iteration, the second is read in
-    /// a later one.
+    /// Waits until the node has handled everything that it read before this call. Sends two health
+    /// checks: the first may be answered in the middle of a loop iteration, the second is read in a
+    /// later one.
     pub fn wait_for_iteration(&self) {
         let mut client = self.client();
         for _ in 0..2 {
@@ -130,7 +130,7 @@
         Duration::from_millis(hundredths * 10)
     }
 
-    /// Whether the process has not exited.
+    /// Whether the process is still running: it exists and is not a zombie.
     pub fn is_running(&self) -> bool {
         std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).is_ok_and(|stat| {
             !stat
@@ -206,7 +206,7 @@
 
     /// Replaces the configuration file by one whose reading fails with EIO, and sends SIGHUP.
     pub fn reload_unreadable(&self) {
-        // Reads the memory of the reading process at address 0, which is never mapped.
+        // This file is the memory of the process that reads it; address 0 is never mapped.
         self.reload_from("/proc/self/mem");
     }
 
@@ -285,8 +285,8 @@
     folder.join(file_name.replace(['(', ')'], ""))
 }
 
-/// Writes the configuration file and runs the program with it; `variables` are added to its
-/// otherwise empty environment.
+/// Writes the configuration file and runs the program with it. The environment of the program has
+/// only `variables` and the path of that file.
 pub fn spawn_with_config(config: &str, variables: &[(&str, &str)]) -> Child {
     std::fs::write(config_path(), config).unwrap();
     spawn(&config_path(), variables)
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -31,8 +31,8 @@
     (node, watch)
 }
 
-/// A node whose wall clock follows `plan`, and whose cached list has `s-2` with this start time, in
-/// Unix milliseconds.
+/// A node whose wall clock follows `plan`. Its cached list has one backend, `s-2`, which started at
+/// `boot_ms`, in Unix milliseconds.
 fn node_with_new_backend(plan: &str, boot_ms: i64) -> TestNode {
     TestNode::with_faults_and_environment(plan, &[("BALANCER_TRACE", "1")], |config| {
         let with_new_uid = config.replace(r#""uid":"s-1""#, r#""uid":"s-2""#);
@@ -62,8 +62,8 @@
 
 #[test]
 fn backend_start_on_an_open_watch_is_recent_despite_wrong_clocks() {
-    // First the node's clock is an hour ahead from its start; then the machines' clocks are set
-    // back by an hour while the node runs.
+    // In the first case, the node's clock is an hour ahead from its start. In the second case, the
+    // clocks of the backends' machines are set back by an hour while the node runs.
     for (plan, machine_offset_ms) in [("clock=step:3600", 0), ("", -HOUR_MS)] {
         let (mut node, mut watch) = node_with_watch(plan);
         let boot_ms = unix_ms() + machine_offset_ms - 500;
--- a/crates/node/tests/protocol_rules/deadline.rs
+++ b/crates/node/tests/protocol_rules/deadline.rs
@@ -11,8 +11,8 @@
 const CLIENT_TIMEOUT_MS: u32 = 4_000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS as u64);
 
-/// Reads a request from a backend's connection and checks that the remaining time in it exceeds
-/// that of its client, which sent it at `sent_at`, by at most [`REMAINING_TIME_SLACK`].
+/// Reads a request, which its client sent at `sent_at`, from a backend's connection. Checks that
+/// the remaining time in the request exceeds the client's by at most [`REMAINING_TIME_SLACK`].
 fn check_remaining_time(backend: &mut Connection, sent_at: Instant) {
     let head = backend.expect("body");
     let client_remaining = CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed());
@@ -92,7 +92,7 @@
     client.send(&report_request("w0", 5_000));
     let mut backend = node.backend.accept();
     for number in 1..=5 {
-        // Served first attempts fill the retry budget.
+        // Each first attempt adds a part of a retry to the retry budget.
         backend.expect("body");
         backend.serve("200 OK", "warm");
         client.expect("warm");
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -197,8 +197,8 @@
 
 #[test]
 fn emfile_without_a_waiting_client_closes_no_client() {
-    // Without descriptors, accept fails even if no client is queued; here it fails after each
-    // client.
+    // Without free descriptors, accept(2) fails even if no client is queued; in this test it fails
+    // after each accepted client.
     let (node, _backend) = node_with_faults("accept=EMFILE,every:2");
     for number in 0..10 {
         let mut client = node.client();
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -40,7 +40,8 @@
     node.stall();
     full_backend.accept();
     drop(queued);
-    // The kernel retransmits the SYN a second after the first one.
+    // The accept queue has space now, so the connection is established once the kernel retransmits
+    // the SYN, a second after the first one.
     let mut backend = full_backend.accept();
     sleep_ms(1600);
     node.resume();
@@ -120,12 +121,14 @@
     client.send(&report_request("first", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // Two answers in one write: from now on the node expects that a second answer may come late.
+    // The backend sends two answers in one write: from now on the node expects that a second answer
+    // may come late.
     let two_answers = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     backend.send(&two_answers);
     client.expect("one");
     assert_eq!(backend.expect_close(), "");
-    // Two requests in one write: the second is forwarded a tick after the first is answered.
+    // The client sends two requests in one write: the second is forwarded a tick after the first is
+    // answered.
     client.send(&(report_request("second", 5000) + &report_request("third", 5000)));
     let mut backend = node.backend.accept();
     backend.expect("x-txn: second\r\n");
--- a/crates/node/tests/races/delays.rs
+++ b/crates/node/tests/races/delays.rs
@@ -13,10 +13,10 @@
 const FAULT_WINDOW: &str = "from:1500,to:2600";
 /// Number of served requests after which the retry budget allows more than one retry.
 const WARM_UP_REQUESTS: usize = 20;
-/// A time within the fault window, since the start of the node.
+/// A time within the fault window, counted from the start of the node.
 const IN_FAULT_WINDOW: Duration = Duration::from_millis(1_700);
-/// A time before the fault window, but close enough to it that an unanswered attempt is not
-/// cancelled before the window begins.
+/// A time shortly before the fault window, counted from the start of the node: an attempt that is
+/// sent then and not answered is not cancelled before the window begins.
 const BEFORE_FAULT_WINDOW: Duration = Duration::from_millis(1_200);
 
 /// A node with two backends and an idle connection to each.
@@ -64,7 +64,8 @@
             other_backend,
             started_at,
         };
-        // The retry budget is a share of the served requests.
+        // Each first attempt adds a part of a retry to the retry budget, so some requests are
+        // served first.
         for number in 0..WARM_UP_REQUESTS {
             let (mut busy, idle) = two_backends.send(&mut first_client, &format!("warm{number}"));
             busy.serve("200 OK", "warm");
@@ -111,7 +112,7 @@
     backends.node.wait_for_iteration();
     assert!(
         !idle.is_closed(),
-        "the client had disconnected more than 0.3 s before"
+        "the request was retried, although its client disconnected more than 0.3 s before"
     );
     assert!(
         backends.other_backend.has_no_pending_connection()
@@ -142,7 +143,7 @@
     assert_eq!(
         idle.expect_close(),
         "",
-        "the drain was sent more than 0.3 s before"
+        "the request was retried, although the drain was sent more than 0.3 s before"
     );
     let head = client.expect("\r\n\r\n");
     assert!(
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -60,8 +60,8 @@
     node.resume();
     let mut other_client = node.client();
     other_client.send(&report_request("other", 5000));
-    // The upstream connection is closed with the client's; if the node reads the answer before the
-    // disconnect, the connection is reused for the other client's request.
+    // If the node reads the disconnect first, it closes the upstream connection and the other
+    // request comes on a new one; if it reads the answer first, it reuses the connection.
     let head = backend
         .expect_or_close("body")
         .unwrap_or_else(|| node.backend.accept().expect("body"));
@@ -125,7 +125,7 @@
     });
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // The attempt has begun once these later messages are answered.
+    // Once the node has answered the health checks of this call, the attempt has begun.
     node.wait_for_iteration();
     node.stall();
     full_backend.accept();
--- a/crates/node/tests/races/mod.rs
+++ b/crates/node/tests/races/mod.rs
@@ -39,11 +39,11 @@
     config.replace(r#""sockets":128"#, r#""sockets":64"#)
 }
 
-/// Maximum number of clients with [`with_few_descriptors`]: 64 descriptors less 20 for other uses,
-/// of which a quarter is reserved for backends.
+/// Maximum number of clients with [`with_few_descriptors`]: of 64 descriptors, 20 are for other
+/// uses, and a quarter of the remaining 44 is reserved for backends.
 const MAX_CLIENT_CONNECTIONS: usize = 33;
 
-/// The maximum number of clients, each with a request that is in flight or queued.
+/// Connects the maximum number of clients, each with a request that is in flight or queued.
 fn occupy_all_connections(node: &TestNode) -> Vec<Connection> {
     let send_request = |n| {
         let mut client = node.client();
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -80,7 +80,8 @@
     client.send(&report_request("long", 2000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // More than the socket buffers hold.
+    // The body is longer than the socket buffers hold, so the client must read before the node can
+    // write it all.
     let long_body = "z".repeat(1_900_000) + "whole";
     backend.serve("200 OK", &long_body);
     node.terminate();
@@ -145,8 +146,8 @@
         }
     }
     drop(busy);
-    // Requests that reach the backend from now on. Attempts of the disconnected clients have ended,
-    // so their connections close.
+    // Requests that must still reach the backend. Attempts of the disconnected clients are
+    // cancelled, so their connections close.
     let mut remaining: Vec<&str> = vec!["late1", "late3", "late5"];
     while !remaining.is_empty() {
         let mut connection = node.backend.accept();
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -68,7 +68,7 @@
     let mut watch = node.discovery.accept();
     watch.expect("\r\n\r\n");
     let started_at = Instant::now();
-    // The updates that the watch withholds count as notified 6 s after they are due.
+    // The watch may withhold updates, and each of them counts as notified 6 s after it is due.
     watch.send(WATCH_RESPONSE_HEAD).send("1000\r\n");
     let sender = std::thread::spawn(move || {
         while watch.try_send(" ") {
@@ -124,7 +124,8 @@
         &[endpoint_json("s-2", second_backend.address(), "Ready")],
     );
     watch.send(WATCH_RESPONSE_HEAD).send(&chunk("\n"));
-    // One byte per chunk; then one chunk with an object and the start of the next.
+    // The first update is sent with one byte per chunk. One chunk follows with the whole second
+    // update and the start of a third one.
     for byte in first_update.chars() {
         watch.send(&chunk(&byte.to_string()));
     }
@@ -132,8 +133,8 @@
     let mut client = node.client();
     client.send(&report_request("moved", 5000));
     second_backend.accept().expect("x-txn: moved\r\n");
-    // A reset in the middle of an object: the complete objects stay applied, and the new watch
-    // resumes after them.
+    // After a reset in the middle of an object, the complete objects stay applied, and the new
+    // watch resumes after them.
     watch.reset();
     node.expect_log("discovery-failed the connection ended");
     let mut second_watch = node.discovery.accept();
@@ -214,7 +215,7 @@
         &[first_endpoint("Terminating"), second_endpoint("Ready")],
     ));
     watch.close();
-    // Another replica of discovery, whose list is older.
+    // The next watch is at another replica of discovery, whose list is older.
     let mut stale_watch = node.discovery.accept();
     stale_watch.expect("after=9 ");
     let older_list = watch_response(8, &[first_endpoint("Ready"), second_endpoint("Ready")])
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -9,7 +9,8 @@
 fn upstream_connection_is_not_reused_after_an_answer_with_connection_close() {
     let node = TestNode::start();
     let mut client = node.client();
-    // The test keeps them open, so that only the node's own decision leads to a new connection.
+    // The test keeps its ends of the connections open, so that only the node's own decision leads
+    // to a new connection.
     let mut closing_connections = Vec::new();
     for body in ["one", "two"] {
         client.send(&report_request(body, 5000));
@@ -65,7 +66,7 @@
     let mut watch = node.discovery.accept();
     let mut client = node.client();
     client.send(&report_request("r", 5000));
-    // The attempt has begun once these later messages are answered.
+    // Once the node has answered the health checks of this call, the attempt has begun.
     node.wait_for_iteration();
     let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
     watch.send(&watch_response(
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -60,8 +60,8 @@
 #[test]
 fn longest_idle_client_is_evicted_at_the_connection_limit() {
     let node = TestNode::start();
-    // 81 clients fit: 128 descriptors less 20 for other uses, of which a quarter is reserved for
-    // backends.
+    // 81 clients fit: of 128 descriptors, 20 are for other uses, and a quarter of the remaining 108
+    // is reserved for backends.
     let mut clients: Vec<_> = (0..82).map(|_| node.client()).collect();
     let mut newest = clients.pop().unwrap();
     newest.send(HEALTH_CHECK).expect("ok\n");
@@ -94,7 +94,8 @@
         idle_client.send(HEALTH_CHECK).expect("ok\n");
     }
     client.send(HEALTH_CHECK).expect("ok\n");
-    // The oldest are closed until a quarter of the descriptors is in use; the others stay open.
+    // The clients that were served first are closed until those that stay open use a quarter of the
+    // descriptors.
     for closed in &mut one_request_clients[..11] {
         assert_eq!(closed.expect_close(), "");
     }
--- a/crates/node/tests/service/discovery.rs
+++ b/crates/node/tests/service/discovery.rs
@@ -31,7 +31,7 @@
         "{{\"rev\":9,\"all\":false,\"targets\":[{}]}}\n",
         endpoints.replace('\n', "")
     );
-    // Split in the middle: a line is parsed when it is complete.
+    // The line is split over two chunks: the node must parse it only when it is complete.
     let (first_part, second_part) = line.split_at(60);
     watch
         .send(WATCH_RESPONSE_HEAD)
@@ -82,7 +82,7 @@
 fn truncated_update_changes_nothing_until_it_is_received_completely() {
     let mut node = TestNode::start();
     let new_backend = StandIn::new();
-    // Thousands of removed endpoints beside the two that matter here, so that the update is long.
+    // Beside two backends, the update has thousands of removed endpoints, so that it is long.
     let mut endpoints: Vec<String> = (0..5000)
         .map(|n| endpoint_json(&format!("x-{n}"), new_backend.address(), "Gone"))
         .collect();
--- a/crates/node/tests/service/forwarding.rs
+++ b/crates/node/tests/service/forwarding.rs
@@ -1,4 +1,5 @@
-//! Requests and answers are forwarded unchanged; the node answers what it can't forward.
+//! Requests and answers are forwarded unchanged; the node itself answers requests that it can't
+//! forward.
 
 use crate::common::{
     Connection, HEALTH_CHECK, StandIn, TestNode, endpoint_json, report_request, watch_response,
@@ -26,7 +27,7 @@
         answer.starts_with("HTTP/1.1 200 OK\r\n") && !answer.contains("close"),
         "{answer}"
     );
-    // Sent in pieces, over the same two connections.
+    // The second request is sent in pieces, over the same two connections.
     let second = report_request("a2", 5000);
     for piece in [&second[..9], &second[9..150], &second[150..]] {
         client.send(piece);
@@ -50,7 +51,7 @@
 }
 
 /// Requests that the node can't forward: the request, the status of its answer, and whether the
-/// connection closes after it.
+/// connection closes after the answer.
 #[rustfmt::skip]
 fn invalid_requests() -> [(String, u16, bool); 9] {
     let valid = report_request("c", 99);
@@ -138,8 +139,8 @@
     config[..start].trim_end_matches(',').to_string() + &config[end + 1..]
 }
 
-/// Answers five check requests on `backend`, of which `client` has sent the first; then `client`
-/// sends `last_request`.
+/// Answers five check requests on `backend`. `client` has sent the first one before; it sends the
+/// others here and, after the fifth answer, `last_request`.
 fn serve_five_checks(client: &mut Connection, backend: &mut Connection, last_request: &str) {
     for (id, next_request) in [
         ("c0", check_request("c1")),
@@ -169,7 +170,8 @@
     let mut discovery = node.discovery.accept();
     discovery.expect("\r\n\r\n");
     let mut client = node.client();
-    // It answers at first: five served requests add one retry to the retry budget.
+    // The backend answers at first: the first attempts of five requests add one retry to the retry
+    // budget.
     client.send(&check_request("c0"));
     let mut unresponsive_connection = unresponsive.accept();
     serve_five_checks(
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -14,7 +14,8 @@
     idle.send(HEALTH_CHECK).expect("ok\n");
     node.terminate();
     node.expect_log("sigterm");
-    // For 0.6 s new clients are still accepted; all answers have `Connection: close`.
+    // For 0.6 s after SIGTERM, new clients are still accepted. All answers have
+    // `Connection: close`.
     let mut late_client = node.client();
     late_client.send(&report_request("k", 3300));
     assert_eq!(idle.expect_close(), "");
@@ -38,8 +39,8 @@
     backend.expect("body");
     let mut watch = node.discovery.accept();
     let old_address = node.discovery.address().to_string();
-    // Two reloads, each with another address. The environment still has the first address, which a
-    // reload ignores.
+    // The configuration is reloaded twice, each time with another address of discovery. The
+    // environment still has the first address, which a reload ignores.
     for new_discovery in [StandIn::new(), StandIn::new()] {
         node.reload(|config| config.replace(&old_address, &new_discovery.address().to_string()));
         let mut new_watch = new_discovery.accept();
--- a/crates/node/tests/service/payouts.rs
+++ b/crates/node/tests/service/payouts.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{endpoint_json, report_request};
 
-/// Adds the classes `payout` and `check`, whose requests have no idempotency key, a connect timeout
-/// of 50 ms, and ready `backends` at the head of the cached list.
+/// Adds the classes `payout` and `check`, whose requests have no idempotency key. Also sets a
+/// connect timeout of 50 ms, and adds `backends`, which are ready, at the head of the cached list.
 pub fn with_payout_and_check(config: String, backends: &[(&str, std::net::SocketAddr)]) -> String {
     let endpoints: Vec<String> = backends
         .iter()
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -1,4 +1,4 @@
-//! The node starts, serves and exits with every allowed setting.
+//! The node starts, serves and exits with unusual settings that are allowed.
 
 use crate::common::{TestNode, report_request};
 
@@ -105,7 +105,8 @@
         .into_iter()
         .chain(computed_variants())
         .collect();
-    // In parallel, as each node keeps accepting clients for a while after SIGTERM before it exits.
+    // The variants run in parallel, as each node keeps accepting clients for a while after SIGTERM
+    // before it exits.
     std::thread::scope(|scope| {
         for variant in &variants {
             scope.spawn(|| ["subscribe", "automatic"].map(|mode| check_variant(variant, mode)));
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -25,9 +25,10 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of their numbers; empty for a tenant without a name.
     pub tenants: Vec<String>,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones, in the order of their numbers; empty if the settings give none.
     pub zones: Vec<String>,
-    /// Names of the kinds of machine, in the order of their numbers.
+    /// Names of the kinds of machine, in the order of their numbers; empty if the settings give
+    /// none.
     pub kinds: Vec<String>,
     /// Time after which a backend closes an idle connection.
     pub idle_limit: Nanos,
--- a/crates/settings/src/deployment_tests.rs
+++ b/crates/settings/src/deployment_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `deployment`.
+//! Unit tests of reading the settings object.
 
 use kitefork_balancer::{DeduplicationScope, Idempotency};
 
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -29,7 +29,7 @@
     InvalidField {
         /// Path of the key, such as `limits.sockets` or `grades[0].effect`.
         path: String,
-        /// What is wrong with the value.
+        /// What is wrong with the value, such as `must be a number`.
         problem: String,
     },
 }
@@ -133,7 +133,7 @@
     }
 
     /// Returns this value as an integer. A float without a fractional part is accepted if it is
-    /// small enough to be exact.
+    /// below 9e15, where floats represent all integers exactly.
     ///
     /// # Errors
     ///
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::json::{ConfigError, JsonValue};
 
-/// Reads the value of `limits`.
+/// Reads the limits of the decision module; optional keys that are absent get their defaults.
 pub(crate) fn read(limits: &JsonValue) -> Result<Limits, ConfigError> {
     Ok(Limits {
         max_attempts: limits.get("maxAttempts")?.small_integer()?,
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -7,7 +7,7 @@
 /// Interval at which the endpoint list is polled, if the settings give none.
 const DEFAULT_POLL_INTERVAL: Nanos = 10_000_000_000;
 
-/// Reads the value of `rules`.
+/// Reads the protocol rules; optional keys that are absent get their defaults.
 pub(crate) fn read(rules: &JsonValue) -> Result<Rules, ConfigError> {
     Ok(Rules {
         answer_slack: rules.get_or("answerSlackNs", 0, JsonValue::integer)?,
--- a/crates/simulator/src/frame.rs
+++ b/crates/simulator/src/frame.rs
@@ -40,7 +40,7 @@
 }
 
 impl Header {
-    /// Decodes a header.
+    /// Decodes a header; any bytes of this length are a valid one.
     pub fn read(bytes: &[u8; HEADER_SIZE]) -> Header {
         Header {
             record_count: u32_at(bytes, header::RECORD_COUNT),
--- a/crates/simulator/src/frame/error.rs
+++ b/crates/simulator/src/frame/error.rs
@@ -2,15 +2,16 @@
 
 use thiserror::Error;
 
-/// A frame that can't be decoded.
+/// Why a frame can't be decoded, and where.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("batch {batch}, offset {offset}: {kind}")]
 pub struct FrameError {
-    /// Sequence number of the batch.
+    /// Sequence number of the batch that the frame holds.
     pub batch: u32,
-    /// Offset in bytes from the start of the frame.
+    /// Offset of the invalid field in bytes from the start of the frame; 0 if the number of records
+    /// is invalid.
     pub offset: usize,
-    /// What is wrong.
+    /// The kind of error found at this offset.
     pub kind: FrameErrorKind,
 }
 
@@ -21,7 +22,7 @@
     #[error("records run past the end of the frame")]
     RecordsOutsideFrame,
     /// A record refers to data that is not within the tail of the frame.
-    #[error("data outside the tail")]
+    #[error("a record refers to data outside the tail of the frame")]
     DataOutsideTail,
     /// The code of a record is not an event code.
     #[error("unknown event code {0}")]
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -37,7 +37,7 @@
 pub(super) mod data_reference {
     /// `u32`: offset of the first byte in the tail.
     pub const START: usize = 0;
-    /// `u32`: number of items; of bytes if the items are bytes.
+    /// `u32`: number of items; for a text or a message, the number of bytes.
     pub const ITEM_COUNT: usize = 4;
 }
 
@@ -213,9 +213,9 @@
 
 /// Fields of a load report within a record.
 pub(super) mod load_report {
-    /// `u8`: number of values.
+    /// `u8`: number of values; a number above [`MAX_VALUES`] is read as `MAX_VALUES`.
     pub const COUNT: usize = 0;
-    /// Array of `f32`: the values.
+    /// Array of `f32`: the values that the backend reported; the settings name them.
     pub const VALUES: usize = 1;
     /// Maximum number of values in a record.
     pub const MAX_VALUES: usize = 4;
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -12,7 +12,7 @@
 /// A message to one instance.
 #[derive(Debug)]
 pub struct InstanceMessage {
-    /// Number of the instance.
+    /// Number that the simulator has given the instance.
     pub instance: u16,
     /// What the instance is to do or is notified of.
     pub message: Message,
@@ -21,14 +21,14 @@
 /// The content of a record that concerns an instance.
 #[derive(Debug)]
 pub enum Message {
-    /// Start the instance.
+    /// Start the instance; a running instance with the same number is replaced.
     Start {
         /// Seed of the instance's random numbers.
         seed: u64,
         /// Settings of the instance, a JSON text.
         settings: Vec<u8>,
     },
-    /// Stop the instance.
+    /// Stop the instance; later events for it are ignored.
     Stop,
     /// Pass the event to the balancer of the instance.
     Event(Event),
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `frame`.
+//! Unit tests of decoding batches and encoding replies.
 
 use kitefork_balancer::{Action, BackendId, Event, LogEvent, RequestId, TimerId};
 
@@ -60,9 +60,11 @@
     let code_text = "batch 9, offset 20: unknown event code 99";
     assert_frame_error(1, &record(99, &[]), code_text);
     let settings = record(22, &[(15, &1u32.to_le_bytes())]);
-    assert_frame_error(1, &settings, "batch 9, offset 31: data outside the tail");
+    let settings_text = "batch 9, offset 31: a record refers to data outside the tail of the frame";
+    assert_frame_error(1, &settings, settings_text);
     let list = record(23, &[(7, &u32::MAX.to_le_bytes())]);
-    assert_frame_error(1, &list, "batch 9, offset 23: data outside the tail");
+    let list_text = "batch 9, offset 23: a record refers to data outside the tail of the frame";
+    assert_frame_error(1, &list, list_text);
     let update = record(20, &[]);
     assert_frame_error(1, &update, "batch 9, offset 27: unknown endpoint list 0");
     let mode = record(20, &[(9, &[3])]);
--- a/crates/simulator/src/host_tests.rs
+++ b/crates/simulator/src/host_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `host`.
+//! Unit tests of the host: replies to batches, failed starts and truncated input.
 
 use super::*;
 
