--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn drained_backend_returns_only_with_a_newer_list_or_start() {
+fn drained_backend_is_used_again_only_after_a_newer_list_or_a_restart() {
     let mut node = TestNode::start();
     let other_backend = StandIn::new();
     let address = node.backend.address();
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn node_starts_serves_and_exits_with_every_allowed_setting() {
+fn node_starts_serves_and_exits_with_each_variant_of_the_settings() {
     let fixed_variants = VARIANTS.map(|(name, default_text, replacement)| ConfigVariant {
         name,
         default_text,
