--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -65,8 +65,9 @@
 }
 
 impl RuleChecker {
-    /// If a backend is draining, requires its idle connections to be closed after `now`. Called
-    /// when an update first lists it as draining, and whenever an attempt there ends.
+    /// If a backend is draining, requires its idle connections to be closed within the limit,
+    /// counted from `now`. Called when an update first lists the backend as draining, and whenever
+    /// an attempt there ends.
     fn require_close_if_draining(&mut self, now: Nanos, backend: BackendId) {
         if self.endpoint_states.get(&backend) == Some(&EndpointState::Draining) {
             self.close_since.insert(backend, now);
@@ -415,7 +416,7 @@
 }
 
 #[test]
-fn possibly_executed_non_idempotent_request_gets_no_second_attempt() {
+fn possibly_executed_non_idempotent_request_gets_no_further_attempt() {
     let attempt_ends = prop::collection::vec((any_outcome(), 0u64..40), 6);
     let request_plans = prop::collection::vec((attempt_ends, any::<bool>()), 1..12);
     deterministic_runner(500)
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -62,9 +62,9 @@
             .expect("there are four runs")
     };
     let (short_list, long_list) = (min_cpu_time(200), min_cpu_time(3_200));
-    // With sixteen times the backends, `make scale` allows 1.4 times the cost of the whole node, of
-    // which the decisions are a small part. A scan of the whole list for each pick took eleven
-    // times the CPU time.
+    // With sixteen times the backends, `make scale` allows 1.4 times the cost of the whole node.
+    // Decisions are a small part of that cost, so their own limit is higher. Scanning the whole
+    // list for each pick would take eleven times the CPU time.
     assert!(
         long_list < 3 * short_list,
         "{short_list:?} with 200 backends, {long_list:?} with 3,200"
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn picks_are_distributed_as_by_a_full_scan() {
+fn picks_are_distributed_as_if_the_whole_list_was_scanned() {
     // The expected fractions are those of a scan of the whole list for each pick: means of 48 runs,
     // with standard errors up to 0.013.
     for (proxy_count, backend_count, rate, expected) in [
