--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn write_behaviour_duplicates_bytes_or_splits_them_into_pieces() {
+async fn client_receives_bytes_twice_if_duplicated_and_once_otherwise() {
     let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     for (behaviour, expected) in [
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn answer_and_repeat_violations_are_reported_exactly() {
+fn violations_by_answers_and_repeats_are_reported_and_no_others() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn remaining_time_above_the_clients_own_is_reported() {
+fn remaining_time_that_exceeds_the_clients_by_more_than_the_slack_is_reported() {
     for (remaining, expected) in [
         (790, &[][..]),
         (
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn killed_or_paused_node_excuses_only_its_own_requests_at_that_time() {
+fn lost_connection_is_excused_only_if_a_signal_ended_or_paused_its_node_then() {
     const NEVER_ANSWERED: &[&str] = &["never answered"];
     const BAD_EXIT: &[&str] = &[
         "never answered",
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn node_never_resumed_excuses_its_misbehaving_clients() {
+fn missing_answers_to_misbehaving_clients_are_excused_if_the_node_stays_paused() {
     for (node, expected) in [
         (3, &[][..]),
         (4, &["a request that was read was never answered"]),
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn unmet_and_uncounted_expectations_are_named() {
+fn unmet_expectations_and_missing_figures_are_reported() {
     let text = format!(
         "{MINIMAL}[[expect]]\nfigure = \"a\"\nmost = 2\n[[expect]]\nfigure = \"b\"\nleast = 1\n"
     );
@@ -93,7 +93,7 @@
 ];
 
 #[test]
-fn old_key_spellings_parse_to_the_same_scenario() {
+fn old_spellings_of_keys_parse_to_the_same_scenario_as_the_current_ones() {
     let parse = |text: &str| format!("{:?}", Scenario::parse(text).unwrap());
     for (old, new) in SPELLINGS {
         assert_eq!(
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn file_in_old_spelling_parses_to_the_same_scenario() {
+fn file_in_old_spelling_parses_to_the_same_scenario_as_in_the_current_one() {
     let old = include_str!("../tests/data/old-spelling.toml");
     let new = include_str!("../tests/data/current-spelling.toml");
     let parse = |text: &str| format!("{:?}", Scenario::parse(text).unwrap());
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -58,14 +58,14 @@
 }
 
 seeds! {
-    seed_1 1,
-    seed_2 2,
-    seed_3 3,
-    seed_4 4,
+    soak_with_seed_1_breaks_no_rule 1,
+    soak_with_seed_2_breaks_no_rule 2,
+    soak_with_seed_3_breaks_no_rule 3,
+    soak_with_seed_4_breaks_no_rule 4,
 }
 
 #[test]
-fn quiet_time_delays_all_steps_but_the_start() {
+fn quiet_time_delays_the_traffic_and_all_steps_except_the_start() {
     let plan = soak::draw_plan(7, NODES);
     let quiet = soak::Plan {
         quiet_s: 60.0,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn same_seed_draws_the_same_plan_and_another_seed_another() {
+fn equal_seeds_draw_equal_plans_and_different_seeds_different_plans() {
     let text = |seed| soak::draw_plan(seed, NODES).to_string();
     assert_eq!(text(7), text(7));
     assert_ne!(text(7), text(8));
