--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -36,7 +36,7 @@
     pub max_connections: usize,
     /// Fraction of the full speed right after a restart.
     pub slow_start_initial_speed: f64,
-    /// Time from a restart to full speed; zero means that there is no slow start.
+    /// Time from a restart to full speed; if it is zero, there is no slow start.
     pub slow_start_duration: Duration,
     /// Seed of the random execution times.
     pub seed: u64,
@@ -45,21 +45,22 @@
 /// How a backend treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub enum BackendMode {
-    /// It executes them at this fraction of its speed and answers 200.
+    /// The backend executes requests at this fraction of its speed and answers 200. The speed is
+    /// lower during slow start.
     Serves(f64),
-    /// It reads them and never answers.
+    /// The backend reads requests and never answers.
     #[default]
     Silent,
-    /// It answers 500 at once.
+    /// The backend answers 500 at once, without executing the request.
     Fails,
-    /// It rejects all of them with 503, unexecuted, as a draining backend does.
+    /// The backend rejects all requests with 503, unexecuted, as a draining backend does.
     Rejects,
 }
 
 /// How an attempt ended at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It has not ended yet.
+    /// The attempt has not ended yet.
     InFlight,
     /// Answered with 200.
     Served,
@@ -89,7 +90,7 @@
     pub arrived: Duration,
     /// When the attempt ended; equal to `arrived` until then.
     pub ended: Duration,
-    /// How the attempt ended.
+    /// How the attempt ended; [`AttemptOutcome::InFlight`] until then.
     pub outcome: AttemptOutcome,
 }
 
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -83,7 +83,7 @@
 pub struct RequestRecord {
     /// The request as it was planned.
     pub request: ClientRequest,
-    /// Number of the node to which the request was sent, or that could not be reached.
+    /// Number of the node to which the client connected, or failed to connect.
     pub node: usize,
     /// When the request ended for its client.
     pub ended: Duration,
@@ -116,7 +116,8 @@
         locked(&self.records).clone()
     }
 
-    /// Sends one request to a node at once, waits until it has ended and records its outcome.
+    /// Sends one request to a node without waiting for the planned time, then waits until the
+    /// request has ended and records its outcome.
     pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
         let deadline = self
             .clock
@@ -171,7 +172,7 @@
         node: usize,
         address: SocketAddr,
     ) -> ClientOutcome {
-        // Set if this try uses a new connection, or is the second one.
+        // Whether no other try may follow: this one uses a new connection, or is the second try.
         let mut is_last_try = false;
         loop {
             let reused = self.take_idle_connection(node);
@@ -214,7 +215,7 @@
         .await
         .ok()?;
     tokio::spawn(async move {
-        // The result is not needed: the request on the connection fails with it.
+        // The result is not needed: if the connection fails, the request on it fails too.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -19,14 +19,14 @@
 /// How the discovery service treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
-    /// It answers calls, within its capacity.
+    /// The service answers calls, within its capacity.
     #[default]
     Up,
-    /// It answers 503 at once.
+    /// The service answers 503 at once.
     Overloaded,
-    /// It reads calls and never answers.
+    /// The service reads calls and never answers.
     Silent,
-    /// It closes the connection in the middle of an answer.
+    /// The service closes the connection in the middle of each answer.
     Truncates,
 }
 
@@ -44,23 +44,23 @@
 /// One call of a node: a poll of the whole list, or a watch.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
-    /// Number of the node: each node calls its own listener.
+    /// Number of the node that called. The service knows it because each node calls another port.
     pub node: usize,
     /// When the call arrived.
     pub arrived: Duration,
     /// When the call was answered; equal to `arrived` while it is unanswered.
     pub ended: Duration,
-    /// How the call ended.
+    /// How the call ended; [`CallOutcome::Unanswered`] until then.
     pub outcome: CallOutcome,
 }
 
 /// A list, or a watch event (a line with changes), that was written to a node.
 #[derive(Clone, Debug)]
 pub struct Notification {
-    /// Number of the node that it was written to.
+    /// Number of the node that the notification was written to.
     pub node: usize,
-    /// When the service began to write it.
+    /// When the service began to write the notification.
     pub written_at: Duration,
-    /// Revision of the node's endpoint list after it.
+    /// Revision of the node's endpoint list after this notification.
     pub revision: u64,
 }
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-/// State of an endpoint.
+/// Whether a backend is on the endpoint list, and whether it accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// The backend accepts requests.
@@ -38,7 +38,7 @@
     pub zone: String,
     /// Cell of the backend; `pod_group` in the protocol.
     pub cell: u16,
-    /// State of the endpoint.
+    /// Whether the backend is ready, draining or removed from the list.
     pub state: EndpointState,
     /// Unix time of the backend's last start in milliseconds; 0 means long ago.
     pub boot_ms: u64,
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -19,7 +19,7 @@
 
 /// Backlog of the listener: connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// Delay before another attempt to listen on a port that still has a listener.
+/// Delay before the link tries again to listen on a port that still has a listener.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Whether a link passes bytes and connections.
@@ -40,18 +40,18 @@
 /// How the bytes that the stand-in writes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WriteBehaviour {
-    /// They are sent as written.
+    /// The bytes are sent as written.
     #[default]
     Unchanged,
     /// The bytes of each write are sent twice in a row.
     Duplicated,
-    /// They are sent in pieces of a few bytes with a pause after each.
+    /// The bytes are sent in pieces of a few bytes, with a pause after each piece.
     InPieces,
 }
 
-/// Length of a piece in bytes.
+/// Maximum length of a piece for [`WriteBehaviour::InPieces`], in bytes.
 const PIECE_BYTES: usize = 7;
-/// Pause after a piece.
+/// Pause after each piece for [`WriteBehaviour::InPieces`].
 const PIECE_PAUSE: Duration = Duration::from_millis(1);
 
 /// Wakers of the tasks that last polled a connection for reading and for writing.
@@ -77,7 +77,8 @@
     wakers: Mutex<BTreeMap<usize, ConnectionWakers>>,
     /// Wakes the accept loop after a change of the state.
     state_changed: Notify,
-    /// Number of resets so far; a connection is reset if this grows after it was accepted.
+    /// Number of resets so far. A connection is reset if this number has grown since the link
+    /// accepted the connection.
     resets: AtomicU64,
     open_connections: AtomicUsize,
     accepted_connections: AtomicUsize,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Puts an accepted connection under the control of the link.
+    /// Counts an accepted connection and wraps its stream, so that cuts and resets apply to it.
     fn wrap_stream(self: Arc<Self>, stream: TcpStream) -> LinkedStream {
         let _ = stream.set_nodelay(true);
         self.open_connections.fetch_add(1, Ordering::SeqCst);
@@ -224,8 +225,8 @@
         bind(self.address)?.listen(ACCEPT_BACKLOG)
     }
 
-    /// Opens a listener on the port as soon as no other one is open: a process that is being
-    /// started may still hold a copy of the previous one.
+    /// Opens a listener on the port as soon as no other listener on it is open. A process that is
+    /// being started may still hold a copy of the previous listener.
     async fn listen_when_free(&self) -> TcpListener {
         loop {
             if let Ok(listener) = self.listen() {
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of `link`.
+//! Unit tests of a link's faults and of its reserved port.
 
 use super::*;
 use std::sync::atomic::AtomicBool;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Starts a server on a link that returns each byte it reads.
+/// Starts a server that sends each byte back; returns its link and its address.
 async fn echo_server() -> (Arc<Link>, SocketAddr) {
     let link = Arc::new(Link::default());
     let on_connection = |mut stream: LinkedStream| {
@@ -79,8 +79,8 @@
     (0..3).map(|_| spawn_starter(stop.clone())).collect()
 }
 
-/// Guards against losing a link's port to another socket: a process that is being started holds a
-/// copy of the closed listener, so that the link can't bind its port at once.
+/// A process that is being started holds a copy of the closed listener, so the link can't listen on
+/// its port again at once. Until the link can, no other socket may get the port.
 #[tokio::test]
 async fn refusing_link_keeps_its_port_while_processes_are_started() {
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -14,17 +14,17 @@
 /// How a client misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It sends its request and closes the connection after this time.
+    /// The client sends its request and closes the connection after this time.
     Disconnects(Duration),
-    /// It shuts down its sending direction after the request and waits for the answer.
+    /// The client shuts down its sending direction after the request and waits for the answer.
     HalfCloses,
-    /// It sends its request in pieces, with a pause after each.
+    /// The client sends its request in pieces, with a pause after each piece.
     Trickles,
-    /// It sends the first half of a request and keeps the connection open.
+    /// The client sends the first half of a request and keeps the connection open.
     StopsMidway,
-    /// It connects and sends nothing.
+    /// The client connects and sends nothing.
     Silent,
-    /// It sends two requests at once, without waiting for the first answer.
+    /// The client sends two requests at once, without waiting for the first answer.
     Pipelines,
 }
 
@@ -37,9 +37,9 @@
     Behaviour::Pipelines,
 ];
 
-/// Number of pieces of a request that trickles.
+/// Maximum number of pieces in which [`Behaviour::Trickles`] sends a request.
 const TRICKLE_PIECES: usize = 5;
-/// Pause after each piece.
+/// Pause of [`Behaviour::Trickles`] after each piece.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(60);
 /// Minimum time that a client waits for its answers, before [`LATE_ANSWER_MARGIN`] is added.
 const MIN_ANSWER_WAIT: Duration = Duration::from_secs(3);
@@ -51,7 +51,8 @@
 pub struct MisbehavingRequest {
     /// Identifier of the request, unique in the run; a pipelined second request has `b` appended.
     pub txn: String,
-    /// Name of the class of the request; its requests are idempotent or have an idempotency key.
+    /// Name of the class of the request. The requests of this class are idempotent or have an
+    /// idempotency key.
     pub class: String,
     /// Whether the request is sent as `POST` with an idempotency key; otherwise it is a `GET`.
     pub has_key: bool,
--- a/crates/standin/src/random.rs
+++ b/crates/standin/src/random.rs
@@ -3,7 +3,7 @@
 use rand::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Random bits of a draw: as many as the mantissa of an `f64` holds.
+/// Number of random bits in a draw: as many as the mantissa of an `f64` holds.
 const MANTISSA_BITS: u32 = 53;
 
 /// A xoshiro256++ generator; the same seed gives the same draws on every machine.
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -44,13 +44,14 @@
 const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
 /// Multiple of its current capacity above which a backend in slow start is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// Time that the referee allows nodes beyond their own grace and slack.
+/// Time that the referee allows nodes beyond [`DRAIN_GRACE`] and beyond [`ANSWER_SLACK`].
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
 /// Time for which the run continues after the last time at which a final answer may arrive.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
-/// Keeps the seeds of backends apart in runs with different seeds.
+/// Multiplier of the run's seed. The product plus a backend's number is the backend's seed, so that
+/// runs with different seeds share no backend seeds.
 const BACKEND_SEED_MULTIPLIER: u64 = 1_000_003;
 
 /// Processes, stand-ins and records of a run.
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -74,8 +74,8 @@
         node.start(&self.process_settings, self.clock)
     }
 
-    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list at
-    /// this time.
+    /// Sends a node the signal that ends its process. Before that, writes the current endpoint list
+    /// into the node's configuration, with which the next incarnation starts.
     fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         self.write_config_with_current_list(number)?;
         self.signal(number, signal);
--- a/crates/testbed/src/cluster/front.rs
+++ b/crates/testbed/src/cluster/front.rs
@@ -15,19 +15,19 @@
 use super::Cluster;
 use crate::scenario::duration_from_secs;
 
-/// Time between two rounds over all nodes.
+/// Pause between two rounds; a round updates the admission of each node.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
-/// Number of rounds between two samples of the resource usage.
+/// Number of rounds from one sample of the resource usage to the next.
 const ROUNDS_PER_SAMPLE: u32 = 10;
-/// A health check that takes longer has failed.
+/// Time after which an unfinished health check counts as failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 const HEALTH_CHECK_REQUEST: &[u8] =
     b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
 /// Length of `HTTP/1.1 200`, in bytes.
 const STATUS_PREFIX_LENGTH: usize = 12;
 
-/// Admits nodes once their health check succeeds, and stops sending clients to a dead node only
-/// after the scenario's `notice_s`. Runs until its task is aborted.
+/// Admits a node once its health check succeeds, and ends the admission of a dead node only after
+/// the scenario's `notice_s`. Runs until its task is aborted.
 pub(super) async fn admit_nodes(cluster: Arc<Cluster>) {
     let mut down_since: BTreeMap<usize, Duration> = BTreeMap::new();
     let mut round = 0u32;
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -16,7 +16,8 @@
 use super::Cluster;
 use crate::scenario::{Class, Scenario, Traffic, duration_from_secs};
 
-/// Makes the draws for misbehaving clients differ from those for well-behaved ones.
+/// Mask that is combined (XOR) with the run's seed, so that the draws for misbehaving clients
+/// differ from those for well-behaved clients.
 const MISBEHAVING_SEED_MASK: u64 = 0x0dd;
 
 /// Arrival times of a Poisson process within the traffic period of a scenario.
@@ -51,7 +52,8 @@
 }
 
 impl Cluster {
-    /// Draws an admitted node; `None` if there is none, or if its address is not known yet.
+    /// Draws an admitted node; `None` if no node is admitted, or if the drawn node's address is not
+    /// known yet.
     fn draw_node(&self, random: &mut RandomSource) -> Option<AdmittedNode> {
         let admitted = self.admitted_nodes();
         let number = admitted
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -12,9 +12,10 @@
 };
 use crate::scenario::{Class, Known};
 
-/// Keeps the seeds of nodes apart in runs with different seeds.
+/// Multiplier of the run's seed. The product plus a node's number is the node's seed, so that runs
+/// with different seeds share no node seeds.
 const NODE_SEED_MULTIPLIER: u64 = 7_919;
-/// Number of endpoints out of ten whose uid in a stale list is that of no backend.
+/// Number of endpoints in ten that have the uid of a former backend in a stale list.
 const STALE_TENTHS: usize = 3;
 
 impl Cluster {
@@ -119,8 +120,8 @@
     }
 }
 
-/// Endpoint as a stale list has it. Some get the uid of a former backend, whose address now belongs
-/// to another backend.
+/// Endpoint as a stale list has it. Some endpoints get the uid of a former backend: its address now
+/// belongs to a current backend.
 fn stale_endpoint((number, endpoint): (usize, &Endpoint)) -> Endpoint {
     let mut stale = endpoint.clone();
     if number % 10 < STALE_TENTHS {
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -10,7 +10,7 @@
 pub(super) struct Event {
     /// Time after the start of the run.
     pub at: Duration,
-    /// Action that is applied.
+    /// Action that is applied to discovery, or to the node or backend `number`.
     pub action: Action,
     /// Number of the node or backend; 0 for discovery.
     pub number: usize,
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Reads a scenario. With another number of nodes, the number of backends and the request rate are
-/// scaled in proportion.
+/// Reads a scenario. If `nodes` is given, it replaces the number of nodes, and the number of
+/// backends and the request rate are scaled in proportion.
 fn read_scenario(file: &Path, nodes: Option<usize>) -> Result<Scenario, CommandError> {
     let text = std::fs::read_to_string(file).map_err(CommandError::for_file(file))?;
     let scenario = Scenario::parse(&text);
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -5,7 +5,8 @@
 use super::{CommandError, FigureSeries, Verdict, read_scenario, run_scenario};
 use crate::CompareArguments;
 
-/// Executes the command.
+/// Runs the scenario with each program and prints minimum, median and maximum of each figure. The
+/// verdict is always [`Verdict::Passed`].
 pub fn run(arguments: &CompareArguments) -> Result<Verdict, CommandError> {
     let series = run_alternately(arguments)?;
     println!(
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -12,7 +12,8 @@
 /// Maximum number of violations that are printed.
 const MAX_VIOLATIONS: usize = 10;
 
-/// Executes the command.
+/// Runs the scenario, prints its report and writes the requested files. The verdict is
+/// [`Verdict::Failed`] if the report has a violation, an unmet expectation or a panic.
 pub fn run(arguments: &RunArguments) -> Result<Verdict, CommandError> {
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -9,7 +9,8 @@
 /// Maximum number of violations and panics that are printed for a seed that fails.
 const MAX_VIOLATIONS: usize = 5;
 
-/// Executes the command.
+/// Runs the seeds one after the other and prints their results. The verdict is [`Verdict::Failed`]
+/// if a seed fails.
 pub fn run(arguments: &SoakArguments) -> Result<Verdict, CommandError> {
     let runtime = new_runtime()?;
     let programs = Programs::with_adjacent_shim(&arguments.program);
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -41,7 +41,7 @@
 /// One run of a node's process, from its start to its end.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
-    /// Number of the node.
+    /// Number of the node that the process belongs to.
     pub node: usize,
     /// Time at which the process was started.
     pub started: Duration,
@@ -56,9 +56,9 @@
 /// Settings for starting the processes of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessSettings {
-    /// Path of the program.
+    /// Path of the program that the nodes run.
     pub program: PathBuf,
-    /// Names and values of the environment variables.
+    /// Names and values of the environment variables that a process gets besides `BALANCER_CONFIG`.
     pub variables: Vec<(String, String)>,
     /// Whether the log is left unread after its first line.
     pub log_unread: bool,
@@ -207,7 +207,7 @@
         Ok(())
     }
 
-    /// Whether the process is running.
+    /// Whether a process was started and has not ended.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
@@ -234,7 +234,7 @@
         let Some(child) = self.child.as_ref() else {
             return;
         };
-        // A child that was waited for has no id: another process may have got the same one.
+        // `id` is `None` after the process was waited for: another process may have its id by now.
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
@@ -294,7 +294,7 @@
         }
     }
     if unread {
-        // Keeps the pipe open, so that the process blocks on it instead of seeing it closed.
+        // Keeps the pipe open, so that the process finds it full instead of closed.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -34,7 +34,7 @@
     pub overload_multiple: f64,
     /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
-    /// Fraction of the full speed at which a backend starts.
+    /// Fraction of the full speed that a backend has right after its start.
     pub slow_start_initial_speed: f64,
     /// Time from the start of a backend to its full speed.
     pub slow_start_duration: Duration,
@@ -42,14 +42,14 @@
     pub mean_execution_time: Duration,
 }
 
-/// A period in which a node was stopped, including the time that it had to catch up.
+/// A period in which a node was paused (SIGSTOP), including the time that it had to catch up.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
-    /// Number of the node.
+    /// Number of the paused node.
     pub node: usize,
-    /// Time at which the node was stopped.
+    /// Time at which the node was paused.
     pub from: Duration,
-    /// End of the time to catch up; [`Duration::MAX`] while the node is stopped.
+    /// End of the time to catch up; [`Duration::MAX`] while the node is paused.
     pub until: Duration,
 }
 
@@ -77,7 +77,7 @@
     pub endpoint_changes: Vec<EndpointChange>,
     /// Incarnations of all nodes.
     pub incarnations: Vec<Incarnation>,
-    /// Periods in which nodes were stopped.
+    /// Periods in which nodes were paused.
     pub pauses: Vec<Pause>,
     /// Restarts of backends.
     pub backend_starts: Vec<BackendStart>,
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -1,4 +1,5 @@
-//! Rules for the attempts that all nodes together send to a backend.
+//! Rules for the attempts that a backend receives: none from a node that was notified of its drain
+//! or removal, and no more from all nodes together than it can take in slow start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +39,7 @@
         history
     }
 
-    /// Latest revision of which a node had been notified at this time.
+    /// Latest revision of which a node had been notified at this time; `None` if there was none.
     fn notified_revision(&self, node: usize, at: Duration) -> Option<u64> {
         let notifications = self.notifications.get(&node).into_iter().flatten();
         notifications
@@ -47,8 +48,8 @@
             .max()
     }
 
-    /// Returns the node that sent an attempt, if it had been notified that the backend drains or
-    /// was removed, and the grace since then was over.
+    /// Returns the node that sent an attempt, if the node had been notified that the backend drains
+    /// or was removed, and the grace after this notification was over.
     fn sender_after_drain(&self, rules: &Rules, attempt: &Attempt) -> Option<usize> {
         let node = *self.node_by_request.get(attempt.txn.as_str())?;
         let changes = self.changes.get(attempt.uid.as_str())?;
@@ -56,8 +57,8 @@
         let revision = self.notified_revision(node, attempt.arrived.saturating_sub(grace));
         let latest_first = || changes.iter().rev();
         let notified_change = latest_first().find(|change| Some(change.revision) <= revision)?;
-        // The backend may have become ready again since then, and the node may have been notified
-        // of it. Changes after the attempt do not count.
+        // After that change, the backend may have become ready again, and the node may have been
+        // notified of this. Changes after the attempt do not count.
         let last_change = latest_first().find(|change| change.published_at <= attempt.arrived);
         let is_ready_again =
             last_change.is_some_and(|change| change.endpoint.state == EndpointState::Ready);
@@ -67,7 +68,8 @@
     }
 }
 
-/// Finds the attempts that were sent to a backend after the grace of its drain or removal.
+/// Finds the attempts that were sent to a backend after the grace that follows the notification of
+/// its drain or removal.
 pub(super) fn sends_after_drain(rules: &Rules, records: &Records) -> Vec<Violation> {
     let history = EndpointHistory::new(records);
     let violation = |attempt: &Attempt| {
--- a/crates/testbed/src/referee/misbehaving.rs
+++ b/crates/testbed/src/referee/misbehaving.rs
@@ -7,7 +7,7 @@
 
 use super::{OBSERVATION_DELAY, Records, Rule};
 
-/// Time after a client's disconnect in which an attempt for it may still begin.
+/// Time after a client's disconnect in which an attempt for the client's request may still begin.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 /// Time within which a client that stops in the middle of a request must get an error, or its
 /// connection must be closed.
@@ -36,7 +36,7 @@
     broken
 }
 
-/// Whether the client's node got SIGTERM or SIGKILL, ended, or was stopped around the time of the
+/// Whether the client's node got SIGTERM or SIGKILL, ended, or was paused around the time of the
 /// client's connection.
 fn is_excused(records: &Records, record: &MisbehavingRecord, connected: Duration) -> bool {
     let wait = record.request.client_timeout.max(PARTIAL_REQUEST_TIMEOUT);
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -8,7 +8,7 @@
 use super::{OBSERVATION_DELAY, Records, Rule, Rules};
 use crate::node::Incarnation;
 
-/// Maximum by which the remaining time that a backend is sent may exceed the client's.
+/// Maximum by which the remaining time that a backend is sent may exceed that of the client.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 /// A request that is sent this long after SIGTERM may get no answer because the process ends.
 const SHUTDOWN_NOTICE_TIME: Duration = Duration::from_millis(700);
@@ -80,8 +80,8 @@
     (!is_excused(records, record, end)).then_some(broken_rule)
 }
 
-/// Whether the request's node was killed or stopped during the request, or ended during a request
-/// that was sent [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later.
+/// Whether the request's node was killed or paused during the request. A request that was sent
+/// [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later is also excused if the node ended during it.
 fn is_excused(records: &Records, record: &RequestRecord, end: Duration) -> bool {
     let planned = record.request.planned;
     let node_ended = records
@@ -96,8 +96,8 @@
     node_ended || node_paused
 }
 
-/// Whether the process was killed during a request, or ended during one that was sent
-/// [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later.
+/// Whether the process was killed during a request. For a request that was sent
+/// [`SHUTDOWN_NOTICE_TIME`] after SIGTERM or later: also whether the process ended during it.
 fn ended_during_request(incarnation: &Incarnation, planned: Duration, end: Duration) -> bool {
     let Some(signal) = incarnation.stop_signal else {
         return false;
--- a/crates/testbed/src/referee/violation.rs
+++ b/crates/testbed/src/referee/violation.rs
@@ -12,7 +12,7 @@
 /// A rule that the referee checks, named after its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A body answered with 200 is one that a backend sent for an attempt of the same request.
+    /// The body of an answer 200 is one that a backend sent for an attempt of the same request.
     AnswerOfNoBackend,
     /// A request that is not idempotent is not rejected if it may have been executed, as its client
     /// would send it again.
@@ -35,9 +35,10 @@
     AttemptAfterDisconnect,
     /// A request that was read completely is answered, unless its client disconnects.
     ReadButNotAnswered,
-    /// An incomplete request is answered with an error or a close in time.
+    /// A client that stops in the middle of a request gets an error or a closed connection in time.
     HalfRequestIgnored,
-    /// No attempt is sent to a backend after the grace of its drain or removal.
+    /// A node that was notified of a backend's drain or removal sends the backend no attempt after
+    /// the grace that follows.
     SentAfterDrain,
     /// All nodes together send a backend in slow start no more attempts than it can take.
     SlowStartOverload,
@@ -91,7 +92,7 @@
 pub enum Violation {
     /// The outcome or the attempts of a request broke a rule.
     Request {
-        /// Broken rule.
+        /// Rule that the outcome or the attempts broke.
         rule: Rule,
         /// Request and its outcome for the client.
         record: RequestRecord,
@@ -100,7 +101,7 @@
     },
     /// A rule was broken for a misbehaving client.
     MisbehavingClient {
-        /// Broken rule.
+        /// Rule that was broken for the client.
         rule: Rule,
         /// Request and its outcome for the client.
         record: MisbehavingRecord,
@@ -129,7 +130,7 @@
     BadExit {
         /// Incarnation that ended.
         incarnation: Incarnation,
-        /// End of the process.
+        /// Time and exit code of the end.
         exit: Exit,
     },
     /// A node logged a violation that it detected itself.
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -69,12 +69,12 @@
     answered(503, "refused")
 }
 
-/// One attempt, which is served.
 fn served_attempt() -> Vec<Attempt> {
     vec![attempt("a", 1, 1_010, 1_100, Served)]
 }
 
-/// An attempt in cell 2 with this outcome, and a second one in `cell`, which is served.
+/// An attempt in cell 2 with this outcome, and a second attempt in `cell`, which arrives at
+/// `arrived` milliseconds and is served.
 fn retried(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
     vec![
         attempt("b", 2, 1_010, 1_300, outcome),
@@ -199,7 +199,8 @@
     }
 }
 
-/// An incarnation of node 3, with times in milliseconds.
+/// An incarnation of node 3. `stop` has the time of the first signal and whether SIGKILL was sent,
+/// `exit` the time of the end and the exit code; times are in milliseconds.
 fn incarnation(stop: Option<(u64, bool)>, exit: Option<(u64, Option<i32>)>) -> Incarnation {
     Incarnation {
         node: 3,
@@ -236,7 +237,7 @@
     for (stop, exit, expected) in [
         (Some((1_200, true)), Some((1_201, None)), &[][..]),
         (Some((2_200, true)), Some((2_201, None)), NEVER_ANSWERED),
-        // SIGTERM excuses only requests that were sent long after it.
+        // SIGTERM excuses only requests that were sent long after the signal.
         (Some((900, false)), Some((1_201, Some(0))), NEVER_ANSWERED),
         (Some((200, false)), Some((1_201, Some(0))), &[]),
         (None, Some((5_000, Some(101))), BAD_EXIT),
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -83,7 +83,7 @@
 /// Values of a figure with both lists.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// Name of the figure.
+    /// Name of the figure in the reports.
     pub figure: &'static str,
     /// Value with the baseline list.
     pub baseline: f64,
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -23,13 +23,13 @@
     pub length_s: f64,
     /// Numbers of nodes and backends, and the settings for starting the nodes.
     pub fleet: Fleet,
-    /// Parameters of the discovery service.
+    /// Parameters of the discovery service; each has a default.
     #[serde(default, alias = "list")]
     pub discovery: Discovery,
-    /// Parameters of each backend.
+    /// Parameters that all backends have; each has a default.
     #[serde(default)]
     pub backend: BackendParameters,
-    /// Traffic that the clients send.
+    /// Traffic that the clients send; none if absent.
     #[serde(default)]
     pub traffic: Traffic,
     /// Steps of the run, in any order.
@@ -50,7 +50,7 @@
 pub struct Fleet {
     /// Number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Number of backends.
+    /// Number of backends; discovery lists all of them at the start of the run.
     pub backends: usize,
     /// Number of zones, to which nodes and backends are assigned in turn.
     #[serde(default = "default_zones")]
@@ -95,7 +95,7 @@
     Stale,
 }
 
-/// Parameters of the discovery service.
+/// Capacity of the discovery service, and how the nodes' settings say that they get its lists.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
@@ -104,10 +104,12 @@
     /// Processing time of each endpoint in an answer, in microseconds.
     #[serde(alias = "row_us")]
     pub endpoint_us: f64,
-    /// Maximum time that a call waits in the queue, in milliseconds.
+    /// Maximum time that a call waits in the queue, in milliseconds; a call that would wait longer
+    /// gets 503.
     #[serde(alias = "most_wait_ms")]
     pub max_wait_ms: f64,
-    /// Number of changes that are kept for watches that resume.
+    /// Maximum number of changes that discovery keeps. A watch that missed only these changes can
+    /// resume without the whole list.
     pub history: usize,
     /// Whether the nodes' settings say that lists are pushed to them.
     pub pushed: bool,
@@ -125,7 +127,7 @@
     }
 }
 
-/// Parameters of a backend.
+/// Capacity and speed of each backend.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendParameters {
@@ -133,10 +135,10 @@
     pub work_ms: f64,
     /// Time that a backend spends on each new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Maximum number of requests in flight.
+    /// Maximum number of requests in flight; further requests are rejected unexecuted.
     #[serde(alias = "room")]
     pub capacity: usize,
-    /// Maximum number of connections.
+    /// Maximum number of connections; requests on further ones are rejected unexecuted.
     pub connections: usize,
     /// Fraction of the full speed at the start of slow start.
     #[serde(alias = "cold_from")]
@@ -178,7 +180,7 @@
     pub class: Vec<Class>,
 }
 
-/// A class of requests.
+/// A class of requests with the same idempotency, client timeout and weight.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
@@ -240,7 +242,7 @@
     /// Time of the step, in seconds after the start of the run.
     #[serde(rename = "s")]
     pub at_s: f64,
-    /// Action that is applied.
+    /// Action that is applied to discovery or to each affected node or backend.
     #[serde(rename = "do")]
     pub action: Action,
     /// Range of the affected nodes or backends, as fractions of their numbers from 0 to 1; all if
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -44,7 +44,7 @@
     /// An expectation has no bound.
     #[error("expect `{figure}`: neither least nor most is given")]
     NoBound {
-        /// Name of the figure.
+        /// Name of the figure in the expectation.
         figure: String,
     },
 }
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `scenario`.
+//! Unit tests of parsing scenarios and of checking their expectations.
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,6 +1,6 @@
-//! Soak test: a seed draws a fleet, its settings and several faults that overlap in time, and the
-//! referee checks the run. A seed that fails is run again with fewer faults, to find those that the
-//! failure needs.
+//! Soak test: a seed draws a fleet, its settings and several faults that can overlap in time, and
+//! the referee checks the run. A seed that fails is run again with fewer faults, to find the faults
+//! without which the run passes.
 
 mod fault;
 mod plan;
@@ -25,7 +25,7 @@
 /// Options for running seeds.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Number of nodes.
+    /// Number of nodes in the fleet of each seed.
     pub nodes: usize,
     /// Seconds of idle time before the traffic and the faults start.
     pub quiet_s: f64,
@@ -33,7 +33,8 @@
     pub shrink: bool,
 }
 
-/// Runs a seed. If it fails, removes one fault at a time for as long as the run still fails.
+/// Runs a seed. If the run fails and [`Options::shrink`] is set, removes one fault at a time for as
+/// long as the run still fails.
 ///
 /// # Errors
 ///
@@ -54,7 +55,8 @@
     Ok(result)
 }
 
-/// Runs the plan without each of its faults in turn; returns the first run that still fails.
+/// Runs the plan without each of its faults in turn; returns the first run that still fails, `None`
+/// if all pass.
 async fn drop_one_fault(plan: &Plan, programs: &Programs) -> io::Result<Option<SeedResult>> {
     for index in 0..plan.faults.len() {
         let plan = plan.without_fault(index);
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -4,7 +4,7 @@
 
 use crate::scenario::{Action, Scenario, Step};
 
-/// Kind of fault.
+/// Kind of fault that a seed can draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// Nodes are shut down gracefully and restarted.
@@ -41,7 +41,8 @@
     BackendCrash,
     /// Calls of the nodes to the C library fail with some probability during the fault.
     SystemCalls,
-    /// Nodes' wall clocks are off during the fault: they step at its start and back at its end.
+    /// Nodes' wall clocks are off during the fault: they step when the fault starts, and step back
+    /// when it ends.
     ClockStep,
     /// Nodes' logs are not read after their first line.
     LogUnread,
@@ -123,13 +124,14 @@
 const BACKEND_START_AFTER_S: f64 = 1.2;
 /// Seconds over which each step of a fault is spread.
 const STEP_SPREAD_S: f64 = 0.2;
-/// Minimum descriptor limit that the fault sets for the nodes; the maximum is twice this value.
+/// Minimum of the descriptor limit that [`FaultKind::FewDescriptors`] sets; the limit stays below
+/// twice this value.
 const MIN_DESCRIPTORS: usize = 64;
 
 /// A fault with its time and the range of the nodes or backends that it affects.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// Kind of the fault.
+    /// Kind of the fault; determines its steps and its node settings.
     pub kind: FaultKind,
     /// Start of the fault, in seconds after the start of the run.
     pub from_s: f64,
@@ -231,7 +233,7 @@
         vec![self.step(from, start_action), self.step(to, end_action)]
     }
 
-    /// Sets the node settings of the fault, if it consists of settings.
+    /// Sets the node settings that implement the fault; does nothing if only steps implement it.
     fn add_to_fleet(&self, scenario: &mut Scenario) {
         let fleet = &mut scenario.fleet;
         match self.kind {
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -13,7 +13,7 @@
 
 /// End of the traffic, in seconds after the start of the run.
 const TRAFFIC_END_S: f64 = 10.0;
-/// Seconds after the traffic, in which the last answers can arrive.
+/// Time from the end of the traffic to the end of the run, in seconds, for the last answers.
 const SETTLING_S: f64 = 2.0;
 /// Start of the traffic, in seconds after the start of the run.
 const TRAFFIC_START_S: f64 = 1.5;
@@ -21,11 +21,12 @@
 const REQUEST_RATE_PER_NODE: f64 = 6.0;
 /// Misbehaving clients per second for each node.
 const MISBEHAVING_RATE_PER_NODE: f64 = 1.0;
-/// Minimum number of backends.
+/// Minimum number of backends in a drawn fleet.
 const MIN_BACKENDS: usize = 8;
 /// Maximum number of descriptors of a node, unless a fault lowers it.
 const DESCRIPTOR_LIMIT: usize = 512;
-/// 2^64 divided by the golden ratio, by which neighbouring seeds are spread over all 64-bit values.
+/// 2^64 divided by the golden ratio. Multiplying by this value spreads neighbouring seeds over all
+/// 64-bit values.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Fleet, settings and faults that a seed has drawn.
@@ -152,7 +153,7 @@
 }
 
 impl Plan {
-    /// Builds the scenario with all faults, delayed by the idle time.
+    /// Builds the scenario with all faults. Its traffic and faults are delayed by the idle time.
     pub fn scenario(&self) -> Scenario {
         let mut scenario = self.base.clone();
         scenario.length_s += self.quiet_s;
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,6 +1,7 @@
 //! Runs every scenario of the repository at a small size with real processes of the node. No rule
-//! may be broken, no process may panic, and all nodes must get an endpoint list. The bounds in the
-//! scenario files are not checked here, as the machine may be busy; `make fleet` checks them.
+//! may be broken, no process may panic, all nodes must get an endpoint list, and some of the
+//! traffic must be served. The bounds in the scenario files are not checked here, as the machine
+//! may be busy; `make fleet` checks them.
 
 use std::path::{Path, PathBuf};
 
--- a/tools/check_line_lengths.sh
+++ b/tools/check_line_lengths.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks the line lengths that rustfmt does not: at most 100 columns for comments and 110 for other lines. Other
-# lines exceed rustfmt's 100 columns only where a string literal does.
+# Checks limits that rustfmt does not check: comments have at most 100 columns, other lines at most 110. rustfmt
+# leaves a line longer than 100 columns only if a string literal makes it so long.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/check_pages_tests.py
+++ b/tools/check_pages_tests.py
@@ -1,4 +1,4 @@
-"""Tests of check_pages: each test adds a fault to a small valid checkout in a temporary folder."""
+"""Tests of check_pages: each test changes a small valid checkout in a temporary folder, mostly by adding a fault."""
 
 import tempfile
 import unittest
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -24,7 +24,8 @@
 def events(folder):
     """Yields each trace event as (time, node/incarnation, word, fields).
 
-    Fields of an event about a backend get its uid. `names` has the txn and key of the request, if there is one.
+    The word names the kind of event. The fields of an event about a backend get the backend's uid. The field `names`
+    has the txn and key of the event's request; it is empty if the event is about no request.
     """
     for log_path in sorted(pathlib.Path(folder).glob("*.log")):
         uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, 0
@@ -68,7 +69,7 @@
 
 
 def event_column(word, fields):
-    """Returns the column that counts an event: its outcome, its answer or its word."""
+    """Returns the column that counts an event: its outcome, its answer, `resend` for a further attempt, or its word."""
     if word == "ended":
         return fields["outcome"]
     if word == "answer":
