--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -66,7 +66,7 @@
             most,
         } = &self.expect;
         let Some(measured) = self.measured else {
-            return write!(f, "{figure} was not counted");
+            return write!(f, "{figure}: the report has no such figure");
         };
         write!(f, "{figure} is {measured:.3}, wanted")?;
         if let Some(least) = least {
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -39,7 +39,7 @@
         let unmet = scenario.unmet(&figures(a));
         unmet.iter().map(ToString::to_string).collect()
     };
-    assert_eq!(unmet(2.0), ["b was not counted"]);
+    assert_eq!(unmet(2.0), ["b: the report has no such figure"]);
     assert_eq!(unmet(3.0)[0], "a is 3.000, wanted at most 2");
     assert_eq!(unmet(f64::NAN).len(), 2);
 }
