--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -172,7 +172,7 @@
         node: usize,
         address: SocketAddr,
     ) -> ClientOutcome {
-        // Whether no other try may follow: this one uses a new connection, or is the second try.
+        // Whether this try is the last one: it uses a new connection, or it is the second try.
         let mut is_last_try = false;
         loop {
             let reused = self.take_idle_connection(node);
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -46,7 +46,7 @@
 pub struct DiscoveryCall {
     /// Number of the node that called. The service knows it because each node calls another port.
     pub node: usize,
-    /// When the call arrived.
+    /// When the head of the call arrived at the service.
     pub arrived: Duration,
     /// When the call was answered; equal to `arrived` while it is unanswered.
     pub ended: Duration,
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -65,8 +65,9 @@
 pub struct EndpointChange {
     /// The revision of the list that the change created.
     pub revision: u64,
-    /// When the change was published.
+    /// When the change was made on the list.
     pub published_at: Duration,
-    /// The endpoint after the change.
+    /// The endpoint after the change; its state is [`EndpointState::Removed`] if the change removed
+    /// the endpoint.
     pub endpoint: Endpoint,
 }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -245,7 +245,7 @@
     Ok(socket)
 }
 
-/// A connection that was accepted on a link.
+/// A connection that was accepted on a link; the link's state and resets apply to it.
 pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -21,7 +21,7 @@
 const REMOVAL_DELAY: Duration = Duration::from_secs(1);
 
 impl Cluster {
-    /// Applies an event to its target.
+    /// Applies the action of an event to a node, to discovery or to a backend.
     pub(super) fn apply(self: &Arc<Self>, event: &Event) -> io::Result<()> {
         match event.action.target() {
             Target::Nodes => self.apply_to_node(event.action, event.number),
--- a/crates/testbed/src/cluster/usage.rs
+++ b/crates/testbed/src/cluster/usage.rs
@@ -1,4 +1,4 @@
-//! Resource usage of the node processes.
+//! Samples memory, CPU time and open descriptors of the node processes.
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -31,8 +31,8 @@
     /// Runs one node with a short and with a long list of backends, and checks the required bounds
     /// on its resource usage; the exit code is 1 if a bound is not met.
     Scale(ScaleArguments),
-    /// Runs seeds that each inject overlapping faults into a fleet of nodes; a seed that fails is
-    /// run again with fewer faults.
+    /// Runs seeds that each inject several faults into a fleet of nodes; a seed that fails is run
+    /// again with fewer faults.
     Soak(SoakArguments),
     /// Lists the scenarios of a folder with their descriptions.
     List {
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -29,7 +29,7 @@
     pub is_kill: bool,
 }
 
-/// End of a process.
+/// When and how a process ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
     /// Time at which the end was observed.
@@ -53,7 +53,7 @@
     pub exit: Option<Exit>,
 }
 
-/// Settings for starting the processes of nodes.
+/// Program and environment of the nodes' processes, and whether their logs are read.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessSettings {
     /// Path of the program that the nodes run.
@@ -160,7 +160,7 @@
         std::fs::write(&self.config_path, &text[..text.len() / 2])
     }
 
-    /// Removes the configuration file.
+    /// Removes the configuration file, so that the next reload finds none.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -21,7 +21,7 @@
 /// that a connection is closed only when it is scheduled.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(150);
 
-/// Parameters of the rules.
+/// Times and limits by which the referee judges.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
     /// Time after the client's timeout in which a final answer may still arrive.
@@ -62,7 +62,7 @@
     pub at: Duration,
 }
 
-/// All records that the referee checks.
+/// What the stand-ins and the testbed recorded in a run, for the referee.
 #[derive(Default)]
 pub struct Records {
     /// Requests of well-behaved clients, with their outcomes.
@@ -75,7 +75,7 @@
     pub notifications: Vec<Notification>,
     /// Changes of the endpoint list, in order of revision.
     pub endpoint_changes: Vec<EndpointChange>,
-    /// Incarnations of all nodes.
+    /// Incarnations of all nodes, in order of the node numbers.
     pub incarnations: Vec<Incarnation>,
     /// Periods in which nodes were paused.
     pub pauses: Vec<Pause>,
@@ -103,7 +103,8 @@
     }
 }
 
-/// Checks all rules, and returns every violation.
+/// Checks the records of a run against all rules. Returns every violation except those that nodes
+/// report themselves.
 pub fn find_violations(rules: &Rules, records: &Records) -> Vec<Violation> {
     let attempts = AttemptsByRequest::new(&records.attempts);
     let mut violations = Vec::new();
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -22,7 +22,7 @@
 /// Part of the log lines that report a panic.
 const PANIC_MARKER: &str = "panicked";
 
-/// Everything that a run has recorded.
+/// Everything from which the report of a run is computed.
 pub struct Measurements<'a> {
     /// Scenario that was run.
     pub scenario: &'a Scenario,
@@ -36,9 +36,9 @@
     pub discovery_calls: Vec<DiscoveryCall>,
     /// Number of bytes of lists, watch events and keep-alive lines that discovery wrote to nodes.
     pub discovery_bytes: u64,
-    /// Number of connections that each backend accepted.
+    /// Number of connections that each backend accepted, by backend number.
     pub accepted_connections: Vec<usize>,
-    /// Number of attempts that backends rejected.
+    /// Number of attempts that backends rejected unexecuted.
     pub rejected_attempts: u64,
     /// Resource usage of the node processes.
     pub usage: ResourceUsage,
@@ -67,7 +67,7 @@
 pub struct Report {
     /// Values of all figures, by name.
     pub figures: BTreeMap<String, f64>,
-    /// Main figures of each second.
+    /// Counts for each second since the start of the run.
     pub seconds: Vec<Second>,
     /// Violations of rules, each with all records of the request, node or backend.
     #[serde(rename = "broken", serialize_with = "as_texts")]
--- a/crates/testbed/src/report/timeline.rs
+++ b/crates/testbed/src/report/timeline.rs
@@ -1,4 +1,4 @@
-//! Figures of each second of a run.
+//! Counts for each second of a run.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::Measurements;
 use crate::node::Incarnation;
 
-/// Figures of one second of a run.
+/// Counts for one second of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
     /// Number of calls that discovery received.
@@ -32,7 +32,7 @@
     pub attempts: usize,
 }
 
-/// Computes the figures of each second from the start of the run.
+/// Computes the counts for each second from the start of the run.
 pub(super) fn seconds(measurements: &Measurements) -> Vec<Second> {
     let length = measurements.scenario.length_s.ceil() as usize;
     let mut seconds = vec![Second::default(); length];
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -9,15 +9,15 @@
     Action, BackendParameters, Class, Discovery, Fleet, Known, Scenario, Step, Traffic,
 };
 
-/// Number of backends in the baseline list.
+/// Number of backends in the baseline list, with which the large list is compared.
 pub const BASELINE_BACKENDS: usize = 200;
 /// Number of backends in the large list.
 pub const LARGE_BACKENDS: usize = 3_200;
 /// Minimum of the served fraction with the large list, relative to that with the baseline list.
 pub const MIN_SERVED_RATIO: f64 = 0.85;
-/// Requests per second.
+/// Requests per second in each run.
 const REQUEST_RATE: f64 = 40.0;
-/// Length of the run, in seconds.
+/// Length of each run, in seconds.
 const LENGTH_S: f64 = 25.0;
 /// Number of proxies that the node's settings state.
 const PROXY_COUNT: usize = 300;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -16,7 +16,7 @@
 pub struct Scenario {
     /// One line that describes the scenario.
     pub about: String,
-    /// Seed of all random draws.
+    /// Seed of all random draws: those of the clients, backends, nodes and fault shims.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// Length of the run, in seconds.
@@ -61,7 +61,7 @@
     /// Number of proxies that the nodes' settings state; the number of nodes if absent.
     #[serde(alias = "siblings")]
     pub proxy_count: Option<usize>,
-    /// Maximum number of descriptors of a node.
+    /// Maximum number of descriptors of a node; `limits.sockets` in its configuration.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
     /// Plan of the fault shim that is preloaded into each node; no shim is loaded if it is empty.
@@ -161,7 +161,7 @@
     }
 }
 
-/// Traffic that the clients send.
+/// Rates, period and classes of the requests that clients send.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Traffic {
@@ -251,7 +251,8 @@
     pub part: [f64; 2],
     /// Zone to which the step is limited; all zones if absent.
     pub zone: Option<usize>,
-    /// Seconds over which the action is spread evenly.
+    /// Seconds over which the action is spread evenly over the affected nodes or backends; 0 means
+    /// that the action is applied to all of them at once.
     #[serde(default)]
     pub over_s: f64,
     /// Fraction of the full speed at which backends serve, for [`Action::BackendWorks`].
@@ -267,7 +268,7 @@
     1.0
 }
 
-/// Action of a step.
+/// What a step does.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -277,7 +278,7 @@
     Kill,
     /// Shuts nodes down gracefully (SIGTERM).
     Term,
-    /// Stops nodes (SIGSTOP).
+    /// Pauses nodes (SIGSTOP).
     Stop,
     /// Resumes nodes (SIGCONT).
     Cont,
@@ -335,7 +336,7 @@
     BackendReset,
 }
 
-/// Target of an action.
+/// What an action is applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// Nodes or their links to discovery, by node number.
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -41,7 +41,7 @@
         /// Time of the step, in seconds.
         at_s: f64,
     },
-    /// An expectation has no bound.
+    /// An expectation has neither a minimum nor a maximum.
     #[error("expect `{figure}`: neither least nor most is given")]
     NoBound {
         /// Name of the figure in the expectation.
@@ -49,10 +49,10 @@
     },
 }
 
-/// An expectation that is not met.
+/// An expectation of a scenario that the figures of a run do not meet.
 #[derive(Clone, Debug)]
 pub struct UnmetExpectation {
-    /// Bounds that are not met.
+    /// The expectation: the name of the figure and its bounds.
     pub expect: Expect,
     /// Value of the figure; `None` if the report has no such figure.
     pub measured: Option<f64>,
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -11,7 +11,7 @@
     Restart,
     /// Nodes are killed and restarted.
     Kill,
-    /// Nodes are stopped, and resumed after a second at most.
+    /// Nodes are paused, and resumed after a second at most.
     Stop,
     /// Nodes reload several times within a second: a truncated file, a missing file, a valid one.
     Reloads,
@@ -117,7 +117,7 @@
 const KILL_AFTER_S: f64 = 6.5;
 /// Seconds after SIGTERM at which a node that was shut down is started again.
 const START_AFTER_S: f64 = 6.8;
-/// Maximum time for which a node is stopped, in seconds.
+/// Maximum time for which a node is paused, in seconds.
 const MAX_STOP_S: f64 = 1.0;
 /// Seconds after the end of the fault at which a dead backend is restarted. This is more than the
 /// second after which a dead backend is removed from the list, so that the restart lists it again.
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -24,8 +24,8 @@
     program
 }
 
-/// Reads a scenario file of the repository, and scales backends and request rate to the number of
-/// nodes.
+/// Reads a scenario file of the repository and sets the number of nodes. The number of backends (at
+/// least 6) and the request rate are scaled in proportion, and a long run is shortened.
 fn read_scenario(name: &str, nodes: usize) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Runs fixed seeds of the soak test, each with overlapping faults over 12 real processes, and
+//! Runs fixed seeds of the soak test, each with several faults over 12 real processes, and
 //! checks the plans that seeds draw.
 
 use std::path::{Path, PathBuf};
