--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-/// State of an endpoint.
+/// Whether a backend is on the endpoint list, and whether it accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// The backend accepts requests.
@@ -38,7 +38,7 @@
     pub zone: String,
     /// Cell of the backend; `pod_group` in the protocol.
     pub cell: u16,
-    /// State of the endpoint.
+    /// Whether the backend is ready, draining or removed from the list.
     pub state: EndpointState,
     /// Unix time of the backend's last start in milliseconds; 0 means long ago.
     pub boot_ms: u64,
@@ -65,8 +65,9 @@
 pub struct EndpointChange {
     /// The revision of the list that the change created.
     pub revision: u64,
-    /// When the change was published.
+    /// When the change was made on the list.
     pub published_at: Duration,
-    /// The endpoint after the change.
+    /// The endpoint after the change; its state is [`EndpointState::Removed`] if the change removed
+    /// the endpoint.
     pub endpoint: Endpoint,
 }
--- a/crates/testbed/src/cluster/actions.rs
+++ b/crates/testbed/src/cluster/actions.rs
@@ -21,7 +21,7 @@
 const REMOVAL_DELAY: Duration = Duration::from_secs(1);
 
 impl Cluster {
-    /// Applies an event to its target.
+    /// Applies the action of an event to a node, to discovery or to a backend.
     pub(super) fn apply(self: &Arc<Self>, event: &Event) -> io::Result<()> {
         match event.action.target() {
             Target::Nodes => self.apply_to_node(event.action, event.number),
@@ -74,8 +74,8 @@
         node.start(&self.process_settings, self.clock)
     }
 
-    /// Sends a node the signal that ends it. Its next incarnation starts with the endpoint list at
-    /// this time.
+    /// Sends a node the signal that ends its process. Before that, writes the current endpoint list
+    /// into the node's configuration, with which the next incarnation starts.
     fn terminate_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         self.write_config_with_current_list(number)?;
         self.signal(number, signal);
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -29,7 +29,7 @@
     pub is_kill: bool,
 }
 
-/// End of a process.
+/// When and how a process ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
     /// Time at which the end was observed.
@@ -41,7 +41,7 @@
 /// One run of a node's process, from its start to its end.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
-    /// Number of the node.
+    /// Number of the node that the process belongs to.
     pub node: usize,
     /// Time at which the process was started.
     pub started: Duration,
@@ -53,12 +53,12 @@
     pub exit: Option<Exit>,
 }
 
-/// Settings for starting the processes of nodes.
+/// Program and environment of the nodes' processes, and whether their logs are read.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessSettings {
-    /// Path of the program.
+    /// Path of the program that the nodes run.
     pub program: PathBuf,
-    /// Names and values of the environment variables.
+    /// Names and values of the environment variables that a process gets besides `BALANCER_CONFIG`.
     pub variables: Vec<(String, String)>,
     /// Whether the log is left unread after its first line.
     pub log_unread: bool,
@@ -160,7 +160,7 @@
         std::fs::write(&self.config_path, &text[..text.len() / 2])
     }
 
-    /// Removes the configuration file.
+    /// Removes the configuration file, so that the next reload finds none.
     ///
     /// # Errors
     ///
@@ -207,7 +207,7 @@
         Ok(())
     }
 
-    /// Whether the process is running.
+    /// Whether a process was started and has not ended.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
@@ -234,7 +234,7 @@
         let Some(child) = self.child.as_ref() else {
             return;
         };
-        // A child that was waited for has no id: another process may have got the same one.
+        // `id` is `None` after the process was waited for: another process may have its id by now.
         let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) else {
             return;
         };
@@ -294,7 +294,7 @@
         }
     }
     if unread {
-        // Keeps the pipe open, so that the process blocks on it instead of seeing it closed.
+        // Keeps the pipe open, so that the process finds it full instead of closed.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -21,7 +21,7 @@
 /// that a connection is closed only when it is scheduled.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(150);
 
-/// Parameters of the rules.
+/// Times and limits by which the referee judges.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
     /// Time after the client's timeout in which a final answer may still arrive.
@@ -34,7 +34,7 @@
     pub overload_multiple: f64,
     /// Length of the window in which the attempts at a backend in slow start are counted.
     pub overload_duration: Duration,
-    /// Fraction of the full speed at which a backend starts.
+    /// Fraction of the full speed that a backend has right after its start.
     pub slow_start_initial_speed: f64,
     /// Time from the start of a backend to its full speed.
     pub slow_start_duration: Duration,
@@ -42,14 +42,14 @@
     pub mean_execution_time: Duration,
 }
 
-/// A period in which a node was stopped, including the time that it had to catch up.
+/// A period in which a node was paused (SIGSTOP), including the time that it had to catch up.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
-    /// Number of the node.
+    /// Number of the paused node.
     pub node: usize,
-    /// Time at which the node was stopped.
+    /// Time at which the node was paused.
     pub from: Duration,
-    /// End of the time to catch up; [`Duration::MAX`] while the node is stopped.
+    /// End of the time to catch up; [`Duration::MAX`] while the node is paused.
     pub until: Duration,
 }
 
@@ -62,7 +62,7 @@
     pub at: Duration,
 }
 
-/// All records that the referee checks.
+/// What the stand-ins and the testbed recorded in a run, for the referee.
 #[derive(Default)]
 pub struct Records {
     /// Requests of well-behaved clients, with their outcomes.
@@ -75,9 +75,9 @@
     pub notifications: Vec<Notification>,
     /// Changes of the endpoint list, in order of revision.
     pub endpoint_changes: Vec<EndpointChange>,
-    /// Incarnations of all nodes.
+    /// Incarnations of all nodes, in order of the node numbers.
     pub incarnations: Vec<Incarnation>,
-    /// Periods in which nodes were stopped.
+    /// Periods in which nodes were paused.
     pub pauses: Vec<Pause>,
     /// Restarts of backends.
     pub backend_starts: Vec<BackendStart>,
@@ -103,7 +103,8 @@
     }
 }
 
-/// Checks all rules, and returns every violation.
+/// Checks the records of a run against all rules. Returns every violation except those that nodes
+/// report themselves.
 pub fn find_violations(rules: &Rules, records: &Records) -> Vec<Violation> {
     let attempts = AttemptsByRequest::new(&records.attempts);
     let mut violations = Vec::new();
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -69,12 +69,12 @@
     answered(503, "refused")
 }
 
-/// One attempt, which is served.
 fn served_attempt() -> Vec<Attempt> {
     vec![attempt("a", 1, 1_010, 1_100, Served)]
 }
 
-/// An attempt in cell 2 with this outcome, and a second one in `cell`, which is served.
+/// An attempt in cell 2 with this outcome, and a second attempt in `cell`, which arrives at
+/// `arrived` milliseconds and is served.
 fn retried(outcome: AttemptOutcome, cell: u16, arrived: u64) -> Vec<Attempt> {
     vec![
         attempt("b", 2, 1_010, 1_300, outcome),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn answer_and_repeat_violations_are_reported_exactly() {
+fn violations_by_answers_and_repeats_are_reported_and_no_others() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn remaining_time_above_the_clients_own_is_reported() {
+fn remaining_time_that_exceeds_the_clients_by_more_than_the_slack_is_reported() {
     for (remaining, expected) in [
         (790, &[][..]),
         (
@@ -199,7 +199,8 @@
     }
 }
 
-/// An incarnation of node 3, with times in milliseconds.
+/// An incarnation of node 3. `stop` has the time of the first signal and whether SIGKILL was sent,
+/// `exit` the time of the end and the exit code; times are in milliseconds.
 fn incarnation(stop: Option<(u64, bool)>, exit: Option<(u64, Option<i32>)>) -> Incarnation {
     Incarnation {
         node: 3,
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn killed_or_paused_node_excuses_only_its_own_requests_at_that_time() {
+fn lost_connection_is_excused_only_if_a_signal_ended_or_paused_its_node_then() {
     const NEVER_ANSWERED: &[&str] = &["never answered"];
     const BAD_EXIT: &[&str] = &[
         "never answered",
@@ -236,7 +237,7 @@
     for (stop, exit, expected) in [
         (Some((1_200, true)), Some((1_201, None)), &[][..]),
         (Some((2_200, true)), Some((2_201, None)), NEVER_ANSWERED),
-        // SIGTERM excuses only requests that were sent long after it.
+        // SIGTERM excuses only requests that were sent long after the signal.
         (Some((900, false)), Some((1_201, Some(0))), NEVER_ANSWERED),
         (Some((200, false)), Some((1_201, Some(0))), &[]),
         (None, Some((5_000, Some(101))), BAD_EXIT),
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn node_never_resumed_excuses_its_misbehaving_clients() {
+fn missing_answers_to_misbehaving_clients_are_excused_if_the_node_stays_paused() {
     for (node, expected) in [
         (3, &[][..]),
         (4, &["a request that was read was never answered"]),
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -16,20 +16,20 @@
 pub struct Scenario {
     /// One line that describes the scenario.
     pub about: String,
-    /// Seed of all random draws.
+    /// Seed of all random draws: those of the clients, backends, nodes and fault shims.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// Length of the run, in seconds.
     pub length_s: f64,
     /// Numbers of nodes and backends, and the settings for starting the nodes.
     pub fleet: Fleet,
-    /// Parameters of the discovery service.
+    /// Parameters of the discovery service; each has a default.
     #[serde(default, alias = "list")]
     pub discovery: Discovery,
-    /// Parameters of each backend.
+    /// Parameters that all backends have; each has a default.
     #[serde(default)]
     pub backend: BackendParameters,
-    /// Traffic that the clients send.
+    /// Traffic that the clients send; none if absent.
     #[serde(default)]
     pub traffic: Traffic,
     /// Steps of the run, in any order.
@@ -50,7 +50,7 @@
 pub struct Fleet {
     /// Number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Number of backends.
+    /// Number of backends; discovery lists all of them at the start of the run.
     pub backends: usize,
     /// Number of zones, to which nodes and backends are assigned in turn.
     #[serde(default = "default_zones")]
@@ -61,7 +61,7 @@
     /// Number of proxies that the nodes' settings state; the number of nodes if absent.
     #[serde(alias = "siblings")]
     pub proxy_count: Option<usize>,
-    /// Maximum number of descriptors of a node.
+    /// Maximum number of descriptors of a node; `limits.sockets` in its configuration.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
     /// Plan of the fault shim that is preloaded into each node; no shim is loaded if it is empty.
@@ -95,7 +95,7 @@
     Stale,
 }
 
-/// Parameters of the discovery service.
+/// Capacity of the discovery service, and how the nodes' settings say that they get its lists.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
@@ -104,10 +104,12 @@
     /// Processing time of each endpoint in an answer, in microseconds.
     #[serde(alias = "row_us")]
     pub endpoint_us: f64,
-    /// Maximum time that a call waits in the queue, in milliseconds.
+    /// Maximum time that a call waits in the queue, in milliseconds; a call that would wait longer
+    /// gets 503.
     #[serde(alias = "most_wait_ms")]
     pub max_wait_ms: f64,
-    /// Number of changes that are kept for watches that resume.
+    /// Maximum number of changes that discovery keeps. A watch that missed only these changes can
+    /// resume without the whole list.
     pub history: usize,
     /// Whether the nodes' settings say that lists are pushed to them.
     pub pushed: bool,
@@ -125,7 +127,7 @@
     }
 }
 
-/// Parameters of a backend.
+/// Capacity and speed of each backend.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendParameters {
@@ -133,10 +135,10 @@
     pub work_ms: f64,
     /// Time that a backend spends on each new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Maximum number of requests in flight.
+    /// Maximum number of requests in flight; further requests are rejected unexecuted.
     #[serde(alias = "room")]
     pub capacity: usize,
-    /// Maximum number of connections.
+    /// Maximum number of connections; requests on further ones are rejected unexecuted.
     pub connections: usize,
     /// Fraction of the full speed at the start of slow start.
     #[serde(alias = "cold_from")]
@@ -159,7 +161,7 @@
     }
 }
 
-/// Traffic that the clients send.
+/// Rates, period and classes of the requests that clients send.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Traffic {
@@ -178,7 +180,7 @@
     pub class: Vec<Class>,
 }
 
-/// A class of requests.
+/// A class of requests with the same idempotency, client timeout and weight.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
@@ -240,7 +242,7 @@
     /// Time of the step, in seconds after the start of the run.
     #[serde(rename = "s")]
     pub at_s: f64,
-    /// Action that is applied.
+    /// Action that is applied to discovery or to each affected node or backend.
     #[serde(rename = "do")]
     pub action: Action,
     /// Range of the affected nodes or backends, as fractions of their numbers from 0 to 1; all if
@@ -249,7 +251,8 @@
     pub part: [f64; 2],
     /// Zone to which the step is limited; all zones if absent.
     pub zone: Option<usize>,
-    /// Seconds over which the action is spread evenly.
+    /// Seconds over which the action is spread evenly over the affected nodes or backends; 0 means
+    /// that the action is applied to all of them at once.
     #[serde(default)]
     pub over_s: f64,
     /// Fraction of the full speed at which backends serve, for [`Action::BackendWorks`].
@@ -265,7 +268,7 @@
     1.0
 }
 
-/// Action of a step.
+/// What a step does.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -275,7 +278,7 @@
     Kill,
     /// Shuts nodes down gracefully (SIGTERM).
     Term,
-    /// Stops nodes (SIGSTOP).
+    /// Pauses nodes (SIGSTOP).
     Stop,
     /// Resumes nodes (SIGCONT).
     Cont,
@@ -333,7 +336,7 @@
     BackendReset,
 }
 
-/// Target of an action.
+/// What an action is applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// Nodes or their links to discovery, by node number.
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -41,18 +41,18 @@
         /// Time of the step, in seconds.
         at_s: f64,
     },
-    /// An expectation has no bound.
+    /// An expectation has neither a minimum nor a maximum.
     #[error("expect `{figure}`: neither least nor most is given")]
     NoBound {
-        /// Name of the figure.
+        /// Name of the figure in the expectation.
         figure: String,
     },
 }
 
-/// An expectation that is not met.
+/// An expectation of a scenario that the figures of a run do not meet.
 #[derive(Clone, Debug)]
 pub struct UnmetExpectation {
-    /// Bounds that are not met.
+    /// The expectation: the name of the figure and its bounds.
     pub expect: Expect,
     /// Value of the figure; `None` if the report has no such figure.
     pub measured: Option<f64>,
@@ -66,7 +66,7 @@
             most,
         } = &self.expect;
         let Some(measured) = self.measured else {
-            return write!(f, "{figure} was not counted");
+            return write!(f, "{figure}: the report has no such figure");
         };
         write!(f, "{figure} is {measured:.3}, wanted")?;
         if let Some(least) = least {
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,6 +1,7 @@
 //! Runs every scenario of the repository at a small size with real processes of the node. No rule
-//! may be broken, no process may panic, and all nodes must get an endpoint list. The bounds in the
-//! scenario files are not checked here, as the machine may be busy; `make fleet` checks them.
+//! may be broken, no process may panic, all nodes must get an endpoint list, and some of the
+//! traffic must be served. The bounds in the scenario files are not checked here, as the machine
+//! may be busy; `make fleet` checks them.
 
 use std::path::{Path, PathBuf};
 
@@ -23,8 +24,8 @@
     program
 }
 
-/// Reads a scenario file of the repository, and scales backends and request rate to the number of
-/// nodes.
+/// Reads a scenario file of the repository and sets the number of nodes. The number of backends (at
+/// least 6) and the request rate are scaled in proportion, and a long run is shortened.
 fn read_scenario(name: &str, nodes: usize) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../scenarios")
@@ -100,20 +101,20 @@
 }
 
 scenarios! {
-    nodes_start_with_empty_lists "cold-start",
-    nodes_start_with_empty_lists_and_a_fast_discovery "cold-start-fast",
-    nodes_start_with_empty_lists_and_a_slow_discovery "cold-start-slow",
-    nodes_start_with_stale_lists "stale-start",
-    nodes_start_during_a_discovery_outage "outage-at-start",
-    discovery_is_overloaded_then_silent_then_truncates_answers "busy-silent-half",
-    discovery_restarts_without_its_history "list-restart",
-    most_nodes_are_killed_in_a_release "release-kill",
-    nodes_are_restarted_in_groups_by_sigterm "rolling-restart",
-    nodes_are_restarted_in_groups_by_sigkill "kill-each",
-    a_zone_is_cut_off_from_discovery "cut-from-list",
-    links_to_a_zone_of_backends_are_cut "cut-from-backends",
-    nodes_are_paused_and_resumed "stall",
-    nodes_are_killed_repeatedly "crash-loop",
-    all_nodes_reload_their_configuration "reload-all",
-    backends_are_silent_fail_and_reset_connections "swallow-and-reset",
+    rules_hold_if_nodes_start_with_empty_lists "cold-start",
+    rules_hold_if_nodes_start_with_empty_lists_and_a_fast_discovery "cold-start-fast",
+    rules_hold_if_nodes_start_with_empty_lists_and_a_slow_discovery "cold-start-slow",
+    rules_hold_if_nodes_start_with_stale_lists "stale-start",
+    rules_hold_if_nodes_start_during_a_discovery_outage "outage-at-start",
+    rules_hold_if_discovery_is_overloaded_then_silent_then_truncates_answers "busy-silent-half",
+    rules_hold_if_discovery_restarts_without_its_history "list-restart",
+    rules_hold_if_most_nodes_are_killed_in_a_release "release-kill",
+    rules_hold_if_nodes_are_restarted_in_groups_by_sigterm "rolling-restart",
+    rules_hold_if_nodes_are_restarted_in_groups_by_sigkill "kill-each",
+    rules_hold_if_a_zone_is_cut_off_from_discovery "cut-from-list",
+    rules_hold_if_links_to_a_zone_of_backends_are_cut "cut-from-backends",
+    rules_hold_if_nodes_are_paused_and_resumed "stall",
+    rules_hold_if_nodes_are_killed_repeatedly "crash-loop",
+    rules_hold_if_all_nodes_reload_their_configuration "reload-all",
+    rules_hold_if_backends_are_silent_fail_and_reset_connections "swallow-and-reset",
 }
