--- a/crates/node/src/log_tests.rs
+++ b/crates/node/src/log_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_trace_line_has_unix_time_and_is_none_if_the_trace_is_off() {
+fn trace_line_gives_the_unix_time_and_is_formatted_only_if_the_trace_is_on() {
     assert_eq!(Trace::new(false, 5).format(SECOND, format_args!("x")), None);
     let line = Trace::new(true, 3 * SECOND + 250_000).format(SECOND, format_args!("send id={}", 7));
     assert_eq!(
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn lines_over_the_limit_of_a_kind_are_suppressed_and_counted() {
+fn log_lines_over_the_limit_of_their_kind_are_suppressed_and_counted() {
     let mut log = Log::default();
     let written = (0..100)
         .filter(|_| log.admit(SECOND, "a").is_some())
--- a/crates/node/src/request_table/request_table_tests.rs
+++ b/crates/node/src/request_table/request_table_tests.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_txn_is_reusable_once_its_request_has_no_attempt_in_flight() {
+fn transaction_id_is_reusable_once_its_finished_request_has_no_attempt_in_flight() {
     let mut requests = table_with_backends(Idempotency::Idempotent);
     let id = open(&mut requests);
     assert_eq!(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_expired_request_stays_until_its_cancelled_attempt_has_ended() {
+fn expired_request_stays_in_the_table_until_its_cancelled_attempt_has_ended() {
     let mut requests = table_with_backends(Idempotency::Idempotent);
     let id = open(&mut requests);
     assert!(requests.expire(NOW + SECOND, id));
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_forbidding_fact_denies_the_start_of_an_attempt() {
+fn attempt_is_not_started_if_any_one_fact_forbids_it() {
     assert_eq!(may_start(NOW, &start_facts()), Ok(()));
     let cases: [(Denial, Change<StartFacts>); 7] = [
         (Denial::Answered, |f| f.answered = true),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_forbidding_fact_denies_the_write_of_an_attempt() {
+fn attempt_is_not_written_if_any_one_fact_forbids_it() {
     assert_eq!(
         may_write(NOW, &write_facts())
             .map(|permit| permit.timeout_ms())
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_timeout_is_rounded_down_and_a_late_write_is_a_violation() {
+fn timeout_of_an_attempt_is_rounded_down_to_ms_and_its_late_write_is_a_violation() {
     let facts = WriteFacts {
         abandon_at: NOW + 7 * MS + 999_999,
         ..write_facts()
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_answer_after_the_deadline_and_grace_is_a_violation() {
+fn answer_later_than_the_grace_after_the_client_deadline_is_a_violation() {
     assert_eq!(check_answer(NOW + ANSWER_GRACE, NOW), Ok(()));
     assert_eq!(
         check_answer(NOW + ANSWER_GRACE + 1, NOW),
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_close_is_denied_while_an_answer_or_unread_input_is_pending() {
+fn client_connection_is_not_closed_while_an_answer_is_pending_or_input_is_unread() {
     for (answer_pending, has_unread_input, expected) in [
         (false, false, None),
         (true, false, Some(Denial::AnswerPending)),
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn observed_starts_bound_the_error_of_a_clock_that_is_ahead() {
+fn start_is_dated_by_observed_starts_if_the_wall_clock_is_ahead() {
     for ahead_ms in [0, 5_000, 3_600_000] {
         let observation = StartObservation {
             wall_now_ms: WALL_NOW_MS + ahead_ms,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_start_on_the_first_list_counts_as_now_unless_very_old() {
+fn backend_start_in_the_first_list_counts_as_now_unless_very_old() {
     for step_ms in [-3_600_000, -3_000, 0, 3_000, 3_600_000] {
         let wall_now_ms = WALL_NOW_MS.checked_add_signed(step_ms).unwrap();
         let at_start = StartObservation {
@@ -94,14 +94,14 @@
 }
 
 #[test]
-fn a_start_in_the_future_counts_as_observed_now() {
+fn listed_start_in_the_future_counts_as_happening_now() {
     for boot_ms in [WALL_NOW_MS + 1, WALL_NOW_MS + 3_600_000, u64::MAX] {
         assert_eq!(started_at(boot_ms, &observation()), Some(NOW), "{boot_ms}");
     }
 }
 
 #[test]
-fn a_new_start_dated_long_before_the_last_list_counts_as_observed_now() {
+fn new_start_dated_long_before_the_last_confirmed_list_counts_as_happening_now() {
     for boot_ms in [1, WALL_NOW_MS - 3_600_000, WALL_NOW_MS - 7_001] {
         assert_eq!(started_at(boot_ms, &observation()), Some(NOW), "{boot_ms}");
     }
