--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -123,7 +123,7 @@
         root: document.root(),
         env,
     };
-    // The order decides which of several errors is reported.
+    // The order of these reads decides which of several errors is reported.
     let seed = source.root.get("seed")?;
     let deployment = source.deployment()?;
     let sockets = source.sockets()?;
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -17,7 +17,7 @@
     Broken,
     /// The last answer has been written, and the client has closed its side.
     Answered,
-    /// The descriptor of the connection was needed for another one.
+    /// The node closed the connection to free its descriptor.
     Evicted,
     /// The client sent nothing for too long, took too long to send a message or to read an answer,
     /// or did not close the connection after its last answer.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Key of a counter; the order is that of the log line.
+/// Key of a counter; counters are printed in the order of their keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CounterKey {
     kind: &'static str,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -24,17 +24,17 @@
 /// A poll that returns more than this after its intended wake-up time, in nanoseconds, shows that
 /// the process was stopped meanwhile.
 const MAX_WAKE_DELAY: Nanos = 50 * MS;
-/// Events of a poll that took longer than this, in nanoseconds, may be stale; polling again costs
-/// one system call.
+/// Events of a poll that took longer than this, in nanoseconds, may be stale, so the poll is
+/// repeated, which costs one system call.
 const MAX_EVENT_AGE: Nanos = 20 * MS;
-/// Maximum number of repeated polls in one iteration, so that a process that is delayed in each of
-/// them still handles events.
+/// Maximum number of repeated polls in one iteration, so that a process that is delayed in every
+/// poll still handles events.
 const MAX_REPEATED_POLLS: u32 = 4;
 /// A gap between two polls that is longer than this, in nanoseconds, shows that the process was
 /// stopped.
 const STALL_THRESHOLD: Nanos = 250 * MS;
-/// Delay before an operation is retried that failed because the machine lacked resources, in
-/// nanoseconds: short, but long enough to avoid a busy loop.
+/// Delay before an operation is retried that is not possible now, for example because the machine
+/// lacks resources, in nanoseconds: short, but long enough to avoid a busy loop.
 pub const MIN_RETRY: Nanos = 2 * MS;
 
 /// Events of a socket that is only read from.
@@ -58,7 +58,7 @@
     Client(u32),
     /// A connection to a backend.
     Upstream(u32),
-    /// A call to discovery.
+    /// A call to the discovery service.
     Discovery(u32),
 }
 
@@ -91,8 +91,9 @@
     }
 }
 
-/// An event that is scheduled on the timer wheel. A number identifies an entry of the table that
-/// the variant belongs to; the entry may have been removed by the time the timer fires.
+/// An event that is scheduled on the timer wheel. The number in a variant identifies a client
+/// connection, a request, an upstream connection or a discovery call in its table, from which it
+/// may have been removed by the time the timer fires.
 #[derive(Debug, Clone, Copy)]
 pub enum TimerEvent {
     /// The deadline of a client connection's current state has passed.
@@ -104,7 +105,8 @@
     DeadlineGuard(u32),
     /// The deadline of an upstream connection's current state has passed.
     UpstreamDeadline(u32),
-    /// Continue with an upstream connection for which the machine lacked resources.
+    /// Continue with an upstream connection that was paused because the machine lacked resources or
+    /// updates of the endpoint list had to be read first.
     ResumeUpstream(u32),
     /// Connect again for the attempts that are postponed.
     RetryPostponedDials,
@@ -143,7 +145,7 @@
     /// When the previous poll was made, in nanoseconds on the node's clock. Its events have been
     /// handled, so bytes that are reported now arrived later, unless some were left unread.
     previous_poll_at: Nanos,
-    /// When the poll of this iteration was made.
+    /// When the poll of this iteration was made, in nanoseconds on the node's clock.
     last_poll_at: Nanos,
 }
 
@@ -194,7 +196,8 @@
         self.now > self.previous_poll_at.saturating_add(STALL_THRESHOLD)
     }
 
-    /// Schedules a timer; one whose time has passed fires in the next iteration.
+    /// Schedules `event` for the time `at`, in nanoseconds on the node's clock; if that time has
+    /// passed, the timer fires at the next tick.
     pub fn schedule(&mut self, at: Nanos, event: TimerEvent) {
         self.timers.schedule(at, event);
     }
@@ -273,7 +276,8 @@
             events.clear();
             events.reserve(capacity);
             // The wait of a stopped process is interrupted when the process continues. Its sockets
-            // may have much unread data, and no deadline may fire before this data is read.
+            // may have much unread data, and no deadline may fire before this data is read, so the
+            // wait is repeated.
             if !self.wait(events, wake_at.saturating_sub(started_at))? {
                 continue;
             }
@@ -283,8 +287,8 @@
             let was_stopped = self.now > wake_at.saturating_add(MAX_WAKE_DELAY);
             self.last_poll_at = if was_stopped { started_at } else { self.now };
             // If the process was delayed between the wait and the clock reading, the events may
-            // date from before the delay. Others may have arrived since then, and some of them must
-            // be handled first.
+            // date from before the delay. Other events may have arrived since then, and some of
+            // those must be handled first.
             let is_stale =
                 !events.is_empty() && self.now > started_at.saturating_add(MAX_EVENT_AGE);
             if !(was_stopped || is_stale) || repeated_polls == MAX_REPEATED_POLLS {
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -117,9 +117,9 @@
     let _ = result;
 }
 
-/// The trace: every event and decision as a line `kitefork: trace t=UNIX_SECONDS WORD key=value
-/// ...`, without a rate limit, from which runs are replayed. It is on only if `BALANCER_TRACE` is
-/// 1; while it is off, no line is formatted.
+/// The trace, from which runs are replayed: every event and decision as a line `kitefork: trace
+/// t=UNIX_SECONDS WORD key=value ...`, without a rate limit. The trace is on only if
+/// `BALANCER_TRACE` is 1; while the trace is off, no line is formatted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trace {
     /// Unix time at the clock's zero, in nanoseconds; `None` if the trace is off.
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,8 +1,8 @@
 //! kitefork: a load-balancing proxy in front of the backends.
 //!
 //! SIGTERM and SIGINT start a graceful shutdown; SIGHUP reloads the configuration. Exit codes: 0
-//! after a graceful shutdown, 1 if a network or system call fails, 2 if the configuration is
-//! invalid.
+//! after a graceful shutdown, 1 if a system call fails or the decision module rejects the settings,
+//! 2 if the configuration can't be loaded.
 #![forbid(unsafe_code)]
 
 mod clock;
@@ -32,16 +32,21 @@
 
 use crate::signals::Signals;
 
-/// Exit code if a network or system call fails.
+/// Exit code if a system call fails or the decision module rejects the settings.
 const EXIT_SYSTEM: u8 = 1;
-/// Exit code if the configuration is invalid.
+/// Exit code if the configuration can't be loaded: it is missing, unreadable or invalid.
 const EXIT_CONFIGURATION: u8 = 2;
 
 fn main() -> ExitCode {
     // Signal handlers are installed first: until then a signal ends the process.
     let signals = match Signals::register() {
         Ok(signals) => signals,
-        Err(error) => return fail(EXIT_SYSTEM, format_args!("signals: {error}")),
+        Err(error) => {
+            return fail(
+                EXIT_SYSTEM,
+                format_args!("can't install the signal handlers: {error}"),
+            );
+        }
     };
     let config = match config::load(|name| std::env::var(name).ok()) {
         Ok(config) => config,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,7 +43,7 @@
 /// Whether an event may forbid a send: a client has closed its side, or the endpoint list may
 /// change.
 fn may_forbid_send(event: &epoll::Event) -> bool {
-    // The struct is packed, so its fields are copied: they can't be referenced.
+    // `epoll::Event` is a packed struct, so its fields are copied: they can't be referenced.
     let (data, flags) = (event.data, event.flags);
     match Token::decode(data) {
         Some(Token::Discovery(_)) => true,
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -222,8 +222,8 @@
             if now >= last_answers_at {
                 return self.reply(number, Reply::closing(503, b"the node ends\n"));
             }
-            // An attempt that is in flight when the process ends is cut off, so its request fails.
-            // The timeout of the request therefore ends no later than the last answers are sent.
+            // Limits the timeout of the request to the time of the last answers: an attempt that is
+            // in flight when the process ends is cut off, so its request fails.
             spec.client_timeout = spec.client_timeout.min(last_answers_at - now);
         }
         let opened = match self.requests.open(now, number, spec, payload) {
@@ -237,7 +237,8 @@
         if let Some(connection) = self.clients.get_mut(number) {
             connection.set_request(request);
         }
-        // Finding the key requires a search of the headers, so it is done only if the trace is on.
+        // Finding the idempotency key requires a search of the headers, so it is done only if the
+        // trace is on.
         if self.diagnostics.is_tracing()
             && let Some(payload) = self.requests.payload(request)
         {
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -27,23 +27,24 @@
 const MIN_TICK: Nanos = MS;
 /// Coarsest timer granularity, in nanoseconds; a longer tick in the settings is lowered to this.
 const MAX_TICK: Nanos = 10 * MS;
-/// Fraction of its client timeout until which a request that no backend has received can be
-/// rejected at no cost (set by the platform).
+/// A request that no backend has received can be rejected at no cost until this fraction of its
+/// client timeout has passed (set by the platform).
 const NEVER_ATTEMPTED_TIMEOUT_FRACTION: f64 = 0.5;
-/// Connections per mebibyte of configured memory. Bodies are limited by the buffer budget; besides
-/// them a connection holds at most one message head, and this many heads fit in a third of the
-/// memory.
+/// Connections per mebibyte of configured memory. The buffer budget limits the memory for bodies;
+/// besides bodies, a connection holds at most one message head, and this many heads fit in a third
+/// of the memory.
 const CONNECTIONS_PER_MIB: usize = 16;
 /// The descriptor limit that follows from the configured memory is raised to this if it is lower.
 const MIN_DESCRIPTORS_BY_MEMORY: usize = 64;
-/// Bytes of the buffer budget per mebibyte of configured memory: a quarter of it.
+/// Bytes of the buffer budget per mebibyte of configured memory: a quarter of a mebibyte.
 const BUFFER_BYTES_PER_MIB: usize = 1 << 18;
-/// Minimum memory on which the buffer budget is based, in MiB.
+/// The buffer budget is calculated from at least this much memory, in MiB, even if less is
+/// configured.
 const MIN_MEMORY_MIB: usize = 4;
 
 impl Node {
-    /// Creates a node that listens, applies the cached endpoint list of the configuration, and
-    /// starts discovery.
+    /// Creates a node: opens its listening socket, applies the cached endpoint list of the
+    /// configuration, and starts discovery.
     ///
     /// # Errors
     ///
--- a/crates/node/src/request_table/command.rs
+++ b/crates/node/src/request_table/command.rs
@@ -82,7 +82,7 @@
     Reply {
         /// Number of the client connection that sent the request.
         connection: u32,
-        /// The final answer that the history of the request permits.
+        /// The final answer; it is a rejection only if a retry is harmless.
         reply: LocalReply,
     },
     /// Close the idle connections to a backend.
@@ -102,6 +102,7 @@
     PollEndpoints,
     /// Write a line of the decision module to the log.
     Log(LogEvent),
-    /// Send a gossip message, which this node does not support.
+    /// Log that the decision module wants to send a gossip message, which this node does not
+    /// support.
     GossipUnsupported,
 }
--- a/crates/node/src/request_table/mod.rs
+++ b/crates/node/src/request_table/mod.rs
@@ -102,9 +102,8 @@
     ///
     /// # Errors
     ///
-    /// If the table is full, or another request with the same transaction ID is open or has an
-    /// attempt in flight: an attempt of the new request would then be a second copy of the other
-    /// one.
+    /// If the table is full, or if another request with the same transaction ID is open or has an
+    /// attempt in flight, as two attempts with the same ID could otherwise be in flight at once.
     pub fn open(
         &mut self,
         now: Nanos,
@@ -176,7 +175,7 @@
 
     /// Records the end of an attempt and reports it to the decision module. Returns the number of
     /// the client connection to forward the answer to. `None` if the outcome is not a final answer,
-    /// if the request already has one, or if its client has disconnected.
+    /// if the request already has a final answer, or if its client has disconnected.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -219,14 +218,16 @@
     }
 
     /// Whether a request may be rejected, which promises the client that a retry is harmless. If
-    /// `in_flight_unwritten` is set, attempts in flight count as not executed.
+    /// `in_flight_unwritten` is set, the attempts in flight are not completely written, so they
+    /// count as not executed.
     pub fn may_reject(&self, id: u32, in_flight_unwritten: bool) -> bool {
         self.table
             .get(id)
             .is_some_and(|pending| pending.is_rejectable(in_flight_unwritten))
     }
 
-    /// Records that the client of a request has disconnected: the request gets no answer any more.
+    /// Records that the client of a request has disconnected: the request counts as finished, and
+    /// the table queues no answer for it any more.
     pub fn client_disconnected(&mut self, now: Nanos, id: u32) {
         if let Some(pending) = self.waiting_mut(id) {
             pending.is_finished = true;
@@ -243,8 +244,8 @@
     }
 
     /// The deadline guard: answers a request as timed out if it has no answer shortly after its
-    /// client's timeout, whatever was decided, so that none stays unanswered. Returns whether the
-    /// request was still waiting.
+    /// client's timeout, whatever the decision module has decided, so that no request stays
+    /// unanswered. Returns whether the request was still waiting.
     pub fn expire(&mut self, now: Nanos, id: u32) -> bool {
         self.force_reply(now, id, LocalReply::TimedOut)
     }
--- a/crates/node/src/request_table/pending.rs
+++ b/crates/node/src/request_table/pending.rs
@@ -6,7 +6,7 @@
 use super::command::{LocalReply, RequestSpec};
 use crate::rules::{self, AttemptHistory, StartFacts};
 
-/// One attempt of a request.
+/// An attempt of a request, also one that the rules denied, with its start and its outcome.
 pub struct Attempt {
     /// When the attempt was started, in nanoseconds on the node's clock.
     pub started_at: Nanos,
@@ -16,7 +16,7 @@
 
 /// A request in the table; `C` is the payload that the codec forwards.
 pub struct PendingRequest<C> {
-    /// Number of the client connection that sent it.
+    /// Number of the client connection that sent the request.
     pub connection: u32,
     /// The transaction ID that the client chose (header `X-Txn`).
     pub txn: Box<str>,
@@ -30,7 +30,7 @@
     pub attempts: Vec<Attempt>,
     /// Whether the request has its final answer, or its client has disconnected.
     pub is_finished: bool,
-    /// Outcome of the attempt that ended last; `None` before any has ended.
+    /// Outcome of the attempt that ended last; `None` before any attempt has ended.
     pub last_outcome: Option<Outcome>,
 }
 
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -5,8 +5,8 @@
 //! This module does no I/O and reads no clock: each function takes facts and returns a [`Denial`]
 //! if a rule forbids the action. For a write or a close it otherwise returns a permit, which can
 //! only be created in this module. Closing a client connection consumes a permit, so that a close
-//! without one does not compile; the timeout that is sent with an attempt comes from its permit. If
-//! the node has broken a rule nevertheless, this is a [`Violation`].
+//! without one does not compile; the timeout that is sent with an attempt comes from its permit. A
+//! rule that the node has broken nevertheless is reported as a [`Violation`].
 
 use std::fmt;
 
@@ -77,7 +77,7 @@
     pub attempts: usize,
     /// Number of attempts that have not ended.
     pub in_flight: usize,
-    /// Whether some attempt may have been executed, or may still be.
+    /// Whether some attempt may have been executed, or may still be executed.
     pub may_have_been_executed: bool,
     /// Latest time at which a retry may be written: the earliest end of the deduplication windows
     /// of those attempts that may have been executed; [`Nanos::MAX`] if no window limits the retry.
@@ -207,7 +207,7 @@
     }
 }
 
-/// How long after its client's timeout a final answer may still be given, in nanoseconds; a later
+/// How long after the client's timeout a final answer may still be given, in nanoseconds; a later
 /// answer counts as lost (protocol page).
 const ANSWER_GRACE: Nanos = 500 * MS;
 
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{self, Clock, MS, SECOND};
 
-/// Maximum time from a change in discovery until the change counts as notified, in nanoseconds
+/// Maximum time from a change in discovery until a node counts as notified of it, in nanoseconds
 /// (protocol page). So a start that is new on a list is at most this much older than the last
 /// confirmation of the list without this start.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
--- a/crates/node/src/start_time_tests.rs
+++ b/crates/node/src/start_time_tests.rs
@@ -113,7 +113,8 @@
 
 #[test]
 fn the_latest_estimate_of_a_start_is_used_if_the_clocks_differ() {
-    // The clocks of all machines are stepped, or only that of this node, forward and back.
+    // In the first two cases, the clocks of all machines are stepped forward or back; in the last
+    // two, only the clock of this node.
     for (wall_now_ms, boot_ms, expected) in [
         (WALL_NOW_MS + 3_000, WALL_NOW_MS + 3_000 - 1_000, NOW),
         (
--- a/crates/node/src/timer_wheel.rs
+++ b/crates/node/src/timer_wheel.rs
@@ -17,7 +17,7 @@
 }
 
 struct Timer<T> {
-    /// The tick at which it fires.
+    /// The tick at which the timer fires.
     tick: u64,
     event: T,
 }
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Schedules an event for the time `at`; if that has passed, it fires at the next tick.
+    /// Schedules an event for the time `at`; if that time has passed, the event fires at the next
+    /// tick.
     pub fn schedule(&mut self, at: Nanos, event: T) {
         let tick = at.div_ceil(self.tick_length).max(self.last_tick + 1);
         self.slots[slot_index(tick)].push(Timer { tick, event });
@@ -42,7 +43,7 @@
     /// Removes the events that are due and returns them, in the order of their ticks.
     pub fn expire(&mut self, now: Nanos) -> Vec<T> {
         let current_tick = now / self.tick_length;
-        // After a long pause one revolution visits every slot.
+        // One revolution visits every slot, so earlier ticks need no visit after a long pause.
         let one_revolution_ago = (current_tick + 1).saturating_sub(SLOTS as u64);
         let first_tick = (self.last_tick + 1).max(one_revolution_ago);
         let mut due = Vec::new();
@@ -91,7 +92,8 @@
     }
 
     /// Moves the deadline to `at`. Schedules `event`, unless a timer of this deadline is already
-    /// scheduled for `at` or earlier: [`Deadline::is_due`] then schedules `event` again.
+    /// scheduled for `at` or earlier; when that timer fires, [`Deadline::is_due`] schedules `event`
+    /// again.
     pub fn set<T>(&mut self, at: Nanos, wheel: &mut TimerWheel<T>, event: T) {
         self.at = at;
         if at < self.scheduled_at {
