--- a/crates/node/src/diagnostics.rs
+++ b/crates/node/src/diagnostics.rs
@@ -35,7 +35,7 @@
         self.trace.line(now, details);
     }
 
-    /// Whether trace lines are written.
+    /// Whether trace lines are written; if not, callers can skip the preparation of their details.
     pub fn is_tracing(&self) -> bool {
         self.trace.is_on()
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -135,12 +135,13 @@
         }
     }
 
-    /// Whether trace lines are written.
+    /// Whether trace lines are written; if not, callers can skip the preparation of their details.
     pub fn is_on(self) -> bool {
         self.unix_time_at_zero.is_some()
     }
 
-    /// Writes a line if the trace is on.
+    /// Writes a line with the Unix time of `now`, which is in nanoseconds on the node's clock, if
+    /// the trace is on.
     pub fn line(self, now: Nanos, details: fmt::Arguments) {
         if let Some(line) = self.format(now, details) {
             write(&line);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -62,7 +62,7 @@
     requests: RequestTable<ForwardedRequest>,
     /// Limits the memory that the buffers of all connections use together.
     buffer_budget: BufferBudget,
-    /// Limits the number of connections.
+    /// Limits the number of client and upstream connections, as each uses a file descriptor.
     descriptor_budget: DescriptorBudget,
     listener: Listener,
     clients: ClientConnections,
--- a/crates/node/src/request_table/command.rs
+++ b/crates/node/src/request_table/command.rs
@@ -11,7 +11,7 @@
     pub class: u16,
     /// Index of the request's tenant in the settings.
     pub tenant: u16,
-    /// How long the client will still wait, in nanoseconds.
+    /// How long the client still waits from when the request is added to the table, in nanoseconds.
     pub client_timeout: Nanos,
     /// The client's estimate of how long the work takes, in nanoseconds; `None` if it gave none.
     pub work_hint: Option<Nanos>,
--- a/crates/node/src/rules.rs
+++ b/crates/node/src/rules.rs
@@ -164,9 +164,9 @@
     }
 }
 
-/// How long after the end of its deduplication window an attempt may still be written without a
-/// violation, in nanoseconds: the protocol allows for a process that is delayed this long between
-/// its clock reading and its write.
+/// Time after the end of the deduplication window within which an attempt may still be written
+/// without a violation, in nanoseconds: the protocol allows for a process that is delayed this long
+/// between its clock reading and its write.
 const MAX_WRITE_DELAY: Nanos = 150 * MS;
 
 /// Whether the first byte of an attempt may be written now; `now` is a fresh reading of the clock.
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -1,4 +1,5 @@
-//! Table-driven tests of the rules: each case changes the facts of an action that is allowed.
+//! Unit tests of the protocol rules. For the start and the write of an attempt, each case changes
+//! the facts of an allowed action so that a rule forbids it.
 
 use kitefork_balancer::{DeduplicationScope, Idempotency};
 
