--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -14,22 +14,23 @@
 }
 
 /// Number of descriptors that are kept for other uses than client and upstream connections: the
-/// standard streams (3), epoll, the listener, the signals' wake-up sockets (2) and a copy of the
-/// other end for each signal (3), discovery calls (4), one for a file that is being read, and a
-/// margin.
+/// standard streams (3), epoll, the listener, a wake-up socket for each kind of signal (2) and, for
+/// each signal, a socket that its handler writes to (3), discovery calls (4), one for a file that
+/// is being read, and a margin.
 pub const OTHER_DESCRIPTORS: usize = 20;
 /// Minimum number of connections, even if the process may hold fewer descriptors.
 const MIN_CONNECTIONS: usize = 4;
-/// The reserve of the clients is the maximum number of connections divided by this. It is the
-/// larger reserve: every upstream connection in use has a client that waits for it, but most
+/// The reserve of the clients is the maximum number of connections divided by this. Clients have
+/// the larger reserve: every upstream connection in use has a client that waits for it, but most
 /// clients wait for none.
 const CLIENT_RESERVE_DIVISOR: usize = 2;
 /// The reserve of the upstream connections is the maximum number of connections divided by this.
 const UPSTREAM_RESERVE_DIVISOR: usize = 4;
 /// The maximum number of connected clients that have sent a request is the descriptor limit divided
-/// by this. The platform allows such clients a third of a node's descriptors (elsewhere, the
-/// connection pool of a front has such a bound). At that bound the next request gets no connection,
-/// which the node can't observe, so idle connections are closed before the bound is reached.
+/// by this. The platform allows such clients a third of a node's descriptors; in other deployments,
+/// the connection pool of a front has such a bound. At that bound the next request gets no
+/// connection, which the node can't observe, so idle connections are closed before the bound is
+/// reached.
 const ACTIVE_CLIENTS_DIVISOR: usize = 4;
 
 /// How many connections of each kind may be open.
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -12,7 +12,8 @@
 const MIN_BACKOFF: Nanos = 10 * MS;
 /// Maximum backoff where lists are pushed, in nanoseconds.
 const MAX_BACKOFF: Nanos = 500 * MS;
-/// Maximum number of doublings of the backoff.
+/// Maximum number of doublings of the backoff, so that the shift can't overflow; [`MAX_BACKOFF`] is
+/// reached with fewer doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 /// The backoff is at most the grace of draining backends divided by this: a node that has lost its
 /// watch must have opened another one well within that grace.
@@ -26,8 +27,8 @@
 pub enum DiscoveryMode {
     /// The decision module requests polls and watches.
     Polled,
-    /// The node itself keeps a watch open to its discovery agent. An update that the agent has
-    /// counts as notified, whether or not this node has read it.
+    /// The node itself keeps a watch open to its discovery agent. The node counts as notified of an
+    /// update once the agent has it, whether or not the node has read it.
     Pushed {
         /// How long a backend may still get attempts after its removal from the list, in
         /// nanoseconds.
@@ -85,7 +86,8 @@
         self.state = BackoffState::Ready;
     }
 
-    /// Resets the number of consecutive failures, after a call that has lasted long enough.
+    /// Resets the number of consecutive failed calls, after a call that has lasted long enough: the
+    /// retry after the next failure is then immediate.
     pub fn reset(&mut self) {
         self.failed_calls = 0;
     }
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -40,7 +40,7 @@
 const MAX_READS_PER_ITERATION: usize = MAX_LIST_BYTES / 2048;
 /// Capacity of the outbox, which holds the request of a call, in bytes.
 const OUTBOX_BYTES: usize = 4096;
-/// Capacity of the inbox, in bytes.
+/// Capacity of the inbox, in bytes. Longer responses are parsed in parts.
 const INBOX_BYTES: usize = 64 * 1024;
 
 /// What a call requests.
@@ -252,7 +252,7 @@
         event_loop.is_due(&mut self.deadline, TimerEvent::DiscoveryDeadline(number))
     }
 
-    /// When the call is closed if nothing more is received.
+    /// When the call is closed if nothing more is received, in nanoseconds on the node's clock.
     fn receive_deadline(&self) -> Nanos {
         let idle_timeout = if self.has_received_object {
             WATCH_IDLE_TIMEOUT
@@ -305,8 +305,8 @@
         progress
     }
 
-    /// Handles the end of the connection. It completes a list whose response gives no length; any
-    /// other response is truncated.
+    /// Handles the end of the connection. The end completes a list whose response gives no length;
+    /// any other response is truncated.
     fn end_of_stream(&mut self, progress: &mut CallProgress) -> CallEnd {
         if !self.parser.end_of_input() || self.kind == CallKind::Watch {
             return CallEnd::Disconnected;
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -335,8 +335,8 @@
         }
     }
 
-    /// Records that discovery has confirmed the list at `now`: the next update has the changes
-    /// since then.
+    /// Records that discovery has confirmed the list at `now`: the next update contains what has
+    /// changed since that time.
     pub fn record_confirmation(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -95,9 +95,9 @@
             .any(|stored| stored.state == EndpointState::Ready)
     }
 
-    /// Applies an update. An older update is applied too, as its sender may have restarted its
-    /// revisions; but such an update makes a draining or removed backend ready only if it lists a
-    /// newer start of that backend.
+    /// Applies an update. An older update is applied too, as its sender may have begun to count its
+    /// revisions anew; but an older update makes a draining or removed backend ready only if it
+    /// lists a newer start of that backend.
     pub fn apply(
         &mut self,
         observation: &StartObservation,
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Forgets backends that were removed long ago. Uids are never reused, so a day of releases
-    /// would fill the list otherwise.
+    /// Forgets backends that were removed [`REMOVED_ENDPOINT_RETENTION`] ago or earlier. Uids are
+    /// never reused, so a day of releases would fill the list otherwise.
     fn forget_removed(&mut self, now: Nanos) {
         self.endpoints.retain(|_, stored| {
             stored.state != EndpointState::Removed
--- a/crates/node/src/discovery/object_scanner.rs
+++ b/crates/node/src/discovery/object_scanner.rs
@@ -13,8 +13,10 @@
 }
 
 impl ObjectScanner {
-    /// Continues the scan of `bytes`, which must still begin with the first object whose end was
-    /// not found. Returns the length of that object including its line end, once that is found.
+    /// Searches `bytes`, which begins with one object, for the end of that object. Returns the
+    /// length of the object including its line end; `None` if the end has not been received. The
+    /// next call must then pass the same bytes, followed by new ones, and continues where this one
+    /// stopped.
     pub fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         for byte in &bytes[self.scanned..] {
             self.scanned += 1;
--- a/crates/node/src/downstream/connection/mod.rs
+++ b/crates/node/src/downstream/connection/mod.rs
@@ -17,8 +17,8 @@
 use crate::timer_wheel::Deadline;
 
 /// Time limit for the first message to begin, and for the head of any message to be complete, in
-/// nanoseconds. A connection that exceeds it may be one of hundreds that never send more. For the
-/// first message the time counts from when the connection was accepted.
+/// nanoseconds. A connection that exceeds the limit may be one of hundreds on which nothing more is
+/// ever sent. For the first message the time counts from when the connection was accepted.
 const HEAD_TIMEOUT: Nanos = 2_500 * MS;
 /// Longest pause between two reads of a body, in nanoseconds. A slow client that keeps sending is
 /// limited only by [`STALL_TIMEOUT`].
@@ -39,7 +39,8 @@
 /// An idle connection whose client has sent more than one message becomes expendable after this
 /// time, in nanoseconds.
 const RETURNING_CLIENT_GRACE: Nanos = 2 * SECOND;
-/// Maximum number of reads whose bytes are discarded before a connection closes.
+/// Maximum number of reads whose bytes are discarded before a connection closes: a client that
+/// never stops sending must not block the event loop.
 const MAX_DISCARDED_READS: usize = 16;
 /// The interim response for a client that expects it before it sends its body.
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -241,7 +242,7 @@
     }
 
     /// Reads received bytes up to the end of one complete message. While a request waits for its
-    /// answer or an answer is not written, further bytes stay unparsed in the inbox.
+    /// answer, or the answer is not completely written, further bytes stay unparsed in the inbox.
     /// `previous_poll_at` is the time of the previous poll; see [`ClientInput::earliest_arrival`].
     pub fn read(&mut self, now: Nanos, previous_poll_at: Nanos) -> ReadEvent {
         let arrived_at = self.input.earliest_arrival(now, previous_poll_at);
@@ -261,8 +262,8 @@
                 return event;
             }
             match self.input.fill(&self.socket, now, arrived_at) {
-                // One read per iteration: a client that never stops sending must not block the
-                // loop.
+                // A connection that is no longer open is read once per loop iteration: a client
+                // that never stops sending must not block the loop.
                 ReadOutcome::Data if self.state != ConnectionState::Open => {
                     self.input.discard();
                     return ReadEvent::Incomplete;
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -27,8 +27,8 @@
 }
 
 impl EvictionRank {
-    /// Whether closing the connection does little harm: it has been idle for longer than the grace
-    /// period of its rank.
+    /// Whether closing the connection does little harm: its client has been idle for longer than
+    /// the grace period of such clients.
     pub fn is_expendable(self) -> bool {
         self <= EvictionRank::Returned
     }
--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -26,7 +26,8 @@
             .unwrap_or("-")
     }
 
-    /// The serialised request for a backend that has `timeout_ms` milliseconds to answer.
+    /// The serialised request for a backend that has `timeout_ms` milliseconds to answer; empty if
+    /// the message is not a request.
     pub fn encode(&self, timeout_ms: u64) -> Vec<u8> {
         let Start::Request { method, target } = &self.head.start else {
             return Vec::new();
--- a/crates/node/src/downstream/input.rs
+++ b/crates/node/src/downstream/input.rs
@@ -9,8 +9,8 @@
 use crate::net;
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer};
 
-/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without it, a
-/// longer head would fill the inbox and never be rejected.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without these
+/// bytes, a head above the maximum length would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// A complete message from a client, and the earliest time at which it can have begun to arrive.
@@ -23,7 +23,8 @@
     pub started_at: Nanos,
 }
 
-/// The receiving side of a client connection.
+/// The receiving side of a client connection: its inbox, its parser, and the earliest time at which
+/// the received bytes can have arrived.
 pub struct ClientInput {
     inbox: RingBuffer,
     parser: Parser,
@@ -36,13 +37,14 @@
     message_count: u32,
     /// Whether `100 Continue` was sent for the current message.
     continue_sent: bool,
-    /// Whether the last message allows the connection to stay open after its answer.
+    /// Whether the last message allows the connection to stay open after its answer; `true` before
+    /// the first message.
     keep_alive: bool,
 }
 
 impl ClientInput {
     /// The input of a connection that was accepted at `now` and was not established before
-    /// `queued_at`.
+    /// `queued_at`. Its buffers are counted against `budget`.
     pub fn new(now: Nanos, queued_at: Nanos, budget: &BufferBudget) -> ClientInput {
         ClientInput {
             inbox: RingBuffer::new(MAX_HEAD + INBOX_EXTRA_BYTES).with_budget(budget),
@@ -67,7 +69,8 @@
         self.last_byte_at
     }
 
-    /// Whether the last message allows the connection to stay open after its answer.
+    /// Whether the last message allows the connection to stay open after its answer; `true` before
+    /// the first message.
     pub fn is_kept_alive(&self) -> bool {
         self.keep_alive
     }
@@ -99,13 +102,14 @@
         self.inbox.len() > MAX_HEAD
     }
 
-    /// Discards the content of the inbox.
+    /// Discards the bytes that were received and not parsed.
     pub fn discard(&mut self) {
         let count = self.inbox.len();
         self.inbox.consume(count);
     }
 
-    /// Discards the content of the inbox, then reads once; returns whether bytes were read.
+    /// Discards the bytes that were received and not parsed, then reads the socket once; returns
+    /// whether bytes were read.
     pub fn discard_from(&mut self, socket: &OwnedFd) -> bool {
         self.discard();
         self.inbox.read_from(socket) == ReadOutcome::Data
@@ -122,8 +126,8 @@
         self.arrival.earliest_arrival(now, previous_poll_at)
     }
 
-    /// Sets the earliest possible arrival time of the bytes in the inbox that follow a complete
-    /// message. They may have arrived together with the end of that message, at `arrived_at`.
+    /// Sets `arrived_at` as the earliest possible arrival time of the bytes that follow a complete
+    /// message in the inbox; they may have arrived together with the end of that message.
     pub fn set_first_byte_at(&mut self, arrived_at: Nanos) {
         self.arrival.set_first_byte_at(arrived_at);
     }
@@ -185,7 +189,7 @@
         self.message_count > 0
     }
 
-    /// Parses the content of the inbox up to the end of a message.
+    /// Parses the content of the inbox, at most up to the end of one message.
     ///
     /// # Errors
     ///
@@ -196,7 +200,7 @@
         Ok(())
     }
 
-    /// Whether the client waits for `100 Continue` before it sends its body.
+    /// Whether the client waits for `100 Continue` before it sends its body, and none was sent yet.
     pub fn awaits_continue(&self) -> bool {
         self.parser.awaits_body()
             && !self.continue_sent
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -161,7 +161,7 @@
         };
     }
 
-    /// Records that the accept queue was found empty.
+    /// Records that the accept queue was found empty at `now`.
     pub fn note_queue_empty(&mut self, now: Nanos) {
         self.queue_empty_at = now;
         if self.is_accepting() {
--- a/crates/node/src/downstream/route.rs
+++ b/crates/node/src/downstream/route.rs
@@ -79,7 +79,8 @@
     }
 }
 
-/// The request line and the headers of a message, read as the deployment defines them.
+/// The request line and the headers of a message, which are read with the classes and tenants that
+/// the deployment defines.
 struct RequestFields<'a> {
     head: &'a Head,
     deployment: &'a Deployment,
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Reads the fields in a fixed order; the first fault is the one that is reported.
+    /// Reads the fields in a fixed order; the first one that is missing or invalid determines the
+    /// answer.
     fn parse_request(&self, method: &str, elapsed: Nanos) -> Result<RequestSpec, InvalidRequest> {
         let txn = self.txn()?;
         let class = self.class()?;
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of routing.
+//! Unit tests of routing messages by their path and headers.
 
 use kitefork_settings::json::Document;
 
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -37,7 +37,7 @@
         self.table.len()
     }
 
-    /// The numbers of all connections.
+    /// The numbers of all open connections, in no particular order.
     pub fn numbers(&self) -> Vec<u32> {
         self.table.iter().map(|(number, _)| number).collect()
     }
@@ -86,16 +86,17 @@
             .filter_map(move |(number, connection)| connection.eviction_candidate(number, now))
     }
 
-    /// The connection that is to be closed first; `None` if no connection may be closed.
+    /// The connection to close first when a descriptor must be freed; `None` if no connection may
+    /// be closed.
     pub fn eviction_candidate(&self, now: Nanos) -> Option<EvictionCandidate> {
         self.eviction_candidates(now).min()
     }
 
-    /// Returns the connections to close when the trim timer has fired. If more than `max_active`
-    /// clients have sent a request, these are expendable connections of such clients, at most as
-    /// many as exceed `max_active`. Without this, clients that keep idle connections indefinitely
-    /// could use all connections that the platform allows, and the next request would get no
-    /// connection, which the node can't observe.
+    /// Returns the connections to close, now that the trim timer has fired: expendable connections
+    /// of clients that have sent a request, at most as many as the number of such clients exceeds
+    /// `max_active`. Without this, clients that keep idle connections indefinitely could use all
+    /// connections that the platform allows, and the next request would get no connection, which
+    /// the node can't observe.
     pub fn trim(&mut self, now: Nanos, max_active: usize) -> Vec<EvictionCandidate> {
         self.is_trim_scheduled = false;
         let has_sent = |number| {
--- a/crates/node/src/errno.rs
+++ b/crates/node/src/errno.rs
@@ -26,8 +26,9 @@
 
 use ErrorClass::{ConnectionLost, Fatal, OutOfDescriptors, RetryLater, RetryNow, WouldBlock};
 
-/// The class of an error of `accept`; unknown errors are fatal. Linux reports pending errors of the
-/// new connection here; they concern only that connection, so the next one can be accepted at once.
+/// The class of an error of `accept`; unknown errors are fatal. Linux also returns pending errors
+/// of the new connection from `accept`; they concern only that connection, so the next one can be
+/// accepted at once.
 pub fn of_accept(error: Errno) -> ErrorClass {
     match error {
         Errno::AGAIN => WouldBlock,
@@ -57,8 +58,8 @@
         Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::AGAIN => {
             RetryLater
         }
-        // The limit on descriptors that epoll watches: a caller that registers a new connection at
-        // once also gets its error class from here.
+        // `epoll_ctl` reports ENOSPC at the limit on watched descriptors: a caller that connects a
+        // socket and registers it in one step classifies the errors of both calls here.
         Errno::NOSPC => RetryLater,
         // Temporarily no route: a problem of this machine, not of one backend.
         Errno::NETUNREACH | Errno::NETDOWN => RetryLater,
--- a/crates/node/src/http1/framing.rs
+++ b/crates/node/src/http1/framing.rs
@@ -11,7 +11,8 @@
     Length(usize),
     /// The body consists of chunks (`Transfer-Encoding: chunked`).
     Chunked,
-    /// A response without either header: the body ends when the connection closes.
+    /// A response without `Content-Length` and `Transfer-Encoding`: its body ends when the
+    /// connection closes.
     UntilClose,
 }
 
@@ -22,8 +23,8 @@
     ///
     /// [`ParseError::Malformed`] if the head has both a length and a transfer coding, has either of
     /// them twice, has a coding other than chunked, or has a length that is not a decimal number:
-    /// implementations may disagree about such a message. [`ParseError::BodyTooLarge`] for a length
-    /// above `max_body` bytes.
+    /// implementations may disagree about where such a message ends. [`ParseError::BodyTooLarge`]
+    /// for a length above `max_body` bytes.
     pub(super) fn from_head(head: &Head, max_body: usize) -> Result<BodyFraming, ParseError> {
         let length = head.unique("content-length")?;
         match (head.unique("transfer-encoding")?, length) {
--- a/crates/node/src/http1/parser.rs
+++ b/crates/node/src/http1/parser.rs
@@ -96,7 +96,7 @@
 
     /// Accepts responses whose body ends when the connection closes. If the peer closes the
     /// connection early, that can't be distinguished from the end of the body: a truncated body
-    /// counts as complete, and only its content can show that it is not.
+    /// counts as complete, and only its content can show that it is truncated.
     pub fn allow_close_delimited(self) -> Parser {
         Parser {
             allow_close_delimited: true,
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -13,8 +13,9 @@
 
 use crate::errno::{self, ErrorClass};
 
-/// Size of a ring buffer when it is first used, in bytes. Up to this size it keeps its memory when
-/// it becomes empty, so that small messages on a persistent connection allocate nothing.
+/// Size of a ring buffer when it is first used, in bytes. A buffer of at most this size keeps its
+/// memory when it becomes empty, so that small messages on a persistent connection allocate
+/// nothing.
 const INITIAL_SIZE: usize = 2 * 1024;
 
 /// A first-in, first-out buffer of bytes. It starts small, grows up to its maximum size, and frees
--- a/crates/node/src/ring_buffer/budget.rs
+++ b/crates/node/src/ring_buffer/budget.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 /// The number of bytes that all buffers together may hold; clones share one budget. Ring buffers
-/// and bodies count their bytes against it. While it is exhausted, bodies accept no more bytes.
-/// Without the budget, memory could grow to the number of connections times the maximum that each
-/// can hold.
+/// and bodies count their bytes against the budget. While the budget is exhausted, bodies accept no
+/// more bytes. Without the budget, memory could grow to the number of connections times the maximum
+/// that each can hold.
 #[derive(Clone)]
 pub struct BufferBudget {
     /// Remaining bytes. May be negative: ring buffers are counted but may grow even when none
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,8 +14,8 @@
 use crate::ring_buffer::{Body, BufferBudget, ReadOutcome, RingBuffer, WriteOutcome};
 use crate::timer_wheel::Deadline;
 
-/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without it, a
-/// longer head would fill the inbox and never be rejected.
+/// Capacity of the inbox in addition to a head of the maximum length, in bytes. Without these
+/// bytes, a head above the maximum length would fill the inbox and never be rejected.
 const INBOX_EXTRA_BYTES: usize = 1024;
 
 /// How far an upstream connection and the request on it have come.
@@ -42,7 +42,7 @@
     /// The connection must be closed: it has ended or closes after this answer, the answer came
     /// before the request was completely written, or the kernel can't tell what is unread.
     No,
-    /// Bytes were received that belong to no expected answer.
+    /// Bytes were received that belong to no expected answer: the connection must be closed.
     UnexpectedBytes,
 }
 
@@ -56,7 +56,7 @@
     pub reuse: Reuse,
 }
 
-/// Result of one step of a connection.
+/// Result of advancing a connection as far as its socket allows.
 pub enum Progress {
     /// Nothing more can be done until the socket is ready.
     Pending,
@@ -206,8 +206,9 @@
         self.outbox.push(bytes)
     }
 
-    /// Continues after the socket has become ready (`is_ready`), or a request has been put in the
-    /// outbox. A connection that is being established continues only once the socket is ready.
+    /// Advances the connection after its socket has become ready (`is_ready`), or after a request
+    /// has been put in the outbox. A connection that is being established advances only once its
+    /// socket is ready.
     pub fn advance(&mut self, is_ready: bool) -> Progress {
         if self.state == UpstreamState::Connecting {
             if !is_ready {
@@ -280,7 +281,8 @@
         if !is_sent && outcome(&head) == Outcome::Success {
             return Progress::Failed(Outcome::ConnectFailed);
         }
-        // Bytes that follow an answer would be taken for the answer to the next request.
+        // A connection with bytes after the answer is not reused: they would be taken for the
+        // answer to the next request.
         let following_read = if is_end_of_stream {
             ReadOutcome::EndOfStream
         } else {
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -5,7 +5,8 @@
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 
-/// A connection whose request is completely written, and the backend's end of it.
+/// A connection whose request is completely written, and the socket at the backend's end of that
+/// connection.
 fn connection_with_sent_request() -> (UpstreamConnection, UnixStream) {
     let (family, kind, flags) = (
         AddressFamily::UNIX,
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -12,7 +12,8 @@
 const DELAYED_REUSE_PERIOD: Nanos = 60 * SECOND;
 /// Minimum time between an answer and the next request on the same connection, in nanoseconds: a
 /// second answer that arrives some milliseconds late would be taken for the answer to the next
-/// request. It applies only during [`DELAYED_REUSE_PERIOD`], as it costs additional connections.
+/// request. The delay applies only during [`DELAYED_REUSE_PERIOD`], as it costs additional
+/// connections.
 const REUSE_DELAY: Nanos = 10 * MS;
 
 struct IdleConnection {
@@ -36,8 +37,8 @@
         });
     }
 
-    /// Records whether a connection could be reused; unexpected bytes delay the reuse of all
-    /// connections for a while.
+    /// Records whether a connection could be reused. Unexpected bytes delay the reuse of the
+    /// connections to all backends, for [`DELAYED_REUSE_PERIOD`].
     pub fn record_reuse(&mut self, reuse: Reuse, now: Nanos) {
         if reuse == Reuse::UnexpectedBytes {
             self.delay_reuse_until = now.saturating_add(DELAYED_REUSE_PERIOD);
--- a/crates/node/src/upstream/table.rs
+++ b/crates/node/src/upstream/table.rs
@@ -24,7 +24,7 @@
     Local,
 }
 
-/// Result of a step of a connection that the node must act on.
+/// An event on a connection that the node must handle.
 pub enum UpstreamEvent {
     /// The connection is established and its request can be written.
     Connected,
@@ -109,7 +109,8 @@
     }
 
     /// Takes the most recently used idle connection to a backend that can be reused, and returns
-    /// its number. Closes the more recently used ones that can't be reused.
+    /// its number; `None` if there is none. Closes the connections that were used more recently but
+    /// can't be reused.
     pub fn take_idle(&mut self, backend: BackendId, now: Nanos) -> Option<u32> {
         while let Some(number) = self.pool.take(backend, now) {
             let Some(connection) = self.table.get_mut(number) else {
