--- a/crates/node/src/discovery/endpoint_list_tests.rs
+++ b/crates/node/src/discovery/endpoint_list_tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn uid_keeps_its_id_and_draining_or_moved_backends_are_disconnected() {
+fn backend_keeps_its_id_and_is_disconnected_if_it_drains_moves_or_is_removed() {
     let mut endpoint_list = EndpointList::new(vec![], vec![]);
     let applied = endpoint_list.apply(
         &observation_at(0),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn removed_uids_are_forgotten_and_their_ids_are_not_reused() {
+fn removed_backends_are_forgotten_after_a_while_and_their_ids_are_not_reused() {
     let mut endpoint_list = EndpointList::new(vec![], vec![]);
     let mut assigned_ids = Vec::new();
     for second in 0..1000 {
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn bytes_read_soon_after_a_poll_or_an_empty_read_count_as_arriving_now() {
+fn bytes_read_soon_after_a_poll_or_an_empty_read_count_as_arriving_when_read() {
     let previous_poll_at = READ_AT - MAX_POLL_GAP;
     assert_eq!(
         tracker(READ_AT - 5_000 * MS, READ_AT - 9_000 * MS)
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn bytes_read_after_a_stall_count_from_the_previous_poll() {
+fn bytes_read_after_a_stall_count_as_arriving_at_the_previous_poll() {
     let previous_poll_at = READ_AT - 800 * MS;
     assert_eq!(
         tracker(READ_AT - 5_000 * MS, READ_AT - 9_000 * MS)
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn previous_poll_does_not_count_if_the_socket_was_unwatched_or_has_unread_bytes() {
+fn previous_poll_is_ignored_if_the_socket_was_unwatched_or_has_unread_bytes() {
     let (empty_at, previous_poll_at) = (READ_AT - 700 * MS, READ_AT - 10 * MS);
     assert_eq!(
         tracker(empty_at, READ_AT - 5 * MS).earliest_arrival(READ_AT, previous_poll_at),
--- a/crates/node/src/downstream/connection/connection_tests.rs
+++ b/crates/node/src/downstream/connection/connection_tests.rs
@@ -6,7 +6,7 @@
     X-Remaining-Ms: 480\r\nX-Estimate: 1500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
 #[test]
-fn close_ends_the_stream_before_it_discards_a_late_request() {
+fn graceful_close_ends_the_stream_and_discards_a_request_that_arrived_late() {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, socketpair};
     use std::io::{Read as _, Write as _};
     let (family, kind, flags) = (
--- a/crates/node/src/downstream/eviction_tests.rs
+++ b/crates/node/src/downstream/eviction_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn candidates_are_ordered_by_rank_then_time_then_number() {
+fn eviction_candidates_are_ordered_by_rank_then_start_of_state_then_number() {
     let in_order = [
         candidate(EvictionRank::SentOnce, 9, 9),
         candidate(EvictionRank::NeverSent, 9, 9),
--- a/crates/node/src/downstream/route_tests.rs
+++ b/crates/node/src/downstream/route_tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn invalid_requests_get_the_status_of_their_fault() {
+fn status_of_an_invalid_request_depends_on_its_invalid_part() {
     for (old, new, expected_status) in [
         ("/api", "/apis", 404),
         ("POST", "PUT", 405),
--- a/crates/node/src/http1_tests.rs
+++ b/crates/node/src/http1_tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn parses_requests_and_responses_byte_by_byte_and_whole() {
+fn parser_reads_requests_and_responses_both_byte_by_byte_and_as_a_whole() {
     let (head, body) = parse_request(
         "\r\nPOST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Txn:  b \r\nContent-Length: 3\r\n\r\nabc",
     )
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn rejects_ambiguous_body_framing() {
+fn request_with_ambiguous_body_framing_is_rejected() {
     for headers in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -98,14 +98,14 @@
 }
 
 #[test]
-fn rejects_ambiguous_header_lines() {
+fn request_with_ambiguous_header_lines_is_rejected() {
     for headers in ["A: b\r\n c\r\n", "A: b\nC: d\r\n", "Host: b\r\n"] {
         assert_header_error(headers, ParseError::Malformed);
     }
 }
 
 #[test]
-fn rejects_messages_above_the_size_limits() {
+fn request_with_a_head_or_body_above_the_size_limits_is_rejected() {
     for length in ["65537", "99999999999999999999999"] {
         let headers = format!("Content-Length: {length}\r\n");
         assert_header_error(&headers, ParseError::BodyTooLarge);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn rejects_request_lines_with_an_invalid_grammar_or_version() {
+fn request_line_with_an_invalid_grammar_or_version_is_rejected() {
     for (start_line, error) in [
         ("GET /api HTTP/2.0", ParseError::UnsupportedVersion),
         ("GET /api", ParseError::Malformed),
@@ -139,7 +139,7 @@
 const CHUNKED_HEAD: &str = "POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn rejects_chunks_that_break_the_grammar() {
+fn chunk_that_breaks_the_grammar_is_rejected() {
     for body in ["x\r\n", "-1\r\n", "FFFFFFFFF\r\n", "1\r\nabc"] {
         let result = parse_request(&format!("{CHUNKED_HEAD}{body}"));
         assert_eq!(result.err(), Some(ParseError::Malformed), "{body}");
--- a/crates/node/src/ring_buffer_tests.rs
+++ b/crates/node/src/ring_buffer_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn buffered_bytes_are_counted_and_returned_to_the_budget() {
+fn buffered_bytes_count_against_the_budget_until_they_are_consumed_or_dropped() {
     let budget = BufferBudget::new(5000);
     let (mut buffer, mut body) = (
         RingBuffer::new(9000).with_budget(&budget),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn buffer_keeps_byte_order_across_the_wrap_and_respects_its_maximum_size() {
+fn buffer_that_wraps_around_keeps_the_byte_order_and_its_maximum_size() {
     let mut buffer = RingBuffer::new(5000);
     let bytes: Vec<u8> = (0..4000u32).map(|i| i as u8).collect();
     assert!(buffer.push(&bytes[..1500]));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn reads_from_a_socket_only_as_many_bytes_as_fit() {
+fn read_from_a_socket_takes_only_as_many_bytes_as_fit_into_the_buffer() {
     let (sender, receiver) = std::os::unix::net::UnixStream::pair().unwrap();
     receiver.set_nonblocking(true).unwrap();
     let mut buffer = RingBuffer::new(10);
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn incomplete_or_malformed_answer_is_a_reset() {
+fn incomplete_or_malformed_answer_ends_the_attempt_as_a_reset() {
     assert_eq!(
         outcome_of_answer(&OK[..OK.len() - 1], true),
         Err(Outcome::Reset)
