--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -7,9 +7,9 @@
 /// What a connection is for; clients and backends each have a reserve of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A connection from a client.
+    /// A connection from a client, also an idle one.
     Client,
-    /// A connection to a backend.
+    /// A connection to a backend, also an idle one.
     Upstream,
 }
 
--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -11,7 +11,8 @@
 }
 
 impl ForwardedRequest {
-    /// Creates the payload from the parsed message of a client.
+    /// Creates the payload from a client's message. Headers that are not forwarded stay in the
+    /// payload; [`ForwardedRequest::encode`] omits them.
     pub fn new(head: Head, body: Body) -> ForwardedRequest {
         ForwardedRequest { head, body }
     }
--- a/crates/node/src/downstream/table.rs
+++ b/crates/node/src/downstream/table.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// How many connections are open.
+    /// Number of open connections, including those that are closing or lingering.
     pub fn len(&self) -> usize {
         self.table.len()
     }
--- a/crates/node/src/http1/error.rs
+++ b/crates/node/src/http1/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the parser.
+//! Why a message can't be parsed, and the HTTP status with which it is answered.
 
 use thiserror::Error;
 
--- a/crates/node/src/ring_buffer.rs
+++ b/crates/node/src/ring_buffer.rs
@@ -79,7 +79,7 @@
         self
     }
 
-    /// Number of bytes in the buffer.
+    /// Number of bytes that are buffered and not consumed yet.
     pub fn len(&self) -> usize {
         self.len
     }
--- a/crates/node/src/slab.rs
+++ b/crates/node/src/slab.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Number of entries.
+    /// Number of entries in the table, without the removed ones.
     pub fn len(&self) -> usize {
         self.len
     }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -53,9 +53,9 @@
 pub struct PostponedDial {
     /// The backend to connect to.
     pub backend: BackendId,
-    /// What the connection is needed for.
+    /// The request or health check that the connection is needed for.
     pub attempt: UpstreamAttempt,
-    /// The time limits of the attempt.
+    /// The time limits of the attempt, which the postponement does not extend.
     pub limits: AttemptLimits,
     /// When the node stops trying to connect and the attempt ends as not sent, which does not count
     /// against the backend.
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -48,7 +48,7 @@
 
 /// A complete answer from a backend.
 pub struct Answer {
-    /// Status and headers.
+    /// Status and headers, including those that are not forwarded to the client.
     pub head: Head,
     /// Body of the answer; may be empty.
     pub body: Body,
