--- a/crates/node/src/downstream/forwarded_request.rs
+++ b/crates/node/src/downstream/forwarded_request.rs
@@ -11,7 +11,8 @@
 }
 
 impl ForwardedRequest {
-    /// Creates the payload from the parsed message of a client.
+    /// Creates the payload from a client's message. Headers that are not forwarded stay in the
+    /// payload; [`ForwardedRequest::encode`] omits them.
     pub fn new(head: Head, body: Body) -> ForwardedRequest {
         ForwardedRequest { head, body }
     }
@@ -26,7 +27,8 @@
             .unwrap_or("-")
     }
 
-    /// The serialised request for a backend that has `timeout_ms` milliseconds to answer.
+    /// The serialised request for a backend that has `timeout_ms` milliseconds to answer; empty if
+    /// the message is not a request.
     pub fn encode(&self, timeout_ms: u64) -> Vec<u8> {
         let Start::Request { method, target } = &self.head.start else {
             return Vec::new();
--- a/crates/node/src/upstream/connection_tests.rs
+++ b/crates/node/src/upstream/connection_tests.rs
@@ -5,7 +5,8 @@
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 
-/// A connection whose request is completely written, and the backend's end of it.
+/// A connection whose request is completely written, and the socket at the backend's end of that
+/// connection.
 fn connection_with_sent_request() -> (UpstreamConnection, UnixStream) {
     let (family, kind, flags) = (
         AddressFamily::UNIX,
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn incomplete_or_malformed_answer_is_a_reset() {
+fn incomplete_or_malformed_answer_ends_the_attempt_as_a_reset() {
     assert_eq!(
         outcome_of_answer(&OK[..OK.len() - 1], true),
         Err(Outcome::Reset)
