--- a/crates/balancer/src/admission_queue_tests.rs
+++ b/crates/balancer/src/admission_queue_tests.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn highest_weight_comes_first_and_among_equals_the_newest() {
+fn queue_orders_requests_by_weight_and_among_equal_weights_newest_first() {
     let mut fixture = Fixture::new();
     for (id, class) in [(1, 0), (2, 1), (3, 0), (4, 1)] {
         fixture.add(&tenant_request(id, class, 1), false);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn only_the_highest_weight_may_use_the_reserve() {
+fn reserved_tokens_are_for_the_highest_weight_and_not_for_a_tenth_of_it() {
     let mut fixture = Fixture::new();
     assert!(fixture.add(&tenant_request(1, 0, 1), false).keeps_reserve());
     assert!(!fixture.add(&tenant_request(2, 1, 1), false).keeps_reserve());
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn wake_up_is_scheduled_once_for_when_the_tokens_suffice() {
+fn wake_up_is_scheduled_once_for_the_time_when_the_tokens_suffice() {
     let (mut rate, now) = rate_after_first_window();
     rate.on_sent();
     let wait = 1_000 * MS * 6 / 10 + MS;
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn proxy_with_few_completions_starts_a_fifth_of_its_requests() {
+fn admission_rate_falls_to_a_fifth_of_the_requests_and_recovers_with_fast_answers() {
     let mut balancer = Balancer::new(settings_of_one_in_300_proxies(), 7, 0).unwrap();
     // 30 requests per second for two seconds, without any backend.
     for round in 0..60 {
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn limit_in_use_grows_with_fast_answers_up_to_the_proxy_share() {
+fn limit_of_a_busy_backend_grows_with_fast_answers_up_to_its_maximum() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     assert_eq!(limiter.initial_limit(), 1.0);
     // All proxies together may have 4 attempts in flight at a backend; a single proxy may have 4
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn limit_lets_attempts_behind_the_longest_ones_meet_the_shortest_objective() {
+fn maximum_limit_is_lower_if_attempts_take_half_of_the_shortest_objective() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn restarted_backend_keeps_only_the_attempts_in_flight() {
+fn load_of_a_restarted_backend_keeps_only_its_attempts_in_flight() {
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     load.on_sent(2_000_000_000);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn proxy_share_of_a_backend_is_below_one_attempt_with_eleven_or_more_proxies() {
+fn share_of_a_backend_limit_is_below_one_attempt_with_eleven_or_more_proxies() {
     for (proxy_count, is_below_one) in [(1.0, false), (10.0, false), (11.0, true), (300.0, true)] {
         assert_eq!(
             ConcurrencyLimiter::new(proxy_count, 0.3).is_below_one(),
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn service_rate_is_concurrency_over_latency_and_below_one_per_slot() {
+fn service_rate_per_time_slot_is_concurrency_over_latency_and_below_one() {
     assert!((service_rate(0.1, 0.001) - 0.08).abs() < 1e-12);
     assert_eq!(service_rate(0.001, 0.01), 0.99);
 }
 
 #[test]
-fn estimated_latency_includes_the_prior_and_the_wait_in_flight() {
+fn estimated_latency_includes_the_prior_and_the_wait_of_attempts_in_flight() {
     let mut service_times = ServiceTimes::default();
     assert_eq!(service_times.estimated_latency(0.0, 0.3), 0.3);
     (0..9).for_each(|_| service_times.on_ended(Outcome::Success, 0.1, 0.0));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn fast_failures_count_as_slow_and_bad_requests_do_not_count() {
+fn rejections_and_failed_connections_count_as_slow_and_bad_requests_not_at_all() {
     let cases = [
         (Outcome::Success, 0.01, 1.0),
         (Outcome::ConnectFailed, 0.3, 0.0),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn estimable_backends_are_as_many_as_get_enough_completions() {
+fn estimable_backends_are_as_many_as_get_twelve_completions_in_ten_objectives() {
     let mut estimator = estimator();
     estimator.set_first_attempts(1_200.0);
     // 60 arrivals per second for 20 s: 180 in ten latency objectives, enough for 15 backends.
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn kind_pool_holds_latency_relative_to_the_class_mean() {
+fn latencies_of_a_kind_of_machine_are_pooled_relative_to_the_class_mean() {
     let mut estimator = estimator();
     (0..64).for_each(|_| estimator.on_completion(KindId(1), 0.2, 0.1));
     estimator.on_completion(KindId(2), 0.2, 0.0);
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_most_half_are_ejected_and_none_if_only_ejected_backends_remain() {
+fn at_most_half_of_the_backends_are_ejected_and_none_if_only_ejected_ones_remain() {
     let (mut detector, mut list) = (detector(), endpoints(4));
     for id in 0..4 {
         for _ in 0..6 {
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn tokens_refill_at_half_the_safe_rate_up_to_those_of_one_overload_duration() {
+fn bucket_refills_at_half_the_safe_rate_and_holds_one_overload_duration_of_it() {
     let mut slow_start = slow_start(1.0);
     slow_start.set_completions(40.0, 4.0);
     // The safe rate is 3 * 0.2 * 10 = 6 attempts per second; half of it is 3 per second.
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn minimum_mean_is_kept_until_it_is_raised() {
+fn minimum_of_the_mean_is_kept_until_raised_and_never_exceeds_the_mean() {
     let mut mean = MovingMean::default();
     for value in [1.0, 3.0, 2.0, 5.0] {
         mean.add(value, 2.0);
--- a/crates/balancer/src/subset_tests.rs
+++ b/crates/balancer/src/subset_tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn members_are_the_estimable_backends_and_at_least_three() {
+fn subset_has_as_many_members_as_estimable_backends_and_at_least_three() {
     let mut list = endpoints(30);
     let mut subset = subset_of_proxy(1, 10);
     subset.mark_stale();
