--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -7,9 +7,11 @@
 /// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt of a request at a backend.
+    /// Start an attempt of a request at a backend;
+    /// [`Event::AttemptEnded`](crate::Event::AttemptEnded) reports its end.
     StartAttempt {
-        /// Request to start an attempt of.
+        /// Request to send. The index of the attempt is the number of attempts of this request that
+        /// were started before.
         request: RequestId,
         /// Backend to send the attempt to.
         backend: BackendId,
@@ -28,7 +30,8 @@
         /// Request that gets this answer.
         request: RequestId,
     },
-    /// Cancel an attempt that is in flight.
+    /// Cancel an attempt that is in flight; [`Event::AttemptEnded`](crate::Event::AttemptEnded)
+    /// must still report its end.
     CancelAttempt {
         /// Request that the attempt belongs to.
         request: RequestId,
@@ -44,26 +47,29 @@
         timer: TimerId,
     },
     /// Send a health check to a backend;
-    /// [`Event::HealthCheckEnded`](crate::Event::HealthCheckEnded) reports its end.
+    /// [`Event::HealthCheckEnded`](crate::Event::HealthCheckEnded) reports its end. The balancer
+    /// never returns this action.
     CheckHealth {
-        /// Backend to check.
+        /// Backend to send the health check to.
         backend: BackendId,
     },
-    /// Close the idle connections to a backend.
+    /// Close the idle connections to a backend; connections with an attempt in flight stay open.
     CloseIdleConnections {
-        /// Backend whose connections to close.
+        /// Backend that is draining or removed.
         backend: BackendId,
     },
-    /// Send a gossip message to one proxy, or to all of them.
+    /// Send a gossip message to one proxy, or to all of them. The balancer never returns this
+    /// action.
     Gossip {
         /// Index of the receiving proxy; `None` for all.
         to: Option<u16>,
         /// Content of the message, to be passed on unchanged.
         bytes: Vec<u8>,
     },
-    /// Start (`true`) or stop (`false`) watching the endpoint list for changes.
+    /// Start (`true`) or stop (`false`) watching the endpoint list for changes. The balancer only
+    /// returns `true`.
     WatchEndpoints(bool),
-    /// Read the whole endpoint list once.
+    /// Read the whole endpoint list once. The balancer never returns this action.
     PollEndpoints,
     /// Write an event to the log.
     Log(LogEvent),
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -22,9 +22,9 @@
 /// weight of a class.
 const RESERVE_WEIGHT_FRACTION: f64 = 0.5;
 
-/// Number of low bits of a weight that the order ignores, so that weights that differ by less than
-/// about a fifth count as equal. Otherwise a drift of the usual work, by which weights are divided,
-/// would order requests by age.
+/// Number of low bits of a weight that the order ignores: weights within the same step, of about a
+/// fifth, count as equal. Otherwise small changes of a class's unloaded latency, by which weights
+/// are divided, would decide the order within the class.
 const IGNORED_WEIGHT_BITS: u32 = 50;
 
 /// Position in the queue: by weight, then by age. Both are inverted, so that the highest weight and
--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -14,8 +14,8 @@
 
 /// Maximum of the admission rate as a multiple of the completion rate. The minimum of the admission
 /// rate is the rate of received requests divided by this: once answers are fast, the rate then
-/// recovers to all received requests within one arrival window. A proxy with only a few attempts
-/// could fail to recover by chance.
+/// recovers to all received requests within one arrival window. If the minimum allowed only a few
+/// attempts, a proxy could fail to recover by chance.
 const MAX_GROWTH: f64 = 5.0;
 
 /// Target for the mean latency, as a fraction of the latency objective. With an exponential tail, a
@@ -90,7 +90,8 @@
             Outcome::Overloaded | Outcome::Timeout => {
                 self.completions.add(0.0, self.timescale.shortest_objective);
             }
-            // Counted as having used no capacity: the token is returned for another attempt.
+            // All other outcomes count as having used no capacity: the token is returned for
+            // another attempt.
             _ => self.tokens += 1.0,
         }
     }
--- a/crates/balancer/src/admission_rate_tests.rs
+++ b/crates/balancer/src/admission_rate_tests.rs
@@ -21,7 +21,7 @@
 fn rate_is_at_least_a_fifth_of_the_requests_received() {
     let (mut rate, now) = rate_after_first_window();
     (0..60).for_each(|_| rate.on_received());
-    // A fifth of 60 requests, in a window of 0.6 s.
+    // A fifth of 60 requests in a window of 0.6 s is 20 per second.
     assert!((rate.attempts_per_second(now) - 20.0).abs() < 1e-9);
 }
 
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Time after which an attempt of this request is overdue.
+    /// Time from sending an attempt of this request until the attempt is overdue.
     fn overdue_after(&self, id: RequestId) -> Nanos {
         let pending = self.pending(id);
         let class = pending.class();
@@ -126,10 +126,10 @@
     }
 
     /// Cancels an overdue attempt if another one may still be started in time; checks again later
-    /// if the attempt is not overdue yet or the retry budget is spent. Without this, a connection
-    /// that stops responding would use up the whole time of a request and occupy capacity for as
-    /// long. If the backend is only slow, the work is done twice; the retry budget bounds how
-    /// often.
+    /// if the attempt is not overdue yet or the retry budget is spent. Without the cancellation, a
+    /// connection that stops responding would use up the whole time of a request and occupy
+    /// capacity for as long. If the backend is only slow, the work is done twice; the retry budget
+    /// bounds how often this happens.
     pub(super) fn cancel_overdue(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.pending(id);
         let Some((index, last_attempt)) = pending.attempts.iter().enumerate().next_back() else {
@@ -264,7 +264,7 @@
             .adjust(&mut record.load, &sample, longest_unloaded_latency);
     }
 
-    /// Counts a failure of a backend and ejects it if that makes it an outlier.
+    /// Counts a failure of a backend, and ejects the backend if the failure makes it an outlier.
     fn on_failure(&mut self, now: Nanos, backend: BackendId, actions: &mut Vec<Action>) {
         let jitter_draw = uniform(&mut self.random);
         let ejection = self
@@ -282,7 +282,7 @@
     }
 }
 
-/// Whether an outcome counts as a failure of the backend.
+/// Whether an outcome counts as a failure, for which the backend can be ejected.
 fn is_failure(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -95,8 +95,8 @@
             .saturating_sub(unloaded_latency.min(class.latency_objective / 2) + self.settings.tick)
     }
 
-    /// Cancels the attempt of a request if it is overdue. A request without an attempt in flight
-    /// gets its final answer if it can no longer be answered in time.
+    /// Cancels the attempt of a request if the attempt is overdue. A request without an attempt in
+    /// flight is rejected or failed if it is too late to start another attempt.
     pub(super) fn check_timeouts(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let is_open = |pending: &&PendingRequest| !pending.finished && !pending.streaming;
         let Some(pending) = self.requests.get(id).filter(is_open) else {
@@ -131,7 +131,7 @@
             // The stream broke off: a retry is no longer possible.
             self.finish(id, actions);
         } else if pending.in_flight() == 0 {
-            // A failed connection uses no capacity, so a retry after it needs no token.
+            // A failed connection uses no capacity, so the retry needs no token of the budget.
             let is_budget_exempt = cancelled_as_overdue || ended.outcome == Outcome::ConnectFailed;
             let is_within_budget = is_budget_exempt || self.retries.has_token();
             let latest_start = self.latest_start(id);
@@ -179,8 +179,9 @@
         self.close(id, actions);
     }
 
-    /// Closes a request: removes it from the queue and, if permitted, cancels its attempts in
-    /// flight. The request stays in the table until no attempt is in flight.
+    /// Closes a request: removes it from the queue and, if
+    /// [`Limits::can_cancel`](crate::Limits::can_cancel) is set, cancels its attempts in flight.
+    /// The request stays in the table until no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -126,8 +126,8 @@
 
     /// Whether a backend is so clearly overloaded that it should receive nothing for a while, as a
     /// smaller share would not relieve it. The backend is part of the split again once its samples
-    /// have decayed. Slow but healthy backends are left out as well, so this applies only where
-    /// many proxies share each backend.
+    /// have decayed. As this condition also applies to slow but healthy backends, it is used only
+    /// where many proxies share each backend.
     fn is_overloaded(&self, latency: f64, prior: &PriorLatency) -> bool {
         self.limiter.is_below_one() && latency > OVERLOAD_RATIO * prior.kind_latency
     }
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -52,8 +52,8 @@
     }
 
     /// Latency of an attempt in a zone, as a multiple of the unloaded latency there. Also adds the
-    /// latency to the zone's mean if the attempt was served. Until the zone's window is full, the
-    /// unloaded latency of the class over all zones is the reference.
+    /// latency to the zone's mean if the attempt was served. Until the zone has
+    /// [`LATENCY_SAMPLES`] answers, the unloaded latency of the class over all zones is used.
     pub(crate) fn latency_ratio(&mut self, zone: ZoneId, latency: f64, outcome: Outcome) -> f64 {
         let zone_latency = self.zone_latencies.entry(zone).or_default();
         if outcome == Outcome::Success {
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -177,8 +177,9 @@
         self.share.min(1.0)
     }
 
-    /// Whether this proxy's share of [`SHARED_LIMIT`] is less than one attempt. The square root of
-    /// the share is added, as not all other proxies use their whole shares at the same time.
+    /// Whether this proxy's share of [`SHARED_LIMIT`], plus the square root of the share, is less
+    /// than one attempt. The square root is added as not all other proxies use their whole shares
+    /// at the same time.
     pub(crate) fn is_below_one(&self) -> bool {
         self.share + self.share.sqrt() < 1.0
     }
--- a/crates/balancer/src/concurrency_limiter_tests.rs
+++ b/crates/balancer/src/concurrency_limiter_tests.rs
@@ -39,7 +39,8 @@
     let limiter = ConcurrencyLimiter::new(1.0, 0.3);
     let mut load = BackendLoad::new(1.0);
     (0..6).for_each(|_| load.on_sent(0));
-    // An attempt behind one of 0.15 s is still in time, but not behind two of them.
+    // An attempt of 0.15 s that waits for another one of 0.15 s is still answered within the
+    // objective of 0.3 s, but not if it waits for two of them.
     (0..200).for_each(|_| limiter.adjust(&mut load, &sample(Outcome::Success, 1.0), 0.15));
     assert_eq!(load.concurrency_limit(), 2.0);
 }
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -18,7 +18,7 @@
 /// An entry of the endpoint list: the data that discovery has on one backend.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Backend that this entry describes.
+    /// Id of the backend; it does not change when the process of the backend restarts.
     pub id: BackendId,
     /// Hash of the name of the backend. It is the same at every proxy, so that all proxies put the
     /// backends in the same order.
@@ -55,9 +55,11 @@
 pub struct Request {
     /// Id of the request, unique among the pending requests of this proxy.
     pub id: RequestId,
-    /// Class of the request, as an index in the settings.
+    /// Class of the request, as an index in the settings. A request of a class that is not in the
+    /// settings fails at once.
     pub class: ClassId,
-    /// Tenant that sent the request, as an index in the settings.
+    /// Tenant that sent the request, as an index in the settings. A tenant that is not in the
+    /// settings has no quota.
     pub tenant: TenantId,
     /// Key of the object that the request concerns; 0 if there is none. The balancer does not use
     /// it.
@@ -131,7 +133,8 @@
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Request that the attempt belongs to.
+        /// Request that the attempt belongs to. The event is ignored if this request is not
+        /// pending.
         request: RequestId,
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
@@ -148,7 +151,8 @@
     },
     /// The client closed its connection, which ends the request.
     ClientDisconnected {
-        /// Request whose client has disconnected.
+        /// Request whose client has disconnected. Its attempts in flight are cancelled if
+        /// [`Limits::can_cancel`](crate::Limits::can_cancel) is set.
         request: RequestId,
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) is due.
@@ -158,7 +162,8 @@
     },
     /// A health check ended. The balancer does not evaluate the result.
     HealthCheckEnded {
-        /// Backend that was checked.
+        /// Backend of the [`Action::CheckHealth`](crate::Action::CheckHealth) that requested the
+        /// health check.
         backend: BackendId,
         /// Time from sending the health check until its end.
         latency: Nanos,
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -207,9 +207,9 @@
         self.is_stale = false;
     }
 
-    /// t of K ln t / t, in slots; at least e. Unless completions are pooled, t does not advance
-    /// before the first completion of a backend: otherwise the exploration weight would fall to
-    /// nearly 0 by then.
+    /// t of K ln t / t, in slots; at least e. If each backend is estimated by itself, t stays at e
+    /// until the backend has a completion: the exploration weight would otherwise fall to nearly 0
+    /// before that completion.
     fn exploration_age(&self, now: Nanos, record: &EndpointRecord, inputs: &SplitInputs) -> f64 {
         let t_advances =
             record.service_times.has_completions() || inputs.pooled_kind_count.is_some();
@@ -222,8 +222,9 @@
     }
 
     /// Fraction of their shares that backends of other zones get. 1 if attempts to other zones have
-    /// no cost or no backend of the local zone is part of the split; otherwise it rises to 1 as the
-    /// latencies of the local zone reach the tolerance.
+    /// no cost or no backend of the local zone is part of the split. Otherwise the fraction rises
+    /// from [`MIN_SPILLOVER`] to 1 while the latencies in the local zone rise to [`TOLERANCE`]
+    /// times both the unloaded latency and the latencies in other zones.
     fn spillover(&self, endpoints: &EndpointList, inputs: &SplitInputs) -> f64 {
         let (mut ratio_sum, mut count) = (0.0, 0.0);
         for (record, rate) in endpoints.iter().zip(&inputs.service_rates) {
@@ -254,7 +255,7 @@
 /// service rates in completions per slot, from 0 to 1 each. The shares sum to 1, or are all 0 if no
 /// rate is positive.
 ///
-/// The slowest backends are removed from the support set until all shares are positive. If the
+/// The slowest backends are left out until the shares of the remaining ones are positive. If the
 /// arrivals reach the summed rates, formula (9) has no solution. The shares are then proportional
 /// to the rates; formula (9) approaches these shares as the arrivals rise to the summed rates. A
 /// backend with a rate of 0 gets no share.
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -156,8 +156,9 @@
 }
 
 impl FailureHistory {
-    /// Whether the failures make this backend an outlier. After an ejection, one failure is enough
-    /// for a judgement until the backend has completed an attempt again.
+    /// Whether the failures make this backend an outlier. After an ejection and until the backend
+    /// has completed an attempt again, any number of failures is enough instead of
+    /// [`OUTLIER_FAILURES`].
     fn is_outlier(&self, completions: f64, fleet: &FleetFailures) -> bool {
         let rest_failure_rate = (fleet.failures - self.failures).max(0.0)
             / (fleet.failures + fleet.completions - completions).max(1.0);
--- a/crates/balancer/src/outlier_detector_tests.rs
+++ b/crates/balancer/src/outlier_detector_tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(fail(&detector, 0, 0, &mut list), None);
     assert_eq!(fail(&detector, 0, 0, &mut list), None);
     let ejection = fail(&detector, 0, 0, &mut list).expect("three failures, no completion");
-    // Two latency objectives of 0.3 s, with the mean jitter.
+    // A first ejection lasts two latency objectives of 0.3 s; the draw 0.5 gives the mean jitter.
     assert_eq!((ejection.seconds, ejection.until), (0.6, 600 * MS));
     let history = list.get(BackendId(0)).unwrap().failure_history;
     assert!(detector.is_ejected(599 * MS, &history) && !detector.is_ejected(600 * MS, &history));
--- a/crates/balancer/src/pick.rs
+++ b/crates/balancer/src/pick.rs
@@ -81,8 +81,10 @@
 }
 
 impl Picker<'_> {
-    /// Explores, or picks from the support set. `None` if neither yields a backend that is usable
-    /// now and to which the request was not sent before.
+    /// Picks a backend to explore, with a probability that is the sum of the exploration weights,
+    /// or otherwise a backend of the split by its share. If the backend to explore can't be used
+    /// and the sum is below 1, a backend of the split is picked instead. `None` if no backend is
+    /// found that is usable now and to which the request was not sent before.
     pub(crate) fn among_candidates(
         &self,
         candidates: &Candidates,
@@ -139,8 +141,8 @@
     }
 
     /// Whether an attempt of this request may go to the backend now, and the backend is not ejected
-    /// and has capacity. An ejected backend has no share, but without this check it would receive
-    /// every attempt that finds no capacity elsewhere.
+    /// and has capacity. An ejected backend has no share, but if ejection was not checked here, the
+    /// backend would receive every attempt that finds no capacity elsewhere.
     fn is_usable(&self, record: &EndpointRecord) -> bool {
         !self.outliers.is_ejected(self.now, &record.failure_history)
             && record.load.has_capacity()
@@ -176,11 +178,11 @@
         }
     }
 
-    /// Picks by share; idle backends come first.
+    /// Picks by share; backends with no attempt of this proxy in flight come first.
     fn by_share(&self, pool: &[&EndpointRecord], fraction: f64) -> Option<BackendId> {
         self.fast_and_idle(pool, fraction)
-            // Backends that this proxy knows to be idle come first, as an attempt does not wait
-            // there.
+            // Next come the preferred backends that this proxy knows to be idle: an attempt does
+            // not wait there.
             .or_else(|| {
                 pick_weighted(pool, fraction, |record| {
                     weight_if(is_preferred_and_idle(record), record.weights.share())
--- a/crates/balancer/src/pooled_latency.rs
+++ b/crates/balancer/src/pooled_latency.rs
@@ -13,7 +13,7 @@
 use crate::ids::{CellId, KindId, ZoneId};
 use crate::statistics::DecayedSum;
 
-/// Weight, in completions, of the prior value 1 of a pool's factor.
+/// Weight, in completions, of the value 1 towards which the factor of each pool is drawn.
 const POOL_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Prior latencies of one backend, in seconds.
@@ -35,7 +35,7 @@
 
 /// Inputs of the pooling besides the endpoint list.
 pub(crate) struct PoolingContext<'a> {
-    /// Latencies of each kind of machine, as multiples of the mean latency.
+    /// Latencies of each kind of machine, as multiples of the mean latency of their class.
     pub(crate) kinds: &'a BTreeMap<KindId, DecayedSum>,
     /// Zone of this proxy.
     pub(crate) zone: ZoneId,
--- a/crates/balancer/src/request_table.rs
+++ b/crates/balancer/src/request_table.rs
@@ -6,7 +6,8 @@
 use crate::event::{Outcome, Request};
 use crate::ids::{BackendId, CellId, Nanos, RequestId, ZoneId};
 
-/// An attempt of a request.
+/// An attempt that was started for a request. `zone` and `cell` are those of the backend when the
+/// attempt was sent.
 pub(crate) struct Attempt {
     pub(crate) backend: BackendId,
     pub(crate) sent_at: Nanos,
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -43,11 +43,11 @@
     }
 }
 
-/// Time after which an attempt is overdue: [`OVERDUE_MULTIPLE`] times its expected latency, but at
-/// least [`MIN_OVERDUE_FRACTION`] of its latency objective.
+/// Time from sending an attempt until it is overdue: [`OVERDUE_MULTIPLE`] times its expected
+/// latency, but at least [`MIN_OVERDUE_FRACTION`] of its latency objective.
 ///
-/// `mean_latency` is the mean latency of its class in seconds, `work_hint` the expected work that
-/// the request announces.
+/// `mean_latency` is the mean latency of the request's class in seconds, `work_hint` the expected
+/// work that the request announces.
 pub(crate) fn overdue_after(
     mean_latency: f64,
     work_hint: Option<Nanos>,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -9,9 +9,9 @@
 pub enum DeduplicationScope {
     /// All backends.
     Global,
-    /// The backends of one zone.
+    /// The backends in the same zone as the backend that received the key.
     Zone,
-    /// The backends of one cell.
+    /// The backends in the same cell as the backend that received the key.
     Cell,
 }
 
@@ -53,7 +53,7 @@
 /// A class of requests: which answers its clients expect, and whether a request may be repeated.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Time within which an answer has its full weight; above 0.
+    /// Time after the client's first try within which an answer has its full weight; above 0.
     pub latency_objective: Nanos,
     /// Multiple of the expected work of a request
     /// ([`Request::work_hint`](crate::Request::work_hint)) that is added to its latency objective.
@@ -101,14 +101,15 @@
 /// Parameters of the four protocol rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long after the client timeout a final answer may still be given.
+    /// How long after the client timeout a final answer may still be given. The balancer does not
+    /// use it.
     pub answer_slack: Nanos,
     /// Attempts to a backend must stop within this time after the notice that it is draining or
-    /// removed.
+    /// removed. The balancer does not use it: it starts no attempts there from the notice on.
     pub drain_grace: Nanos,
     /// Idle connections to a draining backend must be closed within this time after the notice or,
-    /// if later, after the last attempt that was sent or ended there. `None` if they may stay open;
-    /// otherwise above 0.
+    /// if later, after an attempt was last sent to the backend or last ended there. `None` if they
+    /// may stay open; otherwise above 0.
     pub drain_close_within: Option<Nanos>,
     /// Minimum capacity of a backend when its process starts, as a fraction of its full capacity;
     /// above 0, at most 1.
@@ -257,7 +258,7 @@
     value.is_finite() && value >= 0.0
 }
 
-/// One condition on the settings.
+/// A condition on the settings, and the parts of the error to return if it does not hold.
 struct Check {
     is_valid: bool,
     key: &'static str,
@@ -280,6 +281,6 @@
 pub struct SettingsError {
     /// Path of the setting within [`Settings`].
     pub key: &'static str,
-    /// Why the value is invalid.
+    /// Condition that the value does not meet, such as `must be above 0`.
     pub reason: &'static str,
 }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -51,7 +51,7 @@
 }
 
 impl SlowStart {
-    /// A limit without any completion yet. The minimum completion rate is one completion per
+    /// The limits before any completion. The minimum completion rate is one completion per
     /// shortest latency objective at each backend, by all proxies together, so that a fleet that
     /// starts as a whole receives attempts.
     pub(crate) fn new(rules: &Rules, timescale: &Timescale, proxy_count: f64) -> SlowStart {
@@ -82,8 +82,8 @@
         self.capacity_fraction(now, record.endpoint()) >= 1.0 || record.slow_start_tokens.0 >= 1.0
     }
 
-    /// Sets this proxy's completions per second, and the summed capacity fractions of the backends
-    /// at which they happen.
+    /// Updates the completion rate per backend of full capacity: this proxy's completions per
+    /// second, divided by the summed capacity fractions of the members of its subset.
     pub(crate) fn set_completions(&mut self, per_second: f64, capacity_fraction_sum: f64) {
         self.completion_rate = per_second / capacity_fraction_sum.max(1e-9);
     }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -168,9 +168,10 @@
     hashes
 }
 
-/// Distance between the offsets of two proxies with successive indices, as a fraction of a zone.
-/// With several zones, only some of the proxies are in each of them; multiples of the golden ratio
-/// are spread evenly whichever proxies these are.
+/// Distance between the offsets of two proxies with successive indices, in rounds of a zone's order
+/// of backends; only the fractional part counts. With several zones, it is not known which indices
+/// are in a zone; multiples of the golden ratio are spread nearly evenly for most choices of
+/// indices.
 fn offset_step(zone_count: usize, proxies_per_zone: f64) -> f64 {
     if zone_count > 1 {
         std::f64::consts::GOLDEN_RATIO
