--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -20,14 +20,14 @@
     },
     /// Final answer: the request is rejected, and a retry by the client is harmless.
     Reject {
-        /// Request that gets this answer.
+        /// Request to answer. Only cancellations of its attempts may follow.
         request: RequestId,
         /// How long the client should wait before it retries; 0 if it gets no advice.
         retry_after: Nanos,
     },
     /// Final answer: the request failed and may have been executed.
     Fail {
-        /// Request that gets this answer.
+        /// Request to answer. Only cancellations of its attempts may follow.
         request: RequestId,
     },
     /// Cancel an attempt that is in flight; [`Event::AttemptEnded`](crate::Event::AttemptEnded)
@@ -41,7 +41,7 @@
     /// Deliver [`Event::Timer`](crate::Event::Timer) at a given time. This timer replaces the one
     /// set before.
     SetTimer {
-        /// When the timer is due.
+        /// When the timer is due; always later than the event that this action results from.
         at: Nanos,
         /// Id that [`Event::Timer`](crate::Event::Timer) must carry when the timer is due.
         timer: TimerId,
@@ -85,7 +85,7 @@
         /// Duration of the ejection, in seconds.
         seconds: f64,
     },
-    /// The endpoint list has no ready backend.
+    /// The endpoint list has no ready backend after an update.
     NoBackendReady,
     /// The endpoint list could not be read; the last known list stays in use.
     DiscoveryUnreachable,
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -160,7 +160,7 @@
         self.entries.is_empty()
     }
 
-    /// The first entry at or after `from`.
+    /// The first entry at or after `from`; `None` if no entry follows.
     pub(crate) fn first_from(&self, from: QueueEntry) -> Option<QueueEntry> {
         self.entries.range(from..).next().copied()
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -62,7 +62,7 @@
     timescale: Timescale,
     random: Xoshiro256PlusPlus,
     timers: TimerQueue<Task>,
-    /// When the counts were last decayed.
+    /// Time of the latest event, at which the counts were last decayed.
     decayed_at: Nanos,
     requests: RequestTable,
     endpoints: EndpointList,
--- a/crates/balancer/src/class_statistics.rs
+++ b/crates/balancer/src/class_statistics.rs
@@ -31,12 +31,13 @@
 }
 
 impl ClassStatistics {
-    /// Mean latency, in seconds; 0 before the first answer.
+    /// Mean latency, in seconds; 0 before the first answer or timeout.
     pub(crate) fn mean_latency(&self) -> f64 {
         self.latencies.mean
     }
 
-    /// Minimum of the mean latency, in seconds.
+    /// Latency without load: the minimum of the mean latency, in seconds; 0 before the first answer
+    /// or timeout.
     pub(crate) fn unloaded_latency(&self) -> f64 {
         self.latencies.minimum
     }
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -147,7 +147,7 @@
 
 /// Sets and applies the concurrency limits of this proxy.
 pub(crate) struct ConcurrencyLimiter {
-    /// This proxy's share of [`SHARED_LIMIT`].
+    /// This proxy's share of [`SHARED_LIMIT`]: an equal part for each proxy.
     share: f64,
     proxy_count: f64,
     /// Shortest latency objective of a class, in seconds.
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -131,7 +131,8 @@
         /// Index of the attempt among those of the request, from 0.
         attempt: u8,
     },
-    /// An attempt ended.
+    /// An attempt ended. The caller reports the end of each started attempt, also of a cancelled
+    /// one.
     AttemptEnded {
         /// Request that the attempt belongs to. The event is ignored if this request is not
         /// pending.
--- a/crates/balancer/src/optimal_split.rs
+++ b/crates/balancer/src/optimal_split.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Inputs of a renewal.
+/// Estimates from which a renewal calculates the weights.
 pub(crate) struct SplitInputs {
     /// Arrivals per slot at all proxies together.
     pub(crate) arrivals_per_slot: f64,
@@ -179,7 +179,7 @@
         self.full_scans
     }
 
-    /// Recalculates the weights of all backends.
+    /// Recalculates the weights of all backends, and the candidates of later picks.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &mut EndpointList, inputs: &SplitInputs) {
         let spillover = self.spillover(endpoints, inputs);
         // The subset receives its proportion of the arrivals at all ready backends.
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -82,12 +82,12 @@
     }
 }
 
-/// A new ejection.
+/// An ejection that a failure has just caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
     /// When the ejection ends.
     pub(crate) until: Nanos,
-    /// Duration in seconds.
+    /// Duration in seconds, jitter and doublings included.
     pub(crate) seconds: f64,
 }
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -26,7 +26,7 @@
     IdempotencyKey {
         /// Backends that share the keys they have seen.
         scope: DeduplicationScope,
-        /// How long the backends remember a key.
+        /// How long the backends remember a key, counted from the first attempt that carried it.
         window: Nanos,
     },
     /// The request must never be executed twice.
@@ -158,9 +158,9 @@
     /// latency objective is a miss, which costs more than the weight of its request; a rejection
     /// within the latency objective is not a miss.
     pub tail_weight: f64,
-    /// Limits that the operator of the site sets.
+    /// Limits on attempts, cancellations, health checks and `Retry-After`.
     pub limits: Limits,
-    /// Parameters of the protocol rules.
+    /// Parameters of the protocol rules, such as those on draining and on slow start.
     pub rules: Rules,
 }
 
--- a/crates/balancer/src/timer_queue.rs
+++ b/crates/balancer/src/timer_queue.rs
@@ -12,7 +12,7 @@
     last_timer_id: u32,
 }
 
-/// A timer, and when it is due.
+/// A timer that the caller has to set, and when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ArmedTimer {
     pub(crate) at: Nanos,
