--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -120,7 +120,7 @@
     random: RandomSource,
 }
 
-/// A stand-in backend, one process with one core.
+/// A stand-in backend; it behaves like one process with one core.
 pub struct Backend {
     /// The name of the backend in the endpoint list, the same at every node and over restarts.
     pub uid: String,
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -38,7 +38,7 @@
     pub idempotency: Idempotency,
     /// When the request is due to be sent; the client timeout counts from this time.
     pub planned: Duration,
-    /// How long the client waits for the answer.
+    /// How long after `planned` the client gives up waiting for the answer.
     pub client_timeout: Duration,
 }
 
@@ -85,9 +85,9 @@
     pub request: ClientRequest,
     /// Number of the node to which the client connected, or failed to connect.
     pub node: usize,
-    /// When the request ended for its client.
+    /// When the answer was complete, the connection failed or the client timeout passed.
     pub ended: Duration,
-    /// How the request ended for its client.
+    /// The answer, or the reason why the client got none.
     pub outcome: ClientOutcome,
 }
 
@@ -116,8 +116,8 @@
         locked(&self.records).clone()
     }
 
-    /// Sends one request to a node without waiting for the planned time, then waits until the
-    /// request has ended and records its outcome.
+    /// Sends a request to a node now, even before its planned time. Returns after the request has
+    /// ended and its outcome is recorded.
     pub async fn send(self: Arc<Self>, request: ClientRequest, node: usize, address: SocketAddr) {
         let deadline = self
             .clock
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Capacity of the discovery service.
+/// How fast the discovery service answers, how long calls may wait, and how many changes it keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Time that the service spends on each call; calls are served one after the other.
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A change of one endpoint on the list.
+/// An endpoint that was added, replaced or removed at a revision of the list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     /// The revision of the list that the change created.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -18,7 +18,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Locks a mutex; there is no recovery from a poisoned one.
+/// Locks a mutex; blocks the thread until the mutex is free.
 ///
 /// # Panics
 ///
@@ -29,12 +29,12 @@
         .expect("no thread panicked while it held the lock")
 }
 
-/// The clock of a run: all logs of the run use its times.
+/// The clock of a run; the times in all logs of the run count from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts a clock; its zero is now.
+    /// Creates a clock that counts from now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -68,7 +68,8 @@
     Write,
 }
 
-/// A link; its state and write behaviour apply to all its connections.
+/// The link between a stand-in server and nodes; its state and write behaviour apply to all its
+/// connections.
 #[derive(Debug, Default)]
 pub struct Link {
     state: Mutex<LinkState>,
@@ -201,10 +202,10 @@
     }
 }
 
-/// A port that is reserved for one link by a socket that is bound and never listens. Without this
-/// socket, another socket could get the port between the close of a listener and the bind of the
-/// next: a process that is being started holds a copy of the closed listener until `exec`, and the
-/// link can't bind until then.
+/// A port that is reserved for one link by a bound socket that never listens. Without this socket,
+/// another socket could get the port while the link has no listener. The link may be without one
+/// for some time: a process that is being started holds a copy of the closed listener until `exec`,
+/// and the link can't open a new listener until then.
 struct Port {
     address: SocketAddr,
     _reserving_socket: TcpSocket,
@@ -252,7 +253,8 @@
     connection_number: usize,
     /// Number of resets of the link when this connection was accepted.
     resets_before: u64,
-    /// The pause after the last piece; `None` if no piece was sent yet.
+    /// With [`WriteBehaviour::InPieces`], the pause after the latest piece; `None` before the first
+    /// piece.
     pause: Option<Pin<Box<Sleep>>>,
 }
 
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -28,7 +28,8 @@
     Pipelines,
 }
 
-/// The behaviours that have no parameter.
+/// All behaviours except [`Behaviour::Disconnects`], which has a parameter. The testbed draws an
+/// index into this array, so another order would change the clients of all seeds.
 pub const PARAMETERLESS_BEHAVIOURS: [Behaviour; 5] = [
     Behaviour::HalfCloses,
     Behaviour::Trickles,
@@ -70,20 +71,22 @@
     pub request: MisbehavingRequest,
     /// Number of the node that the client connected to.
     pub node: usize,
-    /// When the connection was open; `None` if it could not be opened.
+    /// When the connection was established; `None` if the client could not connect.
     pub connected: Option<Duration>,
-    /// When the last byte was written; the start time if the client could not connect.
+    /// When the client had finished writing or a write failed; the start time if the client could
+    /// not connect.
     pub sent: Duration,
     /// When the client closed the connection or its sending direction; `None` if it did neither.
     pub disconnected: Option<Duration>,
-    /// When the node had ended the connection or sent all answers; `None` if the client could
-    /// not connect, disconnected first or stopped waiting.
+    /// When the node had ended the connection or sent all answers; `None` if the client could not
+    /// connect, closed the connection first or stopped waiting.
     pub ended: Option<Duration>,
-    /// Number of complete answers that the client received.
+    /// Number of complete answers that the client received. Answers without a `Content-Length` are
+    /// not counted, nor any that follow them.
     pub answers: usize,
 }
 
-/// All misbehaving clients of a run.
+/// All misbehaving clients of a run; they share their records.
 pub struct MisbehavingClients {
     clock: Clock,
     records: Mutex<Vec<MisbehavingRecord>>,
@@ -125,7 +128,8 @@
         locked(&self.records).push(record);
     }
 
-    /// Sends the request and then behaves as the record's behaviour says.
+    /// Sends the request; then disconnects, or reads the answers, after a half-close if the
+    /// behaviour is [`Behaviour::HalfCloses`].
     async fn run_connection(&self, record: &mut MisbehavingRecord, mut stream: TcpStream) {
         record.connected = Some(self.clock.now());
         let _ = stream.set_nodelay(true);
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -32,11 +32,11 @@
 use crate::report::{Measurements, Report};
 use crate::scenario::{Scenario, duration_from_secs};
 
-/// Time after a backend was listed as draining in which nodes may still send to it, as in the
-/// nodes' settings.
+/// How long a node may still send to a backend after it was notified that the backend drains; the
+/// nodes' settings state this time too.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Time after the client's timeout in which a final answer may still arrive, as in the nodes'
-/// settings.
+/// Time after the client's timeout in which a final answer may still arrive; the nodes' settings
+/// state this time too.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
 /// Time in which the backends of a cell drop repeats of an idempotency key.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// Time that the referee allows nodes beyond [`DRAIN_GRACE`] and beyond [`ANSWER_SLACK`].
 const REFEREE_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which the run continues after the last time at which a final answer may arrive.
+/// Time from the latest allowed final answer to the end of the run.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Number of backends in a cell, within which repeats of an idempotency key are dropped.
 const CELL_SIZE: usize = 4;
@@ -176,7 +176,6 @@
             let mut node = locked(node);
             node.reap(self.clock);
             node.signal(Signal::CONT, self.clock);
-            // The run is over, so the process is killed whatever its state.
             node.signal(Signal::KILL, self.clock);
         }
     }
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Sends the requests of well-behaved clients in an open loop.
+/// Sends the requests of well-behaved clients in an open loop. Returns at the end of the traffic,
+/// without waiting for the last answers.
 pub(super) async fn send_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<Clients>,
@@ -110,7 +111,8 @@
     drawn.or(traffic.class.last())
 }
 
-/// Starts misbehaving clients, and waits until all have ended.
+/// Starts misbehaving clients, and waits until all have ended. Their requests are of classes that
+/// may be executed twice; without such a class, no clients are started.
 pub(super) async fn send_misbehaving_traffic(
     cluster: Arc<Cluster>,
     clients: Arc<MisbehavingClients>,
--- a/crates/testbed/src/cluster/node_config.rs
+++ b/crates/testbed/src/cluster/node_config.rs
@@ -15,7 +15,7 @@
 /// Multiplier of the run's seed. The product plus a node's number is the node's seed, so that runs
 /// with different seeds share no node seeds.
 const NODE_SEED_MULTIPLIER: u64 = 7_919;
-/// Number of endpoints in ten that have the uid of a former backend in a stale list.
+/// Number of endpoints, out of each ten, that have the uid of a former backend in a stale list.
 const STALE_TENTHS: usize = 3;
 
 impl Cluster {
--- a/crates/testbed/src/cluster/programs.rs
+++ b/crates/testbed/src/cluster/programs.rs
@@ -5,7 +5,7 @@
 use crate::node::ProcessSettings;
 use crate::scenario::Scenario;
 
-/// Program and library that a run uses.
+/// Program and fault shim that a run uses, and whether the nodes write traces.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// Path of the program that the nodes run.
--- a/crates/testbed/src/cluster/timeline.rs
+++ b/crates/testbed/src/cluster/timeline.rs
@@ -8,7 +8,7 @@
 /// One action on discovery or on one node or backend.
 #[derive(Clone, Debug)]
 pub(super) struct Event {
-    /// Time after the start of the run.
+    /// Time after the start of the run at which the action is applied.
     pub at: Duration,
     /// Action that is applied to discovery, or to the node or backend `number`.
     pub action: Action,
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -41,7 +41,7 @@
     /// A file or folder can't be read or written.
     #[error("{path}: {source}")]
     File {
-        /// Path of the file or folder.
+        /// Path of the file or folder that can't be read or written.
         path: PathBuf,
         /// Error of the operating system.
         source: io::Error,
@@ -49,7 +49,7 @@
     /// A file is not a valid scenario.
     #[error("{path}: {source}")]
     Scenario {
-        /// Path of the file.
+        /// Path of the file that was parsed.
         path: PathBuf,
         /// Syntax error, or value out of its bounds.
         source: ScenarioError,
@@ -57,10 +57,10 @@
     /// The asynchronous runtime of the stand-ins can't be started.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// A stand-in or a process of the program can't be started.
+    /// A stand-in or a node can't be started, or a node's configuration can't be written.
     #[error("{program}: {source}")]
     Program {
-        /// Path of the program.
+        /// Path of the program that the nodes run, also if the error is not about the program.
         program: PathBuf,
         /// Error of the operating system.
         source: io::Error,
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -21,8 +21,8 @@
     Ok(Verdict::Passed)
 }
 
-/// Runs the scenario with each program in each round. Returns the figures of each program, in the
-/// order in which the programs were given.
+/// Runs the scenario with each program in each round; each round has another seed. Returns the
+/// figures of each program, in the order in which the programs were given.
 fn run_alternately(arguments: &CompareArguments) -> Result<Vec<FigureSeries>, CommandError> {
     let programs = &arguments.program;
     let mut scenario = read_scenario(&arguments.file, arguments.nodes)?;
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -10,8 +10,8 @@
 use super::{CommandError, FigureSeries, Verdict, run_scenario};
 use crate::ScaleArguments;
 
-/// Runs the node with both lists and prints each figure with its bound. The verdict is
-/// [`Verdict::Failed`] if a bound is not met.
+/// Runs the node with the baseline list and with the large list of backends, and prints each figure
+/// with its bound. The verdict is [`Verdict::Failed`] if a bound is not met.
 pub fn run(arguments: &ScaleArguments) -> Result<Verdict, CommandError> {
     let medians = |backends| median_figures(backends, &arguments.program, arguments.rounds);
     let baseline = medians(scale::BASELINE_BACKENDS)?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -60,7 +60,7 @@
     /// Seed instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Path of a file to which the whole report is written, as JSON.
+    /// Path of a file to which the report is written as JSON, without the logs.
     #[arg(long)]
     json: Option<PathBuf>,
     /// Path of a file to which the logs of all nodes are written, with a trace of each event and
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -177,7 +177,7 @@
     ///
     /// # Panics
     ///
-    /// Never: the standard error of a process that was just started is piped.
+    /// If called outside of a Tokio runtime.
     pub fn start(&mut self, settings: &ProcessSettings, clock: Clock) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -17,8 +17,8 @@
 
 use crate::node::Incarnation;
 
-/// Maximum delay with which a stand-in observes an event on a busy machine. For example, it reads
-/// that a connection is closed only when it is scheduled.
+/// Maximum delay with which a stand-in observes an event on a busy machine. For example, a stand-in
+/// notices that a connection was closed only when its task is scheduled.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(150);
 
 /// Times and limits by which the referee judges.
@@ -26,7 +26,7 @@
 pub struct Rules {
     /// Time after the client's timeout in which a final answer may still arrive.
     pub answer_slack: Duration,
-    /// Time after the notification that a backend drains in which the node may still send to it.
+    /// How long a node may still send to a backend after it was notified that the backend drains.
     pub drain_grace: Duration,
     /// Time in which the backends of a cell drop repeats of an idempotency key.
     pub key_window: Duration,
@@ -58,18 +58,18 @@
 pub struct BackendStart {
     /// Name of the backend in the endpoint list.
     pub uid: String,
-    /// Time of the restart.
+    /// Time of the restart, at which slow start begins.
     pub at: Duration,
 }
 
 /// What the stand-ins and the testbed recorded in a run, for the referee.
 #[derive(Default)]
 pub struct Records {
-    /// Requests of well-behaved clients, with their outcomes.
+    /// Requests of well-behaved clients that have ended, with their outcomes.
     pub requests: Vec<RequestRecord>,
-    /// Requests of misbehaving clients, with their outcomes.
+    /// Requests of misbehaving clients that have ended, with what the clients observed.
     pub misbehaving: Vec<MisbehavingRecord>,
-    /// Attempts that backends received.
+    /// Attempts that all backends received, in the order in which they were recorded.
     pub attempts: Vec<Attempt>,
     /// Lists and watch events that discovery wrote to nodes.
     pub notifications: Vec<Notification>,
@@ -77,9 +77,9 @@
     pub endpoint_changes: Vec<EndpointChange>,
     /// Incarnations of all nodes, in order of the node numbers.
     pub incarnations: Vec<Incarnation>,
-    /// Periods in which nodes were paused.
+    /// Periods in which nodes were paused, in order of their starts.
     pub pauses: Vec<Pause>,
-    /// Restarts of backends.
+    /// Restarts of backends, in order of time.
     pub backend_starts: Vec<BackendStart>,
 }
 
--- a/crates/testbed/src/referee/backends.rs
+++ b/crates/testbed/src/referee/backends.rs
@@ -1,5 +1,6 @@
-//! Rules for the attempts that a backend receives: none from a node that was notified of its drain
-//! or removal, and no more from all nodes together than it can take in slow start.
+//! Rules for the attempts that backends receive. A node that was notified that a backend drains or
+//! was removed sends it none after a grace. All nodes together send a backend in slow start no more
+//! than it can take.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,7 +40,8 @@
         history
     }
 
-    /// Latest revision of which a node had been notified at this time; `None` if there was none.
+    /// Latest revision of which a node had been notified at this time; `None` if the node had not
+    /// been notified of any.
     fn notified_revision(&self, node: usize, at: Duration) -> Option<u64> {
         let notifications = self.notifications.get(&node).into_iter().flatten();
         notifications
--- a/crates/testbed/src/referee/requests.rs
+++ b/crates/testbed/src/referee/requests.rs
@@ -10,7 +10,8 @@
 
 /// Maximum by which the remaining time that a backend is sent may exceed that of the client.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
-/// A request that is sent this long after SIGTERM may get no answer because the process ends.
+/// A request that is sent at least this long after SIGTERM is excused if the process ends without
+/// answering it.
 const SHUTDOWN_NOTICE_TIME: Duration = Duration::from_millis(700);
 
 /// Returns the rules that the outcome and the attempts of a request break.
@@ -120,8 +121,8 @@
         .then_some(Rule::ConcurrentAttempts)
 }
 
-/// Checks that the attempts after one that may have been executed are allowed by the idempotency of
-/// the request.
+/// Checks that, once an attempt may have been executed, the idempotency of the request allows all
+/// later attempts.
 fn forbidden_repeats(rules: &Rules, idempotency: Idempotency, attempts: &[&Attempt]) -> Vec<Rule> {
     let first_position = attempts
         .iter()
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -80,7 +80,7 @@
     },
 ];
 
-/// Values of a figure with both lists.
+/// A figure with the baseline list and with the large list, and its bound.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     /// Name of the figure in the reports.
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -67,7 +67,8 @@
     /// Plan of the fault shim that is preloaded into each node; no shim is loaded if it is empty.
     #[serde(default)]
     pub faults: String,
-    /// Whether the nodes' logs are left unread while the nodes write traces to them.
+    /// Whether the nodes' logs are left unread after their first line, while the nodes write traces
+    /// to them.
     #[serde(default)]
     pub log_unread: bool,
 }
@@ -95,7 +96,7 @@
     Stale,
 }
 
-/// Capacity of the discovery service, and how the nodes' settings say that they get its lists.
+/// Capacity of the discovery service, and whether the nodes' settings say that lists are pushed.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -18,7 +18,7 @@
 pub struct SeedResult {
     /// The full plan of the seed, or the smallest plan found that still fails.
     pub plan: Plan,
-    /// Report of the run of that plan.
+    /// Report of the run of `plan`.
     pub report: Report,
 }
 
@@ -55,8 +55,8 @@
     Ok(result)
 }
 
-/// Runs the plan without each of its faults in turn; returns the first run that still fails, `None`
-/// if all pass.
+/// Leaves out each fault of the plan in turn and runs the plan with the others. Returns the first
+/// run that still fails, `None` if all pass.
 async fn drop_one_fault(plan: &Plan, programs: &Programs) -> io::Result<Option<SeedResult>> {
     for index in 0..plan.faults.len() {
         let plan = plan.without_fault(index);
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -13,7 +13,8 @@
     Kill,
     /// Nodes are paused, and resumed after a second at most.
     Stop,
-    /// Nodes reload several times within a second: a truncated file, a missing file, a valid one.
+    /// Nodes reload four times within a second: a truncated file, a missing file, and a valid file
+    /// twice.
     Reloads,
     /// The discovery process is dead: connections are reset, and new ones are refused.
     DiscoveryDown,
@@ -39,7 +40,8 @@
     Drain,
     /// Backends die and are restarted, in slow start.
     BackendCrash,
-    /// Calls of the nodes to the C library fail with some probability during the fault.
+    /// During the fault, calls of the nodes to the C library fail, or transfer fewer bytes than
+    /// requested, with some probability.
     SystemCalls,
     /// Nodes' wall clocks are off during the fault: they step when the fault starts, and step back
     /// when it ends.
@@ -102,7 +104,7 @@
     "epoll_wait=EINTR,chance:0.2;recv=EINTR,chance:0.1;send=EINTR,chance:0.1",
 ];
 
-/// Steps of the wall clock, in seconds.
+/// Steps of the wall clock that a fault can select, in seconds; a negative step sets it back.
 const CLOCK_STEPS: [i64; 6] = [-3_600, -3, 3, 3_600, 6, -6];
 
 /// Plans of the fault shim with delays, in milliseconds, that stay below the time limits of the
@@ -119,10 +121,11 @@
 const START_AFTER_S: f64 = 6.8;
 /// Maximum time for which a node is paused, in seconds.
 const MAX_STOP_S: f64 = 1.0;
-/// Seconds after the end of the fault at which a dead backend is restarted. This is more than the
-/// second after which a dead backend is removed from the list, so that the restart lists it again.
+/// Seconds after the end of the fault at which a dead backend is restarted. A dead backend is
+/// removed from the list one second after its death; a removal after the restart would take the
+/// restarted backend off the list.
 const BACKEND_START_AFTER_S: f64 = 1.2;
-/// Seconds over which each step of a fault is spread.
+/// Seconds over which a step of a fault is spread over the affected nodes or backends.
 const STEP_SPREAD_S: f64 = 0.2;
 /// Minimum of the descriptor limit that [`FaultKind::FewDescriptors`] sets; the limit stays below
 /// twice this value.
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -42,7 +42,7 @@
     pub quiet_s: f64,
 }
 
-/// Draws the plan of a seed for the given number of nodes.
+/// Draws the plan of a seed for the given number of nodes, without idle time before the faults.
 pub fn draw_plan(seed: u64, nodes: usize) -> Plan {
     let mut random = RandomSource::from_seed(seed.wrapping_mul(SEED_MULTIPLIER));
     let fleet = draw_fleet(&mut random, nodes);
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -35,7 +35,7 @@
                 if not match:
                     continue
                 if match[1] is None:
-                    # A start line comes before the endpoints of the new process, whose numbers start anew.
+                    # A new process numbers its requests and backends anew; its start line precedes all its events.
                     uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, incarnation + 1
                     continue
                 fields = dict(FIELD.findall(match[3]))
