--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn client_observes_cuts_resets_and_refusals() {
+async fn link_holds_bytes_back_if_cut_resets_connections_and_refuses_new_ones() {
     let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let mut byte = [0];
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn violations_by_answers_and_repeats_are_reported_and_no_others() {
+fn exactly_the_violations_in_answers_and_repeats_are_reported() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn remaining_time_that_exceeds_the_clients_by_more_than_the_slack_is_reported() {
+fn remaining_time_above_that_of_the_client_plus_the_slack_is_reported() {
     for (remaining, expected) in [
         (790, &[][..]),
         (
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn lost_connection_is_excused_only_if_a_signal_ended_or_paused_its_node_then() {
+fn lost_connection_is_excused_only_by_a_kill_early_sigterm_or_pause_of_its_node() {
     const NEVER_ANSWERED: &[&str] = &["never answered"];
     const BAD_EXIT: &[&str] = &[
         "never answered",
--- a/crates/testbed/src/scenario_tests.rs
+++ b/crates/testbed/src/scenario_tests.rs
@@ -7,7 +7,7 @@
 const MINIMAL: &str = "about = \"x\"\nlength_s = 1\n[fleet]\nnodes = 2\nbackends = 2\n";
 
 #[test]
-fn parse_errors_name_their_location() {
+fn parse_error_names_the_line_the_key_or_the_step_that_is_wrong() {
     for (extra, expected) in [
         ("[list]\ncall = 3\n", "line 7, column 1"),
         ("[[at]]\ns = 0\ndo = \"jump\"\n", "line 8, column 6"),
