--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -55,7 +55,7 @@
         source: ScenarioError,
     },
     /// The asynchronous runtime of the stand-ins can't be started.
-    #[error("{0}")]
+    #[error("can't start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A stand-in or a node can't be started, or a node's configuration can't be written.
     #[error("{program}: {source}")]
@@ -66,7 +66,7 @@
         source: io::Error,
     },
     /// The report can't be written as JSON.
-    #[error("{0}")]
+    #[error("can't write the report as JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// A run whose figures were to be compared had a violation or a panic.
     #[error("{backends} backends: {violation}")]
