--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -57,14 +57,14 @@
     Rejects,
 }
 
-/// How an attempt ended at the backend.
+/// Whether and how an attempt ended at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The attempt has not ended yet.
     InFlight,
-    /// Answered with 200.
+    /// Executed and answered with 200.
     Served,
-    /// Answered with 500.
+    /// Answered with 500, unexecuted.
     Failed,
     /// Rejected with 503, unexecuted.
     Overloaded,
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -27,7 +27,7 @@
     NotIdempotent,
 }
 
-/// A request that a client sends.
+/// A request of a well-behaved client, and when it is due.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Identifier of the request, unique in the run; sent as `X-Txn`.
@@ -78,7 +78,7 @@
     }
 }
 
-/// The record of a request that has ended.
+/// A request that has ended, the node that it was meant for, and its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// The request as it was planned.
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -16,7 +16,7 @@
     pub max_history: usize,
 }
 
-/// How the discovery service treats calls.
+/// What the discovery service does with a call that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
     /// The service answers calls, within its capacity.
@@ -30,7 +30,7 @@
     Truncates,
 }
 
-/// How a call ended.
+/// Whether and how a call was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// Answered with a list, or with the start of a watch.
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -32,7 +32,7 @@
 pub struct Endpoint {
     /// Name of the backend, the same at every node and over restarts.
     pub uid: String,
-    /// Address that the backend listens on.
+    /// Address that the backend listens on, the same over restarts.
     pub address: SocketAddr,
     /// Zone of the backend; `az` in the protocol.
     pub zone: String,
--- a/crates/standin/src/misbehaving.rs
+++ b/crates/standin/src/misbehaving.rs
@@ -47,7 +47,7 @@
 /// Additional time that a client waits, so that a late answer is still recorded and can be judged.
 const LATE_ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
-/// A request of a misbehaving client.
+/// A request of a misbehaving client, and how the client misbehaves.
 #[derive(Clone, Debug)]
 pub struct MisbehavingRequest {
     /// Identifier of the request, unique in the run; a pipelined second request has `b` appended.
