--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -176,6 +176,7 @@
             let mut node = locked(node);
             node.reap(self.clock);
             node.signal(Signal::CONT, self.clock);
+            // The run is over, so nodes are not given time for a graceful shutdown.
             node.signal(Signal::KILL, self.clock);
         }
     }
