--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn link_holds_bytes_back_if_cut_resets_connections_and_refuses_new_ones() {
+async fn link_holds_bytes_back_while_cut_and_resets_or_refuses_connections() {
     let (link, address) = echo_server().await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let mut byte = [0];
