--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -57,14 +57,14 @@
     Rejects,
 }
 
-/// How an attempt ended at the backend.
+/// Whether and how an attempt ended at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The attempt has not ended yet.
     InFlight,
-    /// Answered with 200.
+    /// Executed and answered with 200.
     Served,
-    /// Answered with 500.
+    /// Answered with 500, unexecuted.
     Failed,
     /// Rejected with 503, unexecuted.
     Overloaded,
@@ -120,7 +120,7 @@
     random: RandomSource,
 }
 
-/// A stand-in backend, one process with one core.
+/// A stand-in backend; it behaves like one process with one core.
 pub struct Backend {
     /// The name of the backend in the endpoint list, the same at every node and over restarts.
     pub uid: String,
--- a/crates/standin/src/discovery/call.rs
+++ b/crates/standin/src/discovery/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Capacity of the discovery service.
+/// How fast the discovery service answers, how long calls may wait, and how many changes it keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Time that the service spends on each call; calls are served one after the other.
@@ -16,7 +16,7 @@
     pub max_history: usize,
 }
 
-/// How the discovery service treats calls.
+/// What the discovery service does with a call that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
     /// The service answers calls, within its capacity.
@@ -30,7 +30,7 @@
     Truncates,
 }
 
-/// How a call ended.
+/// Whether and how a call was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// Answered with a list, or with the start of a watch.
--- a/crates/standin/src/discovery/endpoint.rs
+++ b/crates/standin/src/discovery/endpoint.rs
@@ -32,7 +32,7 @@
 pub struct Endpoint {
     /// Name of the backend, the same at every node and over restarts.
     pub uid: String,
-    /// Address that the backend listens on.
+    /// Address that the backend listens on, the same over restarts.
     pub address: SocketAddr,
     /// Zone of the backend; `az` in the protocol.
     pub zone: String,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A change of one endpoint on the list.
+/// An endpoint that was added, replaced or removed at a revision of the list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     /// The revision of the list that the change created.
