--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn random_events_break_no_rule_and_equal_events_give_equal_actions() {
+fn actions_on_random_events_break_no_rule_and_are_equal_for_equal_events() {
     deterministic_runner(300)
         .run(&prop::collection::vec(any_step(), 1..150), |steps| {
             prop_assert_eq!(run_steps(&steps), run_steps(&steps));
--- a/crates/balancer/tests/balancer/requests.rs
+++ b/crates/balancer/tests/balancer/requests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn with_a_tail_weight_requests_are_rejected_within_their_objective() {
+fn request_without_backends_is_rejected_within_its_objective_if_the_tail_counts() {
     let mut settings = settings();
     settings.classes[0].late_priority_weight = 0.5;
     let is_rejected_within_objective = |settings: Settings| {
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn correct_clock_determines_the_age_of_a_backend() {
+fn age_follows_from_the_listed_start_if_the_node_clock_is_correct() {
     let (mut node, mut watch) = node_with_watch("");
     // The first start that is notified without delay shows that the clock is not ahead.
     watch.send(&watch_update(
--- a/crates/node/tests/protocol_rules/faults.rs
+++ b/crates/node/tests/protocol_rules/faults.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn local_shortage_uses_up_no_attempt_and_ejects_no_backend() {
+fn local_failure_to_connect_uses_up_no_attempt_and_ejects_no_backend() {
     for fault in [
         "connect=EADDRNOTAVAIL",
         "connect=ENETUNREACH",
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn lasting_shortage_causes_no_busy_loop() {
+fn lasting_resource_shortage_causes_no_busy_loop() {
     for fault in [
         "send=ENOBUFS",
         "recv=ENOMEM",
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn signal_with_a_lost_wake_up_byte_is_handled() {
+fn signal_is_handled_even_if_sending_its_wake_up_byte_fails() {
     // The signal handler wakes the event loop by a byte on a socket, and sending it fails for lack
     // of memory.
     let mut node = TestNode::with_faults("send=ENOBUFS", |config| config);
--- a/crates/node/tests/protocol_rules/unframed.rs
+++ b/crates/node/tests/protocol_rules/unframed.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn reset_answer_without_a_length_is_not_forwarded() {
+fn answer_without_a_length_is_not_forwarded_if_its_connection_is_reset() {
     for body in ["", "played", &"x".repeat(300_000)] {
         let node = TestNode::with_config(not_idempotent_class);
         let (mut client, mut backend) = with_attempt_in_flight(&node);
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn request_read_together_with_a_drain_avoids_the_idle_connection() {
+fn request_read_together_with_a_drain_is_not_sent_to_the_draining_backend() {
     let other_backend = StandIn::new();
     let node = TestNode::start();
     let mut watch = node.discovery.accept();
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn request_of_a_client_that_closes_behind_a_full_inbox_is_not_forwarded() {
+fn request_is_not_forwarded_if_its_client_overfills_the_inbox_and_closes() {
     let node = TestNode::start();
     node.stall();
     let mut queued = node.client();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn disconnect_while_connecting_sends_nothing_if_cancelling_is_off() {
+fn disconnect_while_connecting_prevents_the_send_even_if_cancelling_is_off() {
     let (full_backend, queued) = StandIn::with_full_backlog();
     let node = TestNode::with_config(|config| {
         with_long_connect_timeout(config, full_backend.address())
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn reloads_while_watches_fail_start_no_second_series_of_calls() {
+fn reloads_while_watches_fail_start_no_second_series_of_discovery_calls() {
     let mut node = TestNode::with_config(with_pushed_lists);
     for _ in 0..8 {
         node.discovery.accept().close();
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_and_keeps_the_list_and_all_requests_and_connections() {
+fn sighup_moves_the_watch_to_the_new_discovery_and_keeps_everything_else() {
     let mut node = TestNode::start();
     let mut client = node.client();
     client.send(&report_request("s", 5000));
--- a/crates/simulator/src/frame_tests.rs
+++ b/crates/simulator/src/frame_tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_reply_has_a_header_records_and_a_tail() {
+fn a_reply_is_a_header_followed_by_records_and_then_a_tail() {
     let mut reply = Reply::default();
     reply.push(
         3,
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn each_timer_backend_gossip_and_discovery_action_is_encoded_into_its_record() {
+fn actions_on_timers_backends_gossip_and_discovery_are_encoded_into_records() {
     let timer = Action::SetTimer {
         at: 9,
         timer: TimerId(7),
