--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -31,8 +31,9 @@
 #[test]
 fn limit_of_two_proxies_lets_attempts_meet_the_shortest_latency_objective() {
     // A backend takes 75 ms for three attempts of 25 ms, which is the whole latency objective, so
-    // the two proxies should have fewer than three in flight there. The share of each proxy is one,
-    // and one more is added, because the other proxy does not always use its share.
+    // the two proxies together should have fewer than three attempts in flight at the backend. The
+    // share of each proxy is one attempt; one more is allowed, because the other proxy does not
+    // always use its share.
     let short_objective = Class {
         latency_objective: 75 * MS,
         client_timeout: 150 * MS,
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -17,7 +17,8 @@
     Submit(u16),
     End(usize, Outcome),
     DisconnectClient(usize),
-    /// An attempt of an unknown request ends.
+    /// An attempt with this number ends. Its request is unknown, as the highest bit of this id is set
+    /// before the id is used.
     EndUnknown(u32, u8),
     Wait(Nanos),
     /// An update with entries of id, state and start time; a start time of 0 means none.
@@ -54,7 +55,8 @@
     /// Class, deadline and attempts of each request without a final answer.
     open_requests: BTreeMap<RequestId, (u16, Nanos, Vec<ObservedAttempt>)>,
     endpoint_states: BTreeMap<BackendId, EndpointState>,
-    /// Draining backends whose idle connections are still to be closed, and since when.
+    /// Draining backends whose idle connections are still to be closed, with the time from which
+    /// the limit for closing them counts.
     close_since: BTreeMap<BackendId, Nanos>,
 }
 
--- a/crates/balancer/tests/balancer/support.rs
+++ b/crates/balancer/tests/balancer/support.rs
@@ -224,7 +224,7 @@
     }
 }
 
-/// Backends of the attempts that these actions start.
+/// Backends of the attempts that `actions` start, in the order of the actions.
 pub fn attempted_backends(actions: &[Action]) -> Vec<BackendId> {
     actions
         .iter()
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of many proxies together. Each proxy decides soundly by itself; these tests check the sum
-//! of their decisions.
+//! Tests of many proxies that share backends: decisions that are right for each proxy alone may
+//! overload a backend together, or leave one unused.
 
 mod simulation;
 
@@ -145,7 +145,8 @@
         simulation.update_endpoints(UpdateKind::Delta, &removed);
         simulation.run(8 * SECOND, 1_100.0);
         let fraction_in_time = simulation.fraction_in_time(START + 4 * SECOND);
-        // With 300 proxies, each proxy gets only about two answers a second for its estimates.
+        // With 300 proxies, each proxy gets only about two answers a second for its estimates, so
+        // fewer requests are served in time.
         let minimum = if proxy_count > 100 { 0.08 } else { 0.15 };
         assert!(
             fraction_in_time > minimum,
@@ -195,7 +196,8 @@
         };
         let draining_fraction = recent_attempts().filter(|attempt| attempt.1.0 < 10).count() as f64
             / recent_attempts().count() as f64;
-        // A sixth of the backends are draining.
+        // A sixth of the backends are draining, so they would get 0.167 of the attempts if they
+        // were treated like the others.
         let maximum = if proxy_count > 100 { 0.13 } else { 0.11 };
         assert!(
             draining_fraction < maximum,
@@ -286,7 +288,8 @@
     (simulation, backends)
 }
 
-/// Number of requests a second that one backend can serve, with the classes of `two_proxies`.
+/// Number of requests a second that one backend can serve, with the classes and the `scale` of
+/// `two_proxies`.
 fn capacity(scale: f64) -> f64 {
     1.0 / (scale * (0.59 * 0.024 + 0.41 * 0.015))
 }
@@ -319,8 +322,8 @@
                 .filter(|record| record.class == 1)
                 .filter(was_sent_there)
                 .count();
-            // The maximum of six is three for each proxy in ten seconds. An equal share would be
-            // about a hundred.
+            // Each of the two proxies may send three requests to this backend in ten seconds. An
+            // equal share would be about a hundred requests.
             assert!(
                 sent_there <= 6,
                 "{sent_there} requests went to the one of {backend_count} that never answers, seed {seed}"
--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -139,7 +139,8 @@
     settings
 }
 
-/// Adds the features of an extended setup.
+/// Adds the settings that only extended setups have, such as a quota, a cross-zone cost and a
+/// streamed class.
 fn extend_settings(settings: &mut Settings, setup: Setup) {
     let quota_per_second =
         RATE_PER_BACKEND * f64::from(setup.backend_count) * f64::from(setup.proxy_count) / 4.0;
@@ -574,7 +575,7 @@
     assert_ne!(stream_hash(7), stream_hash(8));
 }
 
-/// Hashes of the streams of `setups`.
+/// Expected hashes of the actions, one for each stream of `setups`.
 const RECORDED_HASHES: [u64; 6] = [
     12_786_921_807_614_902_306,
     7_379_061_564_831_453_002,
@@ -584,7 +585,7 @@
     15_964_821_636_492_578_482,
 ];
 
-/// Hashes of the streams of `extended_setups`.
+/// Expected hashes of the actions, one for each stream of `extended_setups`.
 const RECORDED_EXTENDED_HASHES: [u64; 3] = [
     3_573_954_004_103_346_401,
     427_959_500_892_172_197,
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -50,7 +50,7 @@
     NeverAnswers,
 }
 
-/// Outcomes of simulated attempts.
+/// Outcomes of simulated attempts; a scheduled end of an attempt has an index in this array.
 pub const OUTCOMES: [Outcome; 4] = [
     Outcome::Success,
     Outcome::Overloaded,
@@ -63,7 +63,7 @@
 pub struct RequestRecord {
     /// Index of the proxy that received the request.
     pub proxy_index: usize,
-    /// Index of the class of the request.
+    /// Index of the request's class in `Settings::classes`.
     pub class: usize,
     pub received_at: Nanos,
     /// When an attempt succeeded; `None` if the request was not served.
@@ -97,7 +97,7 @@
     pub longest_above_threshold: Nanos,
     /// Number of requests that were not started at once although some backend was idle.
     pub queued_despite_idle_backend: usize,
-    /// Index of the proxy that is stopped, if any.
+    /// Index of the stopped proxy, whose requests go to the next proxy; `None` if all proxies run.
     pub stopped_proxy: Option<usize>,
     /// When each backend has finished all attempts that it has accepted so far.
     pub free_at: BTreeMap<BackendId, Nanos>,
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -47,7 +47,7 @@
     Clock,
 }
 
-/// A fault that is injected into a call.
+/// What is done to a call instead of, before or after it, or to its result.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The call is not made and returns -1 with this errno.
@@ -62,7 +62,7 @@
     Step(i64),
 }
 
-/// One rule of a plan.
+/// A fault, the call that it is injected into, and when and how often.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
     /// The call that the fault is injected into.
@@ -105,11 +105,11 @@
 
 impl std::error::Error for PlanError {}
 
-/// A fault plan and the state of its random numbers.
+/// The rules of a fault plan with their call counts, and the state of the plan's random numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     rules: Vec<Rule>,
-    /// State of the random number generator.
+    /// State of the random number generator that all rules with `chance` share.
     random_state: u64,
 }
 
@@ -156,7 +156,8 @@
 }
 
 impl Rule {
-    /// Counts a call and returns whether the fault is to be injected into it.
+    /// Counts a call to which this rule applies, and returns whether the rule's fault is to be
+    /// injected into the call.
     fn should_inject(&mut self, random_state: &mut u64) -> bool {
         self.call_count += 1;
         match self.chance {
@@ -237,8 +238,9 @@
     errno_from_name(text).map(Fault::Errno)
 }
 
-/// Returns the value of an errno by its name; `None` if the name is unknown. Known are the errors
-/// that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and `epoll(7)` document.
+/// Returns the value of an errno by its name; `None` for a name that plans don't support. They
+/// support the errors that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and
+/// `epoll(7)` document.
 fn errno_from_name(name: &str) -> Option<i32> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/crates/node/tests/common/stand_in.rs
+++ b/crates/node/tests/common/stand_in.rs
@@ -10,7 +10,7 @@
 pub struct StandIn(TcpListener);
 
 impl StandIn {
-    /// Listens on an unused port.
+    /// Listens on an unused port of 127.0.0.1.
     pub fn new() -> StandIn {
         StandIn(TcpListener::bind("127.0.0.1:0").unwrap())
     }
--- a/crates/node/tests/common/test_node.rs
+++ b/crates/node/tests/common/test_node.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Connects a client.
+    /// Connects a client; panics if the connection fails.
     pub fn client(&self) -> Connection {
         Connection::new(TcpStream::connect(self.address).unwrap())
     }
@@ -108,12 +108,12 @@
         lines
     }
 
-    /// Closes the reading end of the log's pipe.
+    /// Closes the reading end of the log's pipe, so that the node's writes to its log fail.
     pub fn close_log(&mut self) {
         self.log = None;
     }
 
-    /// CPU time that the process has used.
+    /// CPU time that the process has used so far, in user and kernel mode.
     pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap();
         let fields: Vec<&str> = stat
@@ -179,7 +179,7 @@
         (process, file)
     }
 
-    /// Sends SIGTERM.
+    /// Starts the graceful shutdown by SIGTERM; doesn't wait for its end.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
@@ -235,7 +235,7 @@
         kill_process(Pid::from_child(&self.process), signal).unwrap();
     }
 
-    /// Waits for the process to exit.
+    /// Waits without a time limit for the process to exit.
     pub fn wait_exit(mut self) -> ExitStatus {
         self.process.wait().unwrap()
     }
--- a/crates/node/tests/common/waiting.rs
+++ b/crates/node/tests/common/waiting.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Sleeps, so that a time limit passes that is part of the test scenario.
+/// Sleeps for a time that is part of the test scenario, such as until a time limit has passed. To
+/// wait for an event, use [`wait_for`] instead.
 pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
--- a/crates/node/tests/protocol_rules/clock.rs
+++ b/crates/node/tests/protocol_rules/clock.rs
@@ -1,5 +1,5 @@
-//! The wall clock may be stepped, so the node derives the age of a backend from what it has
-//! received from discovery, and when.
+//! The wall clock may be stepped, so the node derives the age of a backend from the start times
+//! that discovery sends and from when the node receives them.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -40,8 +40,8 @@
     })
 }
 
-/// Age of a backend, in milliseconds, as the node traces it for its next list entry; -1 if it
-/// started long ago.
+/// Waits for the next trace line about a list entry of the backend `uid`. Returns the backend's age
+/// from that line, in milliseconds; -1 if the backend started long ago.
 fn age_ms(node: &mut TestNode, uid: &str) -> i64 {
     let lines = node.expect_log(&format!("uid={uid} "));
     let line = lines
@@ -145,7 +145,8 @@
         let age = age_ms(&mut node, "s-2");
         assert!((0..=100).contains(&age), "{plan} {start_age_ms}: {age} ms");
     }
-    // Three hours can't be explained by a clock that is off by an hour.
+    // Three hours can't be explained by a clock that is off by an hour, so the backend counts as
+    // started long ago.
     let mut node = node_with_new_backend("clock=step:3600", unix_ms() - 3 * HOUR_MS);
     assert_eq!(age_ms(&mut node, "s-2"), -1);
 }
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -75,7 +75,7 @@
     let node = TestNode::with_config(|config| with_backend(config, "s-0", other_backend.address()));
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // The backend that receives the request rejects it.
+    // Find out which backend receives the request; it rejects the request below.
     let (mut first, second) = wait_for(|| {
         let at_default_backend = node
             .backend
@@ -125,7 +125,7 @@
     });
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // Once the node has answered the health checks of this call, the attempt has begun.
+    // When this call returns, the node has started the attempt.
     node.wait_for_iteration();
     node.stall();
     full_backend.accept();
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -102,7 +102,8 @@
     node.terminate();
     node.expect_log("sigterm");
     let mut answered = 0;
-    // Each connection serves one more request and closes after its answer.
+    // After SIGTERM, the node closes a client connection after the next answer on it, so each
+    // request after the first is sent on a new connection.
     for id in 0..10_000 {
         client.send(&report_request(&format!("on{id}"), 250));
         if let Some(mut connection) = node.backend.try_accept() {
@@ -135,8 +136,8 @@
         client.send(&report_request(&format!("late{n}"), 60_000));
     }
     node.expect_log("client-connections-full");
-    // Every second waiting client disconnects, with a close or a reset; then all clients with a
-    // connection disconnect.
+    // Every other client in the accept queue disconnects, by a close or a reset; then all accepted
+    // clients disconnect.
     for n in [4, 2, 0] {
         let client = waiting.remove(n);
         if n == 2 {
@@ -146,8 +147,9 @@
         }
     }
     drop(busy);
-    // Requests that must still reach the backend. Attempts of the disconnected clients are
-    // cancelled, so their connections close.
+    // Requests of the clients that are still in the accept queue; the backend must get each of
+    // them. The attempts of disconnected clients are cancelled, so the connections of those
+    // attempts close.
     let mut remaining: Vec<&str> = vec!["late1", "late3", "late5"];
     while !remaining.is_empty() {
         let mut connection = node.backend.accept();
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -68,7 +68,8 @@
     let mut watch = node.discovery.accept();
     watch.expect("\r\n\r\n");
     let started_at = Instant::now();
-    // The watch may withhold updates, and each of them counts as notified 6 s after it is due.
+    // A watch without complete objects may withhold updates. An update counts as notified 6 s after
+    // it is due, so the node must open a new watch before that.
     watch.send(WATCH_RESPONSE_HEAD).send("1000\r\n");
     let sender = std::thread::spawn(move || {
         while watch.try_send(" ") {
--- a/crates/node/tests/service/backend_connections.rs
+++ b/crates/node/tests/service/backend_connections.rs
@@ -66,7 +66,7 @@
     let mut watch = node.discovery.accept();
     let mut client = node.client();
     client.send(&report_request("r", 5000));
-    // Once the node has answered the health checks of this call, the attempt has begun.
+    // When this call returns, the node has started the attempt.
     node.wait_for_iteration();
     let draining = endpoint_json("s-0", full_backend.address(), "Terminating");
     watch.send(&watch_response(
--- a/crates/node/tests/service/client_connections.rs
+++ b/crates/node/tests/service/client_connections.rs
@@ -117,7 +117,8 @@
     first.send(&report_request("x0", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // Clients that send nothing use all client connections; none with a request is evicted.
+    // Clients that send nothing use all client connections; no client with a request in flight is
+    // evicted for them.
     let mut flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     flood[99].send(HEALTH_CHECK).expect("ok\n");
     assert!(
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -70,7 +70,7 @@
     let mut node = TestNode::with_config(|config| {
         config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#)
     });
-    // The decision module waits at least half a second before it calls discovery again.
+    // With a poll interval of 20 s, the decision module waits at least 0.5 s after a failed call.
     let old_address = node.discovery.address().to_string();
     node.discovery.accept().close();
     node.expect_log("list out of reach");
@@ -79,7 +79,8 @@
     let mut watch = new_discovery.accept();
     watch.expect("after=7 ");
     node.expect_log("reload discovery=");
-    // When the idle timeout ends this watch, the first backoff has ended and the next one has not.
+    // When the idle timeout ends this watch, the backoff after the closed first watch is over. A
+    // new backoff begins, so the node must not have opened another watch yet.
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     node.expect_log("discovery-failed timed out: no complete data");
     watch.expect_close();
--- a/crates/node/tests/service/settings.rs
+++ b/crates/node/tests/service/settings.rs
@@ -7,7 +7,7 @@
     name: &'static str,
     /// Text of the default configuration that is replaced.
     default_text: &'static str,
-    /// The text that replaces it.
+    /// Text that replaces `default_text`.
     replacement: String,
 }
 
@@ -31,7 +31,7 @@
     ("minimum descriptor limit", r#""sockets":128"#, r#""sockets":32"#),
 ];
 
-/// The variants whose replacement is computed.
+/// The variants whose replacement is computed, and so can't be in the constant `VARIANTS`.
 fn computed_variants() -> Vec<ConfigVariant> {
     let tenants: Vec<String> = (0..39).map(|n| format!(r#"{{"name":"t{n}"}}"#)).collect();
     let variant = |name, default_text, replacement| ConfigVariant {
--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -5,7 +5,7 @@
 use crate::decode::unknown_value;
 use crate::json::{ConfigError, JsonValue};
 
-/// Reads one entry of `grades`.
+/// Reads one entry of `grades`; optional keys that are absent get their defaults.
 pub(crate) fn read(grade: &JsonValue) -> Result<Class, ConfigError> {
     // Read for every class, so that invalid values are reported even if `effect` is not `by_key`.
     let idempotency_key = read_idempotency_key(grade)?;
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -30,11 +30,14 @@
     /// Names of the kinds of machine, in the order of their numbers; empty if the settings give
     /// none.
     pub kinds: Vec<String>,
-    /// Time after which a backend closes an idle connection.
+    /// Time after which a backend closes an idle connection, in nanoseconds; 10 s if the settings
+    /// give none.
     pub idle_limit: Nanos,
-    /// An attempt to connect that takes longer than this has failed.
+    /// Time limit for connecting to a backend, in nanoseconds; 250 ms if the settings give none. An
+    /// attempt to connect that takes longer has failed.
     pub connect_timeout: Nanos,
-    /// Maximum number of requests that are pending at the same time.
+    /// Maximum number of requests that are pending at the same time; 20,000 if the settings give
+    /// none.
     pub max_pending_requests: usize,
 }
 
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -11,9 +11,9 @@
         max_attempts: limits.get("maxAttempts")?.small_integer()?,
         can_cancel: limits.get_or("cancel", false, JsonValue::boolean)?,
         health_checks: limits.get_or("probes", false, JsonValue::boolean)?,
-        // The key `retryAfter` is ignored: it only says whether the simulator gives this advice to
-        // its clients. A rejection over HTTP may always carry `Retry-After`, and without it a
-        // rejected client retries at once, together with the other rejected clients.
+        // The key `retryAfter`, which says whether the simulator advises its clients when to retry,
+        // is ignored. Over HTTP a rejection may always carry `Retry-After`; without it, all
+        // rejected clients would retry immediately.
         max_retry_after: limits.get_or("maxRetryAfterNs", 0, JsonValue::integer)?,
         // The platform has no such key; the program that runs the balancer may lower the value.
         never_attempted_timeout_fraction: 1.0,
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -2,15 +2,16 @@
 //! count from the start of the header, the record, the entry or the compound field. The comment on
 //! an offset begins with the type of the field.
 
-/// Size of a batch header.
+/// Size of a batch header; [`header`] has the offsets of its fields.
 pub const HEADER_SIZE: usize = 20;
-/// Size of an event record.
+/// Size of every event record; bytes that the record's type does not use are ignored.
 pub(super) const EVENT_SIZE: usize = 40;
 /// Size of an entry of an endpoint list, in the tail.
 pub(super) const ENDPOINT_SIZE: usize = 23;
-/// Size of a reply header.
+/// Size of a reply header: body length, number of records and sequence number of the batch, `u32`
+/// each.
 pub(super) const REPLY_HEADER_SIZE: usize = 12;
-/// Size of an action record.
+/// Size of every action record; bytes that the record's type does not use are 0.
 pub(super) const ACTION_SIZE: usize = 24;
 
 /// Fields of a batch header.
--- a/crates/simulator/src/frame/reader.rs
+++ b/crates/simulator/src/frame/reader.rs
@@ -62,7 +62,8 @@
     Ok(messages)
 }
 
-/// Splits a body into its records and its tail.
+/// Splits a body into its records and its tail. Fails if the header gives more records than the
+/// body holds.
 fn split_body<'a>(header: &Header, body: &'a [u8]) -> Result<(&'a [u8], &'a [u8]), FrameError> {
     (header.record_count as usize)
         .checked_mul(EVENT_SIZE)
--- a/crates/simulator/src/frame/record.rs
+++ b/crates/simulator/src/frame/record.rs
@@ -6,7 +6,8 @@
 use super::layout::{any_record, data_reference, load_report};
 use super::{FrameError, FrameErrorKind};
 
-/// One event record of a batch. Its methods take the offset of a field within the record.
+/// One event record of a batch. Its methods take the offset of a field within the record, and panic
+/// if the record ends before the last byte of the field.
 pub(super) struct Record<'a> {
     /// The bytes of the record itself.
     pub bytes: &'a [u8],
@@ -58,17 +59,17 @@
         u64_at(self.bytes, field_offset)
     }
 
-    /// Returns the clock time or the duration at the given offset.
+    /// Returns the 64-bit integer at the given offset as a clock time or a duration.
     pub fn nanos(&self, field_offset: usize) -> Nanos {
         self.u64(field_offset)
     }
 
-    /// Returns the id of the request at the given offset.
+    /// Returns the 32-bit integer at the given offset as the id of a request.
     pub fn request(&self, field_offset: usize) -> RequestId {
         RequestId(self.u32(field_offset))
     }
 
-    /// Returns the id of the backend at the given offset.
+    /// Returns the 32-bit integer at the given offset as the id of a backend.
     pub fn backend(&self, field_offset: usize) -> BackendId {
         BackendId(self.u32(field_offset))
     }
--- a/crates/simulator/src/frame/writer.rs
+++ b/crates/simulator/src/frame/writer.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Appends the record of an instance that could not be started.
+    /// Appends a record that says why an instance could not be started.
     pub fn start_failed(&mut self, instance: u16, reason: &str) {
         self.add_text_record(ActionCode::StartFailed, instance, reason);
     }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -61,7 +61,8 @@
     Ok(())
 }
 
-/// Reads the next header; returns `None` at the end of the input.
+/// Reads the next header; returns `None` at the end of the input. If the input ends within the
+/// header, the error names `last_batch`, the previous batch.
 fn read_header(input: &mut impl Read, last_batch: u32) -> Result<Option<Header>, HostError> {
     let mut bytes = [0; HEADER_SIZE];
     match read_full(input, &mut bytes)? {
@@ -74,7 +75,8 @@
     }
 }
 
-/// Replaces the content of `body` with the bytes that follow a header.
+/// Replaces the content of `body` with the bytes that follow the header; fails if the input ends
+/// before `header.body_length` bytes.
 fn read_body(input: &mut impl Read, header: &Header, body: &mut Vec<u8>) -> Result<(), HostError> {
     body.clear();
     let read_size = input
@@ -89,7 +91,8 @@
     Ok(())
 }
 
-/// Reads until `buffer` is full or the input ends. Returns the number of bytes that were read.
+/// Reads until `buffer` is full or the input ends. Returns the number of bytes that were read. A
+/// read that a signal interrupts is repeated.
 fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
