--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -17,8 +17,8 @@
     Submit(u16),
     End(usize, Outcome),
     DisconnectClient(usize),
-    /// An attempt with this number ends. Its request is unknown, as the highest bit of this id is set
-    /// before the id is used.
+    /// An attempt with this number ends. Its request is unknown, as the highest bit of this id is
+    /// set before the id is used.
     EndUnknown(u32, u8),
     Wait(Nanos),
     /// An update with entries of id, state and start time; a start time of 0 means none.
--- a/crates/balancer/tests/balancer/retries.rs
+++ b/crates/balancer/tests/balancer/retries.rs
@@ -112,7 +112,8 @@
 #[test]
 fn attempt_becomes_overdue_between_six_and_nine_times_the_mean_latency() {
     // If work and waits are exponentially distributed, one attempt in 150 takes five times the mean
-    // and one in 3,000 eight times.
+    // and one in 3,000 eight times. A cancellation between the two affects few attempts that are
+    // merely slow.
     let mut harness = Harness::new(settings(), (1..=4).map(backend).collect());
     harness.serve(40, |_| 30 * MS);
     let (id, _) = harness.submit(0);
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -39,7 +39,7 @@
     },
 }
 
-/// Condition of a backend.
+/// How a backend handles the attempts that are sent to it.
 #[derive(Clone, Copy)]
 pub enum Health {
     /// The backend serves attempts at this fraction of its full capacity.
@@ -89,7 +89,7 @@
     pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
-    /// Unfinished work at a backend above which its backlog counts as long.
+    /// A backlog counts as long if the backend needs more time than this to finish it.
     pub backlog_threshold: Nanos,
     /// Start and end of the latest period in which the backlog of a backend is above the threshold.
     pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
@@ -379,8 +379,8 @@
         );
     }
 
-    /// Runs for `duration`, with Poisson arrivals of `rate` requests a second at all proxies
-    /// together.
+    /// Simulates the next `duration`, with Poisson arrivals of `rate` requests a second at all
+    /// proxies together.
     pub fn run(&mut self, duration: Nanos, rate: f64) {
         let end = self.now + duration;
         let mean_interval = SECOND as f64 / rate;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -20,7 +20,7 @@
 
 use crate::plan::{Call, Fault, Plan};
 
-/// Environment variable that holds the plan.
+/// Environment variable that holds the plan; if it is absent, every call passes through unchanged.
 const PLAN_VARIABLE: &str = "KITEFORK_FAULTS";
 /// Environment variable that holds the seed of the plan's random numbers, an unsigned 64-bit
 /// integer. The seed is 1 if the variable is absent or invalid.
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -42,7 +42,7 @@
     pub const ITEM_COUNT: usize = 4;
 }
 
-/// Type of an event record.
+/// Type of an event record; [`EventCode::from_wire`] gives the type that a code stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EventCode {
     Timer,
