--- a/crates/balancer/tests/recorded.rs
+++ b/crates/balancer/tests/recorded.rs
@@ -33,7 +33,7 @@
     extended: bool,
 }
 
-/// An event that the recorder has scheduled.
+/// An event that the recorder handles once its clock reaches the time for which it was scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Scheduled {
     Arrival,
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -22,7 +22,7 @@
 /// longest mean work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
-/// An event that the simulation has scheduled.
+/// An event that the simulation handles once its clock reaches the time for which it was scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scheduled {
     Arrival,
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -238,9 +238,9 @@
     errno_from_name(text).map(Fault::Errno)
 }
 
-/// Returns the value of an errno by its name; `None` for a name that plans don't support. They
-/// support the errors that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and
-/// `epoll(7)` document.
+/// Returns the value of an errno by its name; `None` for a name that plans don't support. Plans
+/// support errors that `accept(2)`, `socket(2)`, `connect(2)`, `send(2)`, `recv(2)` and `epoll(7)`
+/// document, except those of a faulty call, such as EBADF.
 fn errno_from_name(name: &str) -> Option<i32> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/crates/node/tests/races/connections.rs
+++ b/crates/node/tests/races/connections.rs
@@ -121,14 +121,14 @@
     client.send(&report_request("first", 5000));
     let mut backend = node.backend.accept();
     backend.expect("body");
-    // The backend sends two answers in one write: from now on the node expects that a second answer
-    // may come late.
+    // The backend sends two answers in one write. From now on, the node reuses a connection only
+    // some time after the last answer on it, as a second answer may come late.
     let two_answers = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     backend.send(&two_answers);
     client.expect("one");
     assert_eq!(backend.expect_close(), "");
-    // The client sends two requests in one write: the second is forwarded a tick after the first is
-    // answered.
+    // The client sends two further requests in one write: the node forwards the later one a tick
+    // after it has answered the earlier one.
     client.send(&(report_request("second", 5000) + &report_request("third", 5000)));
     let mut backend = node.backend.accept();
     backend.expect("x-txn: second\r\n");
--- a/crates/simulator/src/frame/layout.rs
+++ b/crates/simulator/src/frame/layout.rs
@@ -36,7 +36,7 @@
 
 /// Fields of a reference to data in the tail.
 pub(super) mod data_reference {
-    /// `u32`: offset of the first byte in the tail.
+    /// `u32`: offset of the first byte of the data from the start of the tail.
     pub const START: usize = 0;
     /// `u32`: number of items; for a text or a message, the number of bytes.
     pub const ITEM_COUNT: usize = 4;
