--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -22,7 +22,7 @@
 /// longest mean work of a class.
 pub const MAX_QUEUE_LENGTH: Nanos = 15;
 
-/// An event that the simulation has scheduled.
+/// An event that the simulation handles once its clock reaches the time for which it was scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scheduled {
     Arrival,
@@ -39,7 +39,7 @@
     },
 }
 
-/// Condition of a backend.
+/// How a backend handles the attempts that are sent to it.
 #[derive(Clone, Copy)]
 pub enum Health {
     /// The backend serves attempts at this fraction of its full capacity.
@@ -50,7 +50,7 @@
     NeverAnswers,
 }
 
-/// Outcomes of simulated attempts.
+/// Outcomes of simulated attempts; a scheduled end of an attempt has an index in this array.
 pub const OUTCOMES: [Outcome; 4] = [
     Outcome::Success,
     Outcome::Overloaded,
@@ -63,7 +63,7 @@
 pub struct RequestRecord {
     /// Index of the proxy that received the request.
     pub proxy_index: usize,
-    /// Index of the class of the request.
+    /// Index of the request's class in `Settings::classes`.
     pub class: usize,
     pub received_at: Nanos,
     /// When an attempt succeeded; `None` if the request was not served.
@@ -89,7 +89,7 @@
     pub mean_work: Vec<Nanos>,
     /// Fraction of the requests that are of the last class; the others are of class 0.
     pub last_class_share: f64,
-    /// Unfinished work at a backend above which its backlog counts as long.
+    /// A backlog counts as long if the backend needs more time than this to finish it.
     pub backlog_threshold: Nanos,
     /// Start and end of the latest period in which the backlog of a backend is above the threshold.
     pub above_threshold: BTreeMap<BackendId, (Nanos, Nanos)>,
@@ -97,7 +97,7 @@
     pub longest_above_threshold: Nanos,
     /// Number of requests that were not started at once although some backend was idle.
     pub queued_despite_idle_backend: usize,
-    /// Index of the proxy that is stopped, if any.
+    /// Index of the stopped proxy, whose requests go to the next proxy; `None` if all proxies run.
     pub stopped_proxy: Option<usize>,
     /// When each backend has finished all attempts that it has accepted so far.
     pub free_at: BTreeMap<BackendId, Nanos>,
@@ -379,8 +379,8 @@
         );
     }
 
-    /// Runs for `duration`, with Poisson arrivals of `rate` requests a second at all proxies
-    /// together.
+    /// Simulates the next `duration`, with Poisson arrivals of `rate` requests a second at all
+    /// proxies together.
     pub fn run(&mut self, duration: Nanos, rate: f64) {
         let end = self.now + duration;
         let mean_interval = SECOND as f64 / rate;
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn pushed_watch_is_reopened_within_the_drain_grace_and_follows_a_reload() {
+fn watch_for_pushed_lists_is_reopened_within_the_drain_grace_and_moved_by_a_reload() {
     let node = TestNode::with_config(|config| {
         with_pushed_lists(config).replace(r#"Ns":1500000000,"f"#, r#"Ns":250000000,"f"#)
     });
@@ -68,7 +68,8 @@
     let mut watch = node.discovery.accept();
     watch.expect("\r\n\r\n");
     let started_at = Instant::now();
-    // The watch may withhold updates, and each of them counts as notified 6 s after it is due.
+    // A watch without complete objects may withhold updates. An update counts as notified 6 s after
+    // it is due, so the node must open a new watch before that.
     watch.send(WATCH_RESPONSE_HEAD).send("1000\r\n");
     let sender = std::thread::spawn(move || {
         while watch.try_send(" ") {
--- a/crates/node/tests/service/operation.rs
+++ b/crates/node/tests/service/operation.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_and_keeps_the_list_and_all_requests_and_connections() {
+fn sighup_moves_the_watch_to_the_new_discovery_and_keeps_everything_else() {
     let mut node = TestNode::start();
     let mut client = node.client();
     client.send(&report_request("s", 5000));
@@ -70,7 +70,7 @@
     let mut node = TestNode::with_config(|config| {
         config.replace(r#""coldFrom""#, r#""askWithinNs":20000000000,"coldFrom""#)
     });
-    // The decision module waits at least half a second before it calls discovery again.
+    // With a poll interval of 20 s, the decision module waits at least 0.5 s after a failed call.
     let old_address = node.discovery.address().to_string();
     node.discovery.accept().close();
     node.expect_log("list out of reach");
@@ -79,7 +79,8 @@
     let mut watch = new_discovery.accept();
     watch.expect("after=7 ");
     node.expect_log("reload discovery=");
-    // When the idle timeout ends this watch, the first backoff has ended and the next one has not.
+    // When the idle timeout ends this watch, the backoff after the closed first watch is over. A
+    // new backoff begins, so the node must not have opened another watch yet.
     watch.send(WATCH_RESPONSE_HEAD).send("1\r\n\n\r\n");
     node.expect_log("discovery-failed timed out: no complete data");
     watch.expect_close();
