--- a/crates/balancer/src/candidates_tests.rs
+++ b/crates/balancer/src/candidates_tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn explored_at_returns_none_without_candidates_and_the_last_at_fraction_one() {
+fn explored_at_is_none_without_candidates_and_the_last_candidate_at_fraction_one() {
     let candidates = Candidates::from_records(std::iter::empty());
     assert_eq!(
         (candidates.exploration_sum(), candidates.explored_at(0.5)),
--- a/crates/balancer/src/estimator_tests.rs
+++ b/crates/balancer/src/estimator_tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn estimable_backends_are_as_many_as_get_twelve_completions_in_ten_objectives() {
+fn estimable_backends_get_twelve_completions_each_in_ten_latency_objectives() {
     let mut estimator = estimator();
     estimator.set_first_attempts(1_200.0);
     // 60 arrivals per second for 20 s: 180 in ten latency objectives, enough for 15 backends.
--- a/crates/balancer/src/statistics_tests.rs
+++ b/crates/balancer/src/statistics_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn minimum_of_the_mean_is_kept_until_raised_and_never_exceeds_the_mean() {
+fn moving_mean_keeps_its_minimum_and_raise_minimum_stops_at_the_mean() {
     let mut mean = MovingMean::default();
     for value in [1.0, 3.0, 2.0, 5.0] {
         mean.add(value, 2.0);
--- a/crates/node/src/downstream/arrival_tests.rs
+++ b/crates/node/src/downstream/arrival_tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn bytes_read_soon_after_a_poll_or_an_empty_read_count_as_arriving_when_read() {
+fn arrival_time_is_the_read_time_soon_after_a_poll_or_an_empty_read() {
     let previous_poll_at = READ_AT - MAX_POLL_GAP;
     assert_eq!(
         tracker(READ_AT - 5_000 * MS, READ_AT - 9_000 * MS)
--- a/crates/node/src/rules_tests.rs
+++ b/crates/node/src/rules_tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn attempt_is_not_started_if_any_one_fact_forbids_it() {
+fn each_denial_alone_prevents_starting_an_attempt() {
     assert_eq!(may_start(NOW, &start_facts()), Ok(()));
     let cases: [(Denial, Change<StartFacts>); 7] = [
         (Denial::Answered, |f| f.answered = true),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn attempt_is_not_written_if_any_one_fact_forbids_it() {
+fn each_denial_alone_prevents_writing_an_attempt() {
     assert_eq!(
         may_write(NOW, &write_facts())
             .map(|permit| permit.timeout_ms())
--- a/crates/node/tests/races/watch.rs
+++ b/crates/node/tests/races/watch.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn watch_for_pushed_lists_is_reopened_within_the_drain_grace_and_moved_by_a_reload() {
+fn broken_watch_is_reopened_within_the_drain_grace_and_a_reload_changes_its_address() {
     let node = TestNode::with_config(|config| {
         with_pushed_lists(config).replace(r#"Ns":1500000000,"f"#, r#"Ns":250000000,"f"#)
     });
--- a/crates/testbed/src/referee_tests.rs
+++ b/crates/testbed/src/referee_tests.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn exactly_the_violations_in_answers_and_repeats_are_reported() {
+fn answers_and_retries_that_break_a_rule_are_reported_and_no_others() {
     for case in answer_cases().into_iter().chain(repeat_cases()) {
         let Case {
             idempotency,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn remaining_time_above_that_of_the_client_plus_the_slack_is_reported() {
+fn longer_remaining_time_than_the_client_has_is_reported_beyond_the_slack() {
     for (remaining, expected) in [
         (790, &[][..]),
         (
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn sends_after_drain_and_slow_start_overloads_are_reported() {
+fn slow_start_overloads_and_sends_after_a_drain_are_reported() {
     const AFTER_DRAIN: [&str; 1] = ["sent to a backend after the grace of its drain or removal"];
     let mut changes = vec![change(2, 500, EndpointState::Draining)];
     assert_eq!(rules_broken_by_send(1_100, 900, &changes), [""; 0]);
