--- a/crates/balancer/src/admission_rate.rs
+++ b/crates/balancer/src/admission_rate.rs
@@ -110,8 +110,9 @@
         self.tokens = (self.tokens + rate * elapsed_seconds).min(bucket_size);
     }
 
-    /// Attempts per second that this proxy may start, at least one in each arrival window. During
-    /// the first arrival window it is one attempt in each tick, which is practically unlimited.
+    /// Maximum rate at which this proxy starts attempts, per second: at least one per arrival
+    /// window. Until the first arrival window has passed, it is one per tick, so that the rate
+    /// hardly limits traffic at the start.
     pub(crate) fn attempts_per_second(&self, now: Nanos) -> f64 {
         let window = self.timescale.arrival_window();
         if self.timescale.age(now) < window {
--- a/crates/balancer/src/concurrency_limiter.rs
+++ b/crates/balancer/src/concurrency_limiter.rs
@@ -31,8 +31,8 @@
 /// Multiple of the unloaded latency from which a backend is clearly overloaded.
 pub(crate) const OVERLOAD_RATIO: f64 = TOLERANCE * TOLERANCE;
 
-/// Gain of the limit: its relative change at an answer is this multiple of the relative distance
-/// between the tolerance and the mean latency ratio.
+/// Gain of the limit: each adjustment, after an answer or a timeout, multiplies the limit by
+/// `1 + LIMIT_GAIN * (TOLERANCE / latency_ratio - 1)`, within the limit's bounds.
 const LIMIT_GAIN: f64 = 0.2;
 
 /// Number of answers in the moving mean of a backend's latency ratio, its latency as a multiple of
--- a/crates/balancer/src/estimator.rs
+++ b/crates/balancer/src/estimator.rs
@@ -171,8 +171,8 @@
             .clamp(self.timescale.shortest_objective, max_time_constant)
     }
 
-    /// Whether a backend gets fewer completions within the maximum time constant than an estimate
-    /// needs.
+    /// Whether the arrival rate is too low for [`TARGET_COMPLETIONS`] per backend within the
+    /// maximum time constant.
     pub(crate) fn is_data_sparse(&self, now: Nanos, backend_count: usize) -> bool {
         let rate = self.arrival_rate_per_backend(now, backend_count);
         rate * MAX_TIME_CONSTANT_OBJECTIVES * self.timescale.longest_objective < TARGET_COMPLETIONS
--- a/crates/balancer/src/outlier_detector.rs
+++ b/crates/balancer/src/outlier_detector.rs
@@ -113,8 +113,8 @@
         history.is_ejected(now) && !self.fails_open
     }
 
-    /// Updates whether ejection fails open: whether more than half of the ready backends are
-    /// ejected.
+    /// Suspends ejection (fails open) until the next renewal if more than half of the ready
+    /// backends are ejected now; otherwise ends the suspension.
     pub(crate) fn renew(&mut self, now: Nanos, endpoints: &EndpointList) {
         let ejected = ejected_count(now, endpoints);
         self.fails_open = ejected > MAX_EJECTED_FRACTION * endpoints.ready().count() as f64;
--- a/crates/balancer/tests/balancer/discovery.rs
+++ b/crates/balancer/tests/balancer/discovery.rs
@@ -77,8 +77,8 @@
 
 #[test]
 fn each_poll_follows_within_four_seconds_of_a_failed_one() {
-    // A change counts as notified 6 s after discovery has it and can be reached. A wait of 4 s
-    // before a poll leaves 2 s for the poll itself.
+    // A proxy counts as notified of a change 6 s after discovery has the change and is reachable.
+    // Polling again at most 4 s after a failed poll leaves 2 s for the poll.
     for poll_interval in [2 * SECOND, 10 * SECOND, 60 * SECOND] {
         for seed in 0..40 {
             let mut settings = Settings {
--- a/crates/balancer/tests/balancer/limits.rs
+++ b/crates/balancer/tests/balancer/limits.rs
@@ -167,8 +167,8 @@
                 assert!(burst.is_sent(id), "{message}");
                 burst.answer(id);
             }
-            // After ten answers of each backend and 30 latency objectives, half as many requests as
-            // there are backends are sent at once.
+            // Once ten requests per backend have been answered and then 30 latency objectives have
+            // passed, none of `backend_count / 2` simultaneous requests may wait.
             burst.serve(10 * backend_count);
             burst.harness.wait(30 * burst.latency_objective);
             let simultaneous: Vec<_> = (0..backend_count / 2).map(|_| burst.submit()).collect();
--- a/crates/balancer/tests/balancer/properties.rs
+++ b/crates/balancer/tests/balancer/properties.rs
@@ -17,8 +17,8 @@
     Submit(u16),
     End(usize, Outcome),
     DisconnectClient(usize),
-    /// An attempt with this number ends. Its request is unknown, as the highest bit of this id is
-    /// set before the id is used.
+    /// An attempt (`u8`) of an unknown request ends. The highest bit of the request id (`u32`) is
+    /// set before use, so that no request has this id.
     EndUnknown(u32, u8),
     Wait(Nanos),
     /// An update with entries of id, state and start time; a start time of 0 means none.
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -336,9 +336,8 @@
 fn overload_at_two_proxies_leaves_no_backend_with_a_lasting_backlog() {
     for seed in 1..4 {
         let (mut simulation, backends) = two_proxies(12, seed, 1.0);
-        // The work of five requests of 24 ms each: one that is executed and four that wait. The
-        // backends that tolerate the least overload become slow if their unfinished work is above
-        // that for 1.5 s.
+        // The threshold is the work of five requests of 24 ms, one executing and four waiting. The
+        // least tolerant backends become slow after 1.5 s above it.
         simulation.backlog_threshold = 5 * 24 * MS;
         simulation.run(5 * SECOND, 1.4 * capacity(1.0) * 12.0);
         assert!(
--- a/crates/balancer/tests/simulation/mod.rs
+++ b/crates/balancer/tests/simulation/mod.rs
@@ -183,8 +183,9 @@
         )
     }
 
-    /// A simulation in which the proxies alternate between two zones and have `settings` otherwise.
-    /// `mean_work` is the mean work of each class; `seed` seeds only the proxies.
+    /// Creates a simulation whose proxies all have `settings`, except for the proxy index and for
+    /// the zone, which alternates between two. `mean_work` is the mean work of each class; `seed`
+    /// seeds only the proxies.
     pub fn with_settings(
         settings: Settings,
         mean_work: Vec<Nanos>,
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -47,7 +47,7 @@
     Clock,
 }
 
-/// What is done to a call instead of, before or after it, or to its result.
+/// How an intercepted call is changed: it fails, is delayed, or its effect or result is altered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The call is not made and returns -1 with this errno.
@@ -80,7 +80,7 @@
     /// End of the time span, exclusive, on the same scale as its start; the maximum if the rule has
     /// no `to`.
     to_ms: u64,
-    /// Number of calls to which the rule has applied so far.
+    /// Number of matching calls so far within the time span, whether or not the fault was injected.
     call_count: u64,
 }
 
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -38,7 +38,8 @@
         })
     }
 
-    /// The state of the signals of this kind.
+    /// The [`Signal`] that tells whether a signal of this kind has arrived, and that wakes the
+    /// event loop then.
     pub fn get(&self, kind: SignalKind) -> &Signal {
         match kind {
             SignalKind::Terminate => &self.terminate,
--- a/crates/node/src/start_time.rs
+++ b/crates/node/src/start_time.rs
@@ -23,9 +23,9 @@
 /// confirmation of the list without this start.
 const MAX_LIST_LAG: Nanos = 6 * SECOND;
 
-/// A start on the first list that is older than this by the wall clock, in nanoseconds, counts as
-/// long ago. The wall clock may be off by an hour (the operators' terms); this allows for twice
-/// that.
+/// On the first list, the maximum age by the wall clock, in nanoseconds, of a start that counts as
+/// happening now; an older start counts as long ago. This is twice the clock error of one hour that
+/// a deployment may have (the operators' terms).
 const MAX_CLOCK_ERROR: Nanos = 2 * 3_600 * SECOND;
 
 /// What the node knows when it observes a start on a list.
--- a/crates/node/tests/races/disconnects.rs
+++ b/crates/node/tests/races/disconnects.rs
@@ -75,7 +75,8 @@
     let node = TestNode::with_config(|config| with_backend(config, "s-0", other_backend.address()));
     let mut client = node.client();
     client.send(&report_request("left", 5000));
-    // Find out which backend receives the request; it rejects the request below.
+    // `first` is the connection to the backend that receives the request. This backend rejects it
+    // below, so that a retry could go to `second`, the other backend.
     let (mut first, second) = wait_for(|| {
         let at_default_backend = node
             .backend
--- a/crates/standin/src/link_tests.rs
+++ b/crates/standin/src/link_tests.rs
@@ -79,8 +79,8 @@
     (0..3).map(|_| spawn_starter(stop.clone())).collect()
 }
 
-/// A process that is being started holds a copy of the closed listener, so the link can't listen on
-/// its port again at once. Until the link can, no other socket may get the port.
+/// A process that is being started may hold a copy of the closed listener, which delays listening
+/// on its port again. During this delay, no other socket may get the port.
 #[tokio::test]
 async fn refusing_link_keeps_its_port_while_processes_are_started() {
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -36,7 +36,7 @@
     scenario.fleet.backends = ((scenario.fleet.backends as f64 * scale).round() as usize).max(6);
     scenario.traffic.rate *= scale;
     scenario.fleet.nodes = nodes;
-    // A few nodes need less time after the last step than the full fleet.
+    // Shorten the scenario: the reduced fleet needs at most 9 s after the last step.
     let last_step_end_s = scenario
         .at
         .iter()
