--- a/tools/check_line_lengths.sh
+++ b/tools/check_line_lengths.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# What rustfmt leaves alone: comments longer than its 100 columns, and string literals over 110.
+# Checks the line lengths that rustfmt does not: at most 100 columns for comments and 110 for other lines. Other
+# lines exceed rustfmt's 100 columns only where a string literal does.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/check_pages.py
+++ b/tools/check_pages.py
@@ -1,19 +1,19 @@
 #!/usr/bin/env python3
-"""Checks that the pages and the code agree. Prints one line for each finding; exit code 1 if there is any.
+"""Checks that the pages agree with the code. Prints one line per finding; the exit code is 1 if there is any.
 
-Checked are README.md, CHANGELOG.md and every page below docs/:
+The pages are README.md, CHANGELOG.md and all Markdown files below docs/. The checks are:
 
 - a relative link points to a file that exists, and its anchor to a heading of that page;
-- a code reference `path/file.rs` is a file of the tree, from the root; a bare `file.rs` is the name of at least one file;
+- a code reference `path/file.rs` names a file by its path from the root; `file.rs` names at least one file in the tree;
 - a code reference `path/file.rs:name` names a function, type, constant or module that is defined in that file;
-  in `path/file.rs:Type::name` both are;
-- `make` commands of the README are targets of the Makefile, and `make build` and `make test` are among them;
-- no page holds a path of somebody's machine;
-- a page that a comment in the code names exists.
+  in `path/file.rs:Type::name`, both names are defined in the file;
+- every `make` command in the README is a target of the Makefile, and the README names `make build` and `make test`;
+- no page contains a path of a particular machine, such as a home directory;
+- a page that is named in a comment of the code exists.
 
 Usage: tools/check_pages.py [--root FOLDER]
-       tools/check_pages.py --names       also lists names in `backticks` that the code does not have
-       tools/check_pages.py --self-test   plants faults in a temporary folder and shows that each is found
+       tools/check_pages.py --names       also lists names in `backticks` that the code does not contain
+       tools/check_pages.py --self-test   runs the tests of this program, which check that each kind of fault is found
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 REQUIRED_COMMANDS = ("build", "test")
 
-# The text of a link may begin on the line before, so only the end of a link is looked for.
+# The text of a link may start on the previous line, so the pattern matches only the end of a link.
 LINK = re.compile(r"\]\(([^()\s]+)\)")
 URL = re.compile(r"[a-z][a-z0-9+.-]*:", re.IGNORECASE)
 HEADING = re.compile(r"#{1,6} +(.*?)(?: +#+)?$")
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """What is wrong at one line of a page."""
+    """A fault on one line of a page or a source file."""
 
     page: str
     line: int
@@ -55,7 +55,7 @@
 
 
 class Tree:
-    """The files of a checkout, by their paths from its root."""
+    """The files of a checkout; paths are relative to its root."""
 
     def __init__(self, root):
         self.root = Path(root).resolve()
@@ -74,24 +74,24 @@
         return {str(path.relative_to(self.root)) for path in self.root.rglob("*") if path.is_file()}
 
     def text(self, file):
-        """The text of a file, or an empty one if it does not exist."""
+        """Returns the text of a file, or an empty string if the file does not exist."""
         if file not in self._texts:
             path = self.root / file
             self._texts[file] = path.read_text(encoding="utf-8") if path.is_file() else ""
         return self._texts[file]
 
     def pages(self):
-        """The pages that are checked."""
+        """Returns the pages that are checked, sorted by path."""
         return sorted(file for file in self.files if file.endswith(".md") and is_checked(file))
 
 
 def is_checked(file):
-    """Whether a Markdown file is one of the pages that are checked."""
+    """Returns whether a Markdown file is one of the pages that are checked."""
     return file in ("README.md", "CHANGELOG.md") or file.startswith("docs/")
 
 
 def prose_lines(text):
-    """Numbered lines of a page outside of fenced blocks."""
+    """Yields (line number, line) for the lines of a page outside of fenced code blocks."""
     in_fence = False
     for number, line in enumerate(text.splitlines(), 1):
         if FENCE.match(line):
@@ -101,7 +101,7 @@
 
 
 def anchors(text):
-    """The anchors that the headings of a page make, as common renderers derive them."""
+    """Returns the anchors of the headings of a page, derived as common Markdown renderers do it."""
     slug_counts = {}
     for _, line in prose_lines(text):
         heading = HEADING.match(line)
@@ -114,7 +114,7 @@
 
 
 def check_links(tree, page):
-    """Relative links point to files of the tree, anchors to headings."""
+    """Checks that relative links point to existing files, and their anchors to headings."""
     for number, line in prose_lines(tree.text(page)):
         for link in LINK.findall(CODE_SPAN.sub("code", line)):
             if URL.match(link):
@@ -129,7 +129,7 @@
 
 
 def defines(text, name):
-    """Whether a Rust source defines a name; `Type::name` stands for both."""
+    """Returns whether a Rust source defines a name; for `Type::name`, both parts must be defined."""
     parts = name.split("::")
     for position, part in enumerate(parts):
         is_declared = re.search(DEFINITION.format(name=re.escape(part)), text)
@@ -141,7 +141,7 @@
 
 
 def check_code_references(tree, page):
-    """Files of code that a page names exist and define what it says they define."""
+    """Checks that the source files a page names exist and define the names given with them."""
     for number, line in prose_lines(tree.text(page)):
         for span in CODE_SPAN.findall(line):
             for file, name in CODE_REFERENCE.findall(span):
@@ -155,7 +155,7 @@
 
 
 def check_commands(tree):
-    """The README's `make` commands are targets, the two main ones among them."""
+    """Checks that the README's `make` commands are targets, and that the required ones are in the README."""
     targets = set(MAKE_TARGET.findall(tree.text("Makefile")))
     named_commands = set()
     for number, line in enumerate(tree.text("README.md").splitlines(), 1):
@@ -169,14 +169,14 @@
 
 
 def check_machine_paths(tree, page):
-    """No page holds a path of somebody's machine."""
+    """Checks that a page contains no path of a particular machine."""
     for number, line in enumerate(tree.text(page).splitlines(), 1):
         for path in MACHINE_PATH.findall(line):
             yield Finding(page, number, f"{path} is a path of one machine")
 
 
 def check_pages_named_in_code(tree):
-    """Pages that comments in the code name exist."""
+    """Checks that the pages named in Rust files exist."""
     for file in sorted(file for file in tree.files if file.endswith(".rs")):
         for number, line in enumerate(tree.text(file).splitlines(), 1):
             for page in PAGE_IN_CODE.findall(line):
@@ -185,10 +185,10 @@
 
 
 def check_names(tree):
-    """Names in backticks that look like functions or tests, and that no file of code, settings or tools holds."""
+    """Lists names in backticks that look like functions or tests and occur in no source, settings or tool file."""
     code_extensions = (".rs", ".toml", ".json", ".py", ".sh")
     code = "\n".join(tree.text(file) for file in sorted(tree.files) if file.endswith(code_extensions))
-    # Incidents and the changelog keep the names of their time.
+    # Incident reports and the changelog keep the names that were in use when they were written.
     for page in (page for page in tree.pages() if page.startswith("docs/") and "/incidents/" not in page):
         for number, line in prose_lines(tree.text(page)):
             for span in CODE_SPAN.findall(line):
@@ -202,7 +202,7 @@
 
 
 def check(root):
-    """All findings in a checkout."""
+    """Returns all findings in a checkout."""
     tree = Tree(root)
     findings = []
     for page in tree.pages():
@@ -215,7 +215,7 @@
 
 
 def self_test():
-    """Runs the tests beside this program; tells whether they pass."""
+    """Runs the tests in check_pages_tests.py; returns whether they pass."""
     sys.dont_write_bytecode = True
     sys.path.insert(0, str(Path(__file__).parent))
     suite = unittest.defaultTestLoader.loadTestsFromName("check_pages_tests")
@@ -223,7 +223,7 @@
 
 
 def main():
-    """Checks the checkout that this program lies in, or another; gives the exit code."""
+    """Checks the checkout that contains this program, or the one given by --root; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--root", default=Path(__file__).resolve().parent.parent)
     parser.add_argument("--names", action="store_true")
--- a/tools/check_pages_tests.py
+++ b/tools/check_pages_tests.py
@@ -1,4 +1,4 @@
-"""Tests of check_pages: each fault is planted in a small checkout in a temporary folder."""
+"""Tests of check_pages: each test adds a fault to a small valid checkout in a temporary folder."""
 
 import tempfile
 import unittest
@@ -20,10 +20,13 @@
 
 
 class CheckPagesTest(unittest.TestCase):
-    """A sound checkout has no findings; one with a planted fault has exactly that one."""
+    """The valid checkout has no findings; a checkout with one fault has exactly one finding."""
 
     def findings(self, **changes):
-        """Findings in the sound checkout with some files replaced: `a__b_c` stands for `a/b.c`."""
+        """Returns the findings in the valid checkout with some files replaced or added.
+
+        The name of an argument is the path of a file: `a__b_DOT_c` is `a/b.c`.
+        """
         files = dict(VALID_FILES)
         files.update({name.replace("__", "/").replace("_DOT_", "."): text for name, text in changes.items()})
         with tempfile.TemporaryDirectory() as folder:
@@ -73,15 +76,15 @@
         self.assertEqual(len(self.findings(docs__more_DOT_md="`rules.rs:may_write`\n")), 1)
 
     def test_make_command_without_target_is_found(self):
-        findings = self.findings(README_DOT_md="`make build`, `make test`, `make coffee`\n")
-        self.assertEqual(findings, ["README.md:1: `make coffee`: the Makefile has no such target"])
+        findings = self.findings(README_DOT_md="`make build`, `make test`, `make missing`\n")
+        self.assertEqual(findings, ["README.md:1: `make missing`: the Makefile has no such target"])
 
     def test_missing_required_command_is_found(self):
         findings = self.findings(README_DOT_md="`make build`\n")
         self.assertEqual(findings, ["README.md:1: `make test` is not named"])
 
     def test_machine_path_is_found(self):
-        findings = self.findings(docs__more_DOT_md="Look into " + "/home" + "/somebody.\n")
+        findings = self.findings(docs__more_DOT_md="Look into " + "/home" + "/user.\n")
         self.assertEqual(len(findings), 1)
 
     def test_missing_page_named_in_code_is_found(self):
--- a/tools/fleet_log.py
+++ b/tools/fleet_log.py
@@ -1,13 +1,15 @@
 #!/usr/bin/env python3
-"""Sums the traces of many nodes, and follows one request through all of them.
+"""Summarizes the traces of many nodes, and prints all events of one request.
 
-    fleet_log.py seconds DIR           what all nodes did, by the second
-    fleet_log.py backends DIR [FROM TO] the same by backend, the most failures first
-    fleet_log.py news DIR              how long news of the list took to reach half and nine tenths of the nodes
-    fleet_log.py follow DIR WORD       each line of the reqs whose X-Txn or Idempotency-Key is WORD, by time
+    fleet_log.py seconds DIR             number of events of all nodes, per second
+    fleet_log.py backends DIR [FROM TO]  number of events per backend, most failures first; FROM and TO limit the
+                                         time, in seconds after the first event
+    fleet_log.py news DIR                time in which each change of an endpoint reached half and nine tenths of
+                                         the nodes, in seconds after the first node (half_s, most_s)
+    fleet_log.py follow DIR WORD         all events of the requests whose X-Txn or Idempotency-Key is WORD, by time
 
-DIR holds one log a node (*.log), written with BALANCER_TRACE=1. A number before `kitefork:` on a line, as some
-collectors write it, is skipped. A node that starts anew counts its reqs and backends anew.
+DIR holds one log per node (*.log), written with BALANCER_TRACE=1. A number before `kitefork:` on a line, as some
+log collectors add it, is ignored. A node that restarts numbers its requests and backends anew.
 """
 
 import collections
@@ -20,7 +22,10 @@
 
 
 def events(folder):
-    """Each traced event as (time, node, word, fields), with the uid for a backend's number and the req's names."""
+    """Yields each trace event as (time, node/incarnation, word, fields).
+
+    Fields of an event about a backend get its uid. `names` has the txn and key of the request, if there is one.
+    """
     for log_path in sorted(pathlib.Path(folder).glob("*.log")):
         uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, 0
         with open(log_path, errors="replace") as log:
@@ -29,14 +34,14 @@
                 if not match:
                     continue
                 if match[1] is None:
-                    # A start line is written before the list that the node was given.
+                    # A start line comes before the endpoints of the new process, whose numbers start anew.
                     uids, request_names, backend_by_attempt, incarnation = {}, {}, {}, incarnation + 1
                     continue
                 fields = dict(FIELD.findall(match[3]))
                 word, request_id = match[2], fields.get("id")
                 if word == "endpoint":
                     uids[fields["b"]] = fields["uid"]
-                # One for each req; its key is told after its first send, so all its events share it.
+                # All events of a request share one dict, because the key is logged after the first send.
                 names = request_names.setdefault(request_id, {}) if request_id else {}
                 names.update((name, fields[name]) for name in ("txn", "key") if name in fields)
                 if word == "send":
@@ -49,19 +54,21 @@
 
 
 def events_since_first(folder):
-    """All events by their time since the first one."""
+    """Returns all events, with the time in seconds since the first one."""
     all_events = list(events(folder))
     first_time = min((at for at, *_ in all_events), default=0)
     return [(at - first_time, *rest) for at, *rest in all_events]
 
 
 def print_table(rows, columns):
+    """Prints rows (dicts by column name) below a header; a missing value is 0."""
     widths = [max(len(str(row.get(column, 0))) for row in [*rows, {column: column}]) for column in columns]
     for row in [{column: column for column in columns}, *rows]:
         print("  ".join(str(row.get(column, 0)).rjust(width) for column, width in zip(columns, widths)))
 
 
 def event_column(word, fields):
+    """Returns the column that counts an event: its outcome, its answer or its word."""
     if word == "ended":
         return fields["outcome"]
     if word == "answer":
@@ -71,8 +78,9 @@
     return word
 
 
-EVENT_COLUMNS = ["request", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled",
-           "NotSent", "Rejected", "Failed", "TimedOut", "client-disconnected", "call", "call-failed", "notified"]
+EVENT_COLUMNS = ["request", "send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error",
+                 "Reset", "Cancelled", "NotSent", "Rejected", "Failed", "TimedOut", "client-disconnected", "call",
+                 "call-failed", "notified"]
 
 
 def print_seconds(folder):
@@ -83,7 +91,11 @@
 
 
 def print_backends(folder, from_s=0.0, to_s=1e18):
-    rows, nodes, success_us = collections.defaultdict(collections.Counter), collections.defaultdict(set), collections.Counter()
+    rows, nodes, success_us = (
+        collections.defaultdict(collections.Counter),
+        collections.defaultdict(set),
+        collections.Counter(),
+    )
     for at, node, word, fields in events_since_first(folder):
         uid = fields.get("uid")
         if uid is None or word == "endpoint" or not from_s <= at < to_s:
@@ -92,10 +104,12 @@
         nodes[uid].add(node)
         if fields.get("outcome") == "Success":
             success_us[uid] += int(fields["us"])
-    columns = ["send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset", "Cancelled"]
+    columns = ["send", "resend", "connect", "Success", "Overloaded", "ConnectFailed", "Timeout", "Error", "Reset",
+               "Cancelled"]
     failure_count = lambda uid: sum(rows[uid][column] for column in columns[4:])
     print_table(
-        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": success_us[uid] // 1000 // max(rows[uid]["Success"], 1), **rows[uid]}
+        [{"uid": uid, "nodes": len(nodes[uid]), "ok_ms": success_us[uid] // 1000 // max(rows[uid]["Success"], 1),
+          **rows[uid]}
          for uid in sorted(rows, key=failure_count, reverse=True)],
         ["uid", "nodes", "ok_ms", *columns],
     )
@@ -104,7 +118,7 @@
 def print_propagation_times(folder):
     first_seen, nodes = collections.defaultdict(dict), set()
     for at, node, word, fields in events(folder):
-        # The same node after a restart is told anew, which is no later news.
+        # A restarted node receives the list again; only its first event for a change counts.
         node = node.split("/")[0]
         nodes.add(node)
         if word == "endpoint":
--- a/tools/simulator_digests.sh
+++ b/tools/simulator_digests.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Prints one digest for each simulated day, to compare two versions of the decisions: equal decisions give
-# equal digests. The simulator knows no names of the code, so a rename or a move must not change any line.
+# Prints one digest per simulated day, to compare the decisions of two versions of the code: equal decisions give
+# equal digests. The simulator does not use names of the code, so a rename or a move must not change any line.
 #
 # Usage: tools/simulator_digests.sh LBSIM SITE...
 #
-# LBSIM is the simulator's program, SITE a deployment that it plays. Plays each site's days of four kinds
-# with two seeds. What depends on the machine (times, names of snapshots) is left out of the digest.
+# LBSIM is the simulator's binary, SITE the file of a deployment to simulate. For each site, the script simulates
+# days of four kinds, each with two seeds. Values that depend on the machine (times, names of snapshots) are left
+# out of the digest.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
